--- a/crates/drill/tests/conversation.rs
+++ b/crates/drill/tests/conversation.rs
@@ -353,7 +353,7 @@
 fn events_for_an_instance_that_is_not_there_are_passed_over() {
     let events = r#"{"backends_changed":{"kind":7,"gen":1}},{"hangup":{"tid":8}},
         {"resolved":{"tid":1,"host":"mole","result":"odd","cost_time_ms":1}}"#;
-    let output = run(&batch(1, 7, events));
+    let output = run(batch(1, 7, events));
     assert_eq!(String::from_utf8_lossy(&output.stdout), "{\"parts\":[]}\n");
     assert!(output.status.success() && output.stderr.is_empty());
 }
--- a/crates/terms/tests/settings.rs
+++ b/crates/terms/tests/settings.rs
@@ -205,5 +205,5 @@
     settings["policy_limits"].as_object_mut().expect("an object").remove(key);
     let settings = parse(&settings);
     assert!(settings.clone().terms(5).is_ok());
-    assert_eq!(settings.upkeep().err().expect("a refusal").to_string(), expected);
+    assert_eq!(settings.upkeep().expect_err("a refusal").to_string(), expected);
 }
