--- a/crates/bylaws/src/fleet.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -1,11 +1,13 @@
 //! `fleet.textproto`: who the members are, and the budgets of the whole fleet.
 
+pub mod locate;
+
 use std::net::SocketAddr;
 
 use ottersill_fleet::terms::{Budget, Charter, Kind};
 use serde::Deserialize;
 
-use crate::{Fault, locate, parse};
+use crate::{Fault, parse};
 
 #[derive(Deserialize)]
 struct Text {
--- a/crates/bylaws/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' own files, in protobuf text format. A file is taken whole or not at all; what is wrong with it is told
 //! with its line, its field and the reason.
 
+pub mod deployment;
 pub mod fleet;
-pub mod locate;
 
 use std::fmt;
 
@@ -33,7 +33,11 @@
     let schema = pool.get_message_by_name(message).ok_or_else(|| broken("no such message".into()))?;
     let read = DynamicMessage::parse_text_format(schema, text).map_err(|e| {
         let at = e.labels().and_then(|mut labels| labels.next()).map_or(text.len(), |label| label.offset());
-        Fault { line: locate::line(text, at), field: locate::field(text, at), reason: e.to_string() }
+        Fault {
+            line: fleet::locate::line(text, at),
+            field: fleet::locate::field(text, at),
+            reason: e.to_string(),
+        }
     })?;
     let options = SerializeOptions::new().use_proto_field_name(true).skip_default_fields(false);
     let json = read.serialize_with_options(serde_json::value::Serializer, &options);
--- a/crates/bylaws/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! Files that are refused, each with its line, its field and the reason.
 
-use ottersill_bylaws::fleet::read;
+use ottersill_config::fleet::read;
 use ottersill_fleet::terms::Kind;
 use rstest::rstest;
 
--- a/crates/terms/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,7 +1,7 @@
 //! What the settings' JSON is read as, in words that no rename touches, and the exact texts of refusals.
 
+use ottersill_config::deployment::{BootInfo, Names};
 use ottersill_core::interface::{Effect, Needs, Reports, Terms, Within, Workload};
-use ottersill_terms::{BootInfo, Names};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/ottersill/src/lifecycle/charter.rs
+++ b/crates/ottersill/src/lifecycle/charter.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ottersill_terms::BootInfo;
+use ottersill_config::deployment::BootInfo;
 use serde::{Deserialize, Deserializer};
 
 use crate::wire::discovery::List;
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use calloop::RegistrationToken;
-use ottersill_bylaws::fleet::{self as file, Bylaws, Of};
+use ottersill_config::fleet::{self as file, Bylaws, Of};
 use ottersill_core::interface::Parts;
 use ottersill_fleet::books::Key;
 use ottersill_fleet::fleet::{Berth, Event, Fleet};
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -8,12 +8,12 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use ottersill_config::deployment::{Names, Upkeep};
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
 use ottersill_core::interface::{Listed, Statement, Terms};
 use ottersill_statement::book::Book;
 use ottersill_statement::shape::Key;
-use ottersill_terms::{Names, Upkeep};
 use slab::Slab;
 use slog::Logger;
 use socket2::Socket;
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -3,7 +3,7 @@
 
 use std::io::ErrorKind;
 
-use ottersill_bylaws::fleet::Of;
+use ottersill_config::fleet::Of;
 use ottersill_core::facade::News;
 use ottersill_core::interface::Part;
 use ottersill_fleet::fleet::{Event, Fleet};
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -1,7 +1,7 @@
 //! Hosts: the lines to them, and the executions and probes that these carry.
 
 use bytes::BytesMut;
-use ottersill_bylaws::fleet::Of;
+use ottersill_config::fleet::Of;
 use ottersill_core::facade::News;
 use ottersill_core::interface::{Ending, Report, Role};
 use slog::info;
--- a/crates/drill/src/desk.rs
+++ b/crates/sim-adapter/src/desk.rs
@@ -5,9 +5,9 @@
 use std::io::Write;
 use std::mem;
 
+use ottersill_config::deployment::Names;
 use ottersill_core::Router;
 use ottersill_core::interface::{Ending, Front, Listed, Outcome, Report, Role, Standing, Statement};
-use ottersill_terms::Names;
 
 use crate::wire::{Create, Demand, Entry, HealthResult, Pressure, Resolved, Tenant};
 
--- a/crates/drill/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -11,7 +11,7 @@
     match run(&mut io::stdin().lock(), &mut BufWriter::with_capacity(1 << 16, io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("ottersill-drill: {fault}");
+            eprintln!("ottersill-sim-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/drill/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use ottersill_terms::BootInfo;
+use ottersill_config::deployment::BootInfo;
 use serde::Deserialize;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
@@ -378,7 +378,7 @@
             "accepted" | "peer_data" => map.next_value::<IgnoredAny>().map(|_| Ok(()))?,
             other => {
                 if !drill.rereading && drill.strange.insert(other.to_string()) {
-                    eprintln!("ottersill-drill: unknown event {other:?} is skipped");
+                    eprintln!("ottersill-sim-adapter: unknown event {other:?} is skipped");
                 }
                 map.next_value::<IgnoredAny>().map(|_| Ok(()))?
             }
--- a/crates/drill/tests/conversation.rs
+++ b/crates/sim-adapter/tests/conversation.rs
@@ -28,7 +28,7 @@
 }
 
 fn run(input: impl AsRef<[u8]>) -> Output {
-    let mut drill = Command::new(env!("CARGO_BIN_EXE_ottersill-drill"))
+    let mut drill = Command::new(env!("CARGO_BIN_EXE_ottersill-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -109,7 +109,7 @@
     }
     assert!(output.status.success());
     let strange = String::from_utf8(output.stderr).expect("UTF-8");
-    assert_eq!(strange, "ottersill-drill: unknown event \"never_met\" is skipped\n");
+    assert_eq!(strange, "ottersill-sim-adapter: unknown event \"never_met\" is skipped\n");
 }
 
 /// The same settings with a tenant, where lists come only on asking.
@@ -362,6 +362,7 @@
     let output = run(input);
     let said = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(output.status.code(), Some(1), "{said}");
-    let expected: Vec<String> = expected.iter().map(|line| format!("ottersill-drill: {line}\n")).collect();
+    let expected: Vec<String> =
+        expected.iter().map(|line| format!("ottersill-sim-adapter: {line}\n")).collect();
     assert_eq!(said, expected.concat());
 }
