--- /dev/null
+++ b/crates/config/src/deployment/terms.rs
@@ -0,0 +1,99 @@
+//! The settings as routing's [`Terms`].
+
+use ottersill_core::interface::{Reports, Terms, Workload};
+
+use super::workload::workload;
+use super::{DeploymentSettings, SettingsError, seconds};
+
+/// The field of load reports that holds the endpoint's role.
+const ROLE_FIELD: &str = "x1";
+
+impl DeploymentSettings {
+    /// The terms that routing decides by. `seed` is the seed of the router's random choices.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::UnknownValue`] if a field has a word that is not defined for it, and
+    /// [`SettingsError::EntryCount`] if `domain` does not describe each of `profiles`.
+    pub fn terms(&self, seed: u64) -> Result<Terms, SettingsError> {
+        let (limits, rules) = (&self.policy_limits, &self.rules);
+        Ok(Terms {
+            seed,
+            routers: self.balancers,
+            site: self.localities.iter().position(|name| *name == self.zone),
+            workloads: self.workloads()?,
+            tenant_rates: self.accounts.iter().map(|account| account.quota_per_s).collect(),
+            over_share: self.over_share_worth,
+            reports: self.reports()?,
+            members_check_reads: self.endpoints_check_reads()?,
+            remembers_writes: self.remembers_writes()?,
+            list_on_request: self.list_on_request()?,
+            may_probe: limits.probes,
+            may_cancel: limits.cancelling,
+            max_executions: limits.send_cap,
+            max_retry_after: if limits.retry_after { seconds(limits.max_retry_after_ms) } else { 0.0 },
+            only_draining_bars: rules.soft_removal,
+            cold_part: rules.cold_from,
+            warm_after: seconds(rules.ramp_time_ms),
+            fall_multiple: rules.fall_multiple,
+            fall_span: seconds(rules.overload_for_ms),
+        })
+    }
+
+    fn workloads(&self) -> Result<Vec<Workload>, SettingsError> {
+        let (profiles, domain) = (&self.profiles, &self.domain);
+        if domain.class_read.len() != profiles.len() || domain.oldest_data_ms.len() != profiles.len() {
+            return Err(SettingsError::EntryCount);
+        }
+        let consistency = domain.class_read.iter().zip(&domain.oldest_data_ms);
+        let rows = profiles.iter().zip(consistency).enumerate();
+        rows.map(|(index, (profile, (class_read, oldest_data_ms)))| {
+            workload(index, profile, class_read, *oldest_data_ms)
+        })
+        .collect()
+    }
+
+    /// Reports are of use only where they tell the role of the endpoint.
+    fn reports(&self) -> Result<Reports, SettingsError> {
+        let tell_role = self.stats.fields.iter().any(|field| field == ROLE_FIELD);
+        match self.stats.how.as_str() {
+            "answers" if tell_role => Ok(Reports::WithAnswers),
+            "probe" if tell_role => Ok(Reports::WithProbes),
+            "answers" | "probe" | "none" => Ok(Reports::Nowhere),
+            found => Err(unknown_value("stats.how", "stats.how", "answers, probe or none", found)),
+        }
+    }
+
+    fn endpoints_check_reads(&self) -> Result<bool, SettingsError> {
+        match self.domain.when_behind.as_str() {
+            "none" => Ok(false),
+            "refuse" | "wait" => Ok(true),
+            found => Err(unknown_value("when_behind", "domain.when_behind", "none, refuse or wait", found)),
+        }
+    }
+
+    fn remembers_writes(&self) -> Result<bool, SettingsError> {
+        match self.domain.write_marks.as_str() {
+            "carried" => Ok(false),
+            "remembered" => Ok(true),
+            found => Err(unknown_value("write_marks", "domain.write_marks", "carried or remembered", found)),
+        }
+    }
+
+    fn list_on_request(&self) -> Result<bool, SettingsError> {
+        match self.registry_mode.as_str() {
+            "automatic" => Ok(false),
+            "subscribe" => Ok(true),
+            found => Err(unknown_value("registry_mode", "registry_mode", "automatic or subscribe", found)),
+        }
+    }
+}
+
+fn unknown_value(
+    field: &'static str,
+    path: &'static str,
+    expected: &'static str,
+    found: &str,
+) -> SettingsError {
+    SettingsError::UnknownValue { field, path: path.to_string(), expected, found: found.to_string() }
+}
--- /dev/null
+++ b/crates/config/src/fleet/check.rs
@@ -0,0 +1,225 @@
+//! What has to hold of a fleet file. The checks run in the order of this file, and the first that fails is reported.
+
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+use ottersill_fleet::terms::{Budget, Charter, Kind};
+
+use super::error::{FleetConfigError, Reason};
+use super::locate::FieldMap;
+use super::schema::{BudgetEntry, FleetFile};
+use super::{BudgetKind, FleetConfig};
+
+const MAX_VOTERS: usize = 15;
+/// Seconds of a lease.
+const LEASE_S: RangeInclusive<f64> = 0.2..=60.0;
+/// The least ratio of the lease of grants to the lease of the leader.
+const LEASE_RATIO: f64 = 1.5;
+const MAX_FLOOR_LEASE_S: f64 = 3600.0;
+/// Bounds on clock drift. A file that allows for less than the first relies on luck, as clocks in good order drift by
+/// that much; one that allows for more than the second wastes most of each lease.
+const DRIFT: RangeInclusive<f64> = 0.001..=0.2;
+const MEMBER_LIMIT: RangeInclusive<u32> = 1..=10_000;
+/// Seconds after which a unit of a rate comes back.
+const RATE_PERIOD_S: RangeInclusive<f64> = 0.01..=60.0;
+const MAX_HOLD_S: f64 = 600.0;
+
+type Result<T, E = FleetConfigError> = std::result::Result<T, E>;
+
+impl FleetConfig {
+    /// Reads the fleet file `text` as the member of the name `member`, in a deployment whose longest statement timeout
+    /// is `longest_timeout` seconds.
+    ///
+    /// # Errors
+    ///
+    /// [`FleetConfigError`] for the first field that is wrong. Nothing of such a file may be used.
+    pub fn from_textproto(text: &str, member: &str, longest_timeout: f64) -> Result<FleetConfig> {
+        let file = FleetFile::parse(text)?;
+        Checker { file: &file, fields: FieldMap::of(text), member, longest_timeout }.fleet_config()
+    }
+}
+
+struct Checker<'a> {
+    file: &'a FleetFile,
+    fields: FieldMap<'a>,
+    /// The name of this member.
+    member: &'a str,
+    /// The longest statement timeout of the deployment, in seconds.
+    longest_timeout: f64,
+}
+
+/// The addresses of this member.
+struct OwnAddresses {
+    /// Where the others reach it.
+    at: SocketAddr,
+    listen: SocketAddr,
+    control: Option<SocketAddr>,
+}
+
+impl Checker<'_> {
+    fn fleet_config(&self) -> Result<FleetConfig> {
+        let file = self.file;
+        let peers = self.peers()?;
+        self.check_voters(&peers)?;
+        let own = self.own_addresses(&peers)?;
+        self.require(!file.key_file.is_empty(), "key_file", || Reason::NoKeyFile)?;
+        self.check_leases()?;
+        self.check_member_limit(peers.len())?;
+        let (budgets, budget_kinds) = self.budgets()?;
+        let charter = Charter {
+            name: self.member.to_string(),
+            voters: file.voter.clone(),
+            keeper_lease: file.keeper_lease_s,
+            lease: file.lease_s,
+            floor_lease: file.floor_lease_s,
+            drift: file.drift,
+            members_at_most: u64::from(file.members_at_most),
+            budgets,
+        };
+        Ok(FleetConfig {
+            charter,
+            peers,
+            at: own.at,
+            listen: own.listen,
+            control: own.control,
+            key_file: file.key_file.clone(),
+            audit_file: (!file.audit_file.is_empty()).then(|| file.audit_file.clone()),
+            budget_kinds,
+        })
+    }
+
+    fn error(&self, field: &str, reason: Reason) -> FleetConfigError {
+        FleetConfigError::new(self.fields.position_of(field), field.to_string(), reason)
+    }
+
+    fn require(&self, holds: bool, field: &str, reason: impl FnOnce() -> Reason) -> Result<()> {
+        if holds { Ok(()) } else { Err(self.error(field, reason())) }
+    }
+
+    fn address(&self, field: &str, text: &str) -> Result<SocketAddr> {
+        text.parse().map_err(|_| self.error(field, Reason::NotAnAddress { found: text.to_string() }))
+    }
+
+    fn require_duration(&self, field: &str, found: f64, range: RangeInclusive<f64>) -> Result<()> {
+        self.require(range.contains(&found), field, || Reason::DurationOutOfRange {
+            least: *range.start(),
+            most: *range.end(),
+            found,
+        })
+    }
+
+    fn peers(&self) -> Result<Vec<(String, SocketAddr)>> {
+        let listed = &self.file.peer;
+        let mut peers = Vec::with_capacity(listed.len());
+        for (index, peer) in listed.iter().enumerate() {
+            let name_field = format!("peer[{index}].name");
+            let duplicate = listed[..index].iter().any(|other| other.name == peer.name);
+            self.require(!peer.name.is_empty(), &name_field, || Reason::PeerWithoutName)?;
+            self.require(!duplicate, &name_field, || Reason::DuplicatePeer)?;
+            let address = self.address(&format!("peer[{index}].at"), &peer.at)?;
+            peers.push((peer.name.clone(), address));
+        }
+        Ok(peers)
+    }
+
+    fn check_voters(&self, peers: &[(String, SocketAddr)]) -> Result<()> {
+        let voters = &self.file.voter;
+        let count_reason = || Reason::VoterCount { most: MAX_VOTERS };
+        self.require((1..=MAX_VOTERS).contains(&voters.len()), "voter", count_reason)?;
+        self.require(voters.len() % 2 == 1, "voter", || Reason::EvenVoterCount)?;
+        for (index, voter) in voters.iter().enumerate() {
+            let field = format!("voter[{index}]");
+            let known = peers.iter().any(|(name, _)| name == voter);
+            self.require(known, &field, || Reason::UnknownVoter)?;
+            self.require(!voters[..index].contains(voter), &field, || Reason::DuplicateVoter)?;
+        }
+        Ok(())
+    }
+
+    fn own_addresses(&self, peers: &[(String, SocketAddr)]) -> Result<OwnAddresses> {
+        let own = peers.iter().find(|(name, _)| name == self.member).map(|(_, address)| *address);
+        let listen = match self.file.listen.as_str() {
+            "" => own,
+            text => Some(self.address("listen", text)?),
+        };
+        let no_address = || Reason::NoListenAddress { member: self.member.to_string() };
+        let listen = listen.ok_or_else(|| self.error("listen", no_address()))?;
+        Ok(OwnAddresses { at: own.unwrap_or(listen), listen, control: self.control_address()? })
+    }
+
+    /// The field `control` of the file goes before that of the peer.
+    fn control_address(&self) -> Result<Option<SocketAddr>> {
+        let mut control = match self.file.control.as_str() {
+            "" => None,
+            text => Some(("control".to_string(), self.address("control", text)?)),
+        };
+        for (index, peer) in self.file.peer.iter().enumerate().filter(|(_, peer)| !peer.control.is_empty()) {
+            let field = format!("peer[{index}].control");
+            let address = self.address(&field, &peer.control)?;
+            if peer.name == self.member && control.is_none() {
+                control = Some((field, address));
+            }
+        }
+        let Some((field, address)) = control else { return Ok(None) };
+        self.require(address.ip().is_loopback(), &field, || Reason::ControlNotLoopback)?;
+        Ok(Some(address))
+    }
+
+    fn check_leases(&self) -> Result<()> {
+        let file = self.file;
+        self.require_duration("keeper_lease_s", file.keeper_lease_s, LEASE_S)?;
+        self.require_duration("lease_s", file.lease_s, LEASE_S)?;
+        let long_enough = file.lease_s >= LEASE_RATIO * file.keeper_lease_s;
+        self.require(long_enough, "lease_s", || Reason::LeaseTooShort)?;
+        self.require_duration("floor_lease_s", file.floor_lease_s, file.lease_s..=MAX_FLOOR_LEASE_S)?;
+        let drift_reason = || Reason::DriftOutOfRange { range: DRIFT, found: file.drift };
+        self.require(DRIFT.contains(&file.drift), "drift", drift_reason)
+    }
+
+    fn check_member_limit(&self, peers: usize) -> Result<()> {
+        let limit = self.file.members_at_most;
+        let range_reason = || Reason::MemberLimitOutOfRange { range: MEMBER_LIMIT };
+        self.require(MEMBER_LIMIT.contains(&limit), "members_at_most", range_reason)?;
+        self.require(limit as usize >= peers, "members_at_most", || Reason::MemberLimitBelowPeers)
+    }
+
+    fn budgets(&self) -> Result<(Vec<Budget>, Vec<BudgetKind>)> {
+        let (mut budgets, mut kinds) = (Vec::new(), Vec::new());
+        for (index, entry) in self.file.budget.iter().enumerate() {
+            budgets.push(self.budget(index, entry, &kinds)?);
+            kinds.push(entry.of);
+        }
+        Ok((budgets, kinds))
+    }
+
+    /// The budget at `index` of the file; `earlier` are the kinds of those before it.
+    fn budget(&self, index: usize, entry: &BudgetEntry, earlier: &[BudgetKind]) -> Result<Budget> {
+        let field = |name: &str| format!("budget[{index}].{name}");
+        self.require(entry.of != BudgetKind::Unknown, &field("of"), || Reason::NoBudgetKind)?;
+        self.require(!earlier.contains(&entry.of), &field("of"), || Reason::DuplicateBudget)?;
+        self.require(entry.whole > 0, &field("whole"), || Reason::EmptyBudget)?;
+        let (whole, floor) = (u64::from(entry.whole), u64::from(entry.floor));
+        let members = u64::from(self.file.members_at_most);
+        let floor_reason = || Reason::FloorsExceedBudget { floor, members, whole };
+        self.require(floor * members <= whole, &field("floor"), floor_reason)?;
+        let kind = match entry.of {
+            BudgetKind::AttemptsPerEndpoint => self.concurrent_units(entry, field)?,
+            _ => self.rate(entry, field)?,
+        };
+        Ok(Budget::named(entry.of.budget_name(), kind, whole, floor))
+    }
+
+    fn concurrent_units(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<Kind> {
+        let longest = self.longest_timeout;
+        let long_enough = entry.hold_s >= longest && entry.hold_s <= MAX_HOLD_S;
+        self.require(long_enough, &field("hold_s"), || Reason::HoldTooShort { longest })?;
+        self.require(entry.every_s == 0.0, &field("every_s"), || Reason::NotARate)?;
+        Ok(Kind::InHand { hold: entry.hold_s })
+    }
+
+    fn rate(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<Kind> {
+        self.require_duration(&field("every_s"), entry.every_s, RATE_PERIOD_S)?;
+        self.require(entry.hold_s == 0.0, &field("hold_s"), || Reason::IsARate)?;
+        Ok(Kind::Rate { every: entry.every_s })
+    }
+}
--- a/crates/config/src/fleet/locate.rs
+++ b/crates/config/src/fleet/locate.rs
@@ -1,109 +1,172 @@
-//! Where a field of a text stands: the parser tells the place only of what it can't read, checks need that of any.
+//! Line and column of a field in protobuf text format. The parser tells positions only of what it can't parse; checks
+//! need that of any field.
 
-/// The line, from 1, of that byte.
-pub fn line(text: &str, at: usize) -> usize {
-    1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count()
+use std::collections::BTreeMap;
+
+/// A place in a text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Position {
+    /// From 1.
+    pub(super) line: usize,
+    /// From 1, in bytes.
+    pub(super) column: usize,
 }
 
-/// A word of the text and where it begins: a name, a bracket, a colon or a value, without comments.
-fn words(text: &str) -> Vec<(usize, &str)> {
-    let (bytes, mut at, mut words) = (text.as_bytes(), 0, Vec::new());
-    while at < bytes.len() {
-        let from = at;
-        match bytes[at] {
-            b'#' => at += bytes[at..].iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len() - at),
-            quote @ (b'"' | b'\'') => {
-                at += 1;
-                while at < bytes.len() && bytes[at] != quote {
-                    at += 1 + usize::from(bytes[at] == b'\\');
-                }
-                at = (at + 1).min(bytes.len());
-                words.push((from, text.get(from..at).unwrap_or("")));
-            }
-            byte if byte.is_ascii_alphanumeric() || b"_.-+".contains(&byte) => {
-                let word = |byte: &u8| byte.is_ascii_alphanumeric() || b"_.-+".contains(byte);
-                at += bytes[at..].iter().take_while(|byte| word(byte)).count();
-                words.push((from, &text[from..at]));
-            }
-            byte => {
-                at += 1;
-                if b"{}<>:[],;".contains(&byte) {
-                    words.push((from, &text[from..at]));
-                }
-            }
-        }
+impl Position {
+    pub(super) const START: Position = Position { line: 1, column: 1 };
+}
+
+/// The position of the byte at `offset`.
+pub(super) fn position(text: &str, offset: usize) -> Position {
+    let before = &text.as_bytes()[..offset.min(text.len())];
+    let line_start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
+    Position {
+        line: 1 + before.iter().filter(|byte| **byte == b'\n').count(),
+        column: 1 + before.len() - line_start,
     }
-    words
 }
 
-/// Each field of the text: its place, and its path with a number for each repetition, `budget[1].whole`.
-fn fields(text: &str) -> Vec<(usize, String)> {
-    let words = words(text);
-    let (mut path, mut found): (Vec<String>, _) = (Vec::new(), Vec::<(usize, String)>::new());
-    let mut counts = std::collections::BTreeMap::<String, usize>::new();
-    for (index, (at, word)) in words.iter().enumerate() {
-        let next = words.get(index + 1).map_or("", |next| next.1);
-        let before = index.checked_sub(1).map_or("", |before| words[before].1);
-        let named = word.starts_with(|c: char| c.is_ascii_alphabetic()) && !matches!(before, ":" | "[" | ",");
-        if *word == "}" || *word == ">" {
-            path.pop();
-        } else if named && matches!(next, ":" | "{" | "<") {
-            let plain = path.iter().map(|part| format!("{part}.")).collect::<String>() + word;
-            let count = counts.entry(plain.clone()).or_default();
-            let numbered = format!("{plain}[{count}]");
-            *count += 1;
-            found.push((*at, numbered.clone()));
-            let opens = next != ":" || words.get(index + 2).is_some_and(|word| matches!(word.1, "{" | "<"));
-            if opens {
-                let last = numbered.rsplit_once('.').map_or(numbered.as_str(), |(_, last)| last);
-                path.push(last.to_string());
-            }
+/// A name, a bracket, a separator or a value.
+struct Token<'t> {
+    offset: usize,
+    text: &'t str,
+}
+
+/// All tokens of the text; comments and white space are left out.
+fn tokens(text: &str) -> Vec<Token<'_>> {
+    let bytes = text.as_bytes();
+    let mut tokens = Vec::new();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let end = offset + token_length(&bytes[offset..]);
+        if is_token_start(bytes[offset]) {
+            tokens.push(Token { offset, text: text.get(offset..end).unwrap_or("") });
         }
+        offset = end;
+    }
+    tokens
+}
+
+fn is_word_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"_.-+".contains(&byte)
+}
+
+fn is_token_start(byte: u8) -> bool {
+    is_word_byte(byte) || b"\"'{}<>:[],;".contains(&byte)
+}
+
+/// The length of the token, the comment or the single other byte that `bytes` begins with.
+fn token_length(bytes: &[u8]) -> usize {
+    match bytes[0] {
+        b'#' => bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len()),
+        b'"' | b'\'' => quoted_length(bytes),
+        byte if is_word_byte(byte) => bytes.iter().take_while(|byte| is_word_byte(**byte)).count(),
+        _ => 1,
     }
-    found
 }
 
-/// Strips the number of what stands there once.
-fn tidy(path: &str, all: &[(usize, String)]) -> String {
-    let again = |path: &str| {
-        let stem = path.rsplit_once('[').map_or(path, |(stem, _)| stem);
-        all.iter().any(|(_, other)| *other == format!("{stem}[1]"))
-    };
-    let mut whole = String::new();
-    path.split('.').fold(String::new(), |so_far, part| {
-        let full = if so_far.is_empty() { part.to_string() } else { format!("{so_far}.{part}") };
-        let shown = if again(&full) { part } else { part.split('[').next().unwrap_or(part) };
-        whole += if whole.is_empty() { "" } else { "." };
-        whole += shown;
-        full
-    });
-    whole
+/// The length of the quoted string that `bytes` begins with, both quotes included.
+fn quoted_length(bytes: &[u8]) -> usize {
+    let quote = bytes[0];
+    let mut length = 1;
+    while length < bytes.len() && bytes[length] != quote {
+        length += if bytes[length] == b'\\' { 2 } else { 1 };
+    }
+    (length + 1).min(bytes.len())
 }
 
-/// The path of the last field that begins at or before that byte.
-pub fn field(text: &str, at: usize) -> String {
-    let all = fields(text);
-    let last = all.iter().rev().find(|(begins, _)| *begins <= at);
-    last.map_or_else(|| "file".to_string(), |(_, path)| tidy(path, &all))
+/// A field of the text.
+struct Field {
+    /// Where its name begins.
+    offset: usize,
+    /// Its path with a number for each part, `budget[1].whole[0]`.
+    path: String,
 }
 
-/// The line of a field by its path, `budget[1].whole`; of what it stands in where it is left out.
-pub fn line_of(text: &str, path: &str) -> usize {
-    let all = fields(text);
-    let whole = |path: &str| {
-        let numbered = path
-            .split('.')
-            .map(|part| if part.ends_with(']') { part.to_string() } else { format!("{part}[0]") });
-        numbered.collect::<Vec<_>>().join(".")
-    };
-    let mut path = path;
-    loop {
-        if let Some((at, _)) = all.iter().find(|(_, other)| *other == whole(path)) {
-            return line(text, *at);
+/// All fields of a text, in its order.
+pub(super) struct FieldMap<'t> {
+    text: &'t str,
+    fields: Vec<Field>,
+}
+
+impl<'t> FieldMap<'t> {
+    /// Finds the fields of `text`, which need not be well-formed.
+    pub(super) fn of(text: &'t str) -> FieldMap<'t> {
+        let tokens = tokens(text);
+        let text_at = |index: usize| tokens.get(index).map_or("", |token| token.text);
+        let mut fields: Vec<Field> = Vec::new();
+        let mut enclosing: Vec<String> = Vec::new();
+        let mut occurrences = BTreeMap::<String, usize>::new();
+        for (index, token) in tokens.iter().enumerate() {
+            let (next, after_next) = (text_at(index + 1), text_at(index + 2));
+            let previous = index.checked_sub(1).map_or("", text_at);
+            if matches!(token.text, "}" | ">") {
+                enclosing.pop();
+            } else if is_field_name(token.text, previous, next) {
+                let plain = enclosing.iter().map(|part| format!("{part}.")).collect::<String>() + token.text;
+                let occurrence = occurrences.entry(plain.clone()).or_default();
+                let path = format!("{plain}[{occurrence}]");
+                *occurrence += 1;
+                if next != ":" || matches!(after_next, "{" | "<") {
+                    let name = path.rsplit_once('.').map_or(path.as_str(), |(_, name)| name);
+                    enclosing.push(name.to_string());
+                }
+                fields.push(Field { offset: token.offset, path });
+            }
         }
-        match path.rsplit_once('.') {
-            Some((outer, _)) => path = outer,
-            None => return 1,
+        FieldMap { text, fields }
+    }
+
+    /// The path of the last field that begins at or before the byte at `offset`. A part has a number only if it is
+    /// repeated.
+    pub(super) fn path_at(&self, offset: usize) -> String {
+        let last = self.fields.iter().rev().find(|field| field.offset <= offset);
+        last.map_or_else(|| "file".to_string(), |field| self.without_needless_numbers(&field.path))
+    }
+
+    /// The position of a field by its path, `budget[1].whole`; where it is left out, that of the message around it, and
+    /// at last the start of the text.
+    pub(super) fn position_of(&self, path: &str) -> Position {
+        let mut path = path;
+        loop {
+            let numbered = numbered(path);
+            if let Some(field) = self.fields.iter().find(|field| field.path == numbered) {
+                return position(self.text, field.offset);
+            }
+            match path.rsplit_once('.') {
+                Some((outer, _)) => path = outer,
+                None => return Position::START,
+            }
         }
     }
+
+    fn without_needless_numbers(&self, path: &str) -> String {
+        let mut full = String::new();
+        let mut shown = Vec::new();
+        for part in path.split('.') {
+            full += if full.is_empty() { "" } else { "." };
+            full += part;
+            let name = part.split('[').next().unwrap_or(part);
+            shown.push(if self.is_repeated(&full) { part } else { name });
+        }
+        shown.join(".")
+    }
+
+    fn is_repeated(&self, path: &str) -> bool {
+        let name = path.rsplit_once('[').map_or(path, |(name, _)| name);
+        let second = format!("{name}[1]");
+        self.fields.iter().any(|field| field.path == second)
+    }
+}
+
+fn is_field_name(token: &str, previous: &str, next: &str) -> bool {
+    let is_name = token.starts_with(|first: char| first.is_ascii_alphabetic());
+    is_name && !matches!(previous, ":" | "[" | ",") && matches!(next, ":" | "{" | "<")
+}
+
+/// The path with a number for each part; a part without one is the first.
+fn numbered(path: &str) -> String {
+    let parts =
+        path.split('.').map(|part| if part.ends_with(']') { part.to_string() } else { format!("{part}[0]") });
+    parts.collect::<Vec<_>>().join(".")
 }
--- /dev/null
+++ b/crates/config/src/fleet/schema.rs
@@ -0,0 +1,73 @@
+//! The fleet file as parsed, field by field. The schema `proto/fleet.proto` says what each field means.
+
+use miette::Diagnostic;
+use prost_reflect::{DescriptorPool, DynamicMessage, SerializeOptions};
+use serde::Deserialize;
+
+use super::error::{FleetConfigError, Reason};
+use super::locate::FieldMap;
+use super::{BudgetKind, locate};
+
+/// The compiled schema, made by `build.rs`.
+const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/fleet.bin"));
+const MESSAGE: &str = "ottersill.fleet.Fleet";
+
+/// The message `Fleet`.
+#[derive(Deserialize)]
+pub(super) struct FleetFile {
+    pub(super) peer: Vec<Peer>,
+    pub(super) voter: Vec<String>,
+    pub(super) listen: String,
+    pub(super) control: String,
+    pub(super) key_file: String,
+    pub(super) audit_file: String,
+    pub(super) keeper_lease_s: f64,
+    pub(super) lease_s: f64,
+    pub(super) floor_lease_s: f64,
+    pub(super) drift: f64,
+    pub(super) members_at_most: u32,
+    pub(super) budget: Vec<BudgetEntry>,
+}
+
+/// The message `Peer`.
+#[derive(Deserialize)]
+pub(super) struct Peer {
+    pub(super) name: String,
+    pub(super) at: String,
+    pub(super) control: String,
+}
+
+/// The message `Budget`.
+#[derive(Deserialize)]
+pub(super) struct BudgetEntry {
+    pub(super) of: BudgetKind,
+    pub(super) whole: u32,
+    pub(super) floor: u32,
+    pub(super) every_s: f64,
+    pub(super) hold_s: f64,
+}
+
+impl FleetFile {
+    /// Parses `text`. A field that it leaves out has the default of its type.
+    pub(super) fn parse(text: &str) -> Result<FleetFile, FleetConfigError> {
+        let pool = DescriptorPool::decode(SCHEMA).map_err(|error| outside_text(error.into()))?;
+        let schema = pool.get_message_by_name(MESSAGE).ok_or_else(|| outside_text(Reason::NoSuchMessage))?;
+        let message = DynamicMessage::parse_text_format(schema, text).map_err(|error| {
+            let label = error.labels().and_then(|mut labels| labels.next());
+            let offset = label.map_or(text.len(), |label| label.offset());
+            FleetConfigError::new(
+                locate::position(text, offset),
+                FieldMap::of(text).path_at(offset),
+                error.into(),
+            )
+        })?;
+        let options = SerializeOptions::new().use_proto_field_name(true).skip_default_fields(false);
+        let json = message.serialize_with_options(serde_json::value::Serializer, &options);
+        json.and_then(serde_json::from_value).map_err(|error| outside_text(error.into()))
+    }
+}
+
+/// An error that no place of the text causes.
+fn outside_text(reason: Reason) -> FleetConfigError {
+    FleetConfigError::new(locate::Position::START, MESSAGE.to_string(), reason)
+}
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,6 +1,6 @@
 //! Files that are refused, each with its line, its field and the reason.
 
-use ottersill_config::fleet::read;
+use ottersill_config::fleet::FleetConfig;
 use ottersill_fleet::terms::Kind;
 use rstest::rstest;
 
@@ -29,14 +29,16 @@
 
 #[test]
 fn a_good_file_is_taken() {
-    let bylaws = read(GOOD, "b", 2.0).expect("a good file");
-    assert_eq!(bylaws.listen, "127.0.0.1:7412".parse().expect("an address"));
-    assert_eq!(bylaws.charter.voters, ["a", "b", "c"]);
-    assert_eq!((bylaws.charter.budgets[0].whole, bylaws.charter.budgets[0].floor), (64, 2));
-    let shrunk = read(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a good file");
-    assert_eq!(bylaws.differs(&shrunk), None);
-    let other = read(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0).expect("a good file");
-    assert!(bylaws.differs(&other).is_some_and(|field| field.contains("leases")));
+    let config = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a good file");
+    assert_eq!(config.listen, "127.0.0.1:7412".parse().expect("an address"));
+    assert_eq!(config.charter.voters, ["a", "b", "c"]);
+    assert_eq!((config.charter.budgets[0].whole, config.charter.budgets[0].floor), (64, 2));
+    let shrunk =
+        FleetConfig::from_textproto(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a good file");
+    assert_eq!(config.restart_required(&shrunk), None);
+    let other = FleetConfig::from_textproto(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0)
+        .expect("a good file");
+    assert!(config.restart_required(&other).is_some_and(|field| field.contains("leases")));
 }
 
 #[rstest]
@@ -212,34 +214,34 @@
     } else {
         GOOD.to_string()
     };
-    let fault = read(&text.replacen(from, to, 1), "b", 2.0).expect_err("a bad file");
+    let fault = FleetConfig::from_textproto(&text.replacen(from, to, 1), "b", 2.0).expect_err("a bad file");
     assert_eq!((fault.line, fault.field.as_str()), (line, field), "{fault}");
-    assert_eq!(fault.reason, reason);
+    assert_eq!(fault.reason.to_string(), reason);
     assert_eq!(fault.to_string(), format!("line {line}: {field}: {reason}"));
 }
 
 #[test]
 fn one_that_is_no_peer_needs_an_address() {
-    let fault = read(GOOD, "x", 2.0).expect_err("a stranger");
+    let fault = FleetConfig::from_textproto(GOOD, "x", 2.0).expect_err("a stranger");
     assert_eq!(fault.to_string(), "line 1: listen: \"x\" is no peer, so it needs its own address");
-    assert!(read(&format!("{GOOD}listen: \"127.0.0.1:7419\""), "x", 2.0).is_ok());
+    assert!(FleetConfig::from_textproto(&format!("{GOOD}listen: \"127.0.0.1:7419\""), "x", 2.0).is_ok());
 }
 
 /// Guards against a new version that takes the operators' file for something else than the version before it.
 #[test]
 fn the_deployed_file_is_read_as_before() {
     let text = include_str!("../../../deploy/fleet.textproto");
-    let bylaws = read(text, "b", 2.0).expect("the deployed file");
-    let charter = &bylaws.charter;
+    let config = FleetConfig::from_textproto(text, "b", 2.0).expect("the deployed file");
+    let charter = &config.charter;
     assert_eq!((charter.name.as_str(), charter.voters.join(" ")), ("b", "a b c".to_string()));
     assert_eq!((charter.keeper_lease, charter.lease, charter.floor_lease), (0.8, 2.0, 30.0));
     assert_eq!((charter.drift, charter.members_at_most), (0.01, 6));
-    let budgets = charter.budgets.iter().zip(&bylaws.purposes).map(|(budget, of)| {
+    let budgets = charter.budgets.iter().zip(&config.budget_kinds).map(|(budget, limits)| {
         let kind = match budget.kind {
             Kind::Rate { every } => format!("every {every} s"),
             Kind::InHand { hold } => format!("held {hold} s"),
         };
-        let each = if of.of_each_host() { ", each host" } else { "" };
+        let each = if limits.is_per_endpoint() { ", each host" } else { "" };
         format!("{}: {} of floor {}, {kind}{each}", budget.name, budget.whole, budget.floor)
     });
     assert_eq!(
@@ -252,12 +254,12 @@
             "executions at each cold host: 30 of floor 0, every 1 s, each host",
         ]
     );
-    let peers = bylaws.peers.iter().map(|(name, at)| format!("{name} {at}"));
+    let peers = config.peers.iter().map(|(name, at)| format!("{name} {at}"));
     assert_eq!(peers.collect::<Vec<_>>(), ["a 127.0.0.1:7411", "b 127.0.0.1:7412", "c 127.0.0.1:7413"]);
-    let addresses = [Some(bylaws.at), Some(bylaws.listen), bylaws.control];
+    let addresses = [Some(config.at), Some(config.listen), config.control];
     let expected = ["127.0.0.1:7412", "127.0.0.1:7412", "127.0.0.1:7422"];
     assert_eq!(addresses.map(|at| at.expect("an address").to_string()), expected);
-    assert_eq!((bylaws.key_file.as_str(), bylaws.audit_file.as_deref()), ("target/fleet.key", None));
+    assert_eq!((config.key_file.as_str(), config.audit_file.as_deref()), ("target/fleet.key", None));
 }
 
 /// Every field that the file of one member may have, beside those above.
@@ -265,14 +267,14 @@
 fn the_fields_of_one_member_are_read_as_before() {
     let own = "listen: \"0.0.0.0:7419\" audit_file: \"audit.jsonl\"\n";
     let text = GOOD.replace("at: \"127.0.0.1:7412\"", "at: \"127.0.0.1:7412\" control: \"127.0.0.1:7422\"");
-    let bylaws = read(&format!("{own}{text}"), "b", 2.0).expect("a good file");
+    let config = FleetConfig::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a good file");
     assert_eq!(
-        (bylaws.at.to_string(), bylaws.listen.to_string()),
+        (config.at.to_string(), config.listen.to_string()),
         ("127.0.0.1:7412".into(), "0.0.0.0:7419".into())
     );
     // What is said for this member alone goes before what all are told of it.
-    assert_eq!(bylaws.control.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:7421"));
-    assert_eq!(bylaws.audit_file.as_deref(), Some("audit.jsonl"));
+    assert_eq!(config.control.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:7421"));
+    assert_eq!(config.audit_file.as_deref(), Some("audit.jsonl"));
 }
 
 /// What a reload can't take over is named by these words.
@@ -289,7 +291,21 @@
 #[case::audit("key_file", "audit_file: \"a\" key_file", Some("audit_file"))]
 #[case::a_whole("whole: 64", "whole: 32", None)]
 fn what_differs_is_named(#[case] from: &str, #[case] to: &str, #[case] expected: Option<&str>) {
-    let now = read(GOOD, "b", 2.0).expect("a good file");
-    let next = read(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a good file");
-    assert_eq!(now.differs(&next), expected);
+    let now = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a good file");
+    let next = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a good file");
+    assert_eq!(now.restart_required(&next), expected);
+}
+
+/// The place of an error is where the field begins, of an absent one where the message around it does, and where the
+/// parser stopped if it did.
+#[rstest]
+#[case::first("voter: \"c\"", "voter: \"d\"", (7, 1))]
+#[case::within_a_line("127.0.0.1:7413", "somewhere", (4, 18))]
+#[case::indented("whole: 64", "whole: 0", (17, 3))]
+#[case::absent_in_a_message("every_s: 1", "", (21, 1))]
+#[case::absent("key_file: \"fleet.key\"", "", (1, 1))]
+#[case::not_parsed("drift: 0.01", "drift: 0.01 drift: 0.02", (13, 20))]
+fn the_place_of_an_error_is_told(#[case] from: &str, #[case] to: &str, #[case] place: (usize, usize)) {
+    let fault = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect_err("a bad file");
+    assert_eq!((fault.line, fault.column), place, "{fault}");
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What the settings' JSON is read as, in words that no rename touches, and the exact texts of refusals.
 
-use ottersill_config::deployment::{BootInfo, Names};
+use ottersill_config::deployment::{Catalog, DeploymentSettings};
 use ottersill_core::interface::{Effect, Needs, Reports, Terms, Within, Workload};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
     })
 }
 
-fn parse(settings: &Value) -> BootInfo {
+fn parse(settings: &Value) -> DeploymentSettings {
     serde_json::from_value(settings.clone()).expect("settings of the right form")
 }
 
@@ -76,7 +76,7 @@
     format!("{needs}, {effect}, importance {importance}, late {late}, aim {aim} s, limit {limit} s")
 }
 
-fn words(terms: &Terms, names: &Names) -> Vec<String> {
+fn words(terms: &Terms, names: &Catalog) -> Vec<String> {
     let reports = match terms.reports {
         Reports::WithAnswers => "with answers",
         Reports::WithProbes => "with probes",
@@ -104,7 +104,7 @@
 #[test]
 fn the_example_is_read_as_before() {
     let settings = parse(&example());
-    let (terms, names) = settings.clone().terms(77).expect("terms");
+    let (terms, names) = (settings.terms(77).expect("terms"), settings.catalog());
     assert_eq!(
         words(&terms, &names),
         [
@@ -125,14 +125,14 @@
             "primary, once, importance 2, late 0.3, aim 0.5 s, limit 2 s",
         ]
     );
-    let upkeep = settings.upkeep().expect("times of connections");
-    assert_eq!((upkeep.connect, upkeep.idle, upkeep.drain_grace), (0.25, 15.0, 0.25));
+    let timeouts = settings.backend_timeouts().expect("times of connections");
+    assert_eq!((timeouts.connect, timeouts.idle, timeouts.drain_grace), (0.25, 15.0, 0.25));
 }
 
 #[test]
 fn every_key_is_read_as_before() {
     let settings = parse(&every_key());
-    let (terms, names) = settings.clone().terms(u64::MAX).expect("terms");
+    let (terms, names) = (settings.terms(u64::MAX).expect("terms"), settings.catalog());
     assert_eq!(
         words(&terms, &names),
         [
@@ -157,8 +157,8 @@
             "primary, once, importance 4, late 0.5, aim 0.15 s, limit 0.3 s",
         ]
     );
-    let upkeep = settings.upkeep().expect("times of connections");
-    assert_eq!((upkeep.connect, upkeep.idle, upkeep.drain_grace), (0.125, 8.0, 0.4));
+    let timeouts = settings.backend_timeouts().expect("times of connections");
+    assert_eq!((timeouts.connect, timeouts.idle, timeouts.drain_grace), (0.125, 8.0, 0.4));
 }
 
 /// What a value turns into where the two sets above do not say it.
@@ -176,8 +176,9 @@
 ) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = value;
-    let (terms, names) = parse(&settings).terms(5).expect("terms");
-    assert_eq!(words(&terms, &names)[line], expected);
+    let settings = parse(&settings);
+    let terms = settings.terms(5).expect("terms");
+    assert_eq!(words(&terms, &settings.catalog())[line], expected);
 }
 
 #[rstest]
@@ -193,7 +194,7 @@
 fn a_value_that_is_not_known_is_refused(#[case] key: &str, #[case] value: Value, #[case] expected: &str) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = value;
-    let fault = parse(&settings).terms(5).err().expect("a refusal");
+    let fault = parse(&settings).terms(5).expect_err("a refusal");
     assert_eq!(fault.to_string(), expected);
 }
 
@@ -204,6 +205,18 @@
     let mut settings = every_key();
     settings["policy_limits"].as_object_mut().expect("an object").remove(key);
     let settings = parse(&settings);
-    assert!(settings.clone().terms(5).is_ok());
-    assert_eq!(settings.upkeep().expect_err("a refusal").to_string(), expected);
+    assert!(settings.terms(5).is_ok());
+    assert_eq!(settings.backend_timeouts().expect_err("a refusal").to_string(), expected);
+}
+
+/// The error tells the place in the whole object, which its text does not.
+#[rstest]
+#[case::class("/domain/class_read/2", "domain.class_read[2]")]
+#[case::group("/profiles/3/group", "profiles[3].group")]
+#[case::effect("/profiles/0/effect", "profiles[0].effect")]
+#[case::reports("/stats/how", "stats.how")]
+fn the_place_of_an_unknown_value_is_told(#[case] key: &str, #[case] path: &str) {
+    let mut settings = every_key();
+    *settings.pointer_mut(key).expect("a key of the settings") = json!("odd");
+    assert_eq!(parse(&settings).terms(5).expect_err("a refusal").path(), path);
 }
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -91,8 +91,8 @@
         return Ok(None);
     }
     let charter = charter::find()?;
-    let (terms, names) =
-        charter.settings.terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let terms = charter.settings.terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let names = charter.settings.catalog();
     let at = names.workloads.iter().position(|known| known == name);
     let at = at.ok_or_else(|| {
         format!("--workload: no workload {name:?}; there are {}", names.workloads.join(", "))
--- a/crates/ottersill/src/lifecycle/charter.rs
+++ b/crates/ottersill/src/lifecycle/charter.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ottersill_config::deployment::BootInfo;
+use ottersill_config::deployment::DeploymentSettings;
 use serde::{Deserialize, Deserializer};
 
 use crate::wire::discovery::List;
@@ -27,7 +27,7 @@
     /// The hosts as this router last had them; may be old.
     #[serde(default)]
     pub known: Option<List>,
-    pub settings: BootInfo,
+    pub settings: DeploymentSettings,
 }
 
 impl Charter {
--- a/crates/ottersill/src/lifecycle/serve.rs
+++ b/crates/ottersill/src/lifecycle/serve.rs
@@ -44,9 +44,9 @@
 
 fn serve(charter: Charter, fleet: Option<&str>, log: &Log) -> Result<(), String> {
     let berths = charter.limits.berths().map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let upkeep = charter.settings.upkeep().map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
-    let (terms, names) =
-        charter.settings.clone().terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let upkeep = charter.settings.backend_timeouts().map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let terms = charter.settings.terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let names = charter.settings.catalog();
     let longest = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
     let link = fleet.map(|path| Link::open(path, &charter.name, longest, charter.seed)).transpose()?;
     let mut events = EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use calloop::RegistrationToken;
-use ottersill_config::fleet::{self as file, Bylaws, Of};
+use ottersill_config::fleet::{BudgetKind, FleetConfig};
 use ottersill_core::interface::Parts;
 use ottersill_fleet::books::Key;
 use ottersill_fleet::fleet::{Berth, Event, Fleet};
@@ -38,7 +38,7 @@
     path: String,
     name: String,
     longest: f64,
-    pub bylaws: Bylaws,
+    pub bylaws: FleetConfig,
     secret: Vec<u8>,
     seed: u64,
     pub course: Course,
@@ -121,15 +121,15 @@
     }
 
     /// The budget for that, if there is one, and its subject: a host's name, or nothing.
-    pub fn key(&self, of: Of, subject: &str) -> Option<Key> {
-        let index = self.bylaws.purposes.iter().position(|purpose| *purpose == of)?;
-        let subject = if of.of_each_host() { label(subject) } else { 0 };
+    pub fn key(&self, of: BudgetKind, subject: &str) -> Option<Key> {
+        let index = self.bylaws.budget_kinds.iter().position(|kind| *kind == of)?;
+        let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
         Some((self.bylaws.charter.budgets[index].id, subject))
     }
 
     /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
     /// that everything may be done.
-    pub fn take(&mut self, now: f64, of: Of, subject: &str) -> bool {
+    pub fn take(&mut self, now: f64, of: BudgetKind, subject: &str) -> bool {
         let Some(key) = self.key(of, subject) else { return true };
         let Some(fleet) = self.fleet() else {
             self.refused += 1;
@@ -144,7 +144,7 @@
     }
 
     /// A thing in hand is over.
-    pub fn put(&mut self, now: f64, of: Of, subject: &str, proved: bool) {
+    pub fn put(&mut self, now: f64, of: BudgetKind, subject: &str, proved: bool) {
         let Some(key) = self.key(of, subject) else { return };
         if let Some(fleet) = self.fleet() {
             fleet.put(now, key, proved);
@@ -188,7 +188,7 @@
     /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
     pub fn reload(&mut self, now: f64) -> Result<Vec<String>, String> {
         let new = read(&self.path, &self.name, self.longest)?;
-        if let Some(field) = self.bylaws.differs(&new) {
+        if let Some(field) = self.bylaws.restart_required(&new) {
             return Err(format!(
                 "{}: {field}: differs, and is alike at all members as long as any runs",
                 self.path
@@ -219,9 +219,9 @@
     }
 }
 
-fn read(path: &str, name: &str, longest: f64) -> Result<Bylaws, String> {
+fn read(path: &str, name: &str, longest: f64) -> Result<FleetConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    file::read(&text, name, longest).map_err(|fault| format!("{path}: {fault}"))
+    FleetConfig::from_textproto(&text, name, longest).map_err(|fault| format!("{path}: {fault}"))
 }
 
 /// Who has read the key is a member, so a file that others may read is refused.
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -8,7 +8,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use ottersill_config::deployment::{Names, Upkeep};
+use ottersill_config::deployment::{BackendTimeouts, Catalog};
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
 use ottersill_core::interface::{Listed, Statement, Terms};
@@ -103,8 +103,8 @@
     pub book: Book,
     /// When a line last said why a statement was taken for one that may write.
     pub strict_logged_at: f64,
-    pub names: Names,
-    pub upkeep: Upkeep,
+    pub names: Catalog,
+    pub upkeep: BackendTimeouts,
     pub berths: Berths,
     pub log: Logger,
     pub handle: LoopHandle<'static, Exchange>,
@@ -134,8 +134,8 @@
 impl Exchange {
     pub fn new(
         terms: Terms,
-        names: Names,
-        upkeep: Upkeep,
+        names: Catalog,
+        upkeep: BackendTimeouts,
         berths: Berths,
         discovery: std::net::SocketAddr,
         log: Logger,
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -3,7 +3,7 @@
 
 use std::io::ErrorKind;
 
-use ottersill_config::fleet::Of;
+use ottersill_config::fleet::BudgetKind;
 use ottersill_core::facade::News;
 use ottersill_core::interface::Part;
 use ottersill_fleet::fleet::{Event, Fleet};
@@ -149,7 +149,7 @@
         let in_hand = self.statements.in_hand();
         for (index, host) in self.hosts.all.iter().enumerate() {
             let waiting = self.facade.waiting(host.listed.group) as u64;
-            let units = link.key(Of::ExecutionsAtEachHost, &host.name).map(|key| {
+            let units = link.key(BudgetKind::AttemptsPerEndpoint, &host.name).map(|key| {
                 link.fleet().map_or(0, |fleet| {
                     fleet.expect(now, key);
                     if waiting > 0 && !fleet.has(now, key) {
@@ -160,7 +160,7 @@
             });
             // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
             let cold = self.facade.is_cold(self.now, index);
-            let key = link.key(Of::ExecutionsAtEachColdHost, &host.name).filter(|_| cold);
+            let key = link.key(BudgetKind::AttemptsPerWarmingEndpoint, &host.name).filter(|_| cold);
             let tokens = key.map(|key| {
                 link.fleet().map_or(0.0, |fleet| {
                     let tokens = fleet.tokens(now, key);
@@ -178,8 +178,9 @@
         }
         let here = |fleet: &mut Fleet| fleet.members().filter(|m| m.presence == Presence::Here).count();
         link.parts.routers = link.fleet().map(here);
-        link.parts.second_tries =
-            link.key(Of::SecondTries, "").map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        link.parts.second_tries = link
+            .key(BudgetKind::Retries, "")
+            .map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.facade.report(self.now, News::Parts(&link.parts));
         let next = link.next_at();
         self.alarms.clear(link.alarm.take());
@@ -195,16 +196,16 @@
         let again = self.statements.get(stmt).is_some_and(|held| held.ran);
         let Some(link) = &mut self.link else { return true };
         let name = &self.hosts.all[host].name;
-        if again && !link.take(now, Of::SecondTries, "") {
+        if again && !link.take(now, BudgetKind::Retries, "") {
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
         let cold = self.facade.is_cold(self.now, host);
-        (!cold || link.take(now, Of::ExecutionsAtEachColdHost, name))
-            && link.take(now, Of::ExecutionsAtEachHost, name)
+        (!cold || link.take(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
+            && link.take(now, BudgetKind::AttemptsPerEndpoint, name)
     }
 
-    pub fn fleet_has(&mut self, of: Of) -> bool {
+    pub fn fleet_has(&mut self, of: BudgetKind) -> bool {
         let now = self.clock.now();
         self.link.as_mut().is_none_or(|link| link.take(now, of, ""))
     }
@@ -213,7 +214,7 @@
     pub fn fleet_ends(&mut self, host: usize, proved: bool) {
         let now = self.clock.now();
         if let Some(link) = &mut self.link {
-            link.put(now, Of::ExecutionsAtEachHost, &self.hosts.all[host].name, proved);
+            link.put(now, BudgetKind::AttemptsPerEndpoint, &self.hosts.all[host].name, proved);
         }
     }
 
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -1,7 +1,7 @@
 //! Hosts: the lines to them, and the executions and probes that these carry.
 
 use bytes::BytesMut;
-use ottersill_config::fleet::Of;
+use ottersill_config::fleet::BudgetKind;
 use ottersill_core::facade::News;
 use ottersill_core::interface::{Ending, Report, Role};
 use slog::info;
@@ -49,7 +49,7 @@
     }
 
     pub fn probe(&mut self, host: usize) {
-        if !self.fleet_has(Of::Probes) {
+        if !self.fleet_has(BudgetKind::HealthChecks) {
             self.counters.fleet_refused += 1;
             return self.tell_probe(host, Ending::NeverSent, Report::default());
         }
@@ -83,7 +83,7 @@
             self.counters.lines_wanting += 1;
             return Err(Ending::NeverSent);
         }
-        if !self.fleet_has(Of::NewConnections) {
+        if !self.fleet_has(BudgetKind::NewConnections) {
             self.counters.fleet_refused += 1;
             return Err(Ending::NeverSent);
         }
--- a/crates/sim-adapter/src/desk.rs
+++ b/crates/sim-adapter/src/desk.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::mem;
 
-use ottersill_config::deployment::Names;
+use ottersill_config::deployment::Catalog;
 use ottersill_core::Router;
 use ottersill_core::interface::{Ending, Front, Listed, Outcome, Report, Role, Standing, Statement};
 
@@ -18,7 +18,7 @@
 
 /// Names on one side, small indices on the other.
 pub struct Desk {
-    names: Names,
+    names: Catalog,
     hosts: Vec<Host>,
     host_index: HashMap<String, usize>,
     groups: HashMap<u64, usize>,
@@ -46,7 +46,8 @@
 
 impl Instance {
     pub fn start(create: Create, now: f64, reply: &mut Vec<u8>) -> Result<Instance, String> {
-        let (terms, names) = create.boot_info.terms(create.nonce64)?;
+        let terms = create.boot_info.terms(create.nonce64).map_err(|error| error.to_string())?;
+        let names = create.boot_info.catalog();
         let mut desk = Desk {
             names,
             hosts: Vec::new(),
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use ottersill_config::deployment::BootInfo;
+use ottersill_config::deployment::DeploymentSettings;
 use serde::Deserialize;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
@@ -14,7 +14,7 @@
 #[derive(Deserialize)]
 pub struct Create {
     pub nonce64: u64,
-    pub boot_info: BootInfo,
+    pub boot_info: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
