--- /dev/null
+++ b/crates/sim-adapter/src/instance/front.rs
@@ -0,0 +1,57 @@
+//! The router's decisions as actions of the wire.
+
+use ottersill_core::interface::Front;
+
+use super::Names;
+use crate::wire::reply::Reply;
+
+/// Writes what the router decides into the reply, for the time of one call.
+pub(super) struct ReplyFront<'a> {
+    pub(super) names: &'a mut Names,
+    pub(super) reply: &'a mut Reply,
+}
+
+impl ReplyFront<'_> {
+    fn finish(&mut self, request: usize) {
+        self.names.requests.finish(request);
+        self.names.requests.release_if_finished(request);
+    }
+}
+
+impl Front for ReplyFront<'_> {
+    fn execute(&mut self, stmt: usize, host: usize, time_out: f64) {
+        let Names { requests, endpoints, .. } = self.names;
+        requests.attempt_started(stmt);
+        self.reply.forward(requests.id(stmt), endpoints.name(host), time_out);
+    }
+
+    fn reject(&mut self, stmt: usize, retry_after: f64) {
+        self.reply.say_no(self.names.requests.id(stmt), retry_after);
+        self.finish(stmt);
+    }
+
+    fn abort(&mut self, stmt: usize) {
+        self.reply.finish_error(self.names.requests.id(stmt));
+        self.finish(stmt);
+    }
+
+    fn cancel(&mut self, stmt: usize, execution: u32) {
+        self.reply.call_off(self.names.requests.id(stmt), execution);
+    }
+
+    fn probe(&mut self, host: usize) {
+        self.reply.sound_out(self.names.endpoints.name(host));
+    }
+
+    fn wake(&mut self, after: f64) {
+        self.reply.notify_me(after);
+    }
+
+    fn follow(&mut self) {
+        self.reply.follow();
+    }
+
+    fn log(&mut self, text: &str) {
+        self.reply.record(text);
+    }
+}
--- /dev/null
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -0,0 +1,256 @@
+//! One router of the simulation, with the names that the wire has for the indices of routing.
+//!
+//! Routing knows endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] turns the names of
+//! events into indices and hands the events to its [`Router`]; the module `front` turns the router's decisions back into
+//! actions of the wire.
+
+mod endpoints;
+mod front;
+mod requests;
+
+use std::collections::HashMap;
+
+use ottersill_config::deployment::Catalog;
+use ottersill_core::Router;
+use ottersill_core::interface::{Ending, Outcome, Report, Role, Statement};
+
+use crate::error::EventError;
+use crate::wire::RequestId;
+use crate::wire::event::{
+    Create, Demand, Entry, HealthResult, Pressure, Progress, ProgressRole, Resolved, Tenant,
+};
+use crate::wire::reply::Reply;
+use endpoints::EndpointTable;
+use front::ReplyFront;
+use requests::RequestTable;
+
+/// What a list of endpoints covers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// Only entries that changed.
+    Changes,
+    /// All endpoints: one that is absent is gone.
+    Whole,
+}
+
+/// One router with its names. Actions go to the reply that each call is lent.
+pub struct Instance {
+    router: Router,
+    names: Names,
+}
+
+/// Names of the wire on one side, indices of routing on the other.
+struct Names {
+    catalog: Catalog,
+    endpoints: EndpointTable,
+    groups: GroupTable,
+    requests: RequestTable,
+}
+
+/// The index of each group, in the order in which groups were met.
+#[derive(Default)]
+struct GroupTable(HashMap<u64, usize>);
+
+impl GroupTable {
+    fn index(&mut self, number: u64) -> usize {
+        let next = self.0.len();
+        *self.0.entry(number).or_insert(next)
+    }
+}
+
+impl Instance {
+    /// Starts a router. `now` is the clock of the batch in seconds, here and below.
+    ///
+    /// # Errors
+    ///
+    /// [`EventError::Settings`] if its settings are rejected.
+    pub fn start(now: f64, create: &Create, reply: &mut Reply) -> Result<Instance, EventError> {
+        let settings = &create.boot_info;
+        let terms = settings.terms(create.nonce64)?;
+        let mut names = Names {
+            catalog: settings.catalog(),
+            endpoints: EndpointTable::default(),
+            groups: GroupTable::default(),
+            requests: RequestTable::default(),
+        };
+        let router = Router::start(now, terms, &mut ReplyFront { names: &mut names, reply });
+        Ok(Instance { router, names })
+    }
+
+    /// Discovery told of endpoints.
+    ///
+    /// # Errors
+    ///
+    /// [`EventError::UnknownState`] for an entry with a state that the wire does not define.
+    pub fn list_changed(
+        &mut self,
+        now: f64,
+        scope: ListScope,
+        entries: &[Entry],
+        reply: &mut Reply,
+    ) -> Result<(), EventError> {
+        let Names { catalog, endpoints, groups, .. } = &mut self.names;
+        let known_before = endpoints.len();
+        let mut changes = Vec::with_capacity(entries.len());
+        for entry in entries {
+            let group = |number| groups.index(number);
+            changes.push(endpoints.update(entry, &catalog.sites, group)?);
+        }
+        if scope == ListScope::Whole {
+            let missing = endpoints.absent_from(&changes, known_before);
+            changes.extend(missing);
+        }
+        self.router.hosts(now, &changes, &mut ReplyFront { names: &mut self.names, reply });
+        Ok(())
+    }
+
+    /// A call to discovery failed, or the subscription to its list broke.
+    pub fn list_failed(&mut self) {
+        self.router.list_failed();
+    }
+
+    /// A client's request arrived.
+    ///
+    /// # Errors
+    ///
+    /// [`EventError::UnknownWorkload`] or [`EventError::UnknownTenant`] if the settings lack what it names.
+    pub fn request(&mut self, now: f64, demand: &Demand<'_>, reply: &mut Reply) -> Result<(), EventError> {
+        let names = &mut self.names;
+        let workload = position(&names.catalog.workloads, &demand.priority)
+            .ok_or_else(|| EventError::UnknownWorkload(demand.priority.to_string()))?;
+        let tenant = match &demand.owner {
+            Some(Tenant::Name(name)) => {
+                let tenant = position(&names.catalog.tenants, name);
+                Some(tenant.ok_or_else(|| EventError::UnknownTenant(name.to_string()))?)
+            }
+            Some(Tenant::Nobody(_)) | None => None,
+        };
+        let statement = Statement {
+            workload,
+            group: names.groups.index(demand.partition_no),
+            tenant,
+            session: demand.key,
+            time_left: demand.budget_ms / 1000.0,
+            since_write: (demand.token_ms > 0.0).then_some(demand.token_ms / 1000.0),
+            repeat: demand.resent,
+            writes: false,
+            work: None,
+        };
+        let index = names.requests.insert(demand.tid);
+        self.router.statement(now, index, statement, &mut ReplyFront { names, reply });
+        Ok(())
+    }
+
+    /// An attempt ended. One of a request that this instance was never given is passed over: it ended before the
+    /// instance started.
+    ///
+    /// # Errors
+    ///
+    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    pub fn attempt_ended(
+        &mut self,
+        now: f64,
+        resolved: &Resolved<'_>,
+        reply: &mut Reply,
+    ) -> Result<(), EventError> {
+        let names = &mut self.names;
+        let ending = ending(&resolved.result)?;
+        let host = names.endpoint(&resolved.host)?;
+        let Some(stmt) = names.requests.index_of(resolved.tid) else {
+            return Ok(());
+        };
+        names.requests.attempt_ended(stmt, resolved.done_flag);
+        let outcome = Outcome {
+            stmt,
+            host,
+            ending,
+            took: resolved.cost_time_ms / 1000.0,
+            closed: resolved.done_flag,
+            note: names.answer_report(resolved.progress),
+            report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
+        };
+        self.router.outcome(now, &outcome, &mut ReplyFront { names, reply });
+        self.names.requests.release_if_finished(stmt);
+        Ok(())
+    }
+
+    /// A health check ended.
+    ///
+    /// # Errors
+    ///
+    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    pub fn health_check_ended(
+        &mut self,
+        now: f64,
+        result: &HealthResult<'_>,
+        reply: &mut Reply,
+    ) -> Result<(), EventError> {
+        let names = &mut self.names;
+        let host = names.endpoint(&result.host)?;
+        let report =
+            result.pressure.as_ref().map_or(Report::default(), |pressure| names.load_report(pressure));
+        let ending = ending(&result.result)?;
+        self.router.probed(now, host, ending, report, &mut ReplyFront { names, reply });
+        Ok(())
+    }
+
+    /// The timer of the router has expired.
+    pub fn timer_expired(&mut self, now: f64, reply: &mut Reply) {
+        self.router.timer(now, &mut ReplyFront { names: &mut self.names, reply });
+    }
+
+    /// A client went away. The batch may name a request that was answered a moment ago.
+    pub fn client_gone(&mut self, request: RequestId) {
+        let requests = &mut self.names.requests;
+        let Some(index) = requests.index_of(request) else { return };
+        let was_open = requests.finish(index);
+        if was_open {
+            self.router.hangup(index);
+        }
+        requests.release_if_finished(index);
+    }
+}
+
+impl Names {
+    fn endpoint(&self, name: &str) -> Result<usize, EventError> {
+        self.endpoints.index_of(name).ok_or_else(|| EventError::UnknownEndpoint(name.to_string()))
+    }
+
+    /// What an answer itself told of its endpoint.
+    fn answer_report(&self, progress: Progress) -> Report {
+        let role = progress.role().map(|role| match role {
+            ProgressRole::Primary => Role::Primary,
+            ProgressRole::Replica => Role::Replica,
+        });
+        let position = progress.position_ms();
+        Report { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), busy: None }
+    }
+
+    fn load_report(&self, pressure: &Pressure) -> Report {
+        Report {
+            role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
+            lsn: pressure.x0.map(|x0| self.catalog.zero + x0),
+            busy: pressure.utilization,
+        }
+    }
+}
+
+fn position(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// The outcome of an attempt or of a health check by its name on the wire.
+fn ending(result: &str) -> Result<Ending, EventError> {
+    Ok(match result {
+        "ok" => Ending::Completed,
+        "error" => Ending::Error,
+        "full" => Ending::Full,
+        "timeout" => Ending::TimedOut,
+        "connect_failed" => Ending::ConnectFailed,
+        "reset" => Ending::Reset,
+        "cancelled" => Ending::Cancelled,
+        "moot" => Ending::NeverSent,
+        "miss" => Ending::Miss,
+        unknown => return Err(EventError::UnknownOutcome(unknown.to_string())),
+    })
+}
--- /dev/null
+++ b/crates/sim-adapter/src/session.rs
@@ -0,0 +1,177 @@
+//! All instances of one process: a batch in, a reply out.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::error::{BatchError, EventError};
+use crate::instance::{Instance, ListScope};
+use crate::wire::InstanceNumber;
+use crate::wire::batch::{self, BatchHandler, TrackedError};
+use crate::wire::event::{BackendsChanged, Create, Entry, Event, InstanceEvent};
+use crate::wire::reply::Reply;
+
+/// The name of the program in its messages on standard error.
+pub const PROGRAM: &str = "ottersill-sim-adapter";
+
+/// All instances of one process. They share the numbered lists, as the wire has it, and nothing else.
+#[derive(Default)]
+pub struct Session {
+    instances: BTreeMap<InstanceNumber, Instance>,
+    lists: BTreeMap<u8, Vec<Entry>>,
+    /// Names of unknown events, each of which is reported once.
+    unknown_events: BTreeSet<String>,
+    reply: Reply,
+    /// The clock of the batch, in seconds.
+    now: f64,
+    /// Events of this batch that were carried out.
+    events_done: usize,
+    /// Why the event after those was refused.
+    refusal: Option<EventError>,
+}
+
+impl Session {
+    /// Carries out a batch and returns the line that answers it.
+    ///
+    /// # Errors
+    ///
+    /// [`BatchError`] if the line is not a valid batch. Events before the one at fault have been carried out, so the
+    /// session must not be used any further.
+    pub fn play(&mut self, line: &str) -> Result<&[u8], BatchError> {
+        self.reply.begin();
+        self.events_done = 0;
+        if batch::read(line, self).is_err() {
+            return Err(diagnose(line, self.events_done, self.refusal.take()));
+        }
+        Ok(self.reply.finish())
+    }
+
+    fn dispatch(&mut self, number: InstanceNumber, event: Event<'_>) -> Result<(), EventError> {
+        match event {
+            Event::Create(create) => self.create(number, &create)?,
+            Event::Kill => {
+                self.instances.remove(&number);
+            }
+            Event::Roster(roster) => {
+                self.lists.insert(roster.list, roster.members_list);
+            }
+            Event::Running(event) => self.deliver(number, &event)?,
+        }
+        Ok(())
+    }
+
+    fn deliver(&mut self, number: InstanceNumber, event: &InstanceEvent<'_>) -> Result<(), EventError> {
+        let (now, reply) = (self.now, &mut self.reply);
+        // A killed instance may still be named by what was on its way to it.
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Ok(());
+        };
+        match event {
+            InstanceEvent::BackendsChanged(change) => change_list(instance, now, &self.lists, change, reply)?,
+            InstanceEvent::Demand(demand) => instance.request(now, demand, reply)?,
+            InstanceEvent::Resolved(resolved) => instance.attempt_ended(now, resolved, reply)?,
+            InstanceEvent::HealthResult(result) => instance.health_check_ended(now, result, reply)?,
+            InstanceEvent::Reminder(_) => instance.timer_expired(now, reply),
+            InstanceEvent::Hangup(hangup) => instance.client_gone(hangup.tid),
+        }
+        Ok(())
+    }
+
+    fn create(&mut self, number: InstanceNumber, create: &Create) -> Result<(), EventError> {
+        let instance = Instance::start(self.now, create, &mut self.reply)?;
+        self.instances.insert(number, instance);
+        Ok(())
+    }
+}
+
+fn change_list(
+    instance: &mut Instance,
+    now: f64,
+    lists: &BTreeMap<u8, Vec<Entry>>,
+    change: &BackendsChanged,
+    reply: &mut Reply,
+) -> Result<(), EventError> {
+    let scope = match change.kind {
+        0 => ListScope::Changes,
+        1 | 2 => ListScope::Whole,
+        3 => {
+            instance.list_failed();
+            return Ok(());
+        }
+        _ => return Err(EventError::UnknownChangeKind),
+    };
+    let number = change.list.ok_or(EventError::NoList)?;
+    let entries = lists.get(&number).ok_or(EventError::UndeclaredList)?;
+    instance.list_changed(now, scope, entries, reply)
+}
+
+impl BatchHandler for Session {
+    type Error = EventError;
+
+    fn clock(&mut self, now: f64) {
+        self.now = now;
+    }
+
+    fn begin_part(&mut self, instance: InstanceNumber) {
+        self.reply.begin_part(instance);
+    }
+
+    fn event(&mut self, instance: InstanceNumber, event: Event<'_>) -> Result<(), EventError> {
+        let result = self.dispatch(instance, event);
+        match &result {
+            Ok(()) => self.events_done += 1,
+            Err(error) => self.refusal = Some(error.clone()),
+        }
+        result
+    }
+
+    fn unknown_event(&mut self, name: &str) {
+        if self.unknown_events.insert(name.to_string()) {
+            eprintln!("{PROGRAM}: unknown event {name:?} is skipped");
+        }
+    }
+
+    fn end_part(&mut self) {
+        self.reply.end_part();
+    }
+}
+
+/// Reads a batch that was rejected once more, to learn which field is at fault; nothing is carried out.
+struct Diagnosis {
+    /// Events to pass over until the one that was refused.
+    events_before: usize,
+    refusal: Option<EventError>,
+}
+
+impl BatchHandler for Diagnosis {
+    type Error = EventError;
+
+    fn clock(&mut self, _now: f64) {}
+
+    fn begin_part(&mut self, _instance: InstanceNumber) {}
+
+    fn event(&mut self, _instance: InstanceNumber, _event: Event<'_>) -> Result<(), EventError> {
+        match &self.refusal {
+            Some(refusal) if self.events_before == 0 => Err(refusal.clone()),
+            _ => {
+                self.events_before = self.events_before.saturating_sub(1);
+                Ok(())
+            }
+        }
+    }
+
+    fn unknown_event(&mut self, _name: &str) {}
+
+    fn end_part(&mut self) {}
+}
+
+/// Finds the field that makes `line` invalid: `refusal` is why the event after the first `events_done` was refused, if
+/// one was.
+fn diagnose(line: &str, events_done: usize, refusal: Option<EventError>) -> BatchError {
+    let mut diagnosis = Diagnosis { events_before: events_done, refusal };
+    let Err(TrackedError { field, error }) = batch::read_tracked(line, &mut diagnosis) else {
+        return BatchError::Unstable;
+    };
+    match diagnosis.refusal {
+        Some(source) => BatchError::Refused { field, line: error.line(), column: error.column(), source },
+        None => BatchError::Malformed { field, source: error },
+    }
+}
--- /dev/null
+++ b/crates/sim-adapter/src/wire/batch.rs
@@ -0,0 +1,255 @@
+//! Reads a batch and passes each event on as soon as it is parsed.
+
+use std::borrow::Cow;
+use std::fmt;
+
+use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use serde_json::value::RawValue;
+
+use super::InstanceNumber;
+use super::event::{Event, InstanceEvent};
+
+/// Takes what a batch holds, in its order.
+pub trait BatchHandler {
+    /// Why an event is refused.
+    type Error: fmt::Display;
+
+    /// The batch has this clock time, in seconds. Comes before everything else.
+    fn clock(&mut self, now: f64);
+
+    /// The events that follow are for this instance.
+    fn begin_part(&mut self, instance: InstanceNumber);
+
+    /// An event. A refusal ends the reading.
+    ///
+    /// # Errors
+    ///
+    /// An event that can't be carried out.
+    fn event(&mut self, instance: InstanceNumber, event: Event<'_>) -> Result<(), Self::Error>;
+
+    /// An event that the adapter does not know is skipped.
+    fn unknown_event(&mut self, name: &str);
+
+    /// There are no more events in this part.
+    fn end_part(&mut self);
+}
+
+/// A line that can't be read, with the path of the field that is wrong.
+pub struct TrackedError {
+    /// The path of the field.
+    pub field: String,
+    /// What is wrong.
+    pub error: serde_json::Error,
+}
+
+/// Reads one batch.
+///
+/// # Errors
+///
+/// The line is not a batch, or the handler refuses an event.
+pub fn read(line: &str, handler: &mut impl BatchHandler) -> Result<(), serde_json::Error> {
+    let mut json = serde_json::Deserializer::from_str(line);
+    Batch(handler).deserialize(&mut json)?;
+    json.end()
+}
+
+/// As [`read`], slower, and tells the field that is wrong.
+///
+/// # Errors
+///
+/// As [`read`].
+pub fn read_tracked(line: &str, handler: &mut impl BatchHandler) -> Result<(), TrackedError> {
+    let mut json = serde_json::Deserializer::from_str(line);
+    let mut track = serde_path_to_error::Track::new();
+    let tracked = serde_path_to_error::Deserializer::new(&mut json, &mut track);
+    let read = Batch(handler).deserialize(tracked).and_then(|()| json.end());
+    read.map_err(|error| TrackedError { field: track.path().to_string(), error })
+}
+
+struct Batch<'h, H>(&'h mut H);
+struct Parts<'h, H>(&'h mut H);
+struct Part<'h, H>(&'h mut H);
+struct Events<'h, H>(&'h mut H, InstanceNumber);
+struct OneEvent<'h, H>(&'h mut H, InstanceNumber);
+
+/// Each of the types above reads itself from one form of JSON value and has no result but what the handler is told.
+macro_rules! deserialize_seed {
+    ($type:ident, $form:ident) => {
+        impl<'de, H: BatchHandler> DeserializeSeed<'de> for $type<'_, H> {
+            type Value = ();
+            fn deserialize<D: Deserializer<'de>>(self, json: D) -> Result<(), D::Error> {
+                json.$form(self)
+            }
+        }
+    };
+}
+
+deserialize_seed!(Batch, deserialize_map);
+deserialize_seed!(Parts, deserialize_seq);
+deserialize_seed!(Part, deserialize_map);
+deserialize_seed!(Events, deserialize_seq);
+deserialize_seed!(OneEvent, deserialize_map);
+
+/// Reads a member that came before one it depends on. The simulator's order of members never needs this.
+fn read_raw<'de, S, E>(seed: S, raw: &'de RawValue) -> Result<(), E>
+where
+    S: DeserializeSeed<'de, Value = ()>,
+    E: Error,
+{
+    seed.deserialize(&mut serde_json::Deserializer::from_str(raw.get())).map_err(E::custom)
+}
+
+impl<'de, H: BatchHandler> Visitor<'de> for Batch<'_, H> {
+    type Value = ();
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("a batch with ts_ms and parts")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
+        let handler = self.0;
+        let mut has_clock = false;
+        let mut has_parts = false;
+        let mut early_parts = None;
+        while let Some(name) = map.next_key::<Cow<str>>()? {
+            match &*name {
+                "ts_ms" => {
+                    handler.clock(map.next_value::<f64>()? / 1000.0);
+                    has_clock = true;
+                }
+                "parts" if has_clock => {
+                    map.next_value_seed(Parts(handler))?;
+                    has_parts = true;
+                }
+                "parts" => early_parts = Some(map.next_value::<&RawValue>()?),
+                _ => {
+                    map.next_value::<IgnoredAny>()?;
+                }
+            }
+        }
+        match early_parts {
+            _ if !has_clock => Err(A::Error::missing_field("ts_ms")),
+            Some(raw) => read_raw(Parts(handler), raw),
+            None if has_parts => Ok(()),
+            None => Err(A::Error::missing_field("parts")),
+        }
+    }
+}
+
+impl<'de, H: BatchHandler> Visitor<'de> for Parts<'_, H> {
+    type Value = ();
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("an array of parts")
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
+        while seq.next_element_seed(Part(&mut *self.0))?.is_some() {}
+        Ok(())
+    }
+}
+
+impl<'de, H: BatchHandler> Visitor<'de> for Part<'_, H> {
+    type Value = ();
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("a part with who and in")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
+        let handler = self.0;
+        let mut instance = None;
+        let mut has_events = false;
+        let mut early_events = None;
+        while let Some(name) = map.next_key::<Cow<str>>()? {
+            match (&*name, instance) {
+                ("who", _) => instance = Some(map.next_value::<InstanceNumber>()?),
+                ("in", Some(instance)) => {
+                    map.next_value_seed(Events(handler, instance))?;
+                    has_events = true;
+                }
+                ("in", None) => early_events = Some(map.next_value::<&RawValue>()?),
+                _ => {
+                    map.next_value::<IgnoredAny>()?;
+                }
+            }
+        }
+        match (instance, early_events) {
+            (None, _) => Err(A::Error::missing_field("who")),
+            (Some(instance), Some(raw)) => read_raw(Events(handler, instance), raw),
+            (Some(_), None) if has_events => Ok(()),
+            (Some(_), None) => Err(A::Error::missing_field("in")),
+        }
+    }
+}
+
+impl<'de, H: BatchHandler> Visitor<'de> for Events<'_, H> {
+    type Value = ();
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("an array of events")
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
+        let Events(handler, instance) = self;
+        handler.begin_part(instance);
+        while seq.next_element_seed(OneEvent(&mut *handler, instance))?.is_some() {}
+        handler.end_part();
+        Ok(())
+    }
+}
+
+impl<'de, H: BatchHandler> Visitor<'de> for OneEvent<'_, H> {
+    type Value = ();
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("an event: an object with its name as the only key")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
+        let OneEvent(handler, instance) = self;
+        let Some(name) = map.next_key::<Cow<str>>()? else {
+            return Err(A::Error::custom("expected the name of an event"));
+        };
+        if let Some(event) = read_body(&name, &mut map, handler)? {
+            handler.event(instance, event).map_err(A::Error::custom)?;
+        }
+        match map.next_key::<IgnoredAny>()? {
+            None => Ok(()),
+            Some(_) => Err(A::Error::custom("expected one event an object")),
+        }
+    }
+}
+
+/// The event of that name; `None` for one that the adapter has no use for.
+fn read_body<'de, A: MapAccess<'de>>(
+    name: &str,
+    map: &mut A,
+    handler: &mut impl BatchHandler,
+) -> Result<Option<Event<'de>>, A::Error> {
+    let event = match name {
+        "demand" => Event::Running(InstanceEvent::Demand(map.next_value()?)),
+        "resolved" => Event::Running(InstanceEvent::Resolved(map.next_value()?)),
+        "health_result" => Event::Running(InstanceEvent::HealthResult(map.next_value()?)),
+        "reminder" => Event::Running(InstanceEvent::Reminder(map.next_value()?)),
+        "hangup" => Event::Running(InstanceEvent::Hangup(map.next_value()?)),
+        "backends_changed" => Event::Running(InstanceEvent::BackendsChanged(map.next_value()?)),
+        "roster" => Event::Roster(map.next_value()?),
+        "create" => Event::Create(Box::new(map.next_value()?)),
+        "kill" => {
+            map.next_value::<IgnoredAny>()?;
+            Event::Kill
+        }
+        // No workload here is streamed, and no instance talks to another.
+        "accepted" | "peer_data" => {
+            map.next_value::<IgnoredAny>()?;
+            return Ok(None);
+        }
+        unknown => {
+            handler.unknown_event(unknown);
+            map.next_value::<IgnoredAny>()?;
+            return Ok(None);
+        }
+    };
+    Ok(Some(event))
+}
--- /dev/null
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -0,0 +1,127 @@
+//! Writes the reply to a batch.
+
+use std::fmt::Arguments;
+use std::io::Write;
+
+use super::{InstanceNumber, RequestId};
+
+const OPENING: &[u8] = b"{\"parts\":[";
+const WRITING_TO_MEMORY: &str = "writing to memory does not fail";
+
+/// The reply to one batch, written while the batch is read. Each action is followed by a comma; [`Reply::end_part`]
+/// takes the last one back.
+#[derive(Default)]
+pub struct Reply {
+    bytes: Vec<u8>,
+    /// Where the current part begins, with the comma before it.
+    part_start: usize,
+    /// Where the actions of the current part begin.
+    actions_start: usize,
+}
+
+impl Reply {
+    /// Starts a new reply.
+    pub fn begin(&mut self) {
+        self.bytes.clear();
+        self.bytes.extend_from_slice(OPENING);
+    }
+
+    /// The actions that follow are those of this instance.
+    pub fn begin_part(&mut self, instance: InstanceNumber) {
+        self.part_start = self.bytes.len();
+        if self.part_start > OPENING.len() {
+            self.bytes.push(b',');
+        }
+        self.write(format_args!("{{\"who\":{instance},\"steps\":["));
+        self.actions_start = self.bytes.len();
+    }
+
+    /// Ends the part; one without actions is left out.
+    pub fn end_part(&mut self) {
+        if self.bytes.len() == self.actions_start {
+            self.bytes.truncate(self.part_start);
+        } else {
+            self.bytes.pop();
+            self.bytes.extend_from_slice(b"]}");
+        }
+    }
+
+    /// The whole line, with its end.
+    pub fn finish(&mut self) -> &[u8] {
+        self.bytes.extend_from_slice(b"]}\n");
+        &self.bytes
+    }
+
+    /// Sends an attempt, which times out after `time_out` seconds; 0: once the client gives up.
+    pub fn forward(&mut self, request: RequestId, endpoint: &str, time_out: f64) {
+        let time_out = milliseconds(time_out);
+        self.write(format_args!(
+            "{{\"forward\":{{\"tid\":{request},\"give_up_after_ms\":{time_out},\"host\":"
+        ));
+        self.string(endpoint);
+        self.end_action();
+    }
+
+    /// Final answer: rejected. Nothing has run, and the client may try again after `retry_after` seconds.
+    pub fn say_no(&mut self, request: RequestId, retry_after: f64) {
+        let retry_after = milliseconds(retry_after);
+        self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after}"));
+        self.end_action();
+    }
+
+    /// Final answer: failed. Nothing is promised about the effect.
+    pub fn finish_error(&mut self, request: RequestId) {
+        self.write(format_args!("{{\"finish_error\":{{\"tid\":{request}"));
+        self.end_action();
+    }
+
+    /// Stops waiting for the attempt of that number, from 0.
+    pub fn call_off(&mut self, request: RequestId, attempt: u32) {
+        self.write(format_args!("{{\"call_off\":{{\"tid\":{request},\"trial\":{attempt}"));
+        self.end_action();
+    }
+
+    /// Sends a health check.
+    pub fn sound_out(&mut self, endpoint: &str) {
+        self.write(format_args!("{{\"sound_out\":{{\"host\":"));
+        self.string(endpoint);
+        self.end_action();
+    }
+
+    /// Sets the instance's timer.
+    pub fn notify_me(&mut self, after: f64) {
+        let after = milliseconds(after);
+        self.write(format_args!("{{\"notify_me\":{{\"sleep_for_ms\":{after},\"name\":\"beat\""));
+        self.end_action();
+    }
+
+    /// Subscribes to changes of the endpoint list.
+    pub fn follow(&mut self) {
+        self.write(format_args!("{{\"follow\":{{\"want\":true"));
+        self.end_action();
+    }
+
+    /// Adds a line to the simulator's report.
+    pub fn record(&mut self, text: &str) {
+        self.write(format_args!("{{\"record\":{{\"what\":"));
+        self.string(text);
+        self.end_action();
+    }
+
+    fn write(&mut self, json: Arguments<'_>) {
+        self.bytes.write_fmt(json).expect(WRITING_TO_MEMORY);
+    }
+
+    fn string(&mut self, text: &str) {
+        serde_json::to_writer(&mut self.bytes, text).expect(WRITING_TO_MEMORY);
+    }
+
+    fn end_action(&mut self) {
+        self.bytes.extend_from_slice(b"}},");
+    }
+}
+
+/// Seconds as milliseconds, rounded to the microsecond that the wire resolves.
+fn milliseconds(seconds: f64) -> f64 {
+    (seconds * 1e6).round() / 1e3
+}
--- a/crates/sim-adapter/tests/conversation.rs
+++ b/crates/sim-adapter/tests/conversation.rs
@@ -1,4 +1,4 @@
-//! Speaks to the built adapter as the bench would, over standard input and output.
+//! Speaks to the built adapter as the simulator would, over standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -28,14 +28,14 @@
 }
 
 fn run(input: impl AsRef<[u8]>) -> Output {
-    let mut drill = Command::new(env!("CARGO_BIN_EXE_ottersill-sim-adapter"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_ottersill-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    drill.stdin.take().expect("a pipe").write_all(input.as_ref()).expect("the adapter reads");
-    drill.wait_with_output().expect("the adapter ends")
+    adapter.stdin.take().expect("a pipe").write_all(input.as_ref()).expect("the adapter reads");
+    adapter.wait_with_output().expect("the adapter ends")
 }
 
 /// Start, an empty list, probes, a write and reads, a miss, a hangup, a kill and a new start, reply by reply.
