--- a/crates/ottersill/src/lifecycle/serve.rs
+++ b/crates/ottersill/src/lifecycle/serve.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
 use crate::memory::link::Link;
-use crate::wire::client_side::CLOSING;
+use crate::wire::client_close::CLOSING;
 use crate::wire::exchange::{Exchange, LEEWAY, Party};
 use crate::wire::{fleet_side, socket};
 
--- a/crates/ottersill/src/memory/clients.rs
+++ b/crates/ottersill/src/memory/clients.rs
@@ -18,12 +18,12 @@
     Idle,
     /// That statement is in hand.
     Busy(usize),
-    /// The client has ended: the connection is closed.
+    /// The client has said that it ends: the connection is shut.
     Leaving,
     /// Told that it ends: the last words go out.
     Dismissed,
-    /// Shut for writing; what the client still sends is read and dropped until it ends too, as a close over unread bytes
-    /// is a reset, which takes with it what the client has not read yet. Nothing that comes now is sent on.
+    /// Shut for writing. Nothing is read any more, so that what the client still sends counts as not read; the connection is
+    /// closed once the client has ended too, or after a bounded time.
     Closing,
 }
 
@@ -36,7 +36,7 @@
                 | (Idle, Busy(_))
                 | (Busy(_), Idle)
                 | (Greeting | Idle, Leaving | Dismissed | Closing)
-                | (Dismissed, Closing)
+                | (Leaving | Dismissed, Closing)
         )
     }
 }
@@ -49,8 +49,6 @@
     pub alarm: Option<Set>,
     /// When it was last looked at for bytes, or its end.
     pub looked_at: f64,
-    /// Bytes dropped since it was shut.
-    pub dropped: usize,
     /// False if it was let in only to be told that there is no room.
     pub welcome: bool,
     pub socket: Rc<Socket>,
@@ -73,6 +71,13 @@
 const ARRIVALS: usize = 64;
 
 impl Client {
+    /// Drops what was read of it, and the memory that this takes.
+    pub fn discard_input(&mut self) {
+        self.inbox = BytesMut::new();
+        self.arrivals = VecDeque::new();
+        self.unread = false;
+    }
+
     /// Has the arrivals match the inbox, after each reading into it and each taking out of it.
     pub fn match_arrivals(&mut self, now: f64) {
         let noted: usize = self.arrivals.iter().map(|(bytes, _)| bytes).sum();
--- /dev/null
+++ b/crates/ottersill/src/wire/client_close.rs
@@ -0,0 +1,76 @@
+//! The end of a client connection that the router ends, whatever the reason.
+//!
+//! All answers are written; then the connection is shut for writing, and nothing is read from there on: a request that crosses
+//! the shutdown stays unread, so its client may send it again elsewhere. The socket is closed once the client has ended too.
+//! Closing over unread bytes resets the connection and discards what the client has not acknowledged of its last answer, so
+//! in that case the close waits for the acknowledgement. Both waits are bounded.
+
+use std::net::Shutdown;
+
+use crate::memory::clients::{Client, Session};
+use crate::wire::exchange::{Exchange, LEEWAY};
+use crate::wire::socket;
+
+/// A connection that is shut is closed after so many seconds, though its client has not ended: its end takes a round trip.
+pub const CLOSING: f64 = 1.0;
+/// The same where closing would reset the connection.
+const CLOSING_WITH_RESET: f64 = 3.0;
+/// Shut connections of which one is chosen to make room for another.
+const CANDIDATES: usize = 8;
+
+impl Exchange {
+    /// Ends a connection on which nothing is in hand and all is written.
+    pub(super) fn shut_client(&mut self, id: usize) {
+        self.session_passes(id, Session::Closing);
+        self.set_client_alarm(id, self.now + CLOSING);
+        let client = &mut self.clients[id];
+        client.discard_input();
+        // It fails where the client has reset the connection, which is seen next.
+        let _ = client.socket.shutdown(Shutdown::Write);
+        self.weigh(id);
+        self.closing_is_ready(id);
+    }
+
+    /// A client that was dismissed is heard no more; only its last answer has to go out.
+    pub(super) fn dismissed_is_ready(&mut self, id: usize) {
+        let client = &mut self.clients[id];
+        match client.outbox.flush(&client.socket) {
+            Ok(true) => self.shut_client(id),
+            Ok(false) if !socket::has_ended(&client.socket) => {}
+            _ => self.close_client(id),
+        }
+    }
+
+    /// Closes a connection that was shut once its client has ended too.
+    pub(super) fn closing_is_ready(&mut self, id: usize) {
+        let socket = &self.clients[id].socket;
+        if socket::has_ended(socket) && !socket::close_would_reset(socket) {
+            self.close_client(id);
+        }
+    }
+
+    /// The time of a connection that was shut is over, unless closing it now would discard an answer.
+    pub(super) fn closing_is_due(&mut self, id: usize) {
+        let client = &self.clients[id];
+        let last_due = client.since + CLOSING_WITH_RESET;
+        if self.now < last_due && socket::close_would_reset(&client.socket) {
+            self.set_client_alarm(id, last_due);
+        } else {
+            self.close_client(id);
+        }
+    }
+
+    /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
+    /// resets has had the time of a round trip at least.
+    pub fn drop_closing(&mut self) -> bool {
+        let closing = self.clients.iter().filter(|(_, client)| client.session == Session::Closing);
+        let mut oldest: Vec<(usize, &Client)> = closing.collect();
+        oldest.sort_by(|a, b| a.1.since.total_cmp(&b.1.since));
+        oldest.truncate(CANDIDATES);
+        let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
+        let first = oldest.first().filter(|(_, client)| client.since < self.now - LEEWAY);
+        let chosen = clean.or(first).map(|(id, _)| *id);
+        chosen.into_iter().for_each(|id| self.close_client(id));
+        chosen.is_some()
+    }
+}
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -2,7 +2,6 @@
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
-use std::net::Shutdown;
 
 use bytes::{Bytes, BytesMut};
 use ottersill_core::facade::News;
@@ -25,12 +24,14 @@
 
 /// A connection with no statement open may be closed after so many seconds, as the service page has it.
 const IDLE: f64 = 2.0;
-/// Who has sent nothing that can be answered is owed an error or a close this long after connecting; seconds.
-const OWED: f64 = 3.0;
+/// Who has sent nothing that can be answered gets an error or a close this long after connecting, who stops in the middle of a
+/// message this long after its first byte; seconds. The service page owes it within 3 s: the rest is for a router that is held
+/// up twice, before it reads that byte and before it answers.
+const OWED: f64 = 2.6;
+/// Who has sent a part of a message behind a statement that took long has this much after its answer; seconds.
+const REST_AFTER_ANSWER: f64 = 0.25;
 /// Who waits at the door for a descriptor is looked at again after so many seconds.
 const DOOR: f64 = 0.25;
-/// Read and dropped of a client whose connection is shut, before it is closed all the same.
-const DROPPED: usize = 16 * frame::LONGEST;
 /// Read ahead of the answer to the statement in hand while memory is plenty, so that the client's end is seen behind it, and
 /// those are seen that have to be answered before that one has had its time. What is beyond waits at the client: it counts
 /// as taken, and is never dropped.
@@ -38,8 +39,6 @@
 /// Statements sent behind one that are looked at before it is sent: their number bounds what each costs; those further behind
 /// are looked at as it gets shorter.
 const BEHIND: usize = 16;
-/// A connection that is shut is closed after so many seconds: a client's end takes one way there and one back.
-pub const CLOSING: f64 = 1.0;
 
 impl Exchange {
     pub fn listener_is_ready(&mut self) {
@@ -115,14 +114,13 @@
         if let Ok((socket, token)) = self.attend(socket, Party::Client(id)) {
             let (inbox, outbox) = (BytesMut::new(), Outbox::default());
             let (session, since) = (Session::Greeting, self.now);
-            let alarm = Some(self.alarms.set(since + OWED - LEEWAY, Alarm::Client(id)));
+            let alarm = Some(self.alarms.set(since + OWED, Alarm::Client(id)));
             self.clients.insert(Client {
                 session,
                 since,
                 begun: since,
                 alarm,
                 looked_at: since,
-                dropped: 0,
                 welcome,
                 socket,
                 token,
@@ -138,7 +136,7 @@
     }
 
     /// Every change of a client connection's session.
-    fn session_passes(&mut self, id: usize, next: Session) {
+    pub(super) fn session_passes(&mut self, id: usize, next: Session) {
         let client = &mut self.clients[id];
         self.counters.must(client.session.may_become(next), "a client connection goes its ways only");
         client.session = next;
@@ -148,59 +146,56 @@
         }
     }
 
-    /// Ends a connection on which nothing is in hand and all is written: shut first, and closed once the client has ended
-    /// too, or its time is over.
-    fn shut_client(&mut self, id: usize) {
-        self.session_passes(id, Session::Closing);
-        let due = self.alarms.set(self.now + CLOSING, Alarm::Client(id));
-        let client = &mut self.clients[id];
-        self.alarms.clear(client.alarm.replace(due));
-        // It fails where the client has ended already, which the next reading shows.
-        let _ = client.socket.shutdown(Shutdown::Write);
-        self.read_queries(id);
-    }
-
-    /// Closes the connection that was shut first, for the sake of another one.
-    pub fn drop_closing(&mut self) -> bool {
-        let closing = self.clients.iter().filter(|(_, c)| c.session == Session::Closing);
-        let first = closing.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(id, _)| id);
-        first.into_iter().for_each(|id| self.close_client(id));
-        first.is_some()
-    }
-
     /// When this client connection has had its time; never while a statement is in hand.
     fn due_at(&self, client: &Client) -> f64 {
-        // What is owed by then has to get there.
-        let owed = OWED - LEEWAY;
+        let halfway = !client.inbox.is_empty();
         match client.session {
             Session::Busy(_) => f64::INFINITY,
-            Session::Closing => client.since + CLOSING,
-            // Nothing that was sent ahead is cut off, and an answer that nobody reads is no reason to stay.
-            Session::Greeting | Session::Idle if !client.used => client.begun + owed,
-            Session::Idle if !client.inbox.is_empty() => client.arrived(0, self.now).max(client.since) + owed,
-            Session::Idle if !client.outbox.is_empty() => client.since + owed,
+            // Nothing that was sent ahead is cut off, and an answer that nobody reads is no reason to stay. Who has sent a part of
+            // a message gets its error before a router that stops may be killed.
+            Session::Greeting | Session::Idle if !client.used && halfway => {
+                (client.begun + OWED).min(self.stops_at)
+            }
+            Session::Greeting | Session::Idle if !client.used => client.begun + OWED,
+            Session::Idle if halfway => {
+                let due_at = client.arrived(0, self.now) + OWED;
+                due_at.max(client.since + REST_AFTER_ANSWER).min(self.stops_at)
+            }
+            Session::Idle if !client.outbox.is_empty() => client.since + OWED,
             _ => client.since + IDLE,
         }
     }
 
+    /// Has the client looked at then, and not before.
+    pub(super) fn set_client_alarm(&mut self, id: usize, at: f64) {
+        let alarm = self.alarms.set(at, Alarm::Client(id));
+        let before = self.clients[id].alarm.replace(alarm);
+        self.alarms.clear(before.filter(|before| *before != alarm));
+    }
+
     /// Guards against clients that connect and say nothing, stop halfway, or ask once and stay: each would hold a
     /// descriptor, and the usual clients find no room.
     pub fn client_is_due(&mut self, id: usize) {
         self.clients[id].alarm = None;
+        if self.clients[id].session == Session::Closing {
+            return self.closing_is_due(id);
+        }
         // A last look: what has come meanwhile is taken in instead.
         self.client_is_ready(id);
         let Some(client) = self.clients.get(id) else { return };
+        if client.session == Session::Closing {
+            return;
+        }
+        if client.unread && client.outbox.is_empty() {
+            return self.set_client_alarm(id, self.now + LEEWAY);
+        }
         let due_at = self.due_at(client);
         if due_at > self.now {
             if due_at.is_finite() {
-                let alarm = Some(self.alarms.set(due_at, Alarm::Client(id)));
-                self.clients[id].alarm = alarm;
+                self.set_client_alarm(id, due_at);
             }
             return;
         }
-        if client.session == Session::Closing {
-            return self.close_client(id);
-        }
         self.counters.clients_closed_idle += 1;
         let halfway = matches!(client.session, Session::Greeting | Session::Idle) && !client.inbox.is_empty();
         if halfway && client.outbox.is_empty() {
@@ -222,6 +217,7 @@
                 && c.used == asked
                 && c.inbox.is_empty()
                 && c.outbox.is_empty()
+                && !c.unread
                 && (asked || c.since < new_since)
         };
         let all = self.clients.iter().filter(|(_, c)| idle(c)).map(|(id, c)| (c.since, id));
@@ -248,7 +244,7 @@
     }
 
     /// Ends the connection; a statement of it that is in hand has lost its client.
-    fn close_client(&mut self, id: usize) {
+    pub(super) fn close_client(&mut self, id: usize) {
         let client = self.clients.remove(id);
         self.stored -= client.stored;
         self.alarms.clear(client.alarm);
@@ -273,7 +269,7 @@
     }
 
     /// Counts what is stored for a client: what was read ahead, and its statement. Buffers grow by doubling.
-    fn weigh(&mut self, id: usize) {
+    pub(super) fn weigh(&mut self, id: usize) {
         let Some(client) = self.clients.get_mut(id) else { return };
         let text = match client.session {
             Session::Busy(stmt) => self.statements.get(stmt).map_or(0, |held| held.text.len()),
@@ -290,6 +286,11 @@
 
     pub fn client_is_ready(&mut self, id: usize) {
         let Some(client) = self.clients.get_mut(id) else { return };
+        match client.session {
+            Session::Dismissed => return self.dismissed_is_ready(id),
+            Session::Closing => return self.closing_is_ready(id),
+            _ => {}
+        }
         client.looked_at = self.now;
         let busy = matches!(client.session, Session::Busy(_));
         let plenty = self.stored < self.berths.bytes / 2;
@@ -315,10 +316,10 @@
         self.read_queries(id);
     }
 
-    /// Looks for the client's end, unless that was done in this turn.
+    /// Looks for the client's end, which may not have had its turn to be read.
     pub fn look_at_client(&mut self, id: usize) {
-        if self.clients.get(id).is_some_and(|client| client.looked_at < self.now) {
-            self.client_is_ready(id);
+        if self.clients.get(id).is_some_and(|client| socket::has_ended(&client.socket)) {
+            self.close_client(id);
         }
     }
 
@@ -327,26 +328,15 @@
         loop {
             self.weigh(id);
             let Some(client) = self.clients.get_mut(id) else { return };
-            client.match_arrivals(self.now);
+            client.match_arrivals(self.arrivals_since);
             if !client.outbox.is_empty() {
                 return;
             }
-            let came = client.arrived(0, self.now);
+            let came = client.arrived(0, self.arrivals_since);
             let step = match client.session {
                 Session::Busy(_) => return,
-                Session::Leaving => return self.close_client(id),
-                Session::Dismissed => return self.shut_client(id),
-                Session::Closing => {
-                    client.dropped += client.inbox.len();
-                    client.inbox.clear();
-                    if client.dropped > DROPPED {
-                        return self.close_client(id);
-                    }
-                    if client.unread {
-                        self.again(Party::Client(id));
-                    }
-                    return self.weigh(id);
-                }
+                Session::Leaving | Session::Dismissed => return self.shut_client(id),
+                Session::Closing => return,
                 Session::Greeting => frame::startup(&mut client.inbox).map(|s| s.map(|s| self.greet(id, s))),
                 Session::Idle => {
                     frame::message(&mut client.inbox).map(|m| m.map(|m| self.query(id, m, came)))
@@ -361,19 +351,26 @@
                     self.counters.clients_turned_away += 1;
                     self.leave(id, Code::TooMany, "no memory is left for this statement");
                 }
-                // All that came whole is answered by now.
-                Ok(None) if self.retiring && !self.clients[id].unread => return self.shut_client(id),
-                Ok(None) => {
-                    if self.clients[id].unread {
-                        self.again(Party::Client(id));
-                    }
-                    return;
-                }
+                Ok(None) => return self.nothing_whole(id),
                 Err(nonsense) => self.dismiss(id, Code::ProtocolViolation, nonsense),
             }
         }
     }
 
+    /// All that came whole is answered by now; a part of a message may be left, whose rest is waited for.
+    fn nothing_whole(&mut self, id: usize) {
+        let client = &self.clients[id];
+        if client.unread {
+            return self.again(Party::Client(id));
+        }
+        if !client.inbox.is_empty() {
+            let due_at = self.due_at(client);
+            self.set_client_alarm(id, due_at);
+        } else if self.retiring {
+            self.shut_client(id);
+        }
+    }
+
     fn greet(&mut self, id: usize, startup: Startup) {
         match startup {
             Startup::Version3 => {
@@ -422,7 +419,7 @@
             return self.tell_strange(client, Code::Unknown, "no list has named this cluster");
         };
         if !self.clients[client].welcome {
-            return self.leave(client, Code::TooMany, "no descriptor is left for this client");
+            return self.turn_away(client);
         }
         if self.statements.is_open(said.id) {
             // Sent on, it would be taken for a second copy of the one that is open.
@@ -474,7 +471,7 @@
     /// and one that waits for a longer one would come after its time.
     fn due_behind(&mut self, id: usize) -> f64 {
         let Some(client) = self.clients.get_mut(id) else { return f64::INFINITY };
-        client.match_arrivals(self.now);
+        client.match_arrivals(self.arrivals_since);
         let (mut at, mut due) = (0, f64::INFINITY);
         for _ in 0..BEHIND {
             let Ok(Some(whole)) = frame::whole(&client.inbox[at..]) else { break };
@@ -508,6 +505,18 @@
         self.say(id, [frame::error("ERROR", code, text, None), frame::READY.clone()]);
     }
 
+    /// Rejects a statement of a client for which there is no room. The connection ends with the last one that it has sent, as each
+    /// that was read is owed an answer.
+    fn turn_away(&mut self, id: usize) {
+        const WHY: &str = "no descriptor is left for this client";
+        let client = &self.clients[id];
+        if client.inbox.is_empty() && !client.unread {
+            self.leave(id, Code::TooMany, WHY);
+        } else {
+            self.say(id, [frame::error("ERROR", Code::TooMany, WHY, None), frame::READY.clone()]);
+        }
+    }
+
     /// What this client sends can't be trusted any more.
     fn dismiss(&mut self, id: usize, code: Code, text: &str) {
         self.counters.client_nonsense += 1;
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -32,6 +32,9 @@
 /// connection comes up is no measure for it: a customer's settings may give that any length.
 pub const LEEWAY: f64 = 0.25;
 
+/// Sockets that are found ready within so many seconds after a turn may have been ready during it.
+const NO_WAIT: f64 = 0.001;
+
 /// One time for everything: it never goes back, and was tied to Unix time once, since positions are Unix times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -109,8 +112,12 @@
     pub log: Logger,
     pub handle: LoopHandle<'static, Exchange>,
     pub clock: Clock,
-    /// When the sockets were last found ready: what is read counts as having come then.
+    /// When the sockets were last found ready.
     pub now: f64,
+    /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
+    /// bytes then may have lain there while that turn was held up.
+    pub arrivals_since: f64,
+    turn_ended_at: f64,
     pub started_at: f64,
     /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
     pub come_again: f64,
@@ -166,6 +173,8 @@
             handle,
             clock,
             now,
+            arrivals_since: now,
+            turn_ended_at: now,
             started_at: now,
             come_again,
             stored: 0,
@@ -204,7 +213,7 @@
     }
 
     pub fn turn(&mut self) {
-        self.now = self.clock.now();
+        self.begin_turn(self.clock.now());
         self.fleet_parts();
         let mut ready = mem::take(&mut self.ready);
         ready.sort_unstable();
@@ -240,6 +249,13 @@
         }
         self.carry_out();
         self.fleet_after();
+        self.turn_ended_at = self.clock.now();
+    }
+
+    fn begin_turn(&mut self, time: f64) {
+        let waited = time - self.turn_ended_at;
+        self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
+        self.now = time;
     }
 
     /// Does what the facade names, until it names nothing more.
--- a/crates/ottersill/src/wire/mod.rs
+++ b/crates/ottersill/src/wire/mod.rs
@@ -1,5 +1,6 @@
 //! What is spoken on the wire: PostgreSQL's protocol to clients and hosts, discovery's HTTP, the sockets.
 
+pub mod client_close;
 pub mod client_side;
 pub mod control;
 pub mod discovery;
--- a/crates/ottersill/src/wire/socket.rs
+++ b/crates/ottersill/src/wire/socket.rs
@@ -46,13 +46,28 @@
     Ok(Got::More)
 }
 
-/// Whether the other side has ended the connection, though what it sent before is not read yet.
+/// Whether the peer has ended the connection, even if what it sent before is not read yet. Reads nothing.
 pub fn has_ended(socket: &Socket) -> bool {
     use rustix::event::{PollFd, PollFlags, Timespec, poll};
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    poll(&mut fds, Some(&now)).is_ok() && fds[0].revents().intersects(ends)
+    // A signal that comes in between says nothing of the peer.
+    let polled = rustix::io::retry_on_intr(|| poll(&mut fds, Some(&now)));
+    polled.is_ok() && fds[0].revents().intersects(ends)
+}
+
+/// Whether closing the socket resets the connection: bytes of the peer are unread, and the two sides have not both ended and
+/// acknowledged each other's data. A reset discards what the peer has not acknowledged yet. Reads nothing.
+pub fn close_would_reset(socket: &Socket) -> bool {
+    // Where the system doesn't tell, there may be some.
+    let unread = rustix::io::ioctl_fionread(socket).map_or(true, |bytes| bytes > 0);
+    unread && !is_finished(socket)
+}
+
+/// Whether both sides have ended and all data is acknowledged: the system then no longer counts the socket as connected.
+fn is_finished(socket: &Socket) -> bool {
+    matches!(socket.peer_addr(), Err(fault) if fault.kind() == ErrorKind::NotConnected)
 }
 
 /// Slices on their way out; emptied by `flush`.
@@ -97,6 +112,19 @@
         }
     }
 
+    /// Replaces the slice that lies so many places before the last one by another of the same length; false if that slice is
+    /// of another length, is partly written, or has left.
+    pub fn replace_from_end(&mut self, places: usize, slice: &Bytes) -> bool {
+        let at = self.slices.len().checked_sub(places + 1);
+        match at.and_then(|at| self.slices.get_mut(at)) {
+            Some(old) if old.len() == slice.len() => {
+                *old = slice.clone();
+                true
+            }
+            _ => false,
+        }
+    }
+
     /// What is left to write, in one piece.
     pub fn rest(&self) -> Vec<u8> {
         self.slices.iter().flat_map(|slice| slice.iter().copied()).collect()
--- /dev/null
+++ b/crates/ottersill/tests/connection_close.rs
@@ -0,0 +1,138 @@
+//! The end of a client connection that the router ends: nothing is read after it, so what crosses it may be sent again, and all
+//! that was read is answered.
+
+mod scene;
+
+use std::io::{ErrorKind, Write};
+use std::net::Shutdown;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use ottersill_lab::store::{Client, message};
+use rstest::rstest;
+use scene::*;
+
+/// Why the router ends a connection.
+#[derive(Clone, Copy, Debug)]
+enum Why {
+    Idle,
+    NeverUsed,
+    Drain,
+    Fatal,
+}
+
+/// The router has shut the connection for writing (FIN_WAIT1 or FIN_WAIT2).
+fn until_shut(scene: &Scene, client: &Client) {
+    let at = client.socket.local_addr().expect("an address");
+    let shut = || matches!(router_side(scene.router.at, at).as_deref(), Some("04" | "05"));
+    until("the router shuts the connection", shut);
+}
+
+fn query(text: &str) -> Vec<u8> {
+    message(b'Q', format!("{text}\0").as_bytes())
+}
+
+/// The router read what came after its own end, and neither answered it nor sent it on: a lost request.
+#[rstest]
+#[case::idle(Why::Idle)]
+#[case::never_used(Why::NeverUsed)]
+#[case::drain(Why::Drain)]
+#[case::fatal(Why::Fatal)]
+fn a_query_that_crosses_the_end_stays_unread(#[case] why: Why) {
+    let scene = Scene::set(&[]);
+    let mut client = scene.router.client();
+    match why {
+        Why::Idle => {
+            client.send(&read(7, 2000)).expect("a query");
+            scene.replica.next().answer("first");
+            assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
+        }
+        Why::NeverUsed => {}
+        Why::Drain => scene.router.signal("-TERM"),
+        Why::Fatal => client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense"),
+    }
+    until_shut(&scene, &client);
+    client.send(&read(8, 2000)).expect("a query that crosses");
+    thread::sleep(Duration::from_millis(200));
+    let at = client.socket.local_addr().expect("an address");
+    assert!(unread_at_router(scene.router.at, at), "it was read");
+    // With the client's end the connection is done with, in order.
+    client.socket.shutdown(Shutdown::Write).expect("an end");
+    if matches!(why, Why::Fatal) {
+        assert_eq!(client.last_words(), "C08P01");
+    }
+    assert_eq!(client.hear().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    until_closed(scene.router.at, at);
+    assert!(scene.replica.next_within(Duration::from_millis(50)).is_none(), "it was sent on");
+}
+
+/// A client that goes on sending and never ends: its connection is closed all the same.
+#[test]
+fn a_shut_connection_is_closed_though_its_client_stays() {
+    let scene = Scene::set(&[]);
+    let mut client = scene.router.client();
+    client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense");
+    until_shut(&scene, &client);
+    client.send(&read(8, 2000)).expect("a query that crosses");
+    let began = Instant::now();
+    let at = client.socket.local_addr().expect("an address");
+    until_closed(scene.router.at, at);
+    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert_eq!(client.last_words(), "C08P01");
+}
+
+/// Half a query behind one whose answer takes a while: it had three seconds from that answer on, not from when it stopped.
+#[rstest]
+#[case::soon(250)]
+#[case::late(1500)]
+fn a_client_that_stops_halfway_behind_an_answer_gets_its_error_in_time(#[case] answered_after_ms: u64) {
+    let scene = Scene::set(&[LONG, LATE]);
+    let mut client = scene.router.client();
+    let half = &query(&read(8, 8000))[..30];
+    let began = Instant::now();
+    client.socket.write_all(&[&query(&read(7, 8000)), half].concat()).expect("one query and a half");
+    let first = scene.replica.next();
+    thread::sleep(Duration::from_millis(answered_after_ms));
+    first.answer("first");
+    assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
+    assert_eq!(client.last_words(), "C08P01");
+    // Three seconds less what a router may be held up.
+    assert!(began.elapsed() < Duration::from_millis(2850), "{:?}", began.elapsed());
+}
+
+/// A query of which a part has been read when the router begins to end its connections: the rest was read and dropped.
+#[test]
+fn a_query_half_read_at_the_drain_is_answered() {
+    let scene = Scene::set(&[]);
+    let (idle, mut slow) = (scene.router.client(), scene.router.client());
+    let whole = query(&read(8, 2000));
+    scene.router.signal("-TERM");
+    slow.socket.write_all(&whole[..30]).expect("a part");
+    until_shut(&scene, &idle);
+    thread::sleep(Duration::from_millis(100));
+    slow.socket.write_all(&whole[30..]).expect("the rest");
+    scene.replica.next().answer("whole");
+    assert_eq!(slow.answer().expect("an answer"), "row:whole SELECT 1");
+}
+
+/// No place is left for a client that has sent two queries at once: the first was rejected with the end of the connection, and
+/// the second, read with it, was dropped.
+#[test]
+fn each_query_of_a_client_for_whom_there_is_no_room_is_rejected() {
+    let scene = Scene::set(&[LONG, LATE, ("\"sockets\": 1024", "\"sockets\": 26")]);
+    let ask = |number| {
+        let mut client = scene.router.client();
+        client.send(&read(number, 8000)).expect("a query");
+        client
+    };
+    let busy: Vec<Client> = (0x10..0x13).map(ask).collect();
+    thread::sleep(Duration::from_millis(200));
+    let mut client = Client::connect(scene.router.at).expect("a connection");
+    client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    client.socket.write_all(&[query(&read(7, 2000)), query(&read(8, 2000))].concat()).expect("two queries");
+    assert_eq!(client.answer().expect("a greeting"), "");
+    assert_eq!(client.answer().expect("an answer to the first"), "C53300");
+    assert_eq!(client.last_words(), "C53300");
+    assert_eq!(client.hear().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    drop(busy);
+}
--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/scene/mod.rs
@@ -157,12 +157,14 @@
     }
 }
 
-/// What the system says of a connection at one of its sides: the state, in its own two digits, and whether bytes lie unread.
+/// What the system says of a connection at one of its sides: the state, in its own two digits, whether bytes lie unread, and
+/// whether a process still has the socket open.
 struct Side {
     local: String,
     remote: String,
     state: String,
     unread: bool,
+    open: bool,
 }
 
 fn sides() -> Vec<Side> {
@@ -171,7 +173,9 @@
         let mut fields = line.split_whitespace().skip(1).map(str::to_string);
         let mut next = || fields.next().expect("a field");
         let (local, remote, state, queues) = (next(), next(), next(), next());
-        Side { local, remote, state, unread: !queues.ends_with(":00000000") }
+        // What no process has open has no inode.
+        let inode = fields.nth(4).expect("a field");
+        Side { local, remote, state, unread: !queues.ends_with(":00000000"), open: inode != "0" }
     };
     all.lines().skip(1).map(side).collect()
 }
@@ -186,6 +190,19 @@
     sides().into_iter().find(|side| side.local == router && side.remote == client).map(|side| side.state)
 }
 
+/// Whether bytes of `client` lie unread at the router.
+pub fn unread_at_router(router: SocketAddr, client: SocketAddr) -> bool {
+    let (router, client) = (hex(router), hex(client));
+    sides().iter().any(|side| side.local == router && side.remote == client && side.unread)
+}
+
+/// Waits until the router has closed its socket of the connection from `client`, whatever the system still does with it.
+pub fn until_closed(router: SocketAddr, client: SocketAddr) {
+    let (router, client) = (hex(router), hex(client));
+    let open = |side: &Side| side.local == router && side.remote == client && side.open;
+    until("the router closes it", || !sides().iter().any(open));
+}
+
 /// Waits until the end of the connection from `client` is at the router's side of it, read or not. A socket that is dropped
 /// is not always closed by then: tests run in threads, and what one of them starts (`kill`, a router) has all descriptors
 /// of the process until it has become that program, among them the one that another test drops meanwhile.
