--- a/crates/ottersill/src/memory/lines.rs
+++ b/crates/ottersill/src/memory/lines.rs
@@ -62,6 +62,8 @@
     /// When the load was given, and when it ends unanswered.
     pub since: f64,
     pub until: f64,
+    /// When the time left was computed that the statement on it tells the host.
+    pub deadline_told_at: f64,
     /// Apart from `since`, or standing idle between greeting and load would shorten the load's time.
     pub idle_since: f64,
     pub socket: Rc<Socket>,
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -13,6 +13,7 @@
 use crate::wire::frame;
 use crate::wire::reply::Reply;
 use crate::wire::socket::{self, Got, Outbox};
+use crate::wire::statement::{DEADLINE_MARGIN, time_left_to_tell};
 
 impl Exchange {
     /// Every change of a line's course, with the time by which it has to change again.
@@ -31,7 +32,9 @@
         self.counters.must(held.stage == Stage::Waiting, "a statement has one execution out at a time");
         let until = if time_out > 0.0 { held.gives_up_at.min(self.now + time_out) } else { held.gives_up_at };
         let client = held.client;
-        if !self.waits_still(stmt, client) {
+        // Seen in this turn, it is looked at again as the bytes go (`send`).
+        let looked_at = self.clients.get(client).map_or(0.0, |client| client.looked_at);
+        if looked_at < self.now && !self.waits_still(stmt, client) {
             return self.tell_execution(stmt, host, Ending::NeverSent, 0.0, &Reply::default());
         }
         if !self.fleet_lets(stmt, host) {
@@ -108,6 +111,7 @@
             load,
             since,
             until,
+            deadline_told_at: since,
             idle_since: since,
             socket,
             token,
@@ -136,28 +140,51 @@
         (line.load, line.since, line.until) = (Some(load), self.now, until);
     }
 
-    /// Writes the line's load.
+    /// Writes the line's load. The clock is read here, and the client looked at last: the turn may have been held up since it
+    /// began.
     fn send(&mut self, id: usize) {
+        let time = self.clock.now();
         let line = &mut self.lines[id];
         line.reply = Reply::default();
+        line.deadline_told_at = time;
         let until = line.until;
         match line.load {
             Some(Load::Statement(stmt)) => {
-                let left_ms = ((until - self.now) * 1000.0).max(1.0) as u64;
                 if let Some(held) = self.statements.get(stmt) {
-                    held.text.send(left_ms, &mut line.outbox);
+                    held.text.send(time_left_to_tell(until - time), &mut line.outbox);
                 }
             }
             Some(Load::Probe) => line.outbox.push(frame::SHOW_HEALTH.clone()),
             None => {}
         }
         self.line_passes(id, Course::Sending, until);
-        if !self.flush(id) {
+        let wanted = time < until && !self.client_has_ended(id);
+        if !wanted || !self.flush(id) {
             // Ended from there, where nothing else is in hand.
             self.again(Party::Line(id));
         }
     }
 
+    /// Whether the client whose statement the line carries has ended its connection.
+    fn client_has_ended(&self, id: usize) -> bool {
+        let Some(Load::Statement(stmt)) = self.lines[id].load else { return false };
+        let client = self.statements.get(stmt).and_then(|held| self.clients.get(held.client));
+        client.is_none_or(|client| socket::has_ended(&client.socket))
+    }
+
+    /// Brings the time left that a partly written statement tells up to date; false if what it tells has gone out and is out of
+    /// date, or can't be changed.
+    fn refresh_deadline(&mut self, id: usize) -> bool {
+        let time = self.clock.now();
+        let line = &mut self.lines[id];
+        let Some(Load::Statement(stmt)) = line.load else { return true };
+        let Some(held) = self.statements.get(stmt) else { return false };
+        if held.text.update_time_left(time_left_to_tell(line.until - time), &mut line.outbox) {
+            line.deadline_told_at = time;
+        }
+        time - line.deadline_told_at <= DEADLINE_MARGIN
+    }
+
     /// False if the connection broke.
     fn flush(&mut self, id: usize) -> bool {
         let line = &mut self.lines[id];
@@ -182,7 +209,8 @@
                 Err(fault) => return self.break_line(id, &fault.to_string()),
             }
         }
-        if self.lines[id].course == Course::Sending && !self.may_go_out(id) {
+        let sending = self.lines[id].course == Course::Sending;
+        if sending && !(self.refresh_deadline(id) && self.may_go_out(id)) {
             // Its last byte, by which an execution counts, would come too late.
             if self.lines.contains(id) {
                 self.unload(id);
@@ -253,7 +281,7 @@
         match line.load {
             Some(Load::Statement(stmt)) => {
                 let client = self.statements.get(stmt).map(|held| held.client);
-                self.now < until
+                self.clock.now() < until
                     && client.is_some_and(|client| self.waits_still(stmt, client))
                     && self.facade.may_begin(self.now, stmt, host)
             }
--- a/crates/ottersill/src/wire/statement.rs
+++ b/crates/ottersill/src/wire/statement.rs
@@ -10,6 +10,18 @@
 use crate::wire::frame;
 use crate::wire::socket::Outbox;
 
+/// Subtracted from the time left that a host is told; seconds. What is told may exceed what the client has left by 0.15 s when
+/// it arrives, and that much is used up by a router that is held up between reading its clock and writing.
+pub const DEADLINE_MARGIN: f64 = 0.05;
+/// Slices of a written query that follow the digits of `d`.
+const SLICES_BEHIND_DIGITS: usize = 2;
+
+/// The milliseconds that a host is told when the client has so many seconds left. Where that is little, half of it is kept.
+pub fn time_left_to_tell(left: f64) -> u64 {
+    let margin = DEADLINE_MARGIN.min(left / 2.0);
+    ((left - margin) * 1000.0).max(1.0) as u64
+}
+
 /// A slice of the buffer it was read into. It is sent on as it came, but for the digits of `d`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Text {
@@ -105,6 +117,12 @@
         outbox.push(self.whole.slice(self.digits.end..));
         outbox.push(Bytes::from_static(b"\0"));
     }
+
+    /// Writes another time left into a query of which a part has gone out; false if the digits went out too, or if the new
+    /// ones are more or fewer, as the length of the query has gone out before them.
+    pub fn update_time_left(&self, left_ms: u64, outbox: &mut Outbox) -> bool {
+        outbox.replace_from_end(SLICES_BEHIND_DIGITS, &Bytes::from(left_ms.to_string()))
+    }
 }
 
 /// Comments of this service are shorter; bytes.
--- /dev/null
+++ b/crates/ottersill/tests/shutdown.rs
@@ -0,0 +1,73 @@
+//! A stop while nothing that was sent to the hosts comes back.
+
+mod scene;
+
+use std::io::ErrorKind;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use rstest::rstest;
+use scene::*;
+
+/// From SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
+const KILLED_AFTER: Duration = Duration::from_millis(2700);
+/// What arrives later than this after SIGTERM may be left unanswered by the SIGKILL.
+const OWED_UNTIL: Duration = Duration::from_millis(700);
+
+/// Hosts hang through the whole of a shutdown, and clients go on on their connections until these are closed: each query that
+/// came in time has its answer before the router may be killed. Right already.
+#[test]
+fn hosts_that_hang_through_a_stop_leave_no_query_unanswered() {
+    let mut scene = Scene::set(&[]);
+    let told_at = Instant::now();
+    scene.router.signal("-TERM");
+    let at = scene.router.at;
+    let client = |number: u32| {
+        thread::spawn(move || {
+            let mut client = ottersill_lab::store::Client::connect(at).expect("a connection");
+            client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            client.answer().expect("a greeting");
+            thread::sleep(Duration::from_millis(u64::from(number) * 60));
+            let mut asked = Vec::new();
+            for round in 0.. {
+                let sent = told_at.elapsed();
+                let answer = client.ask(&read(number * 0x1000 + round, 2000));
+                asked.push((sent, told_at.elapsed(), answer.is_ok()));
+                if answer.is_err() {
+                    break;
+                }
+            }
+            asked
+        })
+    };
+    let clients: Vec<_> = (1..=10).map(client).collect();
+    let asked: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+    let owed = asked.iter().filter(|(sent, ..)| *sent < OWED_UNTIL);
+    for (sent, ended, answered) in owed.clone() {
+        assert!(*answered && *ended < KILLED_AFTER, "sent at {sent:?}, ended at {ended:?}: {answered}");
+    }
+    assert!(owed.count() >= 10);
+    until("it ends", || scene.router.state() == "Z");
+    assert_eq!(scene.router.process.wait().expect("a status").code(), Some(0));
+}
+
+/// A few milliseconds are left, and the host drops the query without a word: its client has an answer all the same. Right already.
+#[rstest]
+#[case::one(1)]
+#[case::five(5)]
+#[case::thirty(30)]
+fn a_query_with_little_time_left_is_answered(#[case] left_ms: u32) {
+    let scene = Scene::set(&[]);
+    let mut client = scene.router.client();
+    let began = Instant::now();
+    let answer = client.ask(&read(7, left_ms)).expect("an answer");
+    assert!(answer.starts_with('C'), "{answer}");
+    assert!(began.elapsed() < Duration::from_millis(u64::from(left_ms) + 500), "{:?}", began.elapsed());
+    // If it went out, the host was told no more than there was.
+    if let Some(arrival) = scene.replica.next_within(Duration::from_millis(50)) {
+        let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse::<u32>().ok());
+        assert!(told.is_some_and(|told| told <= left_ms), "{}", arrival.text);
+    }
+    let end = client.hear().expect_err("the connection goes on until it is idle");
+    assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
+}
