--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -5,8 +5,8 @@
 
 use clap::Args;
 use ottersill_core::interface::{Effect, Needs, Workload};
-use ottersill_statement::reading::{self, Nature, Reading};
-use ottersill_statement::shape::{self, Key, Shape};
+use ottersill_statement::classify::{self, Classification, StatementKind};
+use ottersill_statement::fingerprint::{self, Fingerprint, Key};
 use serde::Serialize;
 
 use crate::lifecycle::charter;
@@ -44,14 +44,14 @@
 }
 
 impl<'a> Explained<'a> {
-    fn of(reading: &'a Reading, shape: Shape, workload: Option<&Workload>) -> Explained<'a> {
-        let reads = reading.nature == Nature::Read;
+    fn of(reading: &'a Classification, shape: Fingerprint, workload: Option<&Workload>) -> Explained<'a> {
+        let reads = reading.kind == StatementKind::Read;
         // As in the module: a reading only makes the terms stricter.
         let replica = workload.is_none_or(|w| !matches!(w.needs, Needs::Primary | Needs::Fresh));
         let writing = workload.is_some_and(|w| w.needs == Needs::Primary);
         let resend = workload.is_none_or(|w| w.effect != Effect::NonIdempotent);
         Explained {
-            nature: reading.nature.name(),
+            nature: reading.kind.name(),
             replica: reads && replica,
             resend: (reads || writing) && resend && reading.refusal().is_none(),
             shape: format!("{:032x}", shape.0),
@@ -119,8 +119,9 @@
     let mut out = BufWriter::new(io::stdout().lock());
     for statement in whole.split(|byte| *byte == end) {
         let statement = statement.strip_suffix(b"\r").unwrap_or(statement);
-        let reading = reading::read(statement);
-        let explained = Explained::of(&reading, shape::shape_of(key, statement), workload.as_ref());
+        let reading = classify::classify(statement);
+        let explained =
+            Explained::of(&reading, fingerprint::fingerprint_of(key, statement), workload.as_ref());
         let line = if arguments.json {
             serde_json::to_string(&explained).map_err(|fault| fault.to_string())?
         } else {
--- a/crates/ottersill/src/lifecycle/serve.rs
+++ b/crates/ottersill/src/lifecycle/serve.rs
@@ -144,9 +144,9 @@
 }
 
 fn print(exchange: &Exchange) {
-    let (book, found) = (&exchange.book, exchange.book.found);
-    info!(exchange.log, "shapes"; "known" => found.known, "parsed" => found.parsed, "glanced" => found.glanced,
-        "denied" => found.denied, "pages" => book.pages(), "bytes" => book.bytes());
+    let (book, found) = (&exchange.book, exchange.book.counts);
+    info!(exchange.log, "shapes"; "known" => found.known, "parsed" => found.parsed, "glanced" => found.prescanned,
+        "denied" => found.denied, "pages" => book.entries(), "bytes" => book.bytes());
     info!(exchange.log, "counters: {}", exchange.counters; "breaches_in_all" => exchange.breaches(),
         "clients_now" => exchange.clients.len(), "lines_now" => exchange.lines.len(),
         "in_hand" => exchange.statements.in_hand());
--- a/crates/ottersill/src/memory/statements.rs
+++ b/crates/ottersill/src/memory/statements.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ottersill_statement::book::Place;
+use ottersill_statement::fingerprint_cache::CacheKey;
 
 use crate::memory::counters::Counters;
 use crate::wire::statement::Text;
@@ -42,7 +42,7 @@
     /// Outlives the message it came in, as it may be sent more than once; dropped with the final answer.
     pub text: Text,
     /// What is known of its shape stands there.
-    pub place: Option<Place>,
+    pub place: Option<CacheKey>,
     /// When its client stops waiting.
     pub gives_up_at: f64,
     /// An execution of it has ended that may have run.
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -7,8 +7,8 @@
 use bytes::{Bytes, BytesMut};
 use ottersill_core::facade::News;
 use ottersill_core::interface::{Statement, Work};
-use ottersill_statement::book::Word;
-use ottersill_statement::reading::{self, Nature};
+use ottersill_statement::classify::{self, StatementKind};
+use ottersill_statement::fingerprint_cache::StatementInfo;
 use slog::{info, warn};
 use socket2::Socket;
 
@@ -428,12 +428,12 @@
             // Sent on, it would be taken for a second copy of the one that is open.
             return self.tell_strange(client, Code::ProtocolViolation, "a statement with this id is open");
         }
-        let word = self.book.read(self.now, workload, text, scan.shape);
+        let word = self.book.lookup(self.now, workload, text, scan.fingerprint);
         if let Some(why) = word.refusal {
             self.counters.session_queries += 1;
             return self.tell_strange(client, Code::NotSupported, why);
         }
-        let writes = word.nature != Nature::Read;
+        let writes = word.kind != StatementKind::Read;
         if writes && self.names.reads[workload] {
             self.counters.strict += 1;
             self.log_strict(workload, text, &word);
@@ -451,7 +451,7 @@
             since_write: said.after.map(|after| (self.now - after).max(0.0)),
             repeat: said.repeat,
             writes,
-            work: word.estimate.map(|e| Work { own: e.work, usual: e.usual, spread: e.spread }),
+            work: word.estimate.map(|e| Work { own: e.work, usual: e.typical, spread: e.spread }),
         };
         self.counters.statements += 1;
         self.open(stmt, |exchange, index| {
@@ -460,7 +460,7 @@
                 client,
                 id,
                 text: told,
-                place: word.place,
+                place: word.key,
                 gives_up_at,
                 ran: false,
             };
@@ -488,17 +488,21 @@
     }
 
     /// Why a statement of a reading workload goes to the primary: one line a second tells as much as all would.
-    fn log_strict(&mut self, workload: usize, text: &[u8], word: &Word) {
+    fn log_strict(&mut self, workload: usize, text: &[u8], word: &StatementInfo) {
         if self.now - self.strict_logged_at < 1.0 {
             return;
         }
         self.strict_logged_at = self.now;
-        let reading = word.place.and_then(|place| self.book.reading(&place).cloned());
-        let reading = reading.unwrap_or_else(|| reading::by_glance(text, &reading::glance(text)));
+        let reading = word.key.and_then(|key| self.book.classification(&key).cloned());
+        let reading =
+            reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
         // What a host said of it is not in the text.
-        let why =
-            if reading.nature == Nature::Read { "hosts that only read turn it away" } else { &reading.why };
-        info!(self.log, "text may write"; "why" => why, "nature" => word.nature.name(),
+        let why = if reading.kind == StatementKind::Read {
+            "hosts that only read turn it away"
+        } else {
+            &reading.why
+        };
+        info!(self.log, "text may write"; "why" => why, "nature" => word.kind.name(),
             "workload" => self.names.workloads[workload].as_str(), "so_far" => self.counters.strict);
     }
 
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -11,8 +11,8 @@
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
 use ottersill_core::interface::{Listed, Statement, Terms};
-use ottersill_statement::book::Book;
-use ottersill_statement::shape::Key;
+use ottersill_statement::fingerprint::Key;
+use ottersill_statement::fingerprint_cache::FingerprintCache;
 use ottersill_terms::{Names, Upkeep};
 use slab::Slab;
 use slog::Logger;
@@ -100,7 +100,7 @@
     pub control: Control,
     pub counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
-    pub book: Book,
+    pub book: FingerprintCache,
     /// When a line last said why a statement was taken for one that may write.
     pub strict_logged_at: f64,
     pub names: Names,
@@ -145,7 +145,7 @@
         let now = clock.now();
         let come_again = terms.max_retry_after;
         let usual = terms.workloads.iter().map(Router::typical).collect();
-        let book = Book::new(now, Key::from_seed(terms.seed), berths.book, usual);
+        let book = FingerprintCache::new(now, Key::from_seed(terms.seed), berths.book, usual);
         Exchange {
             facade: Facade::start(now, terms),
             statements: Statements::default(),
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -325,9 +325,9 @@
                     let only_reads = reply.note.role == Some(Role::Replica);
                     match ending {
                         Ending::Completed => {
-                            self.book.learn(self.now, place, host, self.now - since, only_reads);
+                            self.book.record_completion(self.now, place, host, self.now - since, only_reads);
                         }
-                        Ending::ReadOnly if only_reads => self.book.deny(place),
+                        Ending::ReadOnly if only_reads => self.book.record_read_only_rejection(place),
                         _ => {}
                     }
                 }
--- a/crates/ottersill/src/wire/statement.rs
+++ b/crates/ottersill/src/wire/statement.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 
 use bytes::Bytes;
-use ottersill_statement::shape::Scan;
+use ottersill_statement::fingerprint::Scan;
 
 use crate::wire::frame;
 use crate::wire::socket::Outbox;
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -7,8 +7,8 @@
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
 use ottersill_core::interface::*;
-use ottersill_statement::book::{Book, Place};
-use ottersill_statement::shape::Key;
+use ottersill_statement::fingerprint::Key;
+use ottersill_statement::fingerprint_cache::{CacheKey, FingerprintCache};
 
 const HOSTS: usize = 4;
 const CORES: usize = 2;
@@ -65,13 +65,13 @@
 
 struct Day {
     facade: Facade,
-    book: Book,
+    book: FingerprintCache,
     knows: bool,
     now: f64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     free_at: [[f64; CORES]; HOSTS],
     /// By the statement's number: when it came, its own work, where its shape is kept.
-    held: Vec<(f64, f64, Option<Place>)>,
+    held: Vec<(f64, f64, Option<CacheKey>)>,
     draws: u64,
     seed: u64,
     /// Cheap and heavy: asked, in time, late.
@@ -94,7 +94,7 @@
     fn play(seed: u64, load: f64, knows: bool) -> Day {
         let terms = terms(seed);
         let usual = terms.workloads.iter().map(Router::typical).collect();
-        let book = Book::new(0.0, Key::from_seed(seed), 1 << 20, usual);
+        let book = FingerprintCache::new(0.0, Key::from_seed(seed), 1 << 20, usual);
         let mut day = Day {
             facade: Facade::start(0.0, terms),
             book,
@@ -145,8 +145,8 @@
         } else {
             b"SELECT kg FROM picked WHERE id = 7"
         };
-        let shape = self.book.scan(text).shape;
-        let word = self.book.read(self.now, 0, text, shape);
+        let shape = self.book.scan(text).fingerprint;
+        let word = self.book.lookup(self.now, 0, text, shape);
         let known = word.estimate.filter(|_| self.knows);
         let stmt = Statement {
             workload: 0,
@@ -157,11 +157,11 @@
             since_write: None,
             repeat: false,
             writes: false,
-            work: known.map(|e| Work { own: e.work, usual: e.usual, spread: e.spread }),
+            work: known.map(|e| Work { own: e.work, usual: e.typical, spread: e.spread }),
         };
         self.asked[usize::from(heavy)] += 1.0;
         let (index, choice) = self.facade.pick(self.now, Ask::New(stmt));
-        let held = (self.now, work, word.place);
+        let held = (self.now, work, word.key);
         self.held.resize(self.held.len().max(index + 1), held);
         self.held[index] = held;
         self.act(index, choice);
@@ -189,7 +189,7 @@
             let (heavy, in_time) = (usize::from(work > 10.0 * CHEAP), self.now - arrived <= SLO);
             *if in_time { &mut self.in_time[heavy] } else { &mut self.late[heavy] } += 1.0;
             if let Some(place) = place {
-                self.book.learn(self.now, place, host, took, true);
+                self.book.record_completion(self.now, place, host, took, true);
             }
         }
         let note = self.note(host);
--- a/crates/statement/benches/shapes.rs
+++ b/crates/statement/benches/fingerprints.rs
@@ -1,10 +1,10 @@
-//! What a known shape costs beside a parse, in one run: `cargo bench -p ottersill-statement`.
+//! What a known fingerprint costs beside a parse, in one run: `cargo bench -p ottersill-statement`.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use ottersill_statement::book::Book;
+use ottersill_statement::classify;
+use ottersill_statement::fingerprint::{self, Key};
+use ottersill_statement::fingerprint_cache::FingerprintCache;
 use ottersill_statement::lexer::Lexer;
-use ottersill_statement::reading;
-use ottersill_statement::shape::{self, Key};
 use std::hint::black_box;
 
 /// 200 bytes, comment and all, as clients send them.
@@ -16,35 +16,35 @@
 
 fn bench(c: &mut Criterion) {
     let key = Key::from_seed(7);
-    let mut book = Book::new(0.0, key, 1 << 20, vec![0.01]);
+    let mut cache = FingerprintCache::new(0.0, key, 1 << 20, vec![0.01]);
     for (name, text) in [("a join of 200 bytes", KNOWN.as_bytes()), ("a look-up", SHORT.as_bytes())] {
         println!("{name}: {} bytes", text.len());
-        let shape = book.scan(text).shape;
-        book.read(0.0, 0, text, shape);
-        c.bench_function(&format!("{name}: a known shape, scanned and found"), |b| {
+        let fingerprint = cache.scan(text).fingerprint;
+        cache.lookup(0.0, 0, text, fingerprint);
+        c.bench_function(&format!("{name}: a known fingerprint, scanned and found"), |b| {
             b.iter(|| {
-                let scan = book.scan(black_box(text));
-                black_box(book.read(0.0, 0, text, scan.shape))
+                let scan = cache.scan(black_box(text));
+                black_box(cache.lookup(0.0, 0, text, scan.fingerprint))
             });
         });
         c.bench_function(&format!("{name}: scanned only"), |b| {
-            b.iter(|| black_box(shape::scan(key, black_box(text))));
+            b.iter(|| black_box(fingerprint::scan(key, black_box(text))));
         });
         c.bench_function(&format!("{name}: cut into tokens only"), |b| {
             b.iter(|| Lexer::new(black_box(text)).map(|token| token.at.end).sum::<usize>());
         });
         c.bench_function(&format!("{name}: its tokens looked at"), |b| {
-            b.iter(|| black_box(reading::glance(black_box(text))));
+            b.iter(|| black_box(classify::prescan(black_box(text))));
         });
         c.bench_function(&format!("{name}: parsed and read"), |b| {
-            b.iter(|| black_box(reading::read(black_box(text))));
+            b.iter(|| black_box(classify::classify(black_box(text))));
         });
     }
 }
 
 criterion_group! {
-    name = shapes;
+    name = fingerprints;
     config = Criterion::default().sample_size(50).measurement_time(std::time::Duration::from_secs(2));
     targets = bench
 }
-criterion_main!(shapes);
+criterion_main!(fingerprints);
--- a/crates/statement/src/reading.rs
+++ b/crates/statement/src/classify.rs
@@ -1,6 +1,6 @@
-//! The full reading of a statement: its nature, what it touches, and why.
+//! The full classification of a statement: its kind, what it touches, and why.
 //!
-//! The tokens' word ([`crate::glance`]) and the parser's have both to say "read" before a text is taken for one: the
+//! The tokens' word ([`crate::prescan`]) and the parser's have both to say "read" before a text is taken for one: the
 //! first sees every call whatever the grammar around it, the second knows what a parenthesis or a word stands for.
 
 use std::collections::BTreeSet;
@@ -14,14 +14,14 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::{Parser, ParserOptions};
 
-use crate::glance::{Cause, Doubt, Glance, Opening};
+use crate::builtin_catalog;
+use crate::fingerprint;
 use crate::lexer::{Kind, Lexer};
-use crate::names;
-use crate::shape;
+use crate::prescan::{Cause, Doubt, Opening, Prescan};
 
 /// What a statement is to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Nature {
+pub enum StatementKind {
     Read,
     Write,
     /// Changes the session or holds something of it, and so makes no sense where connections are shared.
@@ -30,21 +30,21 @@
     Unknown,
 }
 
-impl Nature {
+impl StatementKind {
     pub fn name(self) -> &'static str {
         match self {
-            Nature::Read => "read",
-            Nature::Write => "write",
-            Nature::Session => "session",
-            Nature::Unknown => "unknown",
+            StatementKind::Read => "read",
+            StatementKind::Write => "write",
+            StatementKind::Session => "session",
+            StatementKind::Unknown => "unknown",
         }
     }
 }
 
 /// Names are in lower case unless they were quoted, and keep their schema.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reading {
-    pub nature: Nature,
+pub struct Classification {
+    pub kind: StatementKind,
     pub why: Box<str>,
     /// More than one statement in one query.
     pub several: bool,
@@ -54,17 +54,17 @@
     pub functions: Box<[Box<str>]>,
 }
 
-impl Reading {
-    fn new(nature: Nature, why: impl Into<Box<str>>) -> Reading {
+impl Classification {
+    fn new(kind: StatementKind, why: impl Into<Box<str>>) -> Classification {
         let (tables, functions) = (Box::default(), Box::default());
-        Reading { nature, why: why.into(), several: false, locks: false, tables, functions }
+        Classification { kind, why: why.into(), several: false, locks: false, tables, functions }
     }
 
     /// Why it can't be taken at all, where no connection is a client's own.
     pub fn refusal(&self) -> Option<&'static str> {
         if self.several {
             Some("several statements in one query")
-        } else if self.nature == Nature::Session {
+        } else if self.kind == StatementKind::Session {
             Some("a statement that belongs to a session, where connections are shared")
         } else {
             None
@@ -80,20 +80,20 @@
 }
 
 /// Longer than this, once its values are made alike, a text is not parsed; bytes.
-const LONG: usize = 8 * 1024;
+const MAX_PARSED_BYTES: usize = 8 * 1024;
 /// Nor with more tokens: the parser's trees are as deep as a chain of operators is long.
-const MANY: usize = 1500;
+const MAX_PARSED_TOKENS: usize = 1500;
 /// Nor with parentheses nested deeper: some of the grammar is tried again at each level.
-const NESTED: usize = 12;
+const MAX_PARSED_NESTING: usize = 12;
 /// Names kept of one statement, of each kind, and the bytes of each.
-const NAMES: usize = 16;
-const NAME: usize = 128;
-
-/// The glance at a whole text, comments apart.
-pub fn glance(text: &[u8]) -> Glance {
-    let mut glance = Glance::default();
-    Lexer::new(text).for_each(|token| glance.take(&token, text));
-    glance
+const MAX_NAMES: usize = 16;
+const MAX_NAME_BYTES: usize = 128;
+
+/// The prescan at a whole text, comments apart.
+pub fn prescan(text: &[u8]) -> Prescan {
+    let mut prescan = Prescan::default();
+    Lexer::new(text).for_each(|token| prescan.take(&token, text));
+    prescan
 }
 
 fn at(text: &[u8], doubt: &Doubt) -> String {
@@ -101,57 +101,62 @@
     String::from_utf8_lossy(&text[doubt.at.start..end]).into_owned()
 }
 
-fn doubted(text: &[u8], doubt: &Doubt) -> Reading {
+fn doubted(text: &[u8], doubt: &Doubt) -> Classification {
     let place = at(text, doubt);
-    let (nature, why) = match doubt.cause {
+    let (kind, why) = match doubt.cause {
         Cause::Bad => (
-            Nature::Unknown,
+            StatementKind::Unknown,
             "no SQL, or unfinished, from its byte ".to_string() + &doubt.at.start.to_string(),
         ),
-        Cause::Doubtful => {
-            (Nature::Unknown, "a literal that ends elsewhere without standard_conforming_strings".into())
-        }
-        Cause::Several => (Nature::Unknown, "several statements in one query".into()),
-        Cause::Deep => (Nature::Unknown, "parentheses nested too deeply to follow".into()),
-        Cause::Writes => (Nature::Write, format!("changes {place}")),
-        Cause::Into => (Nature::Write, "INTO makes a table or fills one".into()),
-        Cause::Locks => (Nature::Write, "locks rows".into()),
-        Cause::WritingCall => (Nature::Write, format!("{place}() writes or locks")),
-        Cause::SessionCall => (Nature::Session, format!("{place}() belongs to a session")),
-        Cause::UnknownCall => (Nature::Unknown, format!("{place}() may write")),
-        Cause::UnknownOperator => (Nature::Unknown, format!("operator {place} may write")),
+        Cause::Doubtful => (
+            StatementKind::Unknown,
+            "a literal that ends elsewhere without standard_conforming_strings".into(),
+        ),
+        Cause::Several => (StatementKind::Unknown, "several statements in one query".into()),
+        Cause::Deep => (StatementKind::Unknown, "parentheses nested too deeply to follow".into()),
+        Cause::Writes => (StatementKind::Write, format!("changes {place}")),
+        Cause::Into => (StatementKind::Write, "INTO makes a table or fills one".into()),
+        Cause::Locks => (StatementKind::Write, "locks rows".into()),
+        Cause::WritingCall => (StatementKind::Write, format!("{place}() writes or locks")),
+        Cause::SessionCall => (StatementKind::Session, format!("{place}() belongs to a session")),
+        Cause::UnknownCall => (StatementKind::Unknown, format!("{place}() may write")),
+        Cause::UnknownOperator => (StatementKind::Unknown, format!("operator {place} may write")),
         Cause::UnknownType => {
-            (Nature::Unknown, format!("a cast at {place} to a type that is no built-in one"))
+            (StatementKind::Unknown, format!("a cast at {place} to a type that is no built-in one"))
         }
     };
-    let mut reading = Reading::new(nature, why);
-    reading.several = doubt.cause == Cause::Several;
-    reading.locks = doubt.cause == Cause::Locks;
-    reading
+    let mut classification = Classification::new(kind, why);
+    classification.several = doubt.cause == Cause::Several;
+    classification.locks = doubt.cause == Cause::Locks;
+    classification
 }
 
 /// What the tokens alone say: for a text that is not parsed.
-pub fn by_glance(text: &[u8], glance: &Glance) -> Reading {
+pub fn classify_by_prescan(text: &[u8], prescan: &Prescan) -> Classification {
     // Whatever else it is: what comes behind the first statement is not looked at for its first word.
     if let Some(doubt) =
-        glance.doubt.as_ref().filter(|d| matches!(d.cause, Cause::Bad | Cause::Doubtful | Cause::Several))
+        prescan.doubt.as_ref().filter(|d| matches!(d.cause, Cause::Bad | Cause::Doubtful | Cause::Several))
     {
         return doubted(text, doubt);
     }
-    let opened_by = String::from_utf8_lossy(&text[glance.opened_by.clone()]).to_ascii_uppercase();
-    match glance.opening {
-        Opening::Session => Reading::new(Nature::Session, format!("{opened_by} belongs to a session")),
-        Opening::Write => Reading::new(Nature::Write, format!("{opened_by} writes")),
-        Opening::Unknown => Reading::new(Nature::Unknown, "begins as no statement that is known"),
-        _ if glance.is_read() => Reading::new(Nature::Read, "nothing in it can write"),
-        Opening::Explain | Opening::Copy if glance.doubt.is_none() => {
-            Reading::new(Nature::Unknown, format!("{opened_by} that was not parsed"))
-        }
-        _ => match (&glance.dml, &glance.doubt) {
+    let opened_by = String::from_utf8_lossy(&text[prescan.opened_by.clone()]).to_ascii_uppercase();
+    match prescan.opening {
+        Opening::Session => {
+            Classification::new(StatementKind::Session, format!("{opened_by} belongs to a session"))
+        }
+        Opening::Write => Classification::new(StatementKind::Write, format!("{opened_by} writes")),
+        Opening::Unknown => {
+            Classification::new(StatementKind::Unknown, "begins as no statement that is known")
+        }
+        _ if prescan.is_read() => Classification::new(StatementKind::Read, "nothing in it can write"),
+        Opening::Explain | Opening::Copy if prescan.doubt.is_none() => {
+            Classification::new(StatementKind::Unknown, format!("{opened_by} that was not parsed"))
+        }
+        _ => match (&prescan.dml, &prescan.doubt) {
             (_, Some(doubt)) if doubt.cause == Cause::SessionCall => doubted(text, doubt),
             (Some(doubt), _) | (None, Some(doubt)) => doubted(text, doubt),
             (None, None) => {
-                let doubt = Doubt { cause: Cause::UnknownCall, at: glance.calls[0].clone() };
+                let doubt = Doubt { cause: Cause::UnknownCall, at: prescan.calls[0].clone() };
                 doubted(text, &doubt)
             }
         },
@@ -159,49 +164,56 @@
 }
 
 /// Whether the tokens alone settle it, so that a parse could say no more.
-pub fn is_settled(glance: &Glance) -> bool {
+pub fn is_conclusive(prescan: &Prescan) -> bool {
     let hopeless = |doubt: &Doubt| matches!(doubt.cause, Cause::Bad | Cause::Several | Cause::Doubtful);
-    glance.doubt.as_ref().is_some_and(hopeless)
-        || matches!(glance.opening, Opening::Session | Opening::Unknown)
+    prescan.doubt.as_ref().is_some_and(hopeless)
+        || matches!(prescan.opening, Opening::Session | Opening::Unknown)
 }
 
-/// Reads a text of that shape. What it gives is the same for every text of the shape, as only its plain form is read;
+/// Reads a text of that fingerprint. What it gives is the same for every text of the fingerprint, as only its plain form is read;
 /// bounded in time by the bounds above.
-pub fn read(text: &[u8]) -> Reading {
-    let first = glance(text);
-    if is_settled(&first) {
-        return by_glance(text, &first);
+pub fn classify(text: &[u8]) -> Classification {
+    let first = prescan(text);
+    if is_conclusive(&first) {
+        return classify_by_prescan(text, &first);
     }
-    let plain = shape::plain(text);
+    let plain = fingerprint::plain(text);
     let text = plain.as_bytes();
-    let glance = glance(text);
-    if plain.len() > LONG || glance.tokens() > MANY || nesting(text) > NESTED {
-        let mut reading = by_glance(text, &glance);
-        if reading.nature != Nature::Read {
-            reading.why = format!("{}; too long or too deep to be parsed", reading.why).into();
+    let prescan = prescan(text);
+    if plain.len() > MAX_PARSED_BYTES
+        || prescan.tokens() > MAX_PARSED_TOKENS
+        || nesting(text) > MAX_PARSED_NESTING
+    {
+        let mut classification = classify_by_prescan(text, &prescan);
+        if classification.kind != StatementKind::Read {
+            classification.why = format!("{}; too long or too deep to be parsed", classification.why).into();
         }
-        return reading;
+        return classification;
     }
     let parsed = Parser::new(&PostgreSqlDialect {})
         .with_options(ParserOptions::new().with_trailing_commas(false))
-        .with_recursion_limit(2 * NESTED)
+        .with_recursion_limit(2 * MAX_PARSED_NESTING)
         .try_with_sql(&plain)
         .and_then(|mut parser| parser.parse_statements());
     match parsed.as_deref() {
-        Ok([statement]) => weigh(statement, text, &glance),
-        Ok(_) => Reading::new(Nature::Unknown, "no statement, or several"),
-        Err(_) => unparsed(text, &glance),
+        Ok([statement]) => weigh(statement, text, &prescan),
+        Ok(_) => Classification::new(StatementKind::Unknown, "no statement, or several"),
+        Err(_) => unparsed(text, &prescan),
     }
 }
 
 /// What can't be parsed is no read, but may be known for something else by its tokens.
-fn unparsed(text: &[u8], glance: &Glance) -> Reading {
-    let reading = by_glance(text, glance);
-    match reading.nature {
+fn unparsed(text: &[u8], prescan: &Prescan) -> Classification {
+    let classification = classify_by_prescan(text, prescan);
+    match classification.kind {
         // `TABLE name` alone, which the parser lacks: its tokens leave nothing open.
-        Nature::Read if text[glance.opened_by.clone()].eq_ignore_ascii_case(b"table") => reading,
-        Nature::Read => Reading::new(Nature::Unknown, "the parser does not know this grammar"),
-        _ => reading,
+        StatementKind::Read if text[prescan.opened_by.clone()].eq_ignore_ascii_case(b"table") => {
+            classification
+        }
+        StatementKind::Read => {
+            Classification::new(StatementKind::Unknown, "the parser does not know this grammar")
+        }
+        _ => classification,
     }
 }
 
@@ -220,35 +232,37 @@
 }
 
 /// The parser's word and the tokens', the stricter of both.
-fn weigh(statement: &Statement, text: &[u8], glance: &Glance) -> Reading {
-    let mut found = Found::default();
+fn weigh(statement: &Statement, text: &[u8], prescan: &Prescan) -> Classification {
+    let mut found = TreeFindings::default();
     let (inner, runs) = match statement {
         Statement::Explain { statement, analyze, options, .. } => {
             // Any option but those that only say what is shown: `ANALYSE` is another name for `ANALYZE`, and
             // `ANALYZE FALSE` is rare enough to be taken for what it looks like.
-            let asked =
-                options.iter().flatten().any(|o| !names::is_in(names::SHOWS, o.name.value.as_bytes()));
+            let asked = options
+                .iter()
+                .flatten()
+                .any(|o| !builtin_catalog::is_in(builtin_catalog::SHOWS, o.name.value.as_bytes()));
             (statement.as_ref(), *analyze || asked)
         }
         other => (other, true),
     };
     let _ = inner.visit(&mut found);
-    let mut reading = found.judge(inner, runs, text, glance);
-    reading.locks = found.locks;
+    let mut classification = found.judge(inner, runs, text, prescan);
+    classification.locks = found.locks;
     let kept = |names: BTreeSet<String>| {
-        let short = names.into_iter().filter(|name| name.len() <= NAME);
-        short.take(NAMES).map(String::into_boxed_str).collect()
+        let short = names.into_iter().filter(|name| name.len() <= MAX_NAME_BYTES);
+        short.take(MAX_NAMES).map(String::into_boxed_str).collect()
     };
     let with: BTreeSet<String> = std::mem::take(&mut found.with);
     let tables = std::mem::take(&mut found.tables);
-    reading.tables = kept(tables.into_iter().filter(|table| !with.contains(table)).collect());
-    reading.functions = kept(std::mem::take(&mut found.functions));
-    reading
+    classification.tables = kept(tables.into_iter().filter(|table| !with.contains(table)).collect());
+    classification.functions = kept(std::mem::take(&mut found.functions));
+    classification
 }
 
 /// What a walk over the parser's tree has met.
 #[derive(Default)]
-struct Found {
+struct TreeFindings {
     tables: BTreeSet<String>,
     with: BTreeSet<String>,
     functions: BTreeSet<String>,
@@ -278,7 +292,7 @@
     parts.map(|parts| parts.join("."))
 }
 
-impl Found {
+impl TreeFindings {
     fn doubt(&mut self, what: impl Into<String>) {
         if self.unknown.is_none() {
             self.unknown = Some(what.into());
@@ -287,13 +301,15 @@
 
     fn called(&mut self, called: &ObjectName) {
         if let [ObjectNamePart::Identifier(only)] = called.0.as_slice() {
-            if only.quote_style.is_none() && names::is_in(names::CONSTRUCTS, only.value.as_bytes()) {
+            if only.quote_style.is_none()
+                && builtin_catalog::is_in(builtin_catalog::CONSTRUCTS, only.value.as_bytes())
+            {
                 return;
             }
         }
         let Some(called) = name(called) else { return self.doubt("a name that is made by a function") };
         let own = called.strip_prefix("pg_catalog.").unwrap_or(&called);
-        if !names::is_exactly_in(names::READS, own.as_bytes()) {
+        if !builtin_catalog::is_exactly_in(builtin_catalog::READS, own.as_bytes()) {
             self.doubt(format!("{called}() may write"));
         }
         self.functions.insert(called);
@@ -306,7 +322,7 @@
                     let own = name.0.len() == 1
                         || name.0.len() == 2
                             && name.0[0].as_ident().is_some_and(|schema| ident(schema) == "pg_catalog");
-                    own && names::is_exactly_in(names::TYPES, ident(part).as_bytes())
+                    own && builtin_catalog::is_exactly_in(builtin_catalog::TYPES, ident(part).as_bytes())
                 })
             }
             DataType::Array(of) => {
@@ -334,10 +350,12 @@
     }
 
     /// What the walk and the tokens come to.
-    fn judge(&mut self, statement: &Statement, runs: bool, text: &[u8], glance: &Glance) -> Reading {
+    fn judge(&mut self, statement: &Statement, runs: bool, text: &[u8], prescan: &Prescan) -> Classification {
         match statement {
             Statement::Query(_) => {}
-            Statement::ShowVariable { .. } => return Reading::new(Nature::Read, "shows a setting"),
+            Statement::ShowVariable { .. } => {
+                return Classification::new(StatementKind::Read, "shows a setting");
+            }
             Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
                 self.writes("changes rows");
             }
@@ -351,31 +369,31 @@
                     _ => self.writes("COPY writes a table, or out of the server"),
                 }
             }
-            _ => return unparsed(text, glance),
+            _ => return unparsed(text, prescan),
         }
         // Nothing of what it explains runs; functions may, as the planner folds what it can.
         let changes = self.writes.filter(|_| runs);
-        if let Some(doubt) = glance.doubt.as_ref().filter(|doubt| doubt.cause == Cause::SessionCall) {
+        if let Some(doubt) = prescan.doubt.as_ref().filter(|doubt| doubt.cause == Cause::SessionCall) {
             return doubted(text, doubt);
         }
         if let Some(what) = changes {
-            return Reading::new(Nature::Write, what);
+            return Classification::new(StatementKind::Write, what);
         }
-        if let Some(doubt) = glance.dml.as_ref().filter(|_| runs) {
+        if let Some(doubt) = prescan.dml.as_ref().filter(|_| runs) {
             return doubted(text, doubt);
         }
-        if let Some(doubt) = &glance.doubt {
+        if let Some(doubt) = &prescan.doubt {
             return doubted(text, doubt);
         }
         if self.statements > 1 && runs {
-            return Reading::new(Nature::Unknown, "a statement within the statement");
+            return Classification::new(StatementKind::Unknown, "a statement within the statement");
         }
         if let Some(why) = self.unknown.take() {
-            return Reading::new(Nature::Unknown, why);
+            return Classification::new(StatementKind::Unknown, why);
         }
         // Each name before a parenthesis is an alias that the parser has seen, or a call that it has not.
         let mut aliases = std::mem::take(&mut self.columned);
-        for range in &glance.calls[..glance.called] {
+        for range in &prescan.calls[..prescan.called] {
             let bytes = &text[range.clone()];
             let called = match bytes.first() {
                 Some(b'"') => String::from_utf8_lossy(&bytes[1..bytes.len() - 1]).replace("\"\"", "\""),
@@ -385,17 +403,17 @@
                 Some(place) => drop(aliases.swap_remove(place)),
                 // The target's columns of an INSERT that is only explained.
                 None if !runs && self.tables.iter().any(|table| *table == called) => {}
-                None => return Reading::new(Nature::Unknown, format!("{called}() may write")),
+                None => return Classification::new(StatementKind::Unknown, format!("{called}() may write")),
             }
         }
-        Reading::new(
-            Nature::Read,
+        Classification::new(
+            StatementKind::Read,
             if runs { "nothing in it can write" } else { "EXPLAIN alone runs nothing" },
         )
     }
 }
 
-impl Visitor for Found {
+impl Visitor for TreeFindings {
     type Break = ();
 
     fn pre_visit_statement(&mut self, _statement: &Statement) -> ControlFlow<()> {
@@ -485,7 +503,7 @@
     }
 }
 
-impl Found {
+impl TreeFindings {
     fn sample(&mut self, sample: Option<&TableSampleKind>) {
         let sample = match sample {
             Some(TableSampleKind::BeforeTableAlias(sample) | TableSampleKind::AfterTableAlias(sample)) => {
--- a/crates/statement/src/shape.rs
+++ b/crates/statement/src/fingerprint.rs
@@ -1,7 +1,7 @@
-//! A statement's shape: its tokens with values made alike and comments left out, as a keyed 128-bit hash.
+//! A statement's fingerprint: its tokens with values made alike and comments left out, as a keyed 128-bit hash.
 //!
-//! Two texts of one shape have the same nature: whatever a reading goes by besides values stands in the shape. The
-//! key keeps clients from making two shapes collide, as one could then pass a write off as a known read.
+//! Two texts of one fingerprint have the same kind: whatever a classification goes by besides values stands in the fingerprint. The
+//! key keeps clients from making two fingerprints collide, as one could then pass a write off as a known read.
 
 use std::hash::Hasher;
 use std::ops::Range;
@@ -12,7 +12,7 @@
 
 /// A keyed hash of a statement's tokens without its values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Shape(pub u128);
+pub struct Fingerprint(pub u128);
 
 /// What the hash is keyed with; from the router's seed.
 #[derive(Clone, Copy, Debug)]
@@ -31,12 +31,12 @@
     }
 }
 
-/// Where the walk over a text's tokens goes: into the hash, or into a text of the same shape.
+/// Where the walk over a text's tokens goes: into the hash, or into a text of the same fingerprint.
 pub trait Sink {
     fn put(&mut self, item: Item);
 }
 
-/// What a shape is made of.
+/// What a fingerprint is made of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Item<'a> {
     /// Any value.
@@ -124,8 +124,8 @@
     }
 }
 
-/// The shortest text of the shape, to be parsed in place of the one that came: what is read of it holds for all of
-/// the shape, whoever sent the first.
+/// The shortest text of the fingerprint, to be parsed in place of the one that came: what is read of it holds for all of
+/// the fingerprint, whoever sent the first.
 #[derive(Default)]
 struct Plain(String);
 
@@ -186,7 +186,7 @@
 }
 
 /// The walk over a text's tokens.
-pub struct Shaper<S> {
+pub struct FingerprintBuilder<S> {
     sink: S,
     list: List,
     before: Before,
@@ -197,7 +197,7 @@
 /// What one pass over a statement's text finds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
-    pub shape: Shape,
+    pub fingerprint: Fingerprint,
     /// The last block comment, with its marks: one in a literal, a quoted name or another comment is none.
     pub comment: Option<Range<usize>>,
     /// Something but white space and semicolons stands behind that.
@@ -208,7 +208,7 @@
     pub unfinished: bool,
 }
 
-/// The shape, and where the parts are that others read; without allocation.
+/// The fingerprint, and where the parts are that others read; without allocation.
 pub fn scan(key: Key, text: &[u8]) -> Scan {
     let mut shaper = hashing(key);
     let (mut comment, mut behind, mut literal, mut unfinished) = (None, false, None, false);
@@ -226,50 +226,54 @@
         }
         shaper.take(&token, text);
     }
-    Scan { shape: shaper.finish(), comment, behind, literal, unfinished }
+    Scan { fingerprint: shaper.finish(), comment, behind, literal, unfinished }
 }
 
-/// The shape alone.
-pub fn shape_of(key: Key, text: &[u8]) -> Shape {
+/// The fingerprint alone.
+pub fn fingerprint_of(key: Key, text: &[u8]) -> Fingerprint {
     let mut shaper = hashing(key);
     Lexer::new(text).for_each(|token| shaper.take(&token, text));
     shaper.finish()
 }
 
-pub fn hashing(key: Key) -> Shaper<impl Sink + Finish> {
-    Shaper::new(Hash { hasher: SipHasher13::new_with_keys(key.0, key.1), gathered: [0; 256], length: 0 })
+pub fn hashing(key: Key) -> FingerprintBuilder<impl Sink + Finish> {
+    FingerprintBuilder::new(Hash {
+        hasher: SipHasher13::new_with_keys(key.0, key.1),
+        gathered: [0; 256],
+        length: 0,
+    })
 }
 
-/// The shortest text of the same shape. Allocates: off the path of known shapes.
+/// The shortest text of the same fingerprint. Allocates: off the path of known fingerprints.
 pub fn plain(text: &[u8]) -> String {
-    let mut shaper = Shaper::new(Plain::default());
+    let mut shaper = FingerprintBuilder::new(Plain::default());
     Lexer::new(text).for_each(|token| shaper.take(&token, text));
     shaper.end();
     shaper.sink.0
 }
 
-/// Ends in a shape.
+/// Ends in a fingerprint.
 pub trait Finish {
-    fn finish(self) -> Shape;
+    fn finish(self) -> Fingerprint;
 }
 
 impl Finish for Hash {
-    fn finish(mut self) -> Shape {
+    fn finish(mut self) -> Fingerprint {
         self.flush();
-        Shape(self.hasher.finish128().as_u128())
+        Fingerprint(self.hasher.finish128().as_u128())
     }
 }
 
-impl<S: Sink + Finish> Shaper<S> {
-    pub fn finish(mut self) -> Shape {
+impl<S: Sink + Finish> FingerprintBuilder<S> {
+    pub fn finish(mut self) -> Fingerprint {
         self.end();
         self.sink.finish()
     }
 }
 
-impl<S: Sink> Shaper<S> {
-    fn new(sink: S) -> Shaper<S> {
-        Shaper { sink, list: List::None, before: Before::Start, opening: false }
+impl<S: Sink> FingerprintBuilder<S> {
+    fn new(sink: S) -> FingerprintBuilder<S> {
+        FingerprintBuilder { sink, list: List::None, before: Before::Start, opening: false }
     }
 
     fn end(&mut self) {
--- a/crates/statement/src/lexer.rs
+++ b/crates/statement/src/lexer.rs
@@ -138,11 +138,12 @@
 
 /// Eight bytes at once in lower case, as `to_ascii_lowercase` has each.
 const fn lower(word: u64) -> u64 {
-    const EACH: u64 = 0x0101_0101_0101_0101;
-    let low = word & (0x7f * EACH);
+    const NAME_OVERHEAD_BYTES: u64 = 0x0101_0101_0101_0101;
+    let low = word & (0x7f * NAME_OVERHEAD_BYTES);
     // The top bit of each byte tells whether it is past the letter.
-    let (from_a, past_z) = (low + (0x80 - b'A' as u64) * EACH, low + (0x7f - b'Z' as u64) * EACH);
-    let upper = !word & (from_a ^ past_z) & (0x80 * EACH);
+    let (from_a, past_z) =
+        (low + (0x80 - b'A' as u64) * NAME_OVERHEAD_BYTES, low + (0x7f - b'Z' as u64) * NAME_OVERHEAD_BYTES);
+    let upper = !word & (from_a ^ past_z) & (0x80 * NAME_OVERHEAD_BYTES);
     word | (upper >> 2)
 }
 
--- a/crates/statement/src/glance.rs
+++ b/crates/statement/src/prescan.rs
@@ -1,14 +1,14 @@
-//! What the tokens alone tell of a statement: the part of the reading that needs no parser and no memory.
+//! What the tokens alone tell of a statement: the part of the classification that needs no parser and no memory.
 //!
 //! It may take a read for something else, never the other way round: whatever could call a function of a user's, or
-//! change anything, is a doubt. Every reading goes by it, so a construct that the parser takes for another can't
+//! change anything, is a doubt. Every classification goes by it, so a construct that the parser takes for another can't
 //! hide a call. What no text can tell stays out: views, policies and operators of a user's that bear a built-in name,
 //! and functions called as if they were columns.
 
 use std::ops::Range;
 
+use crate::builtin_catalog;
 use crate::lexer::{Kind, Token};
-use crate::names;
 
 /// What speaks against a read, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,19 +51,19 @@
 }
 
 /// Calls that may be column lists of an alias, for the parser to tell; a text with more is not taken for a read.
-const CALLS: usize = 12;
+const MAX_UNRESOLVED_CALLS: usize = 12;
 /// Parentheses within parentheses that are followed.
-const DEEP: usize = 60;
+const MAX_NESTING: usize = 60;
 
 /// Taken in token by token; fixed in size.
 #[derive(Clone, Debug, Default)]
-pub struct Glance {
+pub struct Prescan {
     pub opening: Opening,
     pub opened_by: Range<usize>,
     /// The first that was found.
     pub doubt: Option<Doubt>,
     /// Names before a parenthesis that no list has.
-    pub calls: [Range<usize>; CALLS],
+    pub calls: [Range<usize>; MAX_UNRESOLVED_CALLS],
     pub called: usize,
     /// `EXPLAIN` alone runs nothing, and what it explains is not doubted for writing.
     pub dml: Option<Doubt>,
@@ -94,13 +94,13 @@
 fn listed(list: &[&str], token: &Token, text: &[u8]) -> bool {
     let bytes = token.bytes(text);
     match token.kind {
-        Kind::Word => names::is_in(list, bytes),
-        Kind::Quoted => names::is_exactly_in(list, &bytes[1..bytes.len() - 1]),
+        Kind::Word => builtin_catalog::is_in(list, bytes),
+        Kind::Quoted => builtin_catalog::is_exactly_in(list, &bytes[1..bytes.len() - 1]),
         _ => false,
     }
 }
 
-impl Glance {
+impl Prescan {
     /// How many tokens the text has, comments apart.
     pub fn tokens(&self) -> usize {
         self.tokens
@@ -151,7 +151,7 @@
             self.updated(token, prev, before, text);
         }
         if is(prev, text, &["as"])
-            && (1..=DEEP).contains(&self.depth)
+            && (1..=MAX_NESTING).contains(&self.depth)
             && self.casts >> (self.depth - 1) & 1 == 1
         {
             self.type_next = true;
@@ -163,7 +163,7 @@
             self.type_last = true;
             // The standard's spellings are no names of types; quoted, all but this may be a user's.
             let own = match token.kind {
-                Kind::Word => listed(names::TYPES, token, text),
+                Kind::Word => listed(builtin_catalog::TYPES, token, text),
                 _ => token.bytes(text) == b"\"char\"",
             };
             if !own {
@@ -174,7 +174,7 @@
             Kind::Operator => {
                 if token.bytes(text) == b"::" {
                     self.type_next = true;
-                } else if !names::is_exactly_in(names::OPERATORS, token.bytes(text)) {
+                } else if !builtin_catalog::is_exactly_in(builtin_catalog::OPERATORS, token.bytes(text)) {
                     self.doubt(Cause::UnknownOperator, &token.at);
                 }
             }
@@ -243,8 +243,8 @@
         let known = match prev.kind {
             Kind::Word if is_mark(before, text, b".") => false,
             Kind::Word => {
-                names::is_in(names::TYPES, prev.bytes(text))
-                    || names::is_in(names::BEFORE_TEXT, prev.bytes(text))
+                builtin_catalog::is_in(builtin_catalog::TYPES, prev.bytes(text))
+                    || builtin_catalog::is_in(builtin_catalog::BEFORE_TEXT, prev.bytes(text))
             }
             Kind::Quoted | Kind::QuotedUnicode => false,
             // `type(3) 'text'` is a call by its look, and `text[] 'x'` no cast.
@@ -265,7 +265,7 @@
     ) {
         match token.bytes(text) {
             b"(" => {
-                if self.depth >= DEEP {
+                if self.depth >= MAX_NESTING {
                     self.doubt(Cause::Deep, &token.at);
                 } else {
                     let bit = 1 << self.depth;
@@ -292,7 +292,7 @@
         let qualified = is_mark(before, text, b".");
         if !qualified && name.kind == Kind::Word {
             let word = |words: &[&str]| is(Some(name), text, words);
-            let no_call = names::is_in(names::NO_CALLS, name.bytes(text))
+            let no_call = builtin_catalog::is_in(builtin_catalog::NO_CALLS, name.bytes(text))
                 || word(&["over", "filter", "repeatable"]) && is_mark(before, text, b")")
                 || word(&["by"]) && is(before, text, &["group", "order", "partition"])
                 || word(&["cube", "rollup"]) && is(before, text, &["by"])
@@ -305,17 +305,17 @@
             }
         }
         let own = !qualified || third.is_some_and(|schema| is_own_schema(schema, text));
-        if own && listed(names::READS, name, text) {
+        if own && listed(builtin_catalog::READS, name, text) {
             return;
         }
-        if own && listed(names::SESSION, name, text) {
+        if own && listed(builtin_catalog::SESSION, name, text) {
             return self.doubt(Cause::SessionCall, &name.at);
         }
         // By any schema: an extension's stands where its owner put it.
-        if listed(names::WRITES, name, text) {
+        if listed(builtin_catalog::WRITES, name, text) {
             return self.doubt(Cause::WritingCall, &name.at);
         }
-        if qualified || self.called == CALLS {
+        if qualified || self.called == MAX_UNRESOLVED_CALLS {
             self.doubt(Cause::UnknownCall, &name.at);
         } else {
             self.calls[self.called] = name.at.clone();
@@ -332,7 +332,7 @@
 /// Whether a name behind that token is a column's.
 fn is_column(before: Option<&Token>, text: &[u8]) -> bool {
     before.is_some_and(|token| match token.kind {
-        Kind::Word => names::is_in(names::BEFORE_COLUMN, token.bytes(text)),
+        Kind::Word => builtin_catalog::is_in(builtin_catalog::BEFORE_COLUMN, token.bytes(text)),
         Kind::Operator => true,
         Kind::Mark => matches!(token.bytes(text), b"," | b"."),
         _ => false,
--- a/crates/statement/tests/corpus.rs
+++ b/crates/statement/tests/corpus.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use ottersill_statement::reading::{Nature, by_glance, glance, read};
-use ottersill_statement::shape;
+use ottersill_statement::classify::{StatementKind, classify, classify_by_prescan, prescan};
+use ottersill_statement::fingerprint;
 use rstest::rstest;
 
 fn corpus(file: &str) -> Vec<(String, String)> {
@@ -11,8 +11,8 @@
     let text = std::fs::read_to_string(path).expect("a file of the corpus");
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let pair = |line: &str| {
-        let (nature, text) = line.split_once('|').expect("a bar");
-        (nature.to_string(), text.replace('⏎', "\n"))
+        let (kind, text) = line.split_once('|').expect("a bar");
+        (kind.to_string(), text.replace('⏎', "\n"))
     };
     lines.map(pair).collect()
 }
@@ -28,10 +28,10 @@
 #[case::sessions(FILES[4])]
 fn each_is_what_it_says(#[case] file: &str) {
     let mut wrong = Vec::new();
-    for (nature, text) in corpus(file) {
-        let reading = read(text.as_bytes());
-        if reading.nature.name() != nature {
-            wrong.push(format!("{text:?}: {} for {nature}: {}", reading.nature.name(), reading.why));
+    for (kind, text) in corpus(file) {
+        let reading = classify(text.as_bytes());
+        if reading.kind.name() != kind {
+            wrong.push(format!("{text:?}: {} for {kind}: {}", reading.kind.name(), reading.why));
         }
     }
     assert!(wrong.is_empty(), "{} of them:\n{}", wrong.len(), wrong.join("\n"));
@@ -41,18 +41,22 @@
 #[test]
 fn none_that_writes_is_called_a_read() {
     let mut count = 0;
-    for (nature, text) in FILES.iter().flat_map(|file| corpus(file)) {
+    for (kind, text) in FILES.iter().flat_map(|file| corpus(file)) {
         count += 1;
         let bytes = text.as_bytes();
-        let (full, tokens) = (read(bytes).nature, by_glance(bytes, &glance(bytes)).nature);
-        if nature != "read" {
-            assert_ne!(full, Nature::Read, "{text}");
-            assert_ne!(tokens, Nature::Read, "by its tokens alone: {text}");
+        let (full, tokens) = (classify(bytes).kind, classify_by_prescan(bytes, &prescan(bytes)).kind);
+        if kind != "read" {
+            assert_ne!(full, StatementKind::Read, "{text}");
+            assert_ne!(tokens, StatementKind::Read, "by its tokens alone: {text}");
         }
-        // Of one shape, of one nature: the shortest text of the shape stands for all.
-        let plain = shape::plain(bytes);
-        let key = shape::Key::from_seed(1);
-        assert_eq!(shape::shape_of(key, plain.as_bytes()), shape::shape_of(key, bytes), "{text}\n{plain}");
+        // Of one fingerprint, of one kind: the shortest text of the fingerprint stands for all.
+        let plain = fingerprint::plain(bytes);
+        let key = fingerprint::Key::from_seed(1);
+        assert_eq!(
+            fingerprint::fingerprint_of(key, plain.as_bytes()),
+            fingerprint::fingerprint_of(key, bytes),
+            "{text}\n{plain}"
+        );
     }
     assert!(count >= 400, "{count} statements");
 }
@@ -61,10 +65,10 @@
 #[test]
 fn plain_reads_are_told_as_such() {
     let reads = corpus(FILES[0]);
-    let by_tokens = reads
-        .iter()
-        .filter(|(_, text)| by_glance(text.as_bytes(), &glance(text.as_bytes())).nature == Nature::Read);
-    let by_parser = reads.iter().filter(|(_, text)| read(text.as_bytes()).nature == Nature::Read);
+    let by_tokens = reads.iter().filter(|(_, text)| {
+        classify_by_prescan(text.as_bytes(), &prescan(text.as_bytes())).kind == StatementKind::Read
+    });
+    let by_parser = reads.iter().filter(|(_, text)| classify(text.as_bytes()).kind == StatementKind::Read);
     let (tokens, parser, all) = (by_tokens.count(), by_parser.count(), reads.len());
     println!("of {all} plain reads {parser} are told by the full reading, {tokens} by the tokens alone");
     assert!(parser * 100 >= all * 95, "{parser} of {all}");
--- a/crates/statement/tests/cost.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -1,93 +1,93 @@
-//! The cost of shapes on made-up hosts that queue: cores, a queue in order of arrival, work with chance in it.
+//! The cost of fingerprints on made-up hosts that queue: cores, a queue in order of arrival, work with chance in it.
 
-use ottersill_statement::book::Book;
-use ottersill_statement::cost::{Cost, Wait};
-use ottersill_statement::shape::Key;
+use ottersill_statement::cost_model::{CostModel, QueueingDelay};
+use ottersill_statement::fingerprint::Key;
+use ottersill_statement::fingerprint_cache::FingerprintCache;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use rstest::rstest;
 
 struct Mix {
-    /// Seconds of work of each shape, and how often it comes.
-    shapes: Vec<(f64, f64)>,
+    /// Seconds of work of each fingerprint, and how often it comes.
+    fingerprints: Vec<(f64, f64)>,
     load: f64,
     hosts: usize,
     cores: usize,
 }
 
 struct Run {
-    costs: Vec<Cost>,
-    waits: Vec<Wait>,
+    costs: Vec<CostModel>,
+    waits: Vec<QueueingDelay>,
     free_at: Vec<Vec<f64>>,
     now: f64,
     chance: StdRng,
-    /// Ended, in the order of their ends: time, shape, host, took.
+    /// Ended, in the order of their ends: time, fingerprint, host, took.
     out: Vec<(f64, usize, usize, f64)>,
     waited: f64,
     work: f64,
-    /// Executions of each shape that were learnt from.
+    /// Executions of each fingerprint that were learnt from.
     learnt: Vec<usize>,
 }
 
 impl Run {
     fn new(mix: &Mix, seed: u64) -> Run {
-        let usual = mix.shapes.iter().map(|(work, part)| work * part).sum::<f64>();
+        let typical = mix.fingerprints.iter().map(|(work, part)| work * part).sum::<f64>();
         Run {
-            costs: vec![Cost::new(usual); mix.shapes.len()],
-            waits: vec![Wait::default(); mix.hosts],
+            costs: vec![CostModel::new(typical); mix.fingerprints.len()],
+            waits: vec![QueueingDelay::default(); mix.hosts],
             free_at: vec![vec![0.0; mix.cores]; mix.hosts],
             now: 0.0,
             chance: StdRng::seed_from_u64(seed),
             out: Vec::new(),
             waited: 0.0,
             work: 0.0,
-            learnt: vec![0; mix.shapes.len()],
+            learnt: vec![0; mix.fingerprints.len()],
         }
     }
 
     /// One more statement arrives; `learn` says whether this router sees it.
     fn step(&mut self, mix: &Mix) -> usize {
-        let usual = mix.shapes.iter().map(|(work, part)| work * part).sum::<f64>();
-        let rate = mix.load * (mix.hosts * mix.cores) as f64 / usual;
+        let typical = mix.fingerprints.iter().map(|(work, part)| work * part).sum::<f64>();
+        let rate = mix.load * (mix.hosts * mix.cores) as f64 / typical;
         self.now += -self.chance.random::<f64>().max(1e-12).ln() / rate;
         let mut lot: f64 = self.chance.random();
-        let shape = mix.shapes.iter().position(|(_, part)| {
+        let fingerprint = mix.fingerprints.iter().position(|(_, part)| {
             lot -= part;
             lot < 0.0
         });
-        let shape = shape.unwrap_or(0);
+        let fingerprint = fingerprint.unwrap_or(0);
         let host = self.chance.random_range(0..mix.hosts);
         // Sum of three evens: near enough to a bell, with a spread of a quarter.
         let bell: f64 = (0..3).map(|_| self.chance.random::<f64>() - 0.5).sum();
-        let work = mix.shapes[shape].0 * (bell * 0.5).exp();
+        let work = mix.fingerprints[fingerprint].0 * (bell * 0.5).exp();
         let cores = &mut self.free_at[host];
         let core = (0..cores.len()).min_by(|a, b| cores[*a].total_cmp(&cores[*b])).unwrap_or(0);
         let begun = self.now.max(cores[core]);
         cores[core] = begun + work;
         self.waited += begun - self.now;
         self.work += work;
-        self.out.push((begun + work, shape, host, begun + work - self.now));
+        self.out.push((begun + work, fingerprint, host, begun + work - self.now));
         self.out.sort_by(|a, b| b.0.total_cmp(&a.0));
         while self.out.last().is_some_and(|out| out.0 <= self.now) {
-            let Some((ended, shape, host, took)) = self.out.pop() else { break };
-            self.learnt[shape] += 1;
-            self.costs[shape].learn(ended, took, &mut self.waits[host]);
+            let Some((ended, fingerprint, host, took)) = self.out.pop() else { break };
+            self.learnt[fingerprint] += 1;
+            self.costs[fingerprint].record(ended, took, &mut self.waits[host]);
         }
-        shape
+        fingerprint
     }
 }
 
 fn cheap_and_heavy(load: f64) -> Mix {
-    Mix { shapes: vec![(0.002, 0.95), (0.2, 0.05)], load, hosts: 3, cores: 4 }
+    Mix { fingerprints: vec![(0.002, 0.95), (0.2, 0.05)], load, hosts: 3, cores: 4 }
 }
 
 /// How far off an estimate is, as a factor of at least one.
-fn off(run: &Run, mix: &Mix, shape: usize) -> f64 {
-    let usual = mix.shapes.iter().map(|(work, part)| work * part).sum::<f64>();
-    let ratio = run.costs[shape].estimate(run.now, usual).work / mix.shapes[shape].0;
+fn off(run: &Run, mix: &Mix, fingerprint: usize) -> f64 {
+    let typical = mix.fingerprints.iter().map(|(work, part)| work * part).sum::<f64>();
+    let ratio = run.costs[fingerprint].estimate(run.now, typical).work / mix.fingerprints[fingerprint].0;
     ratio.max(1.0 / ratio)
 }
 
-/// Two shapes 100 times apart in one workload: after 50 executions of each, in nine runs of ten.
+/// Two fingerprints 100 times apart in one workload: after 50 executions of each, in nine runs of ten.
 #[rstest]
 #[case::calm(0.3)]
 #[case::busy(0.6)]
@@ -102,7 +102,7 @@
             run.step(&mix);
         }
         waited += run.waited / run.work;
-        (0..2).for_each(|shape| worst[shape].push(off(&run, &mix, shape)));
+        (0..2).for_each(|fingerprint| worst[fingerprint].push(off(&run, &mix, fingerprint)));
     }
     worst.iter_mut().for_each(|off| off.sort_by(f64::total_cmp));
     println!(
@@ -116,21 +116,25 @@
     assert!(worst.iter().all(|off| off[36] < 1.5), "{worst:?}");
 }
 
-/// A shape whose work grows, or falls, tenfold in the middle of the day, among others that stay as they are.
+/// A fingerprint whose work grows, or falls, tenfold in the middle of the day, among others that stay as they are.
 #[rstest]
 #[case::grows(0.002, 0.02)]
 #[case::falls(0.02, 0.002)]
 fn a_change_is_learnt(#[case] before: f64, #[case] after: f64) {
     let mut late = Vec::new();
     for seed in 0..20 {
-        let mut mix =
-            Mix { shapes: vec![(before, 0.3), (0.005, 0.6), (0.05, 0.1)], load: 0.6, hosts: 3, cores: 4 };
+        let mut mix = Mix {
+            fingerprints: vec![(before, 0.3), (0.005, 0.6), (0.05, 0.1)],
+            load: 0.6,
+            hosts: 3,
+            cores: 4,
+        };
         let mut run = Run::new(&mix, seed);
         for _ in 0..2000 {
             run.step(&mix);
         }
         assert!(off(&run, &mix, 0) < 1.5, "before: {}", off(&run, &mix, 0));
-        mix.shapes[0].0 = after;
+        mix.fingerprints[0].0 = after;
         mix.load = 0.6;
         let changed = run.now;
         while off(&run, &mix, 0) > 1.5 {
@@ -150,13 +154,13 @@
 /// What rests on two executions is not believed like what rests on a thousand, nor what is old like what is new.
 #[test]
 fn the_spread_says_how_much_is_known() {
-    let mut cost = Cost::new(0.01);
-    let mut wait = Wait::default();
+    let mut cost = CostModel::new(0.01);
+    let mut delay = QueueingDelay::default();
     let none = cost.estimate(0.0, 0.01).spread;
     let mut spreads = Vec::new();
     for n in 1..=1000 {
         let now = f64::from(n) * 0.01;
-        cost.learn(now, 0.1 * (1.0 + 0.2 * f64::from(n % 5 - 2)), &mut wait);
+        cost.record(now, 0.1 * (1.0 + 0.2 * f64::from(n % 5 - 2)), &mut delay);
         if [2, 50, 1000].contains(&n) {
             spreads.push(cost.estimate(now, 0.01).spread);
         }
@@ -167,45 +171,47 @@
         "{none} {spreads:?}"
     );
     // With two the estimate still leans to the workload's.
-    let mut few = Cost::new(0.01);
-    (1..=2).for_each(|n| few.learn(f64::from(n), 0.1, &mut wait));
+    let mut few = CostModel::new(0.01);
+    (1..=2).for_each(|n| few.record(f64::from(n), 0.1, &mut delay));
     assert!(few.estimate(2.0, 0.01).work < 0.08, "{}", few.estimate(2.0, 0.01).work);
     let old = cost.estimate(10.0 + 60.0, 0.01);
     assert!(old.spread > 0.25, "a minute later it is believed like {}", old.spread);
 }
 
-/// Found on sockets: a shape that was turned away for what it had taken once was never sent again, so nothing showed
-/// that it took less by then; and a workload of a single shape was taken for dearer than itself.
+/// Found on sockets: a fingerprint that was turned away for what it had taken once was never sent again, so nothing showed
+/// that it took less by then; and a workload of a single fingerprint was taken for dearer than itself.
 #[test]
 fn a_single_shape_is_what_is_usual_and_a_stall_is_forgotten() {
-    let mut book = Book::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
+    let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
     let text = b"SELECT content FROM kv WHERE name = 'a'";
-    let shape = book.scan(text).shape;
-    let place = book.read(0.0, 0, text, shape).place.expect("a page");
+    let fingerprint = cache.scan(text).fingerprint;
+    let key = cache.lookup(0.0, 0, text, fingerprint).key.expect("a page");
     let mut now = 0.0;
     for n in 0..300 {
         now += 0.02;
         // A stall of two seconds, of all that is sent.
         let took = if (100..200).contains(&n) { 1.5 } else { 0.02 };
-        book.learn(now, place, 0, took, true);
-        let estimate = book.read(now, 0, text, shape).estimate.expect("an estimate");
-        assert!(n < 120 || estimate.work < estimate.usual * 1.5 + 0.01, "{n}: {estimate:?}");
+        cache.record_completion(now, key, 0, took, true);
+        let estimate = cache.lookup(now, 0, text, fingerprint).estimate.expect("an estimate");
+        assert!(n < 120 || estimate.work < estimate.typical * 1.5 + 0.01, "{n}: {estimate:?}");
     }
     // Nothing is sent for a while, however dear it was taken for.
     let dear = vec![1.5; 50];
     dear.iter().for_each(|took| {
-        book.learn(
+        cache.record_completion(
             {
                 now += 0.2;
                 now
             },
-            place,
+            key,
             0,
             *took,
             true,
         )
     });
-    let later =
-        (0..400).filter_map(|_| book.read(now + 40.0, 0, text, shape).estimate).last().expect("an estimate");
-    assert!(later.spread > 0.25 && later.work < later.usual * 1.2, "{later:?}");
+    let later = (0..400)
+        .filter_map(|_| cache.lookup(now + 40.0, 0, text, fingerprint).estimate)
+        .last()
+        .expect("an estimate");
+    assert!(later.spread > 0.25 && later.work < later.typical * 1.2, "{later:?}");
 }
--- a/crates/statement/tests/lexer.rs
+++ b/crates/statement/tests/lexer.rs
@@ -1,8 +1,8 @@
 //! The lexer beside `sqlparser`'s, on any bytes, and on reads with a write put into them.
 
+use ottersill_statement::classify::{StatementKind, classify, classify_by_prescan, prescan};
+use ottersill_statement::fingerprint::{self, Key};
 use ottersill_statement::lexer::{Kind, Lexer};
-use ottersill_statement::reading::{Nature, by_glance, glance, read};
-use ottersill_statement::shape::{self, Key};
 use proptest::prelude::*;
 use rstest::rstest;
 use sqlparser::dialect::PostgreSqlDialect;
@@ -67,51 +67,51 @@
 #[case::doubtful("SELECT 'a'", r"SELECT 'a\'", false)]
 #[case::split_word("SELECT ab", "SELECT a b", false)]
 #[case::semicolon("SELECT 1", "SELECT 1;", false)]
-fn shapes(#[case] one: &str, #[case] other: &str, #[case] same: bool) {
-    let shape = |text: &str| shape::shape_of(KEY, text.as_bytes());
+fn fingerprints(#[case] one: &str, #[case] other: &str, #[case] same: bool) {
+    let fingerprint = |text: &str| fingerprint::fingerprint_of(KEY, text.as_bytes());
     assert_eq!(
-        shape(one) == shape(other),
+        fingerprint(one) == fingerprint(other),
         same,
         "{}\n{}",
-        shape::plain(one.as_bytes()),
-        shape::plain(other.as_bytes())
+        fingerprint::plain(one.as_bytes()),
+        fingerprint::plain(other.as_bytes())
     );
-    // Another key, other shapes: or a client could work out two texts of one shape beforehand.
-    assert_ne!(shape(one), shape::shape_of(Key(1, 3), one.as_bytes()));
+    // Another key, other fingerprints: or a client could work out two texts of one fingerprint beforehand.
+    assert_ne!(fingerprint(one), fingerprint::fingerprint_of(Key(1, 3), one.as_bytes()));
 }
 
 /// Bounded time, no panic, no end of the stack; and none of them is believed to read but the one that does.
 #[rstest]
-#[case::parentheses("SELECT ".to_string() + &"(".repeat(10_000) + "1" + &")".repeat(10_000), Nature::Unknown)]
-#[case::open_parentheses("(".repeat(60_000), Nature::Unknown)]
-#[case::brackets("SELECT a".to_string() + &"[".repeat(10_000), Nature::Unknown)]
-#[case::nested_calls("SELECT ".to_string() + &"lower(".repeat(5000) + "a" + &")".repeat(5000), Nature::Unknown)]
-#[case::nested_queries("SELECT * FROM ".to_string() + &"(SELECT * FROM ".repeat(2000) + "a" + &") b".repeat(2000), Nature::Unknown)]
-#[case::nested_from("SELECT * FROM ".to_string() + &"(".repeat(11) + "a" + &")".repeat(11), Nature::Unknown)]
-#[case::nested_a_little("SELECT ".to_string() + &"(".repeat(11) + "a" + &")".repeat(11), Nature::Read)]
-#[case::nested_tries("SELECT ".to_string() + &"(SELECT (a, ".repeat(6) + "b" + &"))".repeat(6), Nature::Read)]
-#[case::nested_cases("SELECT ".to_string() + &"CASE WHEN a THEN ".repeat(1000) + "1" + &" END".repeat(1000), Nature::Read)]
-#[case::fewer_nested_cases("SELECT ".to_string() + &"CASE WHEN a THEN ".repeat(200) + "1" + &" END".repeat(200), Nature::Unknown)]
-#[case::nots("SELECT ".to_string() + &"NOT ".repeat(10_000) + "a", Nature::Read)]
-#[case::minuses("SELECT ".to_string() + &"- ".repeat(10_000) + "a", Nature::Read)]
-#[case::chain("SELECT a".to_string() + &" + a".repeat(20_000), Nature::Read)]
-#[case::short_chain("SELECT a".to_string() + &" + a".repeat(700), Nature::Read)]
-#[case::unions("SELECT 1".to_string() + &" UNION SELECT 1".repeat(480), Nature::Read)]
-#[case::in_list("SELECT a FROM b WHERE c IN (1".to_string() + &", 12345".repeat(9000) + ")", Nature::Read)]
-#[case::rows("INSERT INTO a VALUES (1)".to_string() + &", (2)".repeat(9000), Nature::Write)]
-#[case::no_grammar("SELECT FROM WHERE".to_string(), Nature::Unknown)]
-#[case::quotes("SELECT ".to_string() + &"'".repeat(64_001), Nature::Unknown)]
-#[case::comments("SELECT ".to_string() + &"/*".repeat(32_000), Nature::Unknown)]
-#[case::dollars("SELECT ".to_string() + &"$a$".repeat(20_001), Nature::Unknown)]
-#[case::tags("SELECT $abc$".to_string() + &"$ab".repeat(20_000), Nature::Unknown)]
-#[case::write_far_behind("SELECT a".to_string() + &" + a".repeat(20_000) + " + nextval('s')", Nature::Write)]
-#[case::write_deep("SELECT ".to_string() + &"(".repeat(70) + "nextval('s')" + &")".repeat(70), Nature::Unknown)]
-fn outsize_texts_take_bounded_time(#[case] text: String, #[case] expected: Nature) {
+#[case::parentheses("SELECT ".to_string() + &"(".repeat(10_000) + "1" + &")".repeat(10_000), StatementKind::Unknown)]
+#[case::open_parentheses("(".repeat(60_000), StatementKind::Unknown)]
+#[case::brackets("SELECT a".to_string() + &"[".repeat(10_000), StatementKind::Unknown)]
+#[case::nested_calls("SELECT ".to_string() + &"lower(".repeat(5000) + "a" + &")".repeat(5000), StatementKind::Unknown)]
+#[case::nested_queries("SELECT * FROM ".to_string() + &"(SELECT * FROM ".repeat(2000) + "a" + &") b".repeat(2000), StatementKind::Unknown)]
+#[case::nested_from("SELECT * FROM ".to_string() + &"(".repeat(11) + "a" + &")".repeat(11), StatementKind::Unknown)]
+#[case::nested_a_little("SELECT ".to_string() + &"(".repeat(11) + "a" + &")".repeat(11), StatementKind::Read)]
+#[case::nested_tries("SELECT ".to_string() + &"(SELECT (a, ".repeat(6) + "b" + &"))".repeat(6), StatementKind::Read)]
+#[case::nested_cases("SELECT ".to_string() + &"CASE WHEN a THEN ".repeat(1000) + "1" + &" END".repeat(1000), StatementKind::Read)]
+#[case::fewer_nested_cases("SELECT ".to_string() + &"CASE WHEN a THEN ".repeat(200) + "1" + &" END".repeat(200), StatementKind::Unknown)]
+#[case::nots("SELECT ".to_string() + &"NOT ".repeat(10_000) + "a", StatementKind::Read)]
+#[case::minuses("SELECT ".to_string() + &"- ".repeat(10_000) + "a", StatementKind::Read)]
+#[case::chain("SELECT a".to_string() + &" + a".repeat(20_000), StatementKind::Read)]
+#[case::short_chain("SELECT a".to_string() + &" + a".repeat(700), StatementKind::Read)]
+#[case::unions("SELECT 1".to_string() + &" UNION SELECT 1".repeat(480), StatementKind::Read)]
+#[case::in_list("SELECT a FROM b WHERE c IN (1".to_string() + &", 12345".repeat(9000) + ")", StatementKind::Read)]
+#[case::rows("INSERT INTO a VALUES (1)".to_string() + &", (2)".repeat(9000), StatementKind::Write)]
+#[case::no_grammar("SELECT FROM WHERE".to_string(), StatementKind::Unknown)]
+#[case::quotes("SELECT ".to_string() + &"'".repeat(64_001), StatementKind::Unknown)]
+#[case::comments("SELECT ".to_string() + &"/*".repeat(32_000), StatementKind::Unknown)]
+#[case::dollars("SELECT ".to_string() + &"$a$".repeat(20_001), StatementKind::Unknown)]
+#[case::tags("SELECT $abc$".to_string() + &"$ab".repeat(20_000), StatementKind::Unknown)]
+#[case::write_far_behind("SELECT a".to_string() + &" + a".repeat(20_000) + " + nextval('s')", StatementKind::Write)]
+#[case::write_deep("SELECT ".to_string() + &"(".repeat(70) + "nextval('s')" + &")".repeat(70), StatementKind::Unknown)]
+fn outsize_texts_take_bounded_time(#[case] text: String, #[case] expected: StatementKind) {
     let started = std::time::Instant::now();
-    let nature = read(text.as_bytes()).nature;
+    let kind = classify(text.as_bytes()).kind;
     // A debug build on a busy machine; unbounded ones take minutes, or end in a fault.
     assert!(started.elapsed().as_secs_f64() < 5.0, "{:?}", started.elapsed());
-    assert_eq!(nature, expected);
+    assert_eq!(kind, expected);
 }
 
 /// Words, quoted names and literals, as both lexers find them.
@@ -244,13 +244,13 @@
             prop_assert!(token.at.start >= end && token.at.end > token.at.start && token.at.end <= bytes.len());
             end = token.at.end;
         }
-        read(&bytes);
-        shape::scan(KEY, &bytes);
+        classify(&bytes);
+        fingerprint::scan(KEY, &bytes);
     }
 
     #[test]
     fn any_text_is_survived(text in "\\PC{0,200}") {
-        read(text.as_bytes());
+        classify(text.as_bytes());
     }
 
     #[test]
@@ -261,13 +261,13 @@
         }
     }
 
-    /// The shortest text of a shape is of that shape, and is its own shortest text.
+    /// The shortest text of a fingerprint is of that fingerprint, and is its own shortest text.
     #[test]
     fn plain_texts_keep_their_shape(text in pieces()) {
-        let plain = shape::plain(text.as_bytes());
+        let plain = fingerprint::plain(text.as_bytes());
         if Lexer::new(text.as_bytes()).all(|token| token.kind != Kind::Bad) {
-            prop_assert_eq!(shape::shape_of(KEY, plain.as_bytes()), shape::shape_of(KEY, text.as_bytes()), "{}", plain);
-            prop_assert_eq!(shape::plain(plain.as_bytes()), plain);
+            prop_assert_eq!(fingerprint::fingerprint_of(KEY, plain.as_bytes()), fingerprint::fingerprint_of(KEY, text.as_bytes()), "{}", plain);
+            prop_assert_eq!(fingerprint::plain(plain.as_bytes()), plain);
         }
     }
 
@@ -283,10 +283,10 @@
         let text: Vec<String> = hole.split(' ').flat_map(|part| [part.to_string(), gaps.next().cloned().unwrap_or_default()]).collect();
         let text = text.concat();
         let text = if upper { text.replace("nextval(", "NextVal(").replace("select", "SELECT") } else { text };
-        prop_assert_ne!(read(text.as_bytes()).nature, Nature::Read, "{}", text);
-        prop_assert_ne!(by_glance(text.as_bytes(), &glance(text.as_bytes())).nature, Nature::Read, "{}", text);
+        prop_assert_ne!(classify(text.as_bytes()).kind, StatementKind::Read, "{}", text);
+        prop_assert_ne!(classify_by_prescan(text.as_bytes(), &prescan(text.as_bytes())).kind, StatementKind::Read, "{}", text);
         // And the read itself is one, so that the test could fail.
         let harmless = READS[read_at].replace("{}", "1");
-        prop_assert_eq!(read(harmless.as_bytes()).nature, Nature::Read);
+        prop_assert_eq!(classify(harmless.as_bytes()).kind, StatementKind::Read);
     }
 }
