--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -185,7 +185,7 @@
     let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
     let text = b"SELECT content FROM kv WHERE name = 'a'";
     let fingerprint = cache.scan(text).fingerprint;
-    let key = cache.lookup(0.0, 0, text, fingerprint).key.expect("a page");
+    let key = cache.lookup(0.0, 0, text, fingerprint).key.expect("a cache entry");
     let mut now = 0.0;
     for n in 0..300 {
         now += 0.02;
