--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -8,12 +8,12 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use ottersill_config::deployment::{BackendTimeouts, Catalog};
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
 use ottersill_core::interface::{Listed, Statement, Terms};
 use ottersill_statement::fingerprint::Key;
 use ottersill_statement::fingerprint_cache::FingerprintCache;
-use ottersill_terms::{Names, Upkeep};
 use slab::Slab;
 use slog::Logger;
 use socket2::Socket;
@@ -106,8 +106,8 @@
     pub book: FingerprintCache,
     /// When a line last said why a statement was taken for one that may write.
     pub strict_logged_at: f64,
-    pub names: Names,
-    pub upkeep: Upkeep,
+    pub names: Catalog,
+    pub upkeep: BackendTimeouts,
     pub berths: Berths,
     pub log: Logger,
     pub handle: LoopHandle<'static, Exchange>,
@@ -141,8 +141,8 @@
 impl Exchange {
     pub fn new(
         terms: Terms,
-        names: Names,
-        upkeep: Upkeep,
+        names: Catalog,
+        upkeep: BackendTimeouts,
         berths: Berths,
         discovery: std::net::SocketAddr,
         log: Logger,
