--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 
 # The toy store and discovery that example/router.json names.
 toy: build
-	exec target/release/ottersill-lab serve
+	exec target/release/ottersill-testkit serve
 
 # Three routers, a, b and c, that divide the budgets of deploy/fleet.textproto among them, until Ctrl-C.
 fleet: build
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -13,8 +13,8 @@
 use ottersill::wire::socket::Outbox;
 use ottersill::wire::statement::Text;
 use ottersill_core::interface::{Ending, Role, Standing};
-use ottersill_lab::store::message;
 use ottersill_statement::shape::{Key, scan};
+use ottersill_testkit::store::message;
 use rstest::rstest;
 
 const READ: &str =
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_lab::script::{Discovery, Host, list};
-use ottersill_lab::store::Client;
+use ottersill_testkit::script::{Discovery, Host, list};
+use ottersill_testkit::store::Client;
 use rstest::rstest;
 use scene::*;
 
--- a/crates/lab/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: a stand-in store with its discovery, relays between processes that lose and delay what passes, rigs of
+//! The testkit: a stand-in store with its discovery, relays between processes that lose and delay what passes, rigs of
 //! many router processes with faults from a seed, and the audit of what they wrote down. On loopback only.
 
 pub mod audit;
--- a/crates/lab/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The testkit's command line.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead};
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use ottersill_lab::rig::{self, Answers, Plan, Rig};
-use ottersill_lab::store::{Client, Conduct, Toy, unix_ms};
+use ottersill_testkit::rig::{self, Answers, Plan, Rig};
+use ottersill_testkit::store::{Client, Conduct, Toy, unix_ms};
 
 const ROUTER: &str = "127.0.0.1:7400";
 const DISCOVERY: &str = "127.0.0.1:7500";
 const HOSTS: [&str; 3] = ["127.0.0.1:7601", "127.0.0.1:7602", "127.0.0.1:7603"];
 
-/// The laboratory of ottersill, on loopback: a stand-in store, and rigs of many router processes with faults between them.
+/// The testkit of ottersill, on loopback: a stand-in store, and rigs of many router processes with faults between them.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -105,7 +105,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("ottersill-lab: {fault}");
+            eprintln!("ottersill-testkit: {fault}");
             ExitCode::FAILURE
         }
     }
