--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -14,7 +14,7 @@
 use ottersill::wire::statement::Text;
 use ottersill_core::interface::{Ending, Role, Standing};
 use ottersill_statement::shape::{Key, scan};
-use ottersill_testkit::store::message;
+use ottersill_testkit::stand_in::message;
 use rstest::rstest;
 
 const READ: &str =
--- a/crates/ottersill/tests/crossings.rs
+++ b/crates/ottersill/tests/crossings.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::script::{Discovery, Host, list};
-use ottersill_testkit::store::{Client, message};
+use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
 use scene::*;
 use socket2::{Domain, Socket, Type};
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use ottersill_testkit::audit::{Whole, audit};
-use ottersill_testkit::relay::{Flow, Weather};
-use ottersill_testkit::rig::{Plan, Rig, ask};
+use ottersill_testkit::cluster::{Plan, Rig, ask};
+use ottersill_testkit::fault_proxy::{Flow, Weather};
 use rstest::rstest;
 
 const EXECUTIONS: &str = "executions at each host";
@@ -311,7 +311,7 @@
 
 #[test]
 fn a_script_plays_faults_at_their_times() {
-    use ottersill_testkit::rig::script;
+    use ottersill_testkit::cluster::script;
     assert_eq!(script("1 kill r9", 4).expect_err("no such router"), "line 1: no router is called \"r9\"");
     assert_eq!(
         script("\n# so\nsoon heal", 4).expect_err("no time"),
--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/scene/mod.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::script::{Discovery, Host, list};
-use ottersill_testkit::store::Client;
+use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::stand_in::Client;
 
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/crates/ottersill/tests/service.rs
+++ b/crates/ottersill/tests/service.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::store::{Client, Conduct, Toy, message};
+use ottersill_testkit::stand_in::{Client, Conduct, Toy, message};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::script::{Discovery, Host, list};
-use ottersill_testkit::store::Client;
+use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
 use scene::*;
 
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::store::Execution;
+use crate::stand_in::Execution;
 
 /// A line of a router's audit file.
 #[derive(Clone, Debug, Deserialize)]
--- a/crates/testkit/src/rig.rs
+++ b/crates/testkit/src/cluster/mod.rs
@@ -18,8 +18,8 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 use crate::audit::{self, Entry, Verdict, Whole};
-use crate::relay::{Flow, Relay, Weather, Wire};
-use crate::store::{Client, Toy, unix_ms};
+use crate::fault_proxy::{Flow, Relay, Weather, Wire};
+use crate::stand_in::{Client, Toy, unix_ms};
 
 /// Nothing here takes longer to come about.
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,7 +2,7 @@
 //! many router processes with faults from a seed, and the audit of what they wrote down. On loopback only.
 
 pub mod audit;
-pub mod relay;
-pub mod rig;
-pub mod script;
-pub mod store;
+pub mod cluster;
+pub mod fault_proxy;
+pub mod scripted_peer;
+pub mod stand_in;
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use ottersill_testkit::rig::{self, Answers, Plan, Rig};
-use ottersill_testkit::store::{Client, Conduct, Toy, unix_ms};
+use ottersill_testkit::cluster::{self, Answers, Plan, Rig};
+use ottersill_testkit::stand_in::{Client, Conduct, Toy, unix_ms};
 
 const ROUTER: &str = "127.0.0.1:7400";
 const DISCOVERY: &str = "127.0.0.1:7500";
@@ -191,7 +191,7 @@
         None => None,
         Some(plan) => {
             let told = |fault| io::Error::other(format!("{}: {fault}", plan.display()));
-            Some(rig::script(&std::fs::read_to_string(plan)?, fleet.routers).map_err(told)?)
+            Some(cluster::script(&std::fs::read_to_string(plan)?, fleet.routers).map_err(told)?)
         }
     };
     let (next, sum) = (AtomicU64::new(0), Mutex::new(Sum::default()));
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/scripted_peer/mod.rs
@@ -10,7 +10,7 @@
 
 use rustix::net::sockopt;
 
-use crate::store::{error, message, parameter, row, unix_ms};
+use crate::stand_in::{error, message, parameter, row, unix_ms};
 
 /// Longer than anything that a test waits for may take on a busy machine.
 const PATIENCE: Duration = Duration::from_secs(20);
