--- a/crates/ottersill/tests/crossings.rs
+++ b/crates/ottersill/tests/crossings.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
 use scene::*;
@@ -57,7 +57,7 @@
     let gone = client.socket.local_addr().expect("an address");
     let left = go(client, how);
     until_the_end_is_there(scene.router.at, gone);
-    scene.replica.greets();
+    scene.replica.resume_greeting();
     until_unread_from(scene.replica.at);
     scene.router.signal("-CONT");
     scene.next_read_is_the_first_to_come();
@@ -120,7 +120,7 @@
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
     until("the router sees the end", || router_side(scene.router.at, gone).is_none());
-    scene.replica.greets();
+    scene.replica.resume_greeting();
     scene.next_read_is_the_first_to_come();
 }
 
@@ -209,11 +209,11 @@
 fn nothing_goes_out_to_a_host_that_drains_by_now(#[case] health: &str) {
     let scene = Scene::set(&[PATIENT, LONG, LATE]);
     let mut client = scene.read_on_its_way(7, 8000);
-    scene.discovery.next().answer(&scene.list(2, "active", health));
+    scene.discovery.next().answer(&scene.endpoint_list(2, "active", health));
     // It has taken the list in when it asks again; a read without a replica falls to the primary.
     let asked_again = scene.discovery.next();
     let at_primary = scene.primary.next();
-    scene.replica.greets();
+    scene.replica.resume_greeting();
     assert!(scene.replica.next_within(Duration::from_millis(200)).is_none());
     at_primary.answer("elsewhere");
     assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
@@ -233,11 +233,11 @@
     client.send(&write(7, 8000)).expect("a query");
     let first = scene.primary.next();
     let began = first.came;
-    scene.primary.greets_no_more();
-    first.fail_and_end("XX000");
-    scene.primary.until_dialled(1);
+    scene.primary.hold_greeting_and_close_idle();
+    first.fail_and_close("XX000");
+    scene.primary.wait_for_connections(1);
     thread::sleep(Duration::from_millis(400).saturating_sub(began.elapsed()));
-    scene.primary.greets();
+    scene.primary.resume_greeting();
     assert!(scene.primary.next_within(Duration::from_millis(300)).is_none(), "after {:?}", began.elapsed());
     assert_eq!(client.answer().expect("an answer"), "C40003");
 }
@@ -253,11 +253,11 @@
         ("\"oldest_data_ms\": [3000, 0]", "\"oldest_data_ms\": [1000, 0]"),
         ("\"when_behind\": \"wait\"", "\"when_behind\": \"none\""),
     ]);
-    scene.replica.stands_still();
+    scene.replica.freeze_position();
     let stood_at = Instant::now();
     let mut client = scene.read_on_its_way(7, 8000);
     thread::sleep(Duration::from_millis(1300).saturating_sub(stood_at.elapsed()));
-    scene.replica.greets();
+    scene.replica.resume_greeting();
     // The primary stands at the present.
     let arrival = scene.primary.next();
     assert!(scene.replica.next_within(Duration::from_millis(50)).is_none());
@@ -328,10 +328,10 @@
 /// The system gives fewer descriptors than the settings say. Accepting failed, and nothing told again of who was at the door.
 #[test]
 fn who_waits_at_the_door_is_let_in_once_a_descriptor_is_free() {
-    let discovery = Discovery::start().expect("discovery");
-    let host = Host::start(true).expect("a host");
+    let discovery = ScriptedDiscovery::start().expect("discovery");
+    let host = ScriptedEndpoint::start(true).expect("a host");
     let router = Router::spawn(&charter(discovery.at, &[]), Some(24));
-    discovery.next().answer(&list(1, &[("one", host.at, "active")]));
+    discovery.next().answer(&endpoint_list(1, &[("one", host.at, "active")]));
     let router = router.until_ready();
     let mut crowd: Vec<Client> = Vec::new();
     let full = loop {
@@ -381,7 +381,7 @@
     let scene = Scene::set(&[]);
     let mut client = scene.router.client();
     client.send(&write(7, 2000)).expect("a query");
-    scene.primary.next().break_off("half", bytes);
+    scene.primary.next().answer_partly_and_reset("half", bytes);
     assert_eq!(client.answer().expect("an answer"), "C40003");
     assert!(scene.primary.next_within(Duration::from_millis(100)).is_none());
 }
--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/scene/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -102,9 +102,9 @@
 
 /// A primary and a replica, a discovery that lists them, and the router between.
 pub struct Scene {
-    pub primary: Host,
-    pub replica: Host,
-    pub discovery: Discovery,
+    pub primary: ScriptedEndpoint,
+    pub replica: ScriptedEndpoint,
+    pub discovery: ScriptedDiscovery,
     pub router: Router,
 }
 
@@ -113,11 +113,12 @@
 
 impl Scene {
     pub fn set(replaced: &[(&str, &str)]) -> Scene {
-        let discovery = Discovery::start().expect("discovery");
-        let (primary, replica) = (Host::start(true).expect("a host"), Host::start(false).expect("a host"));
+        let discovery = ScriptedDiscovery::start().expect("discovery");
+        let (primary, replica) =
+            (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
         let router = Router::spawn(&charter(discovery.at, replaced), None);
         let scene = Scene { primary, replica, discovery, router };
-        scene.discovery.next().answer(&scene.list(1, "active", "active"));
+        scene.discovery.next().answer(&scene.endpoint_list(1, "active", "active"));
         let scene = Scene { router: scene.router.until_ready(), ..scene };
         // With the first answers it knows who is who.
         let mut client = scene.router.client();
@@ -133,8 +134,8 @@
         scene
     }
 
-    pub fn list(&self, seq: u64, primary: &str, replica: &str) -> String {
-        list(seq, &[("one", self.primary.at, primary), ("two", self.replica.at, replica)])
+    pub fn endpoint_list(&self, seq: u64, primary: &str, replica: &str) -> String {
+        endpoint_list(seq, &[("one", self.primary.at, primary), ("two", self.replica.at, replica)])
     }
 
     /// Another client's read is the first thing that comes to the replica from here on.
@@ -149,10 +150,10 @@
 
     /// A client whose read waits on a connection to the replica that is not up yet.
     pub fn read_on_its_way(&self, number: u32, left_ms: u32) -> Client {
-        self.replica.greets_no_more();
+        self.replica.hold_greeting_and_close_idle();
         let mut client = self.router.client();
         client.send(&read(number, left_ms)).expect("a query");
-        self.replica.until_dialled(1);
+        self.replica.wait_for_connections(1);
         client
     }
 }
--- a/crates/ottersill/tests/service.rs
+++ b/crates/ottersill/tests/service.rs
@@ -1,4 +1,4 @@
-//! Whole statements over loopback: the program itself between a client and a toy store.
+//! Whole statements over loopback: the program itself between a client and a stand-in store.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::stand_in::{Client, Conduct, Toy, message};
+use ottersill_testkit::stand_in::{Behaviour, Client, StandInStore, message};
 use rstest::rstest;
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
 struct Service {
-    toy: Toy,
+    store: StandInStore,
     router: Child,
     at: SocketAddr,
     log: BufReader<ChildStdout>,
@@ -37,13 +37,13 @@
     }
 }
 
-fn toy() -> (Toy, SocketAddr) {
-    let toy = Toy::default();
+fn store() -> (StandInStore, SocketAddr) {
+    let store = StandInStore::default();
     for _ in 0..3 {
-        toy.host("127.0.0.1:0").expect("a host");
+        store.add_endpoint("127.0.0.1:0").expect("a host");
     }
-    let discovery = toy.discovery("127.0.0.1:0").expect("discovery");
-    (toy, discovery)
+    let discovery = store.add_discovery("127.0.0.1:0").expect("discovery");
+    (store, discovery)
 }
 
 fn charter_for(discovery: SocketAddr) -> String {
@@ -57,7 +57,7 @@
 }
 
 fn service_within(sockets: usize, memory_mb: u64) -> Service {
-    let (toy, discovery) = toy();
+    let (store, discovery) = store();
     let text = charter_for(discovery);
     let text = text.replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
     let text = text.replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
@@ -76,7 +76,7 @@
         .split_once("listen=")
         .and_then(|(_, at)| at.split(' ').next()?.parse().ok())
         .expect("its address");
-    let mut service = Service { toy, router, at, log, charter: path };
+    let mut service = Service { store, router, at, log, charter: path };
     let mut client = service.client();
     for _ in 0..30 {
         assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
@@ -94,12 +94,12 @@
         client
     }
 
-    fn all(&self, conduct: Conduct) {
-        (0..self.toy.hosts()).for_each(|host| self.toy.set_conduct(host, conduct));
+    fn all(&self, behaviour: Behaviour) {
+        (0..self.store.endpoint_count()).for_each(|host| self.store.set_behaviour(host, behaviour));
     }
 
     fn taken(&self) -> usize {
-        (0..self.toy.hosts()).map(|host| self.toy.taken(host).len()).sum()
+        (0..self.store.endpoint_count()).map(|host| self.store.received(host).len()).sum()
     }
 
     fn signal(&self, name: &str) {
@@ -142,7 +142,7 @@
         let from = text.find(",d=").expect("a time left") + 3;
         text[from..].chars().take_while(char::is_ascii_digit).collect::<String>()
     };
-    for text in (0..3).flat_map(|host| service.toy.taken(host)) {
+    for text in (0..3).flat_map(|host| service.store.received(host)) {
         let left = digits(&text);
         assert!((1..=2000).contains(&left.parse().expect("a number")), "{text}");
         let expected = if text.starts_with("SELECT") { read(2000) } else { write("1f", 2000) };
@@ -152,14 +152,14 @@
 
 /// What one execution's end makes of a write, which must not run twice, and of a read, which may.
 #[rstest]
-#[case::turned_away(Conduct::Full, "C53300 D", "C53300 D")]
-#[case::error(Conduct::Faulty, "C40003", "C53300 D")]
-#[case::reset(Conduct::Resets, "C40003", "C53300 D")]
-#[case::nonsense(Conduct::Babbles, "C40003", "C53300 D")]
-#[case::miss(Conduct::Replica, "C53300 D", "row:value SELECT 1")]
-fn what_fails_everywhere(#[case] conduct: Conduct, #[case] of_write: &str, #[case] of_read: &str) {
+#[case::turned_away(Behaviour::Full, "C53300 D", "C53300 D")]
+#[case::error(Behaviour::Faulty, "C40003", "C53300 D")]
+#[case::reset(Behaviour::Resets, "C40003", "C53300 D")]
+#[case::nonsense(Behaviour::Babbles, "C40003", "C53300 D")]
+#[case::miss(Behaviour::Replica, "C53300 D", "row:value SELECT 1")]
+fn what_fails_everywhere(#[case] behaviour: Behaviour, #[case] of_write: &str, #[case] of_read: &str) {
     let service = service(1024);
-    service.all(conduct);
+    service.all(behaviour);
     let mut client = service.client();
     let before = service.taken();
     let answer = client.ask(&write("2f", 400)).expect("an answer");
@@ -175,13 +175,13 @@
 #[test]
 fn a_host_that_never_greets_has_run_nothing() {
     let service = service(1024);
-    service.all(Conduct::Closes);
+    service.all(Behaviour::Closes);
     let mut client = service.client();
     for query in [write("8f", 2000), read(2000), read(2000), read(2000)] {
         assert!(client.ask(&query).expect("an answer").starts_with("row:"));
     }
     let before = service.taken();
-    service.all(Conduct::Mute);
+    service.all(Behaviour::Mute);
     let answer = client.ask(&write("8f", 500)).expect("an answer");
     assert!(answer.starts_with("C53300 D"), "{answer}");
     assert_eq!(service.taken(), before);
@@ -192,7 +192,7 @@
 #[case::read(read(300), "C53300 D")]
 fn silence_is_answered_when_the_client_gives_up(#[case] query: String, #[case] expected: &str) {
     let service = service(1024);
-    service.all(Conduct::Silent);
+    service.all(Behaviour::Silent);
     let started = Instant::now();
     let answer = service.client().ask(&query).expect("an answer");
     assert!(answer.starts_with(expected), "{answer}");
@@ -253,12 +253,12 @@
 #[test]
 fn a_host_that_leaves_gets_nothing_new() {
     let service = service(1024);
-    service.toy.set_health(1, "leaving");
+    service.store.set_health(1, "leaving");
     let mut client = service.client();
     poll("told", || {
-        let before = service.toy.taken(1).len();
+        let before = service.store.received(1).len();
         (0..20).for_each(|_| assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:")));
-        service.toy.taken(1).len() == before
+        service.store.received(1).len() == before
     });
 }
 
@@ -266,7 +266,7 @@
 #[test]
 fn connections_that_hosts_end_are_not_used() {
     let service = service(1024);
-    service.all(Conduct::Closes);
+    service.all(Behaviour::Closes);
     let mut client = service.client();
     for _ in 0..8 {
         assert_eq!(client.ask(&write("5f", 2000)).expect("an answer"), "row:value INSERT 0 1");
@@ -279,7 +279,7 @@
 #[test]
 fn running_out_of_descriptors_ends_in_answers() {
     let service = service(26);
-    service.all(Conduct::Silent);
+    service.all(Behaviour::Silent);
     let ask = |number| {
         let mut client = Client::connect(service.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -290,7 +290,7 @@
     let answers: Vec<String> = clients.iter_mut().map(|client| client.last_words()).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     drop(clients);
-    service.all(Conduct::Replica);
+    service.all(Behaviour::Replica);
     poll("served again", || service.client().ask(&read(2000)).is_ok_and(|answer| answer.starts_with("row:")));
 }
 
@@ -298,7 +298,7 @@
 #[test]
 fn memory_is_bounded_under_long_statements() {
     let service = service_within(1024, 32);
-    service.all(Conduct::Silent);
+    service.all(Behaviour::Silent);
     let long = write("9f", 9000).replace("76616c7565", &"61".repeat(65536));
     let ask = |number| {
         let mut client = service.client();
@@ -310,7 +310,7 @@
     let clients: Vec<Client> = (0..400).map(ask).collect();
     thread::sleep(Duration::from_millis(300));
     drop(clients);
-    service.all(Conduct::Replica);
+    service.all(Behaviour::Replica);
     poll("served again", || service.client().ask(&read(2000)).is_ok_and(|answer| answer.starts_with("row:")));
     let status = std::fs::read_to_string(format!("/proc/{}/status", service.router.id())).expect("a status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
@@ -337,7 +337,7 @@
 fn sigterm_answers_what_was_sent_ahead() {
     let mut service = service(1024);
     let mut client = service.client();
-    service.toy.set_conduct(0, Conduct::Silent);
+    service.store.set_behaviour(0, Behaviour::Silent);
     client.send(&write("6f", 900)).expect("a query");
     client.send(&read(2000)).expect("a query");
     service.signal("-TERM");
@@ -351,7 +351,7 @@
 #[test]
 fn sigterm_answers_a_crowd_at_the_door() {
     let mut service = service(26);
-    service.all(Conduct::Silent);
+    service.all(Behaviour::Silent);
     let ask = |number| {
         let mut client = Client::connect(service.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -380,7 +380,7 @@
 fn sigterm_answers_what_was_taken_and_exits() {
     let mut service = service(1024);
     let (mut waiting, mut idle) = (service.client(), service.client());
-    service.all(Conduct::Silent);
+    service.all(Behaviour::Silent);
     waiting.send(&read(1200)).expect("a query");
     service.signal("-TERM");
     let mut late = service.client();
@@ -422,14 +422,14 @@
 #[test]
 fn a_discovery_that_closes_is_watched_on() {
     let service = service(1024);
-    service.toy.close_discovery();
+    service.store.close_discovery();
     for health in ["leaving", "active", "leaving"] {
-        service.toy.set_health(1, health);
+        service.store.set_health(1, health);
         let mut client = service.client();
         poll("told", || {
-            let before = service.toy.taken(1).len();
+            let before = service.store.received(1).len();
             (0..20).for_each(|_| assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:")));
-            (service.toy.taken(1).len() == before) == (health == "leaving")
+            (service.store.received(1).len() == before) == (health == "leaving")
         });
     }
 }
@@ -437,7 +437,7 @@
 #[test]
 fn silent_discovery_stops_nothing() {
     let service = service(1024);
-    service.toy.silence_discovery(true);
+    service.store.silence_discovery(true);
     let mut client = service.client();
     (0..20).for_each(|_| assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:")));
 }
@@ -464,9 +464,9 @@
 fn sighup_moves_to_the_discovery_that_the_file_names(#[case] before: &[&str]) {
     let mut service = service(1024);
     let mut waiting = service.client();
-    service.toy.set_conduct(0, Conduct::Silent);
+    service.store.set_behaviour(0, Behaviour::Silent);
     waiting.send(&write("6f", 1500)).expect("a query");
-    let (other, discovery) = toy();
+    let (other, discovery) = store();
     for text in before {
         std::fs::write(&service.charter, text).expect("a charter");
         service.signal("-HUP");
@@ -480,15 +480,15 @@
     let mut client = service.client();
     poll("moved", || {
         assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
-        (0..3).any(|host| !other.taken(host).is_empty())
+        (0..3).any(|host| !other.received(host).is_empty())
     });
     // What the old one says counts no more.
-    service.toy.set_health(1, "leaving");
+    service.store.set_health(1, "leaving");
     other.set_health(2, "left");
     poll("told", || {
-        let before = other.taken(2).len();
+        let before = other.received(2).len();
         (0..20).for_each(|_| assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:")));
-        other.taken(2).len() == before
+        other.received(2).len() == before
     });
     assert_eq!(waiting.answer().expect("an answer"), "C40003");
     service.signal("-TERM");
@@ -502,14 +502,14 @@
 fn spoilt_answers_reach_no_client() {
     let service = service(1024);
     let mut client = service.client();
-    service.toy.set_conduct(0, Conduct::Spoils);
-    let before = service.toy.taken(0).len();
+    service.store.set_behaviour(0, Behaviour::Spoils);
+    let before = service.store.received(0).len();
     assert_eq!(client.ask(&write("2f", 1000)).expect("an answer"), "C40003");
-    assert_eq!(service.toy.taken(0).len(), before + 1, "a write that may have run is not sent again");
-    service.toy.set_conduct(0, Conduct::Primary);
+    assert_eq!(service.store.received(0).len(), before + 1, "a write that may have run is not sent again");
+    service.store.set_behaviour(0, Behaviour::Primary);
     // Without a primary it would have to wait for the next poll, which is longer.
     assert_eq!(client.ask(&write("2f", 60)).expect("an answer"), "row:value INSERT 0 1");
-    (1..3).for_each(|host| service.toy.set_conduct(host, Conduct::Spoils));
+    (1..3).for_each(|host| service.store.set_behaviour(host, Behaviour::Spoils));
     for _ in 0..10 {
         let answer = client.ask(&read(2000)).expect("an answer");
         assert!(answer == "row:value SELECT 1" || answer.starts_with("C53300"), "{answer}");
@@ -521,7 +521,7 @@
 fn what_comes_behind_an_answer_is_no_answer() {
     let service = service(1024);
     let mut client = service.client();
-    service.all(Conduct::Echoes);
+    service.all(Behaviour::Echoes);
     for number in 0..20 {
         let key = format!("d{number:x}");
         let query = write(&key, 2000).replace("76616c7565", &format!("{:x}", 0x61 + number));
@@ -556,7 +556,7 @@
     for client in [&mut idle, &mut slow, &mut busy] {
         assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
     }
-    service.toy.set_conduct(0, Conduct::Silent);
+    service.store.set_behaviour(0, Behaviour::Silent);
     busy.send(&write("af", 2000)).expect("a query");
     let whole = message(b'Q', format!("{}\0", read(2000)).as_bytes());
     thread::sleep(Duration::from_millis(1500));
@@ -572,14 +572,16 @@
 fn the_id_of_an_open_statement_is_refused() {
     let service = service(1024);
     let (mut first, mut second) = (service.client(), service.client());
-    service.toy.set_conduct(0, Conduct::Silent);
+    service.store.set_behaviour(0, Behaviour::Silent);
     first.send(&write("bf", 700)).expect("a query");
-    poll("taken", || !service.toy.taken(0).is_empty() && service.toy.taken(0).concat().contains("'bf'"));
+    poll("taken", || {
+        !service.store.received(0).is_empty() && service.store.received(0).concat().contains("'bf'")
+    });
     let before = service.taken();
     assert_eq!(second.ask(&write("cf", 700)).expect("an answer"), "C08P01");
     assert_eq!(service.taken(), before);
     assert_eq!(first.answer().expect("an answer"), "C40003");
-    service.toy.set_conduct(0, Conduct::Primary);
+    service.store.set_behaviour(0, Behaviour::Primary);
     assert_eq!(second.ask(&write("cf", 2000)).expect("an answer"), "row:value INSERT 0 1");
 }
 
@@ -638,7 +640,7 @@
 }
 
 fn taken_each(service: &Service) -> [usize; 3] {
-    [0, 1, 2].map(|host| service.toy.taken(host).len())
+    [0, 1, 2].map(|host| service.store.received(host).len())
 }
 
 /// What a text does counts, not the name that its client gives it: the primary alone, and once.
@@ -656,7 +658,7 @@
     }
     let after = taken_each(&service);
     assert_eq!([0, 1, 2].map(|host| after[host] - before[host]), [5, 0, 0]);
-    service.all(Conduct::Resets);
+    service.all(Behaviour::Resets);
     assert_eq!(client.ask(&read_of(text, 9)).expect("an answer"), "C40003");
     assert_eq!(taken_each(&service)[0], after[0] + 1, "what may have run is not sent again");
 }
@@ -679,7 +681,7 @@
 #[test]
 fn a_replica_that_refuses_a_hidden_write_keeps_its_reads() {
     let service = service(1024);
-    service.toy.hide_write("sly_view");
+    service.store.hide_write("sly_view");
     let mut client = service.client();
     for number in 0..8 {
         let query = read_of("SELECT * FROM sly_view WHERE name = '1f'", number);
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::scripted_peer::{Discovery, Host, list};
+use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
 use scene::*;
@@ -42,7 +42,7 @@
 #[case::chunks_reset(&[Then::Cut("Transfer-Encoding: chunked\r\n", true), Then::Silent])]
 fn what_discovery_has_is_heard_in_time_whatever_failed(#[case] course: &[Then]) {
     let scene = Scene::set(&[]);
-    let drains = scene.list(2, "active", "leaving");
+    let drains = scene.endpoint_list(2, "active", "leaving");
     let started = Instant::now();
     let mut silent = Vec::new();
     for then in course {
@@ -104,7 +104,7 @@
     let scene = Scene::set(&[]);
     let watch = scene.discovery.next();
     let next = scene.discovery.next();
-    watch.answer(&scene.list(2, "active", "leaving"));
+    watch.answer(&scene.endpoint_list(2, "active", "leaving"));
     let after = scene.discovery.next();
     assert!(after.path.contains("since=2"), "{}", after.path);
     drop(next);
@@ -114,14 +114,14 @@
 #[test]
 fn a_new_discovery_that_is_silent_at_first_is_heard_in_time() {
     let scene = Scene::set(&[]);
-    let other = Discovery::start().expect("discovery");
+    let other = ScriptedDiscovery::start().expect("discovery");
     let text = std::fs::read_to_string(&scene.router.charter).expect("a charter");
     let text = text.replace(&scene.discovery.at.to_string(), &other.at.to_string());
     std::fs::write(&scene.router.charter, text).expect("a charter");
     let started = Instant::now();
     scene.router.signal("-HUP");
     let silent = [other.next(), other.next()];
-    other.next().answer(&scene.list(1, "active", "leaving"));
+    other.next().answer(&scene.endpoint_list(1, "active", "leaving"));
     assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
     assert!(other.next().path.contains("since=1"));
     drop(silent);
@@ -131,7 +131,7 @@
 #[test]
 fn a_watch_that_never_waits_is_asked_again_after_a_rest() {
     let scene = Scene::set(&[]);
-    let list = scene.list(1, "active", "active");
+    let list = scene.endpoint_list(1, "active", "active");
     let started = Instant::now();
     (0..5).for_each(|_| scene.discovery.next().answer(&list));
     assert!(started.elapsed() > Duration::from_millis(300), "{:?}", started.elapsed());
@@ -141,12 +141,12 @@
 /// finds its way to a host.
 #[test]
 fn idle_clients_do_not_keep_discovery_out() {
-    let discovery = Discovery::start().expect("discovery");
-    let host = Host::start(true).expect("a host");
+    let discovery = ScriptedDiscovery::start().expect("discovery");
+    let host = ScriptedEndpoint::start(true).expect("a host");
     let text = charter(discovery.at, &[("\"sockets\": 1024", "\"sockets\": 40")]);
     let router = Router::spawn(&text, Some(40));
     let hosts = [("one", host.at, "active")];
-    discovery.next().answer(&list(1, &hosts));
+    discovery.next().answer(&endpoint_list(1, &hosts));
     let router = router.until_ready();
     let crowd: Vec<TcpStream> =
         (0..60).map(|_| TcpStream::connect(router.at).expect("a connection")).collect();
@@ -157,7 +157,7 @@
     let held =
         std::fs::read_dir(format!("/proc/{}/fd", router.process.id())).expect("its descriptors").count();
     assert!(held <= 40, "{held}");
-    discovery.next().answer(&list(2, &hosts));
+    discovery.next().answer(&endpoint_list(2, &hosts));
     assert!(discovery.next().path.contains("since=2"));
     let mut client = Client::connect(router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -171,7 +171,7 @@
 /// turned away at once, as it was never sent.
 #[test]
 fn a_router_without_a_list_is_ready_and_turns_away() {
-    let discovery = Discovery::start().expect("discovery");
+    let discovery = ScriptedDiscovery::start().expect("discovery");
     let started = Instant::now();
     let router = Router::spawn(&charter(discovery.at, &[]), None).until_ready();
     assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
--- a/crates/testkit/src/cluster/mod.rs
+++ b/crates/testkit/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Many routers of the built program on one machine: each with its files, a relay on every way between two of them, clients
+//! Many routers of the built program on one machine: each with its files, a link on every way between two of them, clients
 //! that send all the time, and faults: killed, stopped and continued, ended by SIGTERM, started again, cut off.
 
 use std::collections::BTreeMap;
@@ -18,64 +18,64 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 use crate::audit::{self, Entry, Verdict, Whole};
-use crate::fault_proxy::{Flow, Relay, Weather, Wire};
-use crate::stand_in::{Client, Toy, unix_ms};
+use crate::fault_proxy::{DatagramProxy, LinkFaults, StreamFaults, StreamProxy};
+use crate::stand_in::{Client, StandInStore, unix_ms};
 
 /// Nothing here takes longer to come about.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What a rig is made of.
+/// What a cluster is made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterPlan {
     pub routers: usize,
     pub voters: usize,
-    pub hosts: usize,
+    pub endpoints: usize,
     pub seed: u64,
     /// Executions at each host, probes a second, second tries a second; each router's floor of executions.
     pub executions: u64,
     pub probes: u64,
-    pub second_tries: u64,
+    pub retries: u64,
     /// Executions a second at each cold host.
-    pub cold: u64,
+    pub cold_executions: u64,
     pub floor: u64,
     /// Seconds.
-    pub keeper_lease: f64,
+    pub leader_lease: f64,
     pub lease: f64,
     pub floor_lease: f64,
     pub hold: f64,
     /// How long clients wait at most.
     pub deadline_ms: u64,
     /// How long a statement's work takes; seconds.
-    pub work: f64,
+    pub statement_seconds: f64,
     /// Without it routers know nothing of each other.
-    pub talk: bool,
+    pub fleet_enabled: bool,
     /// Whether routers write down what they spend.
     pub audit: bool,
-    /// Further words of each router's command line.
-    pub words: Vec<String>,
+    /// Further arguments of each router's command line.
+    pub arguments: Vec<String>,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for ClusterPlan {
+    fn default() -> ClusterPlan {
+        ClusterPlan {
             routers: 5,
             voters: 3,
-            hosts: 3,
+            endpoints: 3,
             seed: 1,
             executions: 12,
             probes: 200,
-            second_tries: 20,
-            cold: 20,
+            retries: 20,
+            cold_executions: 20,
             floor: 1,
-            keeper_lease: 0.6,
+            leader_lease: 0.6,
             lease: 1.2,
             floor_lease: 3.0,
             hold: 0.6,
             deadline_ms: 600,
-            work: 0.02,
-            talk: true,
+            statement_seconds: 0.02,
+            fleet_enabled: true,
             audit: true,
-            words: Vec::new(),
+            arguments: Vec::new(),
         }
     }
 }
@@ -92,14 +92,14 @@
     stopped: bool,
 }
 
-pub struct Rig {
-    pub plan: Plan,
-    pub toy: Toy,
+pub struct Cluster {
+    pub plan: ClusterPlan,
+    pub store: StandInStore,
     pub routers: Vec<Router>,
     /// By who sends and who is sent to.
-    relays: Vec<Vec<Option<Relay>>>,
+    links: Vec<Vec<Option<DatagramProxy>>>,
     /// By router and host.
-    wires: Vec<Vec<Wire>>,
+    streams: Vec<Vec<StreamProxy>>,
     program: PathBuf,
     pub folder: PathBuf,
     load: Option<Load>,
@@ -127,12 +127,12 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// An address for this rig alone: connections that other tests open take ports of 127.0.0.1, which may be the very one
+/// An address for this cluster alone: connections that other tests open take ports of 127.0.0.1, which may be the very one
 /// that a router is about to listen at.
 fn own_address() -> IpAddr {
     static RIGS: AtomicU64 = AtomicU64::new(0);
-    let (process, rig) = (std::process::id(), RIGS.fetch_add(1, Ordering::Relaxed));
-    IpAddr::from([127, 64 + (process >> 8) as u8 % 128, process as u8, 1 + (rig % 250) as u8])
+    let (process, cluster) = (std::process::id(), RIGS.fetch_add(1, Ordering::Relaxed));
+    IpAddr::from([127, 64 + (process >> 8) as u8 % 128, process as u8, 1 + (cluster % 250) as u8])
 }
 
 /// Where the router of that number takes clients, operators and datagrams: below the ports that connections are opened from,
@@ -141,34 +141,35 @@
     [0, 1, 2].map(|kind| SocketAddr::from((own, 10_000 + 3 * index as u16 + kind)))
 }
 
-impl Rig {
-    /// Writes the files of all routers and starts the relays; no router runs yet. `program` is the built router,
-    /// `charter` the text of a charter with the toy's addresses in it, as in `example/router.json`.
-    pub fn new(plan: Plan, program: &Path, charter: &str) -> io::Result<Rig> {
-        let toy = Toy::default();
-        for _ in 0..plan.hosts {
-            toy.host("127.0.0.1:0")?;
+impl Cluster {
+    /// Writes the files of all routers and starts the links; no router runs yet. `program` is the built router,
+    /// `charter` the text of a charter with the store's addresses in it, as in `example/router.json`.
+    pub fn new(plan: ClusterPlan, program: &Path, charter: &str) -> io::Result<Cluster> {
+        let store = StandInStore::default();
+        for _ in 0..plan.endpoints {
+            store.add_endpoint("127.0.0.1:0")?;
         }
-        toy.set_work(Duration::from_secs_f64(plan.work));
+        store.set_statement_duration(Duration::from_secs_f64(plan.statement_seconds));
         let own = own_address();
-        let wire = |_: usize| -> io::Result<Vec<Wire>> {
-            (0..plan.hosts).map(|host| Wire::start(toy.host_at(host), own)).collect()
+        let stream = |_: usize| -> io::Result<Vec<StreamProxy>> {
+            (0..plan.endpoints).map(|host| StreamProxy::start(store.endpoint_address(host), own)).collect()
         };
-        let wires = (0..plan.routers).map(wire).collect::<io::Result<Vec<Vec<Wire>>>>()?;
-        let unique = format!("ottersill-rig-{}-{own}-{}", std::process::id(), plan.seed);
+        let streams = (0..plan.routers).map(stream).collect::<io::Result<Vec<Vec<StreamProxy>>>>()?;
+        let unique = format!("ottersill-cluster-{}-{own}-{}", std::process::id(), plan.seed);
         let folder = std::env::temp_dir().join(unique);
         fs::create_dir_all(&folder)?;
         let key = folder.join("fleet.key");
         let mut file =
             fs::OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(&key)?;
-        file.write_all(b"known to the members of this rig only")?;
+        file.write_all(b"known to the members of this cluster only")?;
         let mut routers = Vec::new();
-        for (index, wires) in wires.iter().enumerate() {
+        for (index, streams) in streams.iter().enumerate() {
             let name = format!("r{index}");
             let [listen, control, at] = addresses(own, index);
-            // For as long as the process lives, as the toy's threads do.
-            let dials: &'static [SocketAddr] = wires.iter().map(Wire::at).collect::<Vec<_>>().leak();
-            let discovery = toy.discovery_by(&format!("{own}:0"), dials)?;
+            // For as long as the process lives, as the store's threads do.
+            let dials: &'static [SocketAddr] =
+                streams.iter().map(StreamProxy::address).collect::<Vec<_>>().leak();
+            let discovery = store.add_discovery_via(&format!("{own}:0"), dials)?;
             let text = charter
                 // Short, so that what outlives a router is over soon.
                 .replace("\"deadline_ms\": 2000", &format!("\"deadline_ms\": {}", plan.deadline_ms))
@@ -190,17 +191,26 @@
                 stopped: false,
             });
         }
-        let relay = |from: usize, to: usize| {
+        let link = |from: usize, to: usize| {
             (from != to)
-                .then(|| Relay::start(routers[to].at, plan.seed << 16 | (from << 8 | to) as u64))
+                .then(|| DatagramProxy::start(routers[to].at, plan.seed << 16 | (from << 8 | to) as u64))
                 .transpose()
         };
-        let ways = (0..plan.routers).map(|from| (0..plan.routers).map(|to| relay(from, to)).collect());
-        let relays = ways.collect::<io::Result<Vec<Vec<Option<Relay>>>>>()?;
-        let rig =
-            Rig { plan, toy, routers, relays, wires, program: program.to_path_buf(), folder, load: None };
-        (0..rig.routers.len()).try_for_each(|index| rig.write_fleet(index, rig.plan.executions))?;
-        Ok(rig)
+        let ways = (0..plan.routers).map(|from| (0..plan.routers).map(|to| link(from, to)).collect());
+        let links = ways.collect::<io::Result<Vec<Vec<Option<DatagramProxy>>>>>()?;
+        let cluster = Cluster {
+            plan,
+            store,
+            routers,
+            links,
+            streams,
+            program: program.to_path_buf(),
+            folder,
+            load: None,
+        };
+        (0..cluster.routers.len())
+            .try_for_each(|index| cluster.write_fleet(index, cluster.plan.executions))?;
+        Ok(cluster)
     }
 
     /// Writes that router's file of the fleet, with another whole for executions.
@@ -208,7 +218,7 @@
         let (plan, me) = (&self.plan, &self.routers[index]);
         let mut text = String::new();
         for (to, router) in self.routers.iter().enumerate() {
-            let at = self.relays[index][to].as_ref().map_or(me.at, Relay::at);
+            let at = self.links[index][to].as_ref().map_or(me.at, DatagramProxy::address);
             text += &format!("peer {{ name: \"{}\" at: \"{at}\" }}\n", router.name);
         }
         for voter in 0..plan.voters {
@@ -225,21 +235,21 @@
             me.at,
             me.control,
             if plan.audit { format!("audit_file: \"{folder}/{}.audit\"\n", me.name) } else { String::new() },
-            plan.keeper_lease,
+            plan.leader_lease,
             plan.lease,
             plan.floor_lease,
             plan.routers * 2,
             plan.floor,
             plan.hold,
             plan.probes,
-            plan.second_tries,
-            plan.cold
+            plan.retries,
+            plan.cold_executions
         );
         fs::write(&me.fleet, text)
     }
 
     /// Another process under a router's name and files, but for where it listens to clients; ends with the value.
-    pub fn double(&self, index: usize) -> io::Result<Double> {
+    pub fn start_duplicate(&self, index: usize) -> io::Result<DuplicateRouter> {
         let me = &self.routers[index];
         let [listen, control, _] = addresses(me.at.ip(), self.routers.len() + index);
         let (charter, fleet) = (self.folder.join("double.json"), self.folder.join("double.textproto"));
@@ -252,15 +262,15 @@
             fs::read_to_string(&me.fleet)?.replace(&me.control.to_string(), &control.to_string()),
         )?;
         let process = self.spawn(&charter, &fleet, "double")?;
-        Ok(Double { process, listen, control })
+        Ok(DuplicateRouter { process, listen, control })
     }
 
     fn spawn(&self, charter: &Path, fleet: &Path, name: &str) -> io::Result<Child> {
         let log =
             fs::OpenOptions::new().create(true).append(true).open(self.folder.join(format!("{name}.log")))?;
         let mut command = Command::new(&self.program);
-        command.args(&self.plan.words).env("NODE_CONFIG", charter);
-        if self.plan.talk {
+        command.args(&self.plan.arguments).env("NODE_CONFIG", charter);
+        if self.plan.fleet_enabled {
             command.arg("--fleet").arg(fleet);
         }
         command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log).spawn()
@@ -306,12 +316,12 @@
         }
     }
 
-    pub fn stop(&mut self, index: usize) {
+    pub fn pause(&mut self, index: usize) {
         self.signal(index, Signal::STOP);
         self.routers[index].stopped = true;
     }
 
-    pub fn go_on(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         self.signal(index, Signal::CONT);
         self.routers[index].stopped = false;
     }
@@ -321,8 +331,8 @@
     }
 
     /// SIGTERM, until it has ended; its exit status.
-    pub fn end(&mut self, index: usize) -> Option<i32> {
-        self.go_on(index);
+    pub fn terminate(&mut self, index: usize) -> Option<i32> {
+        self.resume(index);
         self.signal(index, Signal::TERM);
         let mut process = self.routers[index].process.take()?;
         let since = Instant::now();
@@ -338,62 +348,62 @@
     }
 
     /// Cuts or mends one way.
-    pub fn weather(&self, from: usize, to: usize, change: impl FnOnce(&mut Weather)) {
-        if let Some(relay) = &self.relays[from][to] {
-            relay.change(change);
+    pub fn change_link(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
+        if let Some(link) = &self.links[from][to] {
+            link.change_faults(change);
         }
     }
 
     /// What happens between a router and a host.
-    pub fn flow(&self, router: usize, host: usize, change: impl FnOnce(&mut Flow)) {
-        self.wires[router][host].change(change);
+    pub fn change_stream(&self, router: usize, host: usize, change: impl FnOnce(&mut StreamFaults)) {
+        self.streams[router][host].change_faults(change);
     }
 
-    pub fn all_flow(&self, flow: Flow) {
-        self.wires.iter().flatten().for_each(|wire| wire.change(|old| *old = flow));
+    pub fn set_all_streams(&self, flow: StreamFaults) {
+        self.streams.iter().flatten().for_each(|stream| stream.change_faults(|old| *old = flow));
     }
 
-    pub fn all_weather(&self, weather: Weather) {
-        self.relays.iter().flatten().flatten().for_each(|relay| relay.set(weather));
+    pub fn set_all_links(&self, weather: LinkFaults) {
+        self.links.iter().flatten().flatten().for_each(|link| link.set_faults(weather));
     }
 
     /// Nothing passes between who is on one side and who is on another.
-    pub fn part(&self, side: impl Fn(usize) -> usize, one_way: bool) {
+    pub fn partition(&self, side: impl Fn(usize) -> usize, one_way: bool) {
         for from in 0..self.routers.len() {
             for to in 0..self.routers.len() {
                 let apart = side(from) != side(to) && (!one_way || side(from) < side(to));
-                self.weather(from, to, |weather| weather.cut = apart);
+                self.change_link(from, to, |faults| faults.cut = apart);
             }
         }
     }
 
     /// What a router answers to `ottersill fleet`, each line an object.
-    pub fn ask(&self, index: usize, question: &str) -> Vec<serde_json::Value> {
-        ask(self.routers[index].control, question)
+    pub fn query(&self, index: usize, question: &str) -> Vec<serde_json::Value> {
+        query(self.routers[index].control, question)
     }
 
     /// Units that a router holds of its budgets of that name, over all subjects.
-    pub fn holds(&self, index: usize, budget: &str) -> u64 {
-        let lines = self.ask(index, "budgets");
+    pub fn held_units(&self, index: usize, budget: &str) -> u64 {
+        let lines = self.query(index, "budgets");
         let ours = lines.iter().filter(|line| line["budget"] == budget);
         ours.map(|line| line["part"].as_u64().unwrap_or(0) + line["floor"].as_u64().unwrap_or(0)).sum()
     }
 
-    pub fn keeper(&self) -> Option<usize> {
+    pub fn leader(&self) -> Option<usize> {
         let up = (0..self.routers.len()).filter(|index| self.is_up(*index) && !self.is_stopped(*index));
         up.into_iter().find(|index| {
-            let books = self.ask(*index, "books");
+            let books = self.query(*index, "books");
             !books.is_empty() && books.iter().all(|line| line.get("fault").is_none())
         })
     }
 
     /// Clients of each router that send one statement after the other, a write among `write_every`.
-    pub fn load(&mut self, clients: usize, write_every: u64) {
-        self.load_at(&vec![clients; self.routers.len()], write_every);
+    pub fn start_load(&mut self, clients: usize, write_every: u64) {
+        self.start_load_at(&vec![clients; self.routers.len()], write_every);
     }
 
-    pub fn load_at(&mut self, clients: &[usize], write_every: u64) {
-        self.rest();
+    pub fn start_load_at(&mut self, clients: &[usize], write_every: u64) {
+        self.stop_load();
         let over = Arc::new(AtomicBool::new(false));
         let answers = Arc::new(Mutex::new(vec![Answers::default(); self.routers.len()]));
         static IDS: AtomicU64 = AtomicU64::new(1);
@@ -428,7 +438,7 @@
     }
 
     /// Ends the clients and gives what they were answered.
-    pub fn rest(&mut self) -> Vec<Answers> {
+    pub fn stop_load(&mut self) -> Vec<Answers> {
         let Some(load) = self.load.take() else { return Vec::new() };
         load.over.store(true, Ordering::Relaxed);
         for client in load.clients {
@@ -439,7 +449,7 @@
     }
 
     /// All that the routers wrote down.
-    pub fn entries(&self) -> Result<Vec<Entry>, String> {
+    pub fn audit_entries(&self) -> Result<Vec<Entry>, String> {
         let mut all = Vec::new();
         for router in &self.routers {
             let path = self.folder.join(format!("{}.audit", router.name));
@@ -449,7 +459,7 @@
         Ok(all)
     }
 
-    pub fn wholes(&self) -> BTreeMap<String, Whole> {
+    pub fn budgets(&self) -> BTreeMap<String, Whole> {
         let plan = &self.plan;
         BTreeMap::from([
             (
@@ -457,8 +467,11 @@
                 Whole::InHand { units: plan.executions, hold: plan.hold },
             ),
             ("probes".to_string(), Whole::Rate { units: plan.probes, every: 1.0 }),
-            ("second tries".to_string(), Whole::Rate { units: plan.second_tries, every: 1.0 }),
-            ("executions at each cold host".to_string(), Whole::Rate { units: plan.cold, every: 1.0 }),
+            ("second tries".to_string(), Whole::Rate { units: plan.retries, every: 1.0 }),
+            (
+                "executions at each cold host".to_string(),
+                Whole::Rate { units: plan.cold_executions, every: 1.0 },
+            ),
         ])
     }
 
@@ -466,13 +479,14 @@
     pub fn audit(&self) -> Result<Verdict, String> {
         // The files are read one after the other while routers go on writing: what came after the first counts not.
         let cut = unix_ms() as f64 / 1000.0 - 0.05;
-        let mut entries = self.entries()?;
+        let mut entries = self.audit_entries()?;
         entries.retain(|entry| entry.at < cut);
-        let mut verdict = audit::audit(&entries, &self.wholes());
-        let executed: Vec<_> = (0..self.toy.hosts()).flat_map(|host| self.toy.executed(host)).collect();
+        let mut verdict = audit::audit(&entries, &self.budgets());
+        let executed: Vec<_> =
+            (0..self.store.endpoint_count()).flat_map(|host| self.store.executions(host)).collect();
         verdict.faults.extend(audit::effects(&executed));
-        for host in 0..self.toy.hosts() {
-            let most = self.toy.most_at_once(host) as u64;
+        for host in 0..self.store.endpoint_count() {
+            let most = self.store.peak_concurrency(host) as u64;
             if most > self.plan.executions {
                 verdict.faults.push(format!("host {host} had {most} at once of {}", self.plan.executions));
             }
@@ -481,7 +495,7 @@
     }
 
     /// Seconds of processor time that a router has used, as the kernel counts them for it.
-    pub fn cpu(&self, index: usize) -> f64 {
+    pub fn cpu_seconds(&self, index: usize) -> f64 {
         let Some(process) = &self.routers[index].process else { return 0.0 };
         let text = fs::read_to_string(format!("/proc/{}/schedstat", process.id())).unwrap_or_default();
         text.split(' ').next().and_then(|nanos| nanos.parse::<f64>().ok()).unwrap_or(0.0) / 1e9
@@ -491,8 +505,8 @@
         fs::read_to_string(self.folder.join(format!("r{index}.log"))).unwrap_or_default()
     }
 
-    /// Waits until it holds; false if it does not within the rig's patience.
-    pub fn until(&self, holds: impl Fn(&Rig) -> bool) -> bool {
+    /// Waits until it holds; false if it does not within the cluster's patience.
+    pub fn wait_until(&self, holds: impl Fn(&Cluster) -> bool) -> bool {
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
             if holds(self) {
@@ -518,35 +532,35 @@
             match what {
                 Fault::Start(index) => self.start(*index)?,
                 Fault::Kill(index) => self.kill(*index),
-                Fault::Stop(Some(index)) => self.stop(*index),
-                Fault::Stop(None) => self.keeper().into_iter().for_each(|keeper| self.stop(keeper)),
-                Fault::Continue(index) => self.go_on(*index),
-                Fault::Term(index) => drop(self.end(*index)),
+                Fault::Pause(Some(index)) => self.pause(*index),
+                Fault::Pause(None) => self.leader().into_iter().for_each(|keeper| self.pause(keeper)),
+                Fault::Resume(index) => self.resume(*index),
+                Fault::Terminate(index) => drop(self.terminate(*index)),
                 Fault::Reload(index) => self.reload(*index),
-                Fault::Part(sides) => {
+                Fault::Partition(sides) => {
                     let own = |index: usize| sides.len() + index;
                     let of = |index: usize| sides.iter().position(|side| side.contains(&index));
-                    self.part(|index| of(index).unwrap_or(own(index)), false);
+                    self.partition(|index| of(index).unwrap_or(own(index)), false);
                 }
-                Fault::Cut(from, to) => self.weather(*from, *to, |weather| weather.cut = true),
-                Fault::Weather(weather) => self.all_weather(*weather),
-                Fault::Heal => self.all_weather(Weather::default()),
-                Fault::Load(counts) => self.load_at(counts, 8),
+                Fault::Cut(from, to) => self.change_link(*from, *to, |faults| faults.cut = true),
+                Fault::Links(weather) => self.set_all_links(*weather),
+                Fault::Heal => self.set_all_links(LinkFaults::default()),
+                Fault::Load(counts) => self.start_load_at(counts, 8),
             }
         }
         Ok(())
     }
 
     /// Faults as the seed says for so long.
-    pub fn storm(&mut self, seconds: f64) -> io::Result<()> {
+    pub fn run_random_faults(&mut self, seconds: f64) -> io::Result<()> {
         let mut rng = SmallRng::seed_from_u64(self.plan.seed);
-        let weather = Weather {
-            lost: rng.random_range(0.0..0.15),
-            twice: rng.random_range(0.0..0.15),
+        let weather = LinkFaults {
+            loss: rng.random_range(0.0..0.15),
+            duplication: rng.random_range(0.0..0.15),
             delay: rng.random_range(0.0..0.03),
-            ..Weather::default()
+            ..LinkFaults::default()
         };
-        self.all_weather(weather);
+        self.set_all_links(weather);
         // From some faults a second to one in a second.
         let rare = rng.random_range(200..2000);
         let since = Instant::now();
@@ -556,8 +570,8 @@
             let index = rng.random_range(0..count);
             match rng.random_range(0..16) {
                 0 => self.kill(index),
-                1 if self.is_up(index) => self.stop(index),
-                2 | 3 if self.is_stopped(index) => self.go_on(index),
+                1 if self.is_up(index) => self.pause(index),
+                2 | 3 if self.is_stopped(index) => self.resume(index),
                 4..=6 => self.start(index)?,
                 7 => {
                     self.kill(index);
@@ -566,33 +580,33 @@
                 8 => {
                     let (sides, one_way) = (rng.random_range(2..4), rng.random_bool(0.4));
                     let sides: Vec<usize> = (0..count).map(|_| rng.random_range(0..sides)).collect();
-                    self.part(|index| sides[index], one_way);
+                    self.partition(|index| sides[index], one_way);
                 }
-                9 | 10 => self.all_weather(weather),
+                9 | 10 => self.set_all_links(weather),
                 13 => {
-                    let (host, flow) = (rng.random_range(0..self.plan.hosts), rng.random_range(0..5));
-                    self.flow(index, host, |now| match flow {
-                        0 => now.cut_to = true,
-                        1 => now.cut_back = true,
+                    let (host, flow) = (rng.random_range(0..self.plan.endpoints), rng.random_range(0..5));
+                    self.change_stream(index, host, |now| match flow {
+                        0 => now.cut_requests = true,
+                        1 => now.cut_responses = true,
                         2 => now.delay = 0.1,
                         3 => now.trickle = true,
                         _ => now.closed = true,
                     });
                 }
-                14 => self.all_flow(Flow::default()),
-                11 => self.weather(index, (index + 1) % count, |weather| weather.held = true),
+                14 => self.set_all_streams(StreamFaults::default()),
+                11 => self.change_link(index, (index + 1) % count, |faults| faults.held = true),
                 12 => {
                     // Whoever keeps the books, for longer than its lease.
-                    if let Some(keeper) = self.keeper() {
-                        self.stop(keeper);
+                    if let Some(keeper) = self.leader() {
+                        self.pause(keeper);
                     }
                 }
                 _ => {}
             }
         }
-        self.all_weather(Weather::default());
-        self.all_flow(Flow::default());
-        (0..count).for_each(|index| self.go_on(index));
+        self.set_all_links(LinkFaults::default());
+        self.set_all_streams(StreamFaults::default());
+        (0..count).for_each(|index| self.resume(index));
         self.start_all()
     }
 }
@@ -609,16 +623,16 @@
     Start(usize),
     Kill(usize),
     /// SIGSTOP; nobody named is whoever keeps the books.
-    Stop(Option<usize>),
-    Continue(usize),
+    Pause(Option<usize>),
+    Resume(usize),
     /// SIGTERM, and wait for the end.
-    Term(usize),
+    Terminate(usize),
     Reload(usize),
     /// Nothing passes between the sides; who is in none is one of its own.
-    Part(Vec<Vec<usize>>),
+    Partition(Vec<Vec<usize>>),
     /// Nothing passes from the one to the other.
     Cut(usize, usize),
-    Weather(Weather),
+    Links(LinkFaults),
     Heal,
     /// Clients of each router.
     Load(Vec<usize>),
@@ -627,7 +641,7 @@
 /// Reads a script: a line a step, `1.5 kill r2`, `2 stop keeper`, `2 part r0,r1 r2,r3`, `3 cut r0 r1`, `3 weather lost=0.1
 /// twice=0.1 delay=0.02`, `4 heal`, `5 start r2`, `5 term r1`, `6 load 4,0,40`. What is behind `#` is a comment. The
 /// error names the line.
-pub fn script(text: &str, routers: usize) -> Result<Vec<Step>, String> {
+pub fn parse_script(text: &str, routers: usize) -> Result<Vec<Step>, String> {
     let router = |word: &str| {
         let index = word.strip_prefix('r').and_then(|digits| digits.parse().ok());
         index.filter(|index| *index < routers).ok_or_else(|| format!("no router is called {word:?}"))
@@ -643,14 +657,14 @@
             let what = match words {
                 ["start", who] => Fault::Start(router(who)?),
                 ["kill", who] => Fault::Kill(router(who)?),
-                ["stop", "keeper"] => Fault::Stop(None),
-                ["stop", who] => Fault::Stop(Some(router(who)?)),
-                ["continue", who] => Fault::Continue(router(who)?),
-                ["term", who] => Fault::Term(router(who)?),
+                ["stop", "keeper"] => Fault::Pause(None),
+                ["stop", who] => Fault::Pause(Some(router(who)?)),
+                ["continue", who] => Fault::Resume(router(who)?),
+                ["term", who] => Fault::Terminate(router(who)?),
                 ["reload", who] => Fault::Reload(router(who)?),
-                ["part", sides @ ..] => Fault::Part(sides.iter().map(side).collect::<Result<_, _>>()?),
+                ["part", sides @ ..] => Fault::Partition(sides.iter().map(side).collect::<Result<_, _>>()?),
                 ["cut", from, to] => Fault::Cut(router(from)?, router(to)?),
-                ["weather", pairs @ ..] => Fault::Weather(weather(pairs)?),
+                ["weather", pairs @ ..] => Fault::Links(weather(pairs)?),
                 ["heal"] => Fault::Heal,
                 ["load", counts] => {
                     let counts = counts.split(',').map(str::parse).collect::<Result<Vec<usize>, _>>();
@@ -666,15 +680,15 @@
     Ok(steps)
 }
 
-fn weather(pairs: &[&str]) -> Result<Weather, String> {
-    let mut weather = Weather::default();
+fn weather(pairs: &[&str]) -> Result<LinkFaults, String> {
+    let mut weather = LinkFaults::default();
     for pair in pairs {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
         let value = value.parse::<f64>().ok().filter(|value| (0.0..=1.0).contains(value));
         let value = value.ok_or_else(|| format!("{pair:?}: expected a number from 0 to 1"))?;
         match name {
-            "lost" => weather.lost = value,
-            "twice" => weather.twice = value,
+            "lost" => weather.loss = value,
+            "twice" => weather.duplication = value,
             "delay" => weather.delay = value,
             "held" => weather.held = value > 0.0,
             _ => return Err(format!("no weather is called {name:?}")),
@@ -684,13 +698,13 @@
 }
 
 /// A second process under a router's name.
-pub struct Double {
+pub struct DuplicateRouter {
     process: Child,
     pub listen: SocketAddr,
     pub control: SocketAddr,
 }
 
-impl Drop for Double {
+impl Drop for DuplicateRouter {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -698,7 +712,7 @@
 }
 
 /// What a router answers at its control address; nothing if it does not.
-pub fn ask(control: SocketAddr, question: &str) -> Vec<serde_json::Value> {
+pub fn query(control: SocketAddr, question: &str) -> Vec<serde_json::Value> {
     let asked = || -> io::Result<Vec<String>> {
         let mut router = std::net::TcpStream::connect_timeout(&control, Duration::from_millis(500))?;
         router.set_read_timeout(Some(Duration::from_millis(500)))?;
@@ -708,11 +722,11 @@
     asked().unwrap_or_default().iter().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
-impl Drop for Rig {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        self.rest();
+        self.stop_load();
         for index in 0..self.routers.len() {
-            self.go_on(index);
+            self.resume(index);
             self.kill(index);
         }
         if !thread::panicking() {
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use ottersill_testkit::cluster::{self, Answers, Plan, Rig};
-use ottersill_testkit::stand_in::{Client, Conduct, Toy, unix_ms};
+use ottersill_testkit::cluster::{self, Answers, Cluster, ClusterPlan};
+use ottersill_testkit::stand_in::{Behaviour, Client, StandInStore, unix_ms};
 
 const ROUTER: &str = "127.0.0.1:7400";
 const DISCOVERY: &str = "127.0.0.1:7500";
@@ -26,7 +26,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts a toy store of three hosts and its discovery; lines on standard input change them.
+    /// Starts a stand-in store of three hosts and its discovery; lines on standard input change them.
     Serve,
     /// Sends one statement to the router of the example.
     #[command(subcommand)]
@@ -118,33 +118,34 @@
     let charter = std::fs::read_to_string(&cost.charter)?;
     let mut rows = [Vec::new(), Vec::new()];
     for round in 0..cost.rounds {
-        for (row, talk) in [true, false].into_iter().enumerate() {
-            let plan = Plan {
+        for (row, fleet_enabled) in [true, false].into_iter().enumerate() {
+            let plan = ClusterPlan {
                 routers: cost.routers,
                 voters: cost.routers.min(3) | 1,
                 executions: 64,
                 probes: 1000,
-                work: 0.0,
-                talk,
+                statement_seconds: 0.0,
+                fleet_enabled,
                 audit: cost.audit,
                 seed: round as u64 + 1,
-                ..Plan::default()
+                ..ClusterPlan::default()
             };
-            let mut rig = Rig::new(plan, &program, &charter)?;
-            rig.start_all()?;
-            if !rig.until(|rig| (0..rig.routers.len()).all(|index| rig.is_ready(index))) {
+            let mut cluster = Cluster::new(plan, &program, &charter)?;
+            cluster.start_all()?;
+            if !cluster.wait_until(|cluster| (0..cluster.routers.len()).all(|index| cluster.is_ready(index)))
+            {
                 return Err(io::Error::other("not all routers came up"));
             }
             std::thread::sleep(Duration::from_secs_f64(4.0));
-            let idle = rig.cpu(1);
+            let idle = cluster.cpu_seconds(1);
             std::thread::sleep(Duration::from_secs_f64(cost.seconds));
-            let idle = (rig.cpu(1) - idle) / cost.seconds;
+            let idle = (cluster.cpu_seconds(1) - idle) / cost.seconds;
             let mut clients = vec![0; cost.routers];
             clients[0] = 1;
-            rig.load_at(&clients, 0);
+            cluster.start_load_at(&clients, 0);
             std::thread::sleep(Duration::from_secs_f64(cost.seconds));
-            let served = rig.rest()[0].completed;
-            let counts = rig.ask(1, "counts");
+            let served = cluster.stop_load()[0].completed;
+            let counts = cluster.query(1, "counts");
             let of = |name: &str| counts.first().and_then(|line| line[name].as_f64()).unwrap_or(0.0);
             let ran = 4.0 + 2.0 * cost.seconds;
             rows[row].push([
@@ -179,7 +180,7 @@
     spent: u64,
     processes: usize,
     answers: Answers,
-    /// Schedules that were not played, as a router did not come up within the rig's patience.
+    /// Schedules that were not played, as a router did not come up within the cluster's patience.
     not_up: u64,
 }
 
@@ -191,33 +192,33 @@
         None => None,
         Some(plan) => {
             let told = |fault| io::Error::other(format!("{}: {fault}", plan.display()));
-            Some(cluster::script(&std::fs::read_to_string(plan)?, fleet.routers).map_err(told)?)
+            Some(cluster::parse_script(&std::fs::read_to_string(plan)?, fleet.routers).map_err(told)?)
         }
     };
     let (next, sum) = (AtomicU64::new(0), Mutex::new(Sum::default()));
     let one = |seed: u64| -> io::Result<()> {
-        let plan = Plan { routers: fleet.routers, seed, floor: seed % 2, ..Plan::default() };
-        let mut rig = Rig::new(plan, &program, &charter)?;
-        rig.start_all()?;
-        if !rig.until(|rig| (0..rig.routers.len()).all(|index| rig.is_ready(index))) {
-            let late = (0..rig.routers.len()).filter(|index| !rig.is_ready(*index));
-            let logs = late.map(|index| format!("r{index}: {}", rig.log(index))).collect::<String>();
+        let plan = ClusterPlan { routers: fleet.routers, seed, floor: seed % 2, ..ClusterPlan::default() };
+        let mut cluster = Cluster::new(plan, &program, &charter)?;
+        cluster.start_all()?;
+        if !cluster.wait_until(|cluster| (0..cluster.routers.len()).all(|index| cluster.is_ready(index))) {
+            let late = (0..cluster.routers.len()).filter(|index| !cluster.is_ready(*index));
+            let logs = late.map(|index| format!("r{index}: {}", cluster.log(index))).collect::<String>();
             // What it shows is told with the rest; the other schedules go on.
             let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
             sum.not_up += 1;
             eprintln!("seed {seed}: not all routers came up\n{logs}");
             return Ok(());
         }
-        rig.load(fleet.clients, 8);
+        cluster.start_load(fleet.clients, 8);
         // Until what an earlier keeper might have granted is over.
         std::thread::sleep(Duration::from_secs_f64(3.5));
         match &script {
-            Some(steps) => rig.play(steps)?,
-            None => rig.storm(fleet.seconds)?,
+            Some(steps) => cluster.play(steps)?,
+            None => cluster.run_random_faults(fleet.seconds)?,
         }
         std::thread::sleep(Duration::from_secs_f64(1.0));
-        let answers = rig.rest();
-        let verdict = rig.audit().map_err(io::Error::other)?;
+        let answers = cluster.stop_load();
+        let verdict = cluster.audit().map_err(io::Error::other)?;
         let mut sum = sum.lock().unwrap_or_else(PoisonError::into_inner);
         sum.faults.extend(verdict.faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
         for (budget, highest) in verdict.highest {
@@ -247,7 +248,7 @@
         let workers: Vec<_> = (0..fleet.beside.clamp(1, 64)).map(|_| scope.spawn(work)).collect();
         workers
             .into_iter()
-            .try_for_each(|worker| worker.join().map_err(|_| io::Error::other("a rig broke"))?)
+            .try_for_each(|worker| worker.join().map_err(|_| io::Error::other("a cluster broke"))?)
     })?;
     let sum = sum.into_inner().unwrap_or_else(PoisonError::into_inner);
     let played = fleet.schedules - sum.not_up;
@@ -263,21 +264,25 @@
     if sum.faults.is_empty() { Ok(()) } else { Err(io::Error::other(format!("{} faults", sum.faults.len()))) }
 }
 
-/// Until the end of input, each line gives a host another conduct or health: `0 silent`, `2 leaving`.
+/// Until the end of input, each line gives a host another behaviour or health: `0 silent`, `2 leaving`.
 fn serve() -> io::Result<()> {
-    let toy = Toy::default();
+    let store = StandInStore::default();
     for at in HOSTS {
-        println!("host toy-{} at {}", toy.hosts(), toy.host(at)?);
+        println!("host toy-{} at {}", store.endpoint_count(), store.add_endpoint(at)?);
     }
-    println!("discovery at {}", toy.discovery(DISCOVERY)?);
+    println!("discovery at {}", store.add_discovery(DISCOVERY)?);
     for line in io::stdin().lock().lines() {
         let line = line?;
         let (host, word) = line.trim().split_once(' ').unwrap_or_default();
         let health = ["active", "leaving", "left"].into_iter().find(|known| *known == word);
-        match (host.parse().ok().filter(|host| *host < toy.hosts()), Conduct::named(word), health) {
-            (Some(host), Some(conduct), _) => toy.set_conduct(host, conduct),
-            (Some(host), _, Some(health)) => toy.set_health(host, health),
-            _ => println!("expected a host's number and a conduct or a health, found {line:?}"),
+        match (
+            host.parse().ok().filter(|host| *host < store.endpoint_count()),
+            Behaviour::named(word),
+            health,
+        ) {
+            (Some(host), Some(behaviour), _) => store.set_behaviour(host, behaviour),
+            (Some(host), _, Some(health)) => store.set_health(host, health),
+            _ => println!("expected a host's number and a behaviour or a health, found {line:?}"),
         }
     }
     Ok(())
--- a/crates/testkit/src/scripted_peer/mod.rs
+++ b/crates/testkit/src/scripted_peer/mod.rs
@@ -35,7 +35,7 @@
     let _ = socket.shutdown(Shutdown::Write);
 }
 
-struct Conduct {
+struct Behaviour {
     greets: bool,
     primary: bool,
     /// Its position, where that stands still.
@@ -47,33 +47,33 @@
 }
 
 struct Shared {
-    conduct: Mutex<Conduct>,
+    behaviour: Mutex<Behaviour>,
     changed: Condvar,
 }
 
 /// A host that answers probes by itself, and statements as it is told.
-pub struct Host {
+pub struct ScriptedEndpoint {
     pub at: SocketAddr,
     shared: Arc<Shared>,
-    arrivals: Receiver<Arrival>,
+    arrivals: Receiver<ReceivedStatement>,
 }
 
 /// A statement that has come in whole, on a connection on which nothing else happens until it is dealt with.
-pub struct Arrival {
+pub struct ReceivedStatement {
     pub text: String,
     pub came: Instant,
     socket: TcpStream,
     shared: Arc<Shared>,
-    to: Sender<Arrival>,
+    to: Sender<ReceivedStatement>,
 }
 
-impl Host {
-    pub fn start(primary: bool) -> io::Result<Host> {
+impl ScriptedEndpoint {
+    pub fn start(primary: bool) -> io::Result<ScriptedEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
-        let conduct =
-            Conduct { greets: true, primary, stands_at_ms: None, kept_waiting: 0, greeting: 0, resting: 0 };
-        let shared = Arc::new(Shared { conduct: Mutex::new(conduct), changed: Condvar::new() });
+        let behaviour =
+            Behaviour { greets: true, primary, stands_at_ms: None, kept_waiting: 0, greeting: 0, resting: 0 };
+        let shared = Arc::new(Shared { behaviour: Mutex::new(behaviour), changed: Condvar::new() });
         let (to, arrivals) = channel();
         let kept = Arc::clone(&shared);
         thread::spawn(move || {
@@ -83,91 +83,91 @@
                 thread::spawn(move || greet(socket, shared, to));
             }
         });
-        Ok(Host { at, shared, arrivals })
+        Ok(ScriptedEndpoint { at, shared, arrivals })
     }
 
     /// Greets who dials, from now on, and those who wait for it.
-    pub fn greets(&self) {
-        lock(&self.shared.conduct).greets = true;
+    pub fn resume_greeting(&self) {
+        lock(&self.shared.behaviour).greets = true;
         self.shared.changed.notify_all();
     }
 
     /// Greets nobody from now on, and ends all connections but those on which a statement is out, so that whatever comes
     /// next has to dial.
-    pub fn greets_no_more(&self) {
-        lock(&self.shared.conduct).greets = false;
-        self.until("what rests ends", |conduct| conduct.resting == 0);
+    pub fn hold_greeting_and_close_idle(&self) {
+        lock(&self.shared.behaviour).greets = false;
+        self.until("what rests ends", |behaviour| behaviour.resting == 0);
     }
 
-    pub fn stands_still(&self) {
-        lock(&self.shared.conduct).stands_at_ms = Some(unix_ms());
+    pub fn freeze_position(&self) {
+        lock(&self.shared.behaviour).stands_at_ms = Some(unix_ms());
     }
 
     /// Waits until so many connections want to be greeted.
-    pub fn until_dialled(&self, connections: usize) {
-        self.until("it is dialled", |conduct| conduct.kept_waiting >= connections);
+    pub fn wait_for_connections(&self, connections: usize) {
+        self.until("it is dialled", |behaviour| behaviour.kept_waiting >= connections);
     }
 
     /// Waits until nobody who dialled is left without a greeting, and each greeting is written.
-    pub fn until_greeted(&self) {
-        self.until("all are greeted", |conduct| conduct.kept_waiting == 0 && conduct.greeting == 0);
+    pub fn wait_until_greeted(&self) {
+        self.until("all are greeted", |behaviour| behaviour.kept_waiting == 0 && behaviour.greeting == 0);
     }
 
-    fn until(&self, what: &str, holds: impl Fn(&Conduct) -> bool) {
+    fn until(&self, what: &str, holds: impl Fn(&Behaviour) -> bool) {
         let started = Instant::now();
-        while !holds(&lock(&self.shared.conduct)) {
+        while !holds(&lock(&self.shared.behaviour)) {
             assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
             thread::sleep(LOOK);
         }
     }
 
     /// The next statement.
-    pub fn next(&self) -> Arrival {
+    pub fn next(&self) -> ReceivedStatement {
         self.arrivals.recv_timeout(PATIENCE).expect("a statement comes")
     }
 
     /// The next statement, if one comes within that time.
-    pub fn next_within(&self, within: Duration) -> Option<Arrival> {
+    pub fn next_within(&self, within: Duration) -> Option<ReceivedStatement> {
         self.arrivals.recv_timeout(within).ok()
     }
 }
 
-fn ready(conduct: &Conduct) -> Vec<u8> {
-    let mut out = parameter("recovery", if conduct.primary { "off" } else { "on" });
-    out.extend(parameter("lsn_ms", &position(conduct).to_string()));
+fn ready(behaviour: &Behaviour) -> Vec<u8> {
+    let mut out = parameter("recovery", if behaviour.primary { "off" } else { "on" });
+    out.extend(parameter("lsn_ms", &position(behaviour).to_string()));
     out.extend(message(b'Z', b"I"));
     out
 }
 
-fn position(conduct: &Conduct) -> u128 {
-    conduct.stands_at_ms.unwrap_or_else(unix_ms)
+fn position(behaviour: &Behaviour) -> u128 {
+    behaviour.stands_at_ms.unwrap_or_else(unix_ms)
 }
 
-fn greet(mut socket: TcpStream, shared: Arc<Shared>, to: Sender<Arrival>) -> io::Result<()> {
+fn greet(mut socket: TcpStream, shared: Arc<Shared>, to: Sender<ReceivedStatement>) -> io::Result<()> {
     socket.set_nodelay(true)?;
     let mut length = [0; 4];
     socket.read_exact(&mut length)?;
     let mut startup = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(10_000)];
     socket.read_exact(&mut startup)?;
-    let mut conduct = lock(&shared.conduct);
-    conduct.kept_waiting += 1;
-    while !conduct.greets {
-        conduct = shared.changed.wait(conduct).unwrap_or_else(PoisonError::into_inner);
+    let mut behaviour = lock(&shared.behaviour);
+    behaviour.kept_waiting += 1;
+    while !behaviour.greets {
+        behaviour = shared.changed.wait(behaviour).unwrap_or_else(PoisonError::into_inner);
     }
-    conduct.kept_waiting -= 1;
-    conduct.greeting += 1;
+    behaviour.kept_waiting -= 1;
+    behaviour.greeting += 1;
     let mut out = message(b'R', &[0; 4]);
-    out.extend(ready(&conduct));
-    drop(conduct);
+    out.extend(ready(&behaviour));
+    drop(behaviour);
     // Where nobody reads it any more, the next reading tells.
     let _ = socket.write_all(&out);
-    lock(&shared.conduct).greeting -= 1;
+    lock(&shared.behaviour).greeting -= 1;
     serve(socket, shared, to)
 }
 
 /// Reads on a connection until a statement has come, which takes the connection with it. Probes are answered on the way.
-fn serve(mut socket: TcpStream, shared: Arc<Shared>, to: Sender<Arrival>) -> io::Result<()> {
-    lock(&shared.conduct).resting += 1;
+fn serve(mut socket: TcpStream, shared: Arc<Shared>, to: Sender<ReceivedStatement>) -> io::Result<()> {
+    lock(&shared.behaviour).resting += 1;
     let came = loop {
         match read_message(&mut socket, &shared) {
             Ok((b'Q', body)) => {
@@ -176,14 +176,14 @@
                     break Some(text);
                 }
                 let mut out = {
-                    let conduct = lock(&shared.conduct);
-                    let (at, x1) = (position(&conduct), u8::from(conduct.primary));
+                    let behaviour = lock(&shared.behaviour);
+                    let (at, x1) = (position(&behaviour), u8::from(behaviour.primary));
                     row(
                         format!("x0={}.{:03},x1={x1},utilization=0.1", at / 1000, at % 1000).as_bytes(),
                         "SHOW",
                     )
                 };
-                out.extend(ready(&lock(&shared.conduct)));
+                out.extend(ready(&lock(&shared.behaviour)));
                 // Where nobody reads it any more, the next reading tells.
                 let _ = socket.write_all(&out);
             }
@@ -194,11 +194,11 @@
         // A test that is over hears no more.
         Some(text) => {
             let shared = Arc::clone(&shared);
-            let _ = to.clone().send(Arrival { text, came: Instant::now(), socket, shared, to });
+            let _ = to.clone().send(ReceivedStatement { text, came: Instant::now(), socket, shared, to });
         }
         None => end(&socket),
     }
-    lock(&shared.conduct).resting -= 1;
+    lock(&shared.behaviour).resting -= 1;
     Ok(())
 }
 
@@ -211,7 +211,7 @@
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => break,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if !lock(&shared.conduct).greets {
+                if !lock(&shared.behaviour).greets {
                     return Err(ErrorKind::ConnectionAborted.into());
                 }
             }
@@ -226,12 +226,12 @@
     Ok((tag[0], body))
 }
 
-impl Arrival {
+impl ReceivedStatement {
     fn go_on(mut self, mut out: Vec<u8>) {
-        out.extend(ready(&lock(&self.shared.conduct)));
+        out.extend(ready(&lock(&self.shared.behaviour)));
         // Where nobody reads it any more, the next reading tells.
         let _ = self.socket.write_all(&out);
-        let Arrival { socket, shared, to, .. } = self;
+        let ReceivedStatement { socket, shared, to, .. } = self;
         thread::spawn(move || serve(socket, shared, to));
     }
 
@@ -245,15 +245,15 @@
     }
 
     /// The same, and the connection ends with it.
-    pub fn fail_and_end(mut self, code: &str) {
+    pub fn fail_and_close(mut self, code: &str) {
         let mut out = error(code, "as it was told");
-        out.extend(ready(&lock(&self.shared.conduct)));
+        out.extend(ready(&lock(&self.shared.behaviour)));
         let _ = self.socket.write_all(&out);
         end(&self.socket);
     }
 
     /// So much of an answer, and then a reset.
-    pub fn break_off(mut self, value: &str, bytes: usize) {
+    pub fn answer_partly_and_reset(mut self, value: &str, bytes: usize) {
         let whole = row(value.as_bytes(), "SELECT 1");
         let _ = self.socket.write_all(&whole[..bytes.min(whole.len())]);
         let _ = reset(self.socket);
@@ -261,20 +261,20 @@
 }
 
 /// A discovery of which each call is answered by hand.
-pub struct Discovery {
+pub struct ScriptedDiscovery {
     pub at: SocketAddr,
-    calls: Receiver<Call>,
+    calls: Receiver<DiscoveryCall>,
 }
 
-pub struct Call {
+pub struct DiscoveryCall {
     pub path: String,
     pub came: Instant,
     socket: TcpStream,
-    to: Sender<Call>,
+    to: Sender<DiscoveryCall>,
 }
 
-impl Discovery {
-    pub fn start() -> io::Result<Discovery> {
+impl ScriptedDiscovery {
+    pub fn start() -> io::Result<ScriptedDiscovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let (to, calls) = channel();
@@ -284,29 +284,29 @@
                 thread::spawn(move || hear(socket, to));
             }
         });
-        Ok(Discovery { at, calls })
+        Ok(ScriptedDiscovery { at, calls })
     }
 
-    pub fn next(&self) -> Call {
+    pub fn next(&self) -> DiscoveryCall {
         self.calls.recv_timeout(PATIENCE).expect("a call comes")
     }
 
-    pub fn next_within(&self, within: Duration) -> Option<Call> {
+    pub fn next_within(&self, within: Duration) -> Option<DiscoveryCall> {
         self.calls.recv_timeout(within).ok()
     }
 }
 
 /// Waits for one request, which takes the connection with it.
-fn hear(socket: TcpStream, to: Sender<Call>) -> io::Result<()> {
+fn hear(socket: TcpStream, to: Sender<DiscoveryCall>) -> io::Result<()> {
     let mut lines = BufReader::new(&socket).lines();
     let Some(path) = lines.next().transpose()? else { return Ok(()) };
     while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
     drop(lines);
-    let _ = to.send(Call { path, came: Instant::now(), socket, to: to.clone() });
+    let _ = to.send(DiscoveryCall { path, came: Instant::now(), socket, to: to.clone() });
     Ok(())
 }
 
-impl Call {
+impl DiscoveryCall {
     pub fn say(&mut self, bytes: &str) {
         // Where the router has given the call up, that is what the test is about.
         let _ = self.socket.write_all(bytes.as_bytes());
@@ -314,7 +314,7 @@
 
     pub fn answer(mut self, list: &str) {
         self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
-        let Call { socket, to, .. } = self;
+        let DiscoveryCall { socket, to, .. } = self;
         thread::spawn(move || hear(socket, to));
     }
 
@@ -329,7 +329,7 @@
 }
 
 /// Discovery's list, each host by its name, its address and its health.
-pub fn list(seq: u64, hosts: &[(&str, SocketAddr, &str)]) -> String {
+pub fn endpoint_list(seq: u64, hosts: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(name, at, health): &(&str, SocketAddr, &str)| {
         format!(
             "{{\"host\":\"{name}\",\"dial\":\"{at}\",\"site\":\"here\",\"class\":\"toy\",\"block\":1,\
--- a/crates/testkit/src/stand_in/mod.rs
+++ b/crates/testkit/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! A toy store: hosts that speak as much of PostgreSQL's protocol as ottersill needs, and the discovery that
+//! A stand-in store: hosts that speak as much of PostgreSQL's protocol as ottersill needs, and the discovery that
 //! lists them, written from the public specifications. One thread a connection; all hosts share their data.
 
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 
 /// How a host treats what it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum Behaviour {
     Primary,
     Replica,
     /// Turns statements away unexamined.
@@ -33,20 +33,20 @@
     Echoes,
 }
 
-impl Conduct {
-    pub fn named(name: &str) -> Option<Conduct> {
+impl Behaviour {
+    pub fn named(name: &str) -> Option<Behaviour> {
         Some(match name {
-            "primary" => Conduct::Primary,
-            "replica" => Conduct::Replica,
-            "full" => Conduct::Full,
-            "faulty" => Conduct::Faulty,
-            "resets" => Conduct::Resets,
-            "silent" => Conduct::Silent,
-            "babbles" => Conduct::Babbles,
-            "closes" => Conduct::Closes,
-            "mute" => Conduct::Mute,
-            "spoils" => Conduct::Spoils,
-            "echoes" => Conduct::Echoes,
+            "primary" => Behaviour::Primary,
+            "replica" => Behaviour::Replica,
+            "full" => Behaviour::Full,
+            "faulty" => Behaviour::Faulty,
+            "resets" => Behaviour::Resets,
+            "silent" => Behaviour::Silent,
+            "babbles" => Behaviour::Babbles,
+            "closes" => Behaviour::Closes,
+            "mute" => Behaviour::Mute,
+            "spoils" => Behaviour::Spoils,
+            "echoes" => Behaviour::Echoes,
             _ => return None,
         })
     }
@@ -54,19 +54,19 @@
 
 struct Host {
     at: SocketAddr,
-    conduct: Conduct,
-    /// Whether it writes, whatever its conduct.
+    behaviour: Behaviour,
+    /// Whether it writes, whatever its behaviour.
     primary: bool,
     health: &'static str,
     /// When it started, as discovery tells it; Unix milliseconds, zero for long ago.
-    born_ms: u128,
+    started_ms: u128,
     /// Statements that came in whole.
-    taken: Vec<String>,
+    received: Vec<String>,
     /// Executions that are under way, and the most that ever were at once.
     under_way: usize,
-    most: usize,
+    peak_concurrency: usize,
     /// What was executed: the statement's `id`, and when it began and ended, in Unix seconds.
-    executed: Vec<Execution>,
+    executions: Vec<Execution>,
 }
 
 /// One execution of a statement at a host.
@@ -81,18 +81,18 @@
 #[derive(Default)]
 struct State {
     hosts: Vec<Host>,
-    seq: u64,
+    version: u64,
     silent_discovery: bool,
     closing_discovery: bool,
     /// How long a statement's work takes; nothing at first.
     work: Duration,
     values: HashMap<String, Vec<u8>>,
     /// Views that write when they are read.
-    sly: Vec<String>,
+    writing_views: Vec<String>,
 }
 
 #[derive(Clone, Default)]
-pub struct Toy {
+pub struct StandInStore {
     state: Arc<Mutex<State>>,
     changed: Arc<Condvar>,
 }
@@ -101,48 +101,48 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
 }
 
-impl Toy {
+impl StandInStore {
     /// Listens at that address for as many hosts as are given; the first is the primary.
-    pub fn host(&self, at: &str) -> io::Result<SocketAddr> {
+    pub fn add_endpoint(&self, at: &str) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(at)?;
         let at = listener.local_addr()?;
         let mut state = self.lock();
         let number = state.hosts.len();
-        let conduct = if number == 0 { Conduct::Primary } else { Conduct::Replica };
+        let behaviour = if number == 0 { Behaviour::Primary } else { Behaviour::Replica };
         state.hosts.push(Host {
             at,
-            conduct,
+            behaviour,
             primary: number == 0,
             health: "active",
-            born_ms: 0,
-            taken: Vec::new(),
+            started_ms: 0,
+            received: Vec::new(),
             under_way: 0,
-            most: 0,
-            executed: Vec::new(),
+            peak_concurrency: 0,
+            executions: Vec::new(),
         });
-        state.seq += 1;
-        self.serve(listener, move |toy, client| toy.serve_host(number, client));
+        state.version += 1;
+        self.serve(listener, move |store, client| store.serve_host(number, client));
         Ok(at)
     }
 
-    pub fn discovery(&self, at: &str) -> io::Result<SocketAddr> {
-        self.discovery_by(at, &[])
+    pub fn add_discovery(&self, at: &str) -> io::Result<SocketAddr> {
+        self.add_discovery_via(at, &[])
     }
 
     /// A discovery that gives each host another address, where one is given: of a relay on the way to it.
-    pub fn discovery_by(&self, at: &str, dials: &'static [SocketAddr]) -> io::Result<SocketAddr> {
+    pub fn add_discovery_via(&self, at: &str, proxied: &'static [SocketAddr]) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(at)?;
         let at = listener.local_addr()?;
-        self.serve(listener, move |toy, client| toy.serve_discovery(client, dials));
+        self.serve(listener, move |store, client| store.serve_discovery(client, proxied));
         Ok(at)
     }
 
-    pub fn set_conduct(&self, host: usize, conduct: Conduct) {
+    pub fn set_behaviour(&self, host: usize, behaviour: Behaviour) {
         let host = &mut self.lock().hosts[host];
-        host.conduct = conduct;
-        match conduct {
-            Conduct::Primary => host.primary = true,
-            Conduct::Replica => host.primary = false,
+        host.behaviour = behaviour;
+        match behaviour {
+            Behaviour::Primary => host.primary = true,
+            Behaviour::Replica => host.primary = false,
             _ => {}
         }
     }
@@ -151,15 +151,15 @@
     pub fn set_health(&self, host: usize, health: &'static str) {
         let mut state = self.lock();
         state.hosts[host].health = health;
-        state.seq += 1;
+        state.version += 1;
         self.changed.notify_all();
     }
 
     /// Discovery says from now on that the host has just started.
-    pub fn set_born(&self, host: usize) {
+    pub fn set_just_started(&self, host: usize) {
         let mut state = self.lock();
-        state.hosts[host].born_ms = unix_ms();
-        state.seq += 1;
+        state.hosts[host].started_ms = unix_ms();
+        state.version += 1;
         self.changed.notify_all();
     }
 
@@ -175,34 +175,34 @@
     }
 
     /// The statements that a host has taken in.
-    pub fn taken(&self, host: usize) -> Vec<String> {
-        self.lock().hosts[host].taken.clone()
+    pub fn received(&self, host: usize) -> Vec<String> {
+        self.lock().hosts[host].received.clone()
     }
 
     /// From now on a statement that names this view writes, whatever it looks like.
     pub fn hide_write(&self, view: &str) {
-        self.lock().sly.push(view.to_string());
+        self.lock().writing_views.push(view.to_string());
     }
 
     /// From now on each statement takes that long.
-    pub fn set_work(&self, work: Duration) {
+    pub fn set_statement_duration(&self, work: Duration) {
         self.lock().work = work;
     }
 
     /// The most executions that were under way at a host at once.
-    pub fn most_at_once(&self, host: usize) -> usize {
-        self.lock().hosts[host].most
+    pub fn peak_concurrency(&self, host: usize) -> usize {
+        self.lock().hosts[host].peak_concurrency
     }
 
-    pub fn executed(&self, host: usize) -> Vec<Execution> {
-        self.lock().hosts[host].executed.clone()
+    pub fn executions(&self, host: usize) -> Vec<Execution> {
+        self.lock().hosts[host].executions.clone()
     }
 
-    pub fn host_at(&self, host: usize) -> SocketAddr {
+    pub fn endpoint_address(&self, host: usize) -> SocketAddr {
         self.lock().hosts[host].at
     }
 
-    pub fn hosts(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.lock().hosts.len()
     }
 
@@ -213,14 +213,14 @@
     fn serve(
         &self,
         listener: TcpListener,
-        each: impl Fn(&Toy, TcpStream) -> io::Result<()> + Send + Copy + 'static,
+        each: impl Fn(&StandInStore, TcpStream) -> io::Result<()> + Send + Copy + 'static,
     ) {
-        let toy = self.clone();
+        let store = self.clone();
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
-                let toy = toy.clone();
+                let store = store.clone();
                 // A connection that breaks is its client's affair.
-                thread::spawn(move || each(&toy, client));
+                thread::spawn(move || each(&store, client));
             }
         });
     }
@@ -231,7 +231,7 @@
         client.read_exact(&mut length)?;
         let mut startup = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(10_000)];
         client.read_exact(&mut startup)?;
-        if self.lock().hosts[number].conduct == Conduct::Mute {
+        if self.lock().hosts[number].behaviour == Behaviour::Mute {
             // Until the other side has had enough.
             return client.read_exact(&mut length);
         }
@@ -249,34 +249,34 @@
             }
             body.pop();
             let text = String::from_utf8_lossy(&body).into_owned();
-            let conduct = self.note(number, &text);
+            let behaviour = self.note(number, &text);
             self.work(number, &text);
-            let mut out = match conduct {
-                Conduct::Silent if is_statement(&text) => continue,
-                Conduct::Resets if is_statement(&text) => return Ok(()),
-                Conduct::Babbles if is_statement(&text) => b"?what is this\0".to_vec(),
-                Conduct::Full if is_statement(&text) => error("53300", "too much to do"),
-                Conduct::Faulty if is_statement(&text) => error("XX000", "something broke"),
-                Conduct::Spoils if is_statement(&text) => spoilt(self.answer(number, &text)),
+            let mut out = match behaviour {
+                Behaviour::Silent if is_statement(&text) => continue,
+                Behaviour::Resets if is_statement(&text) => return Ok(()),
+                Behaviour::Babbles if is_statement(&text) => b"?what is this\0".to_vec(),
+                Behaviour::Full if is_statement(&text) => error("53300", "too much to do"),
+                Behaviour::Faulty if is_statement(&text) => error("XX000", "something broke"),
+                Behaviour::Spoils if is_statement(&text) => spoilt(self.answer(number, &text)),
                 _ => self.answer(number, &text),
             };
             out.extend(self.ready(number));
-            if conduct == Conduct::Echoes && is_statement(&text) {
+            if behaviour == Behaviour::Echoes && is_statement(&text) {
                 out.extend(out.clone());
             }
             client.write_all(&out)?;
-            if conduct == Conduct::Closes {
+            if behaviour == Behaviour::Closes {
                 return client.shutdown(Shutdown::Both);
             }
         }
     }
 
-    fn note(&self, number: usize, text: &str) -> Conduct {
+    fn note(&self, number: usize, text: &str) -> Behaviour {
         let host = &mut self.lock().hosts[number];
         if is_statement(text) {
-            host.taken.push(text.to_string());
+            host.received.push(text.to_string());
         }
-        host.conduct
+        host.behaviour
     }
 
     /// Takes the time that the statement's work takes, and writes down that it ran.
@@ -290,7 +290,7 @@
             let work = state.work;
             let host = &mut state.hosts[number];
             host.under_way += 1;
-            host.most = host.most.max(host.under_way);
+            host.peak_concurrency = host.peak_concurrency.max(host.under_way);
             work
         };
         thread::sleep(work);
@@ -299,7 +299,7 @@
         let host = &mut self.lock().hosts[number];
         host.under_way -= 1;
         let (wrote, ended) = (host.primary && text.starts_with("INSERT"), unix_ms() as f64 / 1000.0);
-        host.executed.push(Execution { id, wrote, began, ended });
+        host.executions.push(Execution { id, wrote, began, ended });
     }
 
     fn ready(&self, number: usize) -> Vec<u8> {
@@ -323,8 +323,8 @@
             return row(report.as_bytes(), "SHOW");
         }
         let Some(key) = quoted.next() else { return error("42601", "no statement of this store") };
-        let sly = state.sly.iter().any(|view| text.contains(view.as_str()));
-        if text.starts_with("SELECT") && (primary || !sly) {
+        let writing_views = state.writing_views.iter().any(|view| text.contains(view.as_str()));
+        if text.starts_with("SELECT") && (primary || !writing_views) {
             return row(state.values.get(key).map_or(b"", |value| value.as_slice()), "SELECT 1");
         }
         if !primary {
@@ -335,7 +335,7 @@
         row(&value, "INSERT 0 1")
     }
 
-    fn serve_discovery(&self, client: TcpStream, dials: &[SocketAddr]) -> io::Result<()> {
+    fn serve_discovery(&self, client: TcpStream, proxied: &[SocketAddr]) -> io::Result<()> {
         let mut out = client.try_clone()?;
         let mut lines = BufReader::new(client).lines();
         loop {
@@ -348,7 +348,7 @@
                 digits.parse::<u64>().ok()
             };
             let (since, wait) = (number("since="), number("timeout_ms=").unwrap_or(0));
-            let list = self.list(since, Duration::from_millis(wait.min(60_000)), dials);
+            let list = self.list(since, Duration::from_millis(wait.min(60_000)), proxied);
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}",
                 list.len()
@@ -362,9 +362,9 @@
     }
 
     /// The whole list, once there is a newer one or the wait is over.
-    fn list(&self, since: Option<u64>, wait: Duration, dials: &[SocketAddr]) -> String {
+    fn list(&self, since: Option<u64>, wait: Duration, proxied: &[SocketAddr]) -> String {
         let waits =
-            |state: &mut State| state.silent_discovery || since.is_some_and(|since| state.seq <= since);
+            |state: &mut State| state.silent_discovery || since.is_some_and(|since| state.version <= since);
         let mut state = self
             .changed
             .wait_timeout_while(self.lock(), wait, waits)
@@ -372,21 +372,21 @@
         while state.silent_discovery {
             state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
-        list_of(&state, dials)
+        list_of(&state, proxied)
     }
 }
 
-fn list_of(state: &State, dials: &[SocketAddr]) -> String {
+fn list_of(state: &State, proxied: &[SocketAddr]) -> String {
     let entry = |(number, host): (usize, &Host)| {
-        let (at, health) = (dials.get(number).copied().unwrap_or(host.at), host.health);
-        let born = host.born_ms;
+        let (at, health) = (proxied.get(number).copied().unwrap_or(host.at), host.health);
+        let born = host.started_ms;
         format!(
             "{{\"host\":\"toy-{number}\",\"dial\":\"{at}\",\"site\":\"here\",\"class\":\"toy\",\"block\":1,\
              \"health\":\"{health}\",\"share\":1.0,\"born_ms\":{born}}}"
         )
     };
     let hosts: Vec<String> = state.hosts.iter().enumerate().map(entry).collect();
-    format!("{{\"seq\":{},\"whole\":true,\"hosts\":[{}]}}", state.seq, hosts.join(","))
+    format!("{{\"seq\":{},\"whole\":true,\"hosts\":[{}]}}", state.version, hosts.join(","))
 }
 
 fn is_statement(text: &str) -> bool {
