--- a/crates/ottersill/tests/connection_close.rs
+++ b/crates/ottersill/tests/connection_close.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_lab::store::{Client, message};
+use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
 use scene::*;
 
--- a/crates/ottersill/tests/deadlines.rs
+++ b/crates/ottersill/tests/deadlines.rs
@@ -9,7 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_lab::script::{Arrival, Discovery, Host, list};
+use ottersill_testkit::scripted_peer::{
+    ReceivedStatement, ScriptedDiscovery, ScriptedEndpoint, endpoint_list,
+};
 use scene::*;
 use socket2::{Domain, Socket, Type};
 
@@ -18,13 +20,13 @@
 const WAY: Duration = Duration::from_millis(30);
 
 /// The time left that the host was told.
-fn told(arrival: &Arrival) -> Duration {
+fn told(arrival: &ReceivedStatement) -> Duration {
     let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split([',', ' ']).next()?.parse().ok());
     Duration::from_millis(told.expect("a time left"))
 }
 
 /// By how much this exceeds what the client, which sent it at that time, had left as it came.
-fn excess(arrival: &Arrival, sent: Instant, had_ms: u64) -> Duration {
+fn excess(arrival: &ReceivedStatement, sent: Instant, had_ms: u64) -> Duration {
     let waited = arrival.came.saturating_duration_since(sent);
     (told(arrival) + waited).saturating_sub(Duration::from_millis(had_ms))
 }
@@ -77,13 +79,14 @@
 }
 
 /// A long write that is stuck halfway to its primary.
-fn half_written() -> (Scene, NarrowPath, ottersill_lab::store::Client, Instant) {
-    let discovery = Discovery::start().expect("discovery");
-    let (primary, replica) = (Host::start(true).expect("a host"), Host::start(false).expect("a host"));
+fn half_written() -> (Scene, NarrowPath, ottersill_testkit::stand_in::Client, Instant) {
+    let discovery = ScriptedDiscovery::start().expect("discovery");
+    let (primary, replica) =
+        (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
     let path = NarrowPath::start(primary.at);
     let router = Router::spawn(&charter(discovery.at, &[LONG, LATE]), None);
     let hosts = [("one", path.at, "active"), ("two", replica.at, "active")];
-    discovery.next().answer(&list(1, &hosts));
+    discovery.next().answer(&endpoint_list(1, &hosts));
     let scene = Scene { primary, replica, discovery, router: router.until_ready() };
     let mut client = scene.router.client();
     client.send(&write(1, 9000)).expect("a query");
@@ -145,7 +148,7 @@
     let sent = Instant::now();
     let client = scene.read_on_its_way(7, 8000);
     thread::sleep(Duration::from_millis(500));
-    scene.replica.greets();
+    scene.replica.resume_greeting();
     let arrival = scene.replica.next();
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -24,7 +24,7 @@
     let at = scene.router.at;
     let client = |number: u32| {
         thread::spawn(move || {
-            let mut client = ottersill_lab::store::Client::connect(at).expect("a connection");
+            let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("a connection");
             client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
             client.answer().expect("a greeting");
             thread::sleep(Duration::from_millis(u64::from(number) * 60));
