--- a/crates/ottersill/src/wire/control.rs
+++ b/crates/ottersill/src/control.rs
@@ -10,8 +10,8 @@
 use slog::info;
 use socket2::Socket;
 
-use crate::memory::alarms::{Alarm, Set};
 use crate::memory::link::Course;
+use crate::timers::{Alarm, Set};
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket::{self, Got, Outbox};
 
--- a/crates/ottersill/src/wire/discovery.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -11,9 +11,9 @@
 use slog::{info, warn};
 use socket2::Socket;
 
-use crate::memory::alarms::{Alarm, Set};
+use crate::discovery::http;
+use crate::timers::{Alarm, Set};
 use crate::wire::exchange::{Exchange, Party};
-use crate::wire::http;
 use crate::wire::socket::{self, Got, Outbox};
 
 /// What discovery has and could have told counts as told after so long, whatever failed before, as the service page has
--- /dev/null
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -0,0 +1,5 @@
+//! Discovery: the endpoint list that it serves, the watch kept on it, and what is known of each endpoint.
+
+pub mod client;
+pub mod http;
+pub mod registry;
--- a/crates/ottersill/src/memory/hosts.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -7,7 +7,7 @@
 
 use ottersill_core::interface::{Listed, Standing};
 
-use crate::wire::discovery::{Entry, List};
+use crate::discovery::client::{Entry, List};
 
 pub struct Host {
     pub name: String,
--- a/crates/ottersill/src/memory/lines.rs
+++ b/crates/ottersill/src/memory/lines.rs
@@ -7,7 +7,7 @@
 use ottersill_core::interface::Ending;
 use socket2::Socket;
 
-use crate::memory::alarms::Set;
+use crate::timers::Set;
 use crate::wire::reply::Reply;
 use crate::wire::socket::Outbox;
 
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use socket2::Socket;
 
-use crate::memory::alarms::Set;
+use crate::timers::Set;
 
 /// Where the link stands.
 pub enum Course {
--- a/crates/ottersill/src/memory/mod.rs
+++ b/crates/ottersill/src/memory/mod.rs
@@ -1,9 +1,6 @@
 //! What is kept in memory: statements, hosts with the connections to them, clients, alarms, counters, the tie to the fleet.
 
-pub mod alarms;
 pub mod clients;
-pub mod counters;
-pub mod hosts;
 pub mod lines;
 pub mod link;
 pub mod statements;
--- a/crates/ottersill/src/memory/statements.rs
+++ b/crates/ottersill/src/memory/statements.rs
@@ -4,7 +4,7 @@
 
 use ottersill_statement::book::Place;
 
-use crate::memory::counters::Counters;
+use crate::counters::Counters;
 use crate::wire::statement::Text;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -12,9 +12,9 @@
 use slog::{info, warn};
 use socket2::Socket;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::clients::{Client, Session};
 use crate::memory::statements::{Held, Stage};
+use crate::timers::Alarm;
 use crate::wire::exchange::{Exchange, LEEWAY, Party};
 use crate::wire::frame::{self, Code, Startup};
 use crate::wire::socket::{self, Got, Outbox};
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -18,15 +18,15 @@
 use slog::Logger;
 use socket2::Socket;
 
-use crate::memory::alarms::{Alarm, Alarms, Set};
+use crate::control::Control;
+use crate::counters::Counters;
+use crate::discovery::client::Watch;
+use crate::discovery::registry::Hosts;
 use crate::memory::clients::Client;
-use crate::memory::counters::Counters;
-use crate::memory::hosts::Hosts;
 use crate::memory::lines::Line;
 use crate::memory::link::Link;
 use crate::memory::statements::Statements;
-use crate::wire::control::Control;
-use crate::wire::discovery::Watch;
+use crate::timers::{Alarm, Alarms, Set};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
 /// connection comes up is no measure for it: a customer's settings may give that any length.
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -12,8 +12,8 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::link::{Course, Link};
+use crate::timers::Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket;
 
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -6,9 +6,9 @@
 use ottersill_core::interface::{Ending, Report, Role};
 use slog::info;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::lines::{Course, Line, Load};
 use crate::memory::statements::Stage;
+use crate::timers::Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::frame;
 use crate::wire::reply::Reply;
--- a/crates/ottersill/src/wire/mod.rs
+++ b/crates/ottersill/src/wire/mod.rs
@@ -1,13 +1,10 @@
 //! What is spoken on the wire: PostgreSQL's protocol to clients and hosts, discovery's HTTP, the sockets.
 
 pub mod client_side;
-pub mod control;
-pub mod discovery;
 pub mod exchange;
 pub mod fleet_side;
 pub mod frame;
 pub mod host_side;
-pub mod http;
 pub mod reply;
 pub mod socket;
 pub mod statement;
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -1,14 +1,14 @@
 //! What is read off the wire, whatever pieces it comes in.
 
 use bytes::{Bytes, BytesMut};
+use ottersill::discovery::client::List;
+use ottersill::discovery::http;
+use ottersill::discovery::registry::Hosts;
 use ottersill::lifecycle::charter;
 use ottersill::memory::clients::Session;
-use ottersill::memory::hosts::Hosts;
 use ottersill::memory::lines::Course;
 use ottersill::memory::statements::Stage;
-use ottersill::wire::discovery::List;
 use ottersill::wire::frame::{self, Message, Startup};
-use ottersill::wire::http;
 use ottersill::wire::reply::Reply;
 use ottersill::wire::socket::Outbox;
 use ottersill::wire::statement::Text;
--- a/crates/ottersill/tests/alarms.rs
+++ b/crates/ottersill/tests/timers.rs
@@ -1,7 +1,7 @@
 //! What falls due by time, and never a moment before it: the owner of one that is early sets it anew for the same time,
 //! and the turn that it came due in never ends.
 
-use ottersill::memory::alarms::{Alarm, Alarms};
+use ottersill::timers::{Alarm, Alarms};
 use rstest::rstest;
 
 /// Unix time, where neighbouring floats lie a quarter of a microsecond apart.
