--- a/crates/ottersill/src/control.rs
+++ b/crates/ottersill/src/control.rs
@@ -11,7 +11,7 @@
 use socket2::Socket;
 
 use crate::memory::link::Course;
-use crate::timers::{Alarm, Set};
+use crate::timers::{Timer, TimerHandle};
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket::{self, Got, Outbox};
 
@@ -28,7 +28,7 @@
     inbox: BytesMut,
     outbox: Outbox,
     answered: bool,
-    alarm: Set,
+    alarm: TimerHandle,
 }
 
 #[derive(Default)]
@@ -54,7 +54,7 @@
             let Ok(Some(socket)) = socket::accept(&listener) else { return };
             let id = self.control.askers.vacant_key();
             let Ok((socket, token)) = self.attend(socket, Party::Asker(id)) else { return };
-            let alarm = self.alarms.set(self.now + TIME, Alarm::Asker(id));
+            let alarm = self.alarms.set(self.now + TIME, Timer::ControlClient(id));
             let (inbox, outbox) = (BytesMut::new(), Outbox::default());
             self.control.askers.insert(Asker { socket, token, inbox, outbox, answered: false, alarm });
             self.asker_is_ready(id);
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -12,7 +12,7 @@
 use socket2::Socket;
 
 use crate::discovery::http;
-use crate::timers::{Alarm, Set};
+use crate::timers::{Timer, TimerHandle};
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket::{self, Got, Outbox};
 
@@ -114,7 +114,7 @@
     /// the other one is closed, so no answer can be older than what was told before it.
     calls: Vec<Call>,
     /// When the newest call is given up, or, where there is none, the next one begins.
-    alarm: Option<Set>,
+    alarm: Option<TimerHandle>,
     /// The version of the last list read here; none asks for the whole list, at once.
     seq: Option<u64>,
     /// The last call was not answered: the next one waits for nothing, as its silence could not be told from no news.
@@ -140,7 +140,7 @@
     /// The one time by which something has to have come of the newest call.
     fn watch_within(&mut self, within: f64) {
         self.alarms.clear(self.watch.alarm.take());
-        self.watch.alarm = Some(self.alarms.set(self.now + within, Alarm::Discovery));
+        self.watch.alarm = Some(self.alarms.set(self.now + within, Timer::Discovery));
     }
 
     /// Silent calls follow each other so soon: what discovery tells as it comes back counts at once, and it answers only
--- a/crates/ottersill/src/memory/clients.rs
+++ b/crates/ottersill/src/memory/clients.rs
@@ -7,7 +7,7 @@
 use calloop::RegistrationToken;
 use socket2::Socket;
 
-use crate::timers::Set;
+use crate::timers::TimerHandle as Set;
 use crate::wire::socket::Outbox;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/ottersill/src/memory/lines.rs
+++ b/crates/ottersill/src/memory/lines.rs
@@ -7,7 +7,7 @@
 use ottersill_core::interface::Ending;
 use socket2::Socket;
 
-use crate::timers::Set;
+use crate::timers::TimerHandle as Set;
 use crate::wire::reply::Reply;
 use crate::wire::socket::Outbox;
 
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use socket2::Socket;
 
-use crate::timers::Set;
+use crate::timers::TimerHandle as Set;
 
 /// Where the link stands.
 pub enum Course {
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -14,7 +14,7 @@
 
 use crate::memory::clients::{Client, Session};
 use crate::memory::statements::{Held, Stage};
-use crate::timers::Alarm;
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, LEEWAY, Party};
 use crate::wire::frame::{self, Code, Startup};
 use crate::wire::socket::{self, Got, Outbox};
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -26,7 +26,7 @@
 use crate::memory::lines::Line;
 use crate::memory::link::Link;
 use crate::memory::statements::Statements;
-use crate::timers::{Alarm, Alarms, Set};
+use crate::timers::{Timer, TimerHandle, Timers};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
 /// connection comes up is no measure for it: a customer's settings may give that any length.
@@ -94,7 +94,7 @@
     pub clients: Slab<Client>,
     pub lines: Slab<Line>,
     pub watch: Watch,
-    pub alarms: Alarms,
+    pub alarms: Timers,
     /// The tie to the other routers; none where there is no talk.
     pub link: Option<Link>,
     pub control: Control,
@@ -118,7 +118,7 @@
     pub stored: usize,
     pub listener: Option<(Rc<Socket>, RegistrationToken)>,
     /// Set while clients wait at the door for one to leave.
-    pub crowd: Option<Set>,
+    pub crowd: Option<TimerHandle>,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
     pub retiring: bool,
     /// What is taken in is answered by then; never, unless the router has been told to stop.
@@ -153,7 +153,7 @@
             clients: Slab::new(),
             lines: Slab::new(),
             watch: Watch::new(discovery),
-            alarms: Alarms::default(),
+            alarms: Timers::default(),
             link: None,
             control: Control::default(),
             counters: Counters::default(),
@@ -224,17 +224,17 @@
             }
             self.carry_out();
         }
-        while let Some(alarm) = self.alarms.due(self.now) {
-            match alarm {
-                Alarm::Discovery => self.discovery_is_due(),
-                Alarm::Fleet => self.fleet_is_due(),
-                Alarm::Asker(asker) => self.asker_leaves(asker),
-                Alarm::Listener => {
+        while let Some(timer) = self.alarms.expired(self.now) {
+            match timer {
+                Timer::Discovery => self.discovery_is_due(),
+                Timer::Fleet => self.fleet_is_due(),
+                Timer::ControlClient(asker) => self.asker_leaves(asker),
+                Timer::Listener => {
                     self.crowd = None;
                     self.again(Party::Listener);
                 }
-                Alarm::Line(line) => self.line_is_due(line),
-                Alarm::Client(client) => self.client_is_due(client),
+                Timer::Line(line) => self.line_is_due(line),
+                Timer::Client(client) => self.client_is_due(client),
             }
             self.carry_out();
         }
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -13,7 +13,7 @@
 use socket2::SockAddr;
 
 use crate::memory::link::{Course, Link};
-use crate::timers::Alarm;
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket;
 
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -8,7 +8,7 @@
 
 use crate::memory::lines::{Course, Line, Load};
 use crate::memory::statements::Stage;
-use crate::timers::Alarm;
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::frame;
 use crate::wire::reply::Reply;
