--- a/crates/ottersill/src/control.rs
+++ b/crates/ottersill/src/control.rs
@@ -53,7 +53,7 @@
         while self.control.askers.len() < ASKERS {
             let Ok(Some(socket)) = socket::accept(&listener) else { return };
             let id = self.control.askers.vacant_key();
-            let Ok((socket, token)) = self.attend(socket, Party::Asker(id)) else { return };
+            let Ok((socket, token)) = self.attend(socket, Party::ControlClient(id)) else { return };
             let alarm = self.alarms.set(self.now + TIME, Timer::ControlClient(id));
             let (inbox, outbox) = (BytesMut::new(), Outbox::default());
             self.control.askers.insert(Asker { socket, token, inbox, outbox, answered: false, alarm });
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -1,345 +1,354 @@
-//! Discovery: what its lists say, and the watch kept on them.
+//! The discovery client: its connections to discovery and the watch that it keeps there. It reports what it heard as
+//! [`DiscoveryEvent`]s and leaves what follows from them to the event loop.
 
+use std::collections::VecDeque;
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use bytes::BytesMut;
 use calloop::RegistrationToken;
-use ottersill_core::interface::Standing;
-use serde::Deserialize;
-use slog::{info, warn};
+use slog::warn;
 use socket2::Socket;
 
-use crate::discovery::http;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::http::{self, HttpError};
+use crate::discovery::watch::{self, CallState, RETRY_DELAY, Request, SUPERSEDED_CALL_LIFETIME};
+use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
-use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket::{self, Got, Outbox};
 
-/// What discovery has and could have told counts as told after so long, whatever failed before, as the service page has
-/// it; seconds. All that follows has to fit in: a watch that falls silent, and two more calls that are not answered.
-const TOLD: f64 = 6.0;
-/// How long a watch waits for news. Calls cost discovery nothing.
-const WAIT: f64 = TOLD / 3.0;
-/// An answer that is not here this long after its wait will not come.
-const GRACE: f64 = TOLD / 12.0;
-/// A call that is not answered is kept open for so long beside those that follow it.
-const KEPT: f64 = TOLD / 6.0;
-/// Between calls that fail or come back with nothing at once. Shorter than what keeps up a watch (200 ms), by
-/// the protocol page.
-const REST: f64 = 0.1;
+/// Calls that are open at a time: one that is silent, and the next.
+const MAX_CALLS: usize = 2;
+/// Between two log lines about failed calls, in seconds.
+const LOG_INTERVAL: f64 = 1.0;
+/// The only status of an answer that counts.
+const STATUS_OK: u16 = 200;
 
-#[derive(Clone, Debug, Deserialize)]
-pub struct List {
-    pub seq: u64,
-    pub whole: bool,
-    pub hosts: Vec<Entry>,
+/// What the event loop is told by [`DiscoveryClient::poll_event`].
+#[derive(Debug)]
+pub enum DiscoveryEvent {
+    /// An endpoint list was read. It is newer than all before it.
+    List(EndpointList),
+    /// A call has failed, or was not answered in time.
+    CallFailed,
 }
 
-#[derive(Clone, Debug, Deserialize)]
-pub struct Entry {
-    pub host: String,
-    #[serde(default)]
-    pub dial: String,
-    #[serde(default)]
-    pub site: String,
-    pub block: u64,
-    pub health: Health,
-    #[serde(default = "one")]
-    pub share: f64,
-    #[serde(default)]
-    pub born_ms: f64,
+/// Why a call has failed.
+#[derive(Debug)]
+enum CallError {
+    /// The connection did not come up, or broke.
+    Connection(io::Error),
+    /// Discovery ended the connection without an answer.
+    Ended,
+    /// Nothing came in time.
+    Timeout,
+    /// The answer is no HTTP response.
+    Http(HttpError),
+    /// The answer has another status than 200.
+    Status(u16),
+    /// The body is no endpoint list.
+    List(serde_json::Error),
 }
 
-fn one() -> f64 {
-    1.0
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Health {
-    Active,
-    Leaving,
-    Left,
-}
-
-impl From<Health> for Standing {
-    fn from(health: Health) -> Standing {
-        match health {
-            Health::Active => Standing::Ready,
-            Health::Leaving => Standing::Draining,
-            Health::Left => Standing::Gone,
+impl fmt::Display for CallError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            CallError::Connection(error) => write!(f, "{error}"),
+            CallError::Ended => f.write_str("it ended the connection"),
+            CallError::Timeout => f.write_str("no answer in time"),
+            CallError::Http(error) => write!(f, "{error}"),
+            CallError::Status(status) => write!(f, "status {status}"),
+            CallError::List(error) => write!(f, "{error}"),
         }
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Course {
-    Dialing,
-    /// A call is out that is answered at once.
-    Asked,
-    /// A call is out that waits for news.
-    Watching,
-    /// It came back with nothing before its time; the next one is due.
-    Resting,
+impl From<io::Error> for CallError {
+    fn from(error: io::Error) -> CallError {
+        CallError::Connection(error)
+    }
 }
 
-impl Course {
-    pub fn may_become(self, next: Course) -> bool {
-        use Course::*;
-        matches!(
-            (self, next),
-            (Dialing | Resting, Asked | Watching) | (Asked, Watching) | (Watching, Watching | Resting)
-        )
-    }
+/// An answer that was read whole.
+struct Answer {
+    list: EndpointList,
+    /// Discovery closes the connection after it.
+    closes: bool,
 }
 
-/// One connection to discovery.
-pub struct Call {
-    course: Course,
+/// One connection to discovery, with the request on it.
+struct Call {
+    state: CallState,
     socket: Rc<Socket>,
     token: RegistrationToken,
     inbox: BytesMut,
     outbox: Outbox,
-    /// When its question went out, and until when it is kept beside those that follow it.
-    asked_at: f64,
-    kept_until: f64,
-    /// It has been answered before: an end after that is no failure of discovery.
-    answered: bool,
+    /// When its request was sent.
+    requested_at: f64,
+    /// Until when it is kept beside the calls that follow it.
+    keep_until: f64,
+    /// A request on it was answered: if the connection ends after that, discovery is still there.
+    was_answered: bool,
 }
 
-pub struct Watch {
-    pub at: SocketAddr,
-    /// The older first; two at most. One that is not answered is kept beside the next. Whichever is answered first stays,
-    /// the other one is closed, so no answer can be older than what was told before it.
+/// Keeps a watch on discovery. Times are Unix seconds, durations seconds.
+pub struct DiscoveryClient {
+    address: SocketAddr,
+    /// The older first. One that is not answered is kept beside the next. Whichever is answered first stays, and the
+    /// other one is closed, so that no answer is older than the one before it.
     calls: Vec<Call>,
     /// When the newest call is given up, or, where there is none, the next one begins.
-    alarm: Option<TimerHandle>,
-    /// The version of the last list read here; none asks for the whole list, at once.
-    seq: Option<u64>,
-    /// The last call was not answered: the next one waits for nothing, as its silence could not be told from no news.
-    doubt: bool,
-    /// When a fault was last said in the log.
+    timer: Option<TimerHandle>,
+    /// The version of the last list that was read here; without one the complete list is asked for.
+    version: Option<u64>,
+    /// The last call was not answered: the next one asks for the complete list, which comes at once, as the silence of a
+    /// long poll could not be told from no news.
+    is_unresponsive: bool,
+    /// After how long the next call follows one that stays silent.
+    silent_call_interval: f64,
+    /// When a failure was last logged.
     logged_at: f64,
+    events: VecDeque<DiscoveryEvent>,
 }
 
-impl Watch {
-    pub fn new(at: SocketAddr) -> Watch {
-        Watch { at, calls: Vec::new(), alarm: None, seq: None, doubt: false, logged_at: f64::NEG_INFINITY }
+impl DiscoveryClient {
+    /// A client of the discovery at `address`, which does nothing until [`start`](Self::start). `drain_grace` is how long
+    /// a draining endpoint may still be sent to.
+    pub fn new(address: SocketAddr, drain_grace: f64) -> DiscoveryClient {
+        DiscoveryClient {
+            address,
+            calls: Vec::new(),
+            timer: None,
+            version: None,
+            is_unresponsive: false,
+            silent_call_interval: watch::silent_call_interval(drain_grace),
+            logged_at: f64::NEG_INFINITY,
+            events: VecDeque::new(),
+        }
     }
-}
 
-impl Exchange {
-    /// Every change of a call's course.
-    fn call_passes(&mut self, call: usize, next: Course) {
-        let call = &mut self.watch.calls[call];
-        self.counters.must(call.course.may_become(next), "a call goes its ways only");
-        call.course = next;
+    /// The next thing that the event loop has to do; to be asked after each call of another method until there is none.
+    #[must_use]
+    pub fn poll_event(&mut self) -> Option<DiscoveryEvent> {
+        self.events.pop_front()
     }
 
-    /// The one time by which something has to have come of the newest call.
-    fn watch_within(&mut self, within: f64) {
-        self.alarms.clear(self.watch.alarm.take());
-        self.watch.alarm = Some(self.alarms.set(self.now + within, Timer::Discovery));
+    /// Begins the watch.
+    pub fn start(&mut self, context: &mut Context) {
+        self.begin_call(context);
     }
 
-    /// Silent calls follow each other so soon: what discovery tells as it comes back counts at once, and it answers only
-    /// calls that come after that. A host that drains must be known within its grace.
-    fn soon(&self) -> f64 {
-        (self.upkeep.drain_grace / 2.0).clamp(REST / 10.0, KEPT)
+    /// Discovery is at another address from now on. What it said last holds until the complete list is read there, whose
+    /// versions need not continue the old ones.
+    pub fn move_to(&mut self, address: SocketAddr, context: &mut Context) {
+        if address == self.address {
+            return;
+        }
+        self.address = address;
+        self.version = None;
+        while !self.calls.is_empty() {
+            self.close_call(0, context);
+        }
+        self.begin_call(context);
     }
 
-    /// Begins a call; the oldest may still be answered for a while, the one between is closed.
-    pub fn watch_discovery(&mut self) {
-        if self.watch.calls.len() > 1 {
-            let oldest_is_over = self.now >= self.watch.calls[0].kept_until;
-            self.leave_call(usize::from(!oldest_is_over));
+    /// One of the connections became ready.
+    pub fn on_ready(&mut self, context: &mut Context) {
+        let mut index = 0;
+        while index < self.calls.len() {
+            match self.read_answer(index, context) {
+                Ok(None) => index += 1,
+                Ok(Some(answer)) => return self.on_answer(index, answer, context),
+                Err(error) => self.on_call_failed(index, &error, context),
+            }
         }
-        let kept_until = self.now + KEPT;
-        self.watch.calls.iter_mut().for_each(|call| call.kept_until = call.kept_until.min(kept_until));
-        match socket::dial(self.watch.at).and_then(|socket| self.attend(socket, Party::Discovery)) {
-            Ok((socket, token)) => {
-                let (course, inbox, outbox) = (Course::Dialing, BytesMut::new(), Outbox::default());
-                let (asked_at, kept_until, answered) = (self.now, f64::INFINITY, false);
-                let call = Call { course, socket, token, inbox, outbox, asked_at, kept_until, answered };
-                self.watch.calls.push(call);
-                self.watch_within(self.soon());
+    }
+
+    /// The timer has expired.
+    pub fn on_timer(&mut self, context: &mut Context) {
+        self.timer = None;
+        match self.calls.last().map(|call| call.state) {
+            None => self.begin_call(context),
+            Some(CallState::Pausing) => {
+                let newest = self.calls.len() - 1;
+                if let Err(error) = self.send_request(newest, context) {
+                    self.on_call_failed(newest, &error, context);
+                }
             }
-            Err(e) => {
-                self.watch_failed(&e.to_string());
-                self.watch_within(REST);
+            Some(CallState::Connecting | CallState::Fetching | CallState::Watching) => {
+                self.is_unresponsive = true;
+                self.report_failure(&CallError::Timeout, context);
+                self.begin_call(context);
             }
         }
     }
 
-    /// Discovery is somewhere else from now on. What was told last stands until the whole list is told there, whose
-    /// versions need not go on from the old ones.
-    pub fn move_discovery(&mut self, at: SocketAddr) {
-        if at == self.watch.at {
-            return;
+    /// Dials discovery. The oldest call may still be answered for a while; the one between is closed.
+    fn begin_call(&mut self, context: &mut Context) {
+        if self.calls.len() >= MAX_CALLS {
+            let oldest_is_over = context.now >= self.calls[0].keep_until;
+            self.close_call(usize::from(!oldest_is_over), context);
         }
-        self.watch.at = at;
-        self.watch.seq = None;
-        while !self.watch.calls.is_empty() {
-            self.leave_call(0);
+        let keep_until = context.now + SUPERSEDED_CALL_LIFETIME;
+        for call in &mut self.calls {
+            call.keep_until = call.keep_until.min(keep_until);
+        }
+        let dialled = socket::dial(self.address);
+        match dialled.and_then(|socket| context.register(socket, Source::Discovery)) {
+            Ok((socket, token)) => {
+                self.calls.push(Call {
+                    state: CallState::Connecting,
+                    socket,
+                    token,
+                    inbox: BytesMut::new(),
+                    outbox: Outbox::default(),
+                    requested_at: context.now,
+                    keep_until: f64::INFINITY,
+                    was_answered: false,
+                });
+                self.set_timer(self.silent_call_interval, context);
+            }
+            Err(error) => {
+                self.report_failure(&CallError::Connection(error), context);
+                self.set_timer(RETRY_DELAY, context);
+            }
         }
-        self.watch_discovery();
     }
 
-    /// Asks on a connection that is up.
-    fn ask(&mut self, id: usize) -> io::Result<()> {
-        let since = self.watch.seq.filter(|_| !self.watch.doubt);
-        let (path, next, within) = match since {
-            None => ("/v1/servers".to_string(), Course::Asked, self.soon()),
-            Some(seq) => {
-                let wait = (WAIT * 1000.0) as u64;
-                (format!("/v1/servers?since={seq}&timeout_ms={wait}"), Course::Watching, WAIT + GRACE)
-            }
-        };
-        self.call_passes(id, next);
-        let question = http::get(&path, &self.watch.at.to_string());
-        let newest = id + 1 == self.watch.calls.len();
-        let call = &mut self.watch.calls[id];
-        call.asked_at = self.now;
-        call.outbox.push(question);
-        let flushed = call.outbox.flush(&call.socket);
-        if newest {
-            self.watch_within(within);
+    /// The request that is due on a connection that is up.
+    fn next_request(&self) -> Request {
+        match self.version {
+            Some(version) if !self.is_unresponsive => Request::changes_since(version),
+            _ => Request::complete_list(self.silent_call_interval),
         }
-        flushed.map(|_| ())
     }
 
-    pub fn discovery_is_ready(&mut self) {
-        let mut id = 0;
-        while id < self.watch.calls.len() {
-            match self.read_call(id) {
-                Ok(None) => id += 1,
-                Ok(Some((list, last))) => return self.told(id, &list, last),
-                Err(fault) => self.call_failed(id, &fault),
-            }
+    fn send_request(&mut self, index: usize, context: &mut Context) -> Result<(), CallError> {
+        let request = self.next_request();
+        self.transition(index, request.state, context);
+        let is_newest = index + 1 == self.calls.len();
+        let call = &mut self.calls[index];
+        call.requested_at = context.now;
+        call.outbox.push(http::get(&request.path, &self.address.to_string()));
+        let flushed = call.outbox.flush(&call.socket);
+        if is_newest {
+            self.set_timer(request.timeout, context);
         }
+        flushed?;
+        Ok(())
     }
 
-    /// The list that has come on that connection, and whether the other side ends it.
-    fn read_call(&mut self, id: usize) -> Result<Option<(List, bool)>, String> {
-        let up = socket::is_up(&self.watch.calls[id].socket).map_err(|e| e.to_string())?;
-        if self.watch.calls[id].course == Course::Dialing {
-            if !up {
+    /// Sends what is left to send on a call, and reads the answer if it is there whole.
+    fn read_answer(&mut self, index: usize, context: &mut Context) -> Result<Option<Answer>, CallError> {
+        let is_up = socket::is_up(&self.calls[index].socket)?;
+        if self.calls[index].state == CallState::Connecting {
+            if !is_up {
                 return Ok(None);
             }
-            self.ask(id).map_err(|e| e.to_string())?;
+            self.send_request(index, context)?;
         }
-        let call = &mut self.watch.calls[id];
-        call.outbox.flush(&call.socket).map_err(|e| e.to_string())?;
+        let call = &mut self.calls[index];
+        call.outbox.flush(&call.socket)?;
         // A reset is no end: what came before it is dropped with the connection.
-        let got = socket::read(&call.socket, &mut call.inbox, http::LONGEST).map_err(|e| e.to_string())?;
-        if let Some(response) = http::response(&mut call.inbox, got == Got::End)? {
-            if response.status != 200 {
-                return Err(format!("status {}", response.status));
-            }
-            let list = serde_json::from_slice(&response.body).map_err(|e| e.to_string())?;
-            return Ok(Some((list, response.last)));
+        let got = socket::read(&call.socket, &mut call.inbox, http::MAX_RESPONSE_BYTES)?;
+        let response = http::response(&mut call.inbox, got == Got::End).map_err(CallError::Http)?;
+        if let Some(response) = response {
+            return parse_answer(&response).map(Some);
         }
         match got {
-            Got::End => Err("it ended the connection".into()),
+            Got::End => Err(CallError::Ended),
             Got::More => {
-                self.again(Party::Discovery);
+                context.wake(Source::Discovery);
                 Ok(None)
             }
             Got::All => Ok(None),
         }
     }
 
-    /// An answer: that connection is the watch from here on.
-    fn told(&mut self, id: usize, list: &List, last: bool) {
-        for other in (0..self.watch.calls.len()).rev().filter(|other| *other != id) {
-            self.leave_call(other);
+    /// The call that was answered is the only one from here on. The next request follows at once, as only that keeps up
+    /// the watch.
+    fn on_answer(&mut self, index: usize, answer: Answer, context: &mut Context) {
+        for other in (0..self.calls.len()).rev().filter(|other| *other != index) {
+            self.close_call(other, context);
         }
-        let call = &mut self.watch.calls[0];
-        let early = call.course == Course::Watching && self.now - call.asked_at < WAIT - GRACE;
-        let idles = early && self.watch.seq == Some(list.seq);
-        (call.answered, call.kept_until) = (true, f64::INFINITY);
-        (self.watch.seq, self.watch.doubt) = (Some(list.seq), false);
-        self.take_list(list);
-        if last {
-            // Asked again at once: only calls that follow soon keep up the watch.
-            self.leave_call(0);
+        let call = &mut self.calls[0];
+        let early = call.state == CallState::Watching && watch::is_early(context.now - call.requested_at);
+        call.was_answered = true;
+        call.keep_until = f64::INFINITY;
+        let old_version = self.version.replace(answer.list.version);
+        // A discovery that never waits must not keep this router busy.
+        let pauses = early && old_version == self.version;
+        self.is_unresponsive = false;
+        self.events.push_back(DiscoveryEvent::List(answer.list));
+        if answer.closes {
+            self.close_call(0, context);
         }
-        match (idles, last) {
-            // One that never waits must not keep this router busy.
+        match (pauses, answer.closes) {
             (true, false) => {
-                self.call_passes(0, Course::Resting);
-                self.watch_within(REST);
+                self.transition(0, CallState::Pausing, context);
+                self.set_timer(RETRY_DELAY, context);
             }
-            (true, true) => self.watch_within(REST),
-            (false, true) => self.watch_discovery(),
-            (false, false) => match self.ask(0) {
-                // What came behind the answer raises no readiness of its own.
-                Ok(()) => self.again(Party::Discovery),
-                Err(fault) => self.call_failed(0, &fault.to_string()),
+            (true, true) => self.set_timer(RETRY_DELAY, context),
+            (false, true) => self.begin_call(context),
+            (false, false) => match self.send_request(0, context) {
+                // What has come behind the answer raises no readiness of its own.
+                Ok(()) => context.wake(Source::Discovery),
+                Err(error) => self.on_call_failed(0, &error, context),
             },
         }
     }
 
-    pub fn discovery_is_due(&mut self) {
-        self.watch.alarm = None;
-        match self.watch.calls.last().map(|call| call.course) {
-            None => self.watch_discovery(),
-            Some(Course::Resting) => {
-                if let Err(fault) = self.ask(self.watch.calls.len() - 1) {
-                    self.call_failed(self.watch.calls.len() - 1, &fault.to_string());
-                }
-            }
-            Some(_) => {
-                self.watch.doubt = true;
-                self.watch_failed("no answer in time");
-                self.watch_discovery();
-            }
+    /// Closes a call that is of no further use. If it was the only one, the next follows: at once if this one had been
+    /// answered before, as what discovery says meanwhile counts.
+    fn on_call_failed(&mut self, index: usize, error: &CallError, context: &mut Context) {
+        let was_answered = self.close_call(index, context);
+        self.is_unresponsive |= !was_answered;
+        self.report_failure(error, context);
+        let was_newest = self.calls.len() == index;
+        if self.calls.is_empty() && was_answered {
+            self.begin_call(context);
+        } else if was_newest {
+            // An older call may be left, and may still be answered.
+            self.set_timer(RETRY_DELAY, context);
         }
     }
 
-    /// That connection is of no further use. Where it is the last one, the next follows: at once after one that was good,
-    /// as what is told meanwhile counts.
-    fn call_failed(&mut self, id: usize, fault: &str) {
-        let answered = self.leave_call(id);
-        self.watch.doubt |= !answered;
-        self.watch_failed(fault);
-        match (self.watch.calls.len(), answered) {
-            (0, true) => self.watch_discovery(),
-            // Where an older one is left, it may still be answered.
-            (left, _) if left == id => self.watch_within(REST),
-            _ => {}
+    fn report_failure(&mut self, error: &CallError, context: &mut Context) {
+        context.counters.lists_failed += 1;
+        if context.now - self.logged_at >= LOG_INTERVAL {
+            self.logged_at = context.now;
+            warn!(context.log, "discovery"; "fault" => %error, "failed_so_far" => context.counters.lists_failed);
         }
+        self.events.push_back(DiscoveryEvent::CallFailed);
     }
 
-    fn watch_failed(&mut self, fault: &str) {
-        self.counters.lists_failed += 1;
-        if self.now - self.watch.logged_at >= 1.0 {
-            self.watch.logged_at = self.now;
-            warn!(self.log, "discovery"; "fault" => fault, "failed_so_far" => self.counters.lists_failed);
-        }
-        self.list_failed();
+    /// Every change of a call's state.
+    fn transition(&mut self, index: usize, next: CallState, context: &mut Context) {
+        let call = &mut self.calls[index];
+        context.counters.must(call.state.may_become(next), "a call goes its ways only");
+        call.state = next;
     }
 
-    /// Closes a connection; true if it was answered before.
-    fn leave_call(&mut self, id: usize) -> bool {
-        let call = self.watch.calls.remove(id);
-        self.handle.remove(call.token);
-        call.answered
+    /// Sets the one timer, in seconds from now.
+    fn set_timer(&mut self, after: f64, context: &mut Context) {
+        context.timers.clear(self.timer.take());
+        self.timer = Some(context.timers.set(context.now + after, Timer::Discovery));
     }
 
-    pub fn take_list(&mut self, list: &List) {
-        self.counters.lists += 1;
-        let (told, moved) = self.hosts.take(list);
-        for host in moved {
-            self.close_idle_of(host);
-        }
-        for listed in &told {
-            let name = self.hosts.all[listed.host].name.as_str();
-            info!(self.log, "listed"; "host" => name, "standing" => format!("{:?}", listed.standing),
-                "started_at" => listed.started_at.unwrap_or(0.0));
-        }
-        self.tell_list(&told);
-        self.call_back();
+    /// Closes a connection; true if a request on it was answered.
+    fn close_call(&mut self, index: usize, context: &mut Context) -> bool {
+        let call = self.calls.remove(index);
+        context.handle.remove(call.token);
+        call.was_answered
+    }
+}
+
+fn parse_answer(response: &http::Response) -> Result<Answer, CallError> {
+    if response.status != STATUS_OK {
+        return Err(CallError::Status(response.status));
     }
+    let list = serde_json::from_slice(&response.body).map_err(CallError::List)?;
+    Ok(Answer { list, closes: response.closes })
 }
--- a/crates/ottersill/src/discovery/mod.rs
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! Discovery: the endpoint list that it serves, the watch kept on it, and what is known of each endpoint.
 
 pub mod client;
+pub mod endpoint_list;
 pub mod http;
 pub mod registry;
+pub mod watch;
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -1,5 +1,5 @@
-//! The hosts that discovery has named, with the connections kept to each. A host once named stays known, as the
-//! module counts on it; the list names few over a lifetime.
+//! The endpoints that discovery has named, by name and by replica set. An endpoint that was named once stays known, as
+//! the routing module refers to it by index; lists name few over a router's lifetime.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,95 +7,140 @@
 
 use ottersill_core::interface::{Listed, Standing};
 
-use crate::discovery::client::{Entry, List};
+use crate::discovery::endpoint_list::{EndpointEntry, EndpointList};
 
-pub struct Host {
+/// What is known of one endpoint, with the idle connections to it.
+pub struct Endpoint {
+    /// Its name in endpoint lists.
     pub name: String,
-    /// Of its name, by which the members of a fleet speak of it.
+    /// A hash of its name, by which the members of a fleet refer to it.
     pub label: u64,
+    /// Where it is dialled; none until a list has said so.
     pub dial: Option<SocketAddr>,
+    /// What the last list that named it said.
     pub listed: Listed,
-    /// Lines that stand idle, the last used at the end; a line leaves when it is used, closed or idles too long.
+    /// Idle connections, the last used at the end; one leaves when it is used or closed.
     pub idle: Vec<usize>,
-    /// Connections that broke since the last line on that in the log, and when that was.
+    /// Connections that broke since the last log line about that.
     pub broken: u64,
+    /// When that line was written, in Unix seconds.
     pub logged_at: f64,
 }
 
+impl Endpoint {
+    fn new(name: &str, listed: Listed) -> Endpoint {
+        let label = ottersill_fleet::terms::label(name);
+        Endpoint {
+            name: name.to_string(),
+            label,
+            dial: None,
+            listed,
+            idle: Vec::new(),
+            broken: 0,
+            logged_at: 0.0,
+        }
+    }
+}
+
+/// What a list has changed.
+#[derive(Debug, Default)]
+pub struct RegistryChange {
+    /// What the routing module is to hear: the entries as listed and, after a complete list, the endpoints that it
+    /// lacks as gone.
+    pub updates: Vec<Listed>,
+    /// Endpoints whose address is another one now, by index.
+    pub readdressed: Vec<usize>,
+}
+
+/// All endpoints by index, which is also their index in the routing module.
 #[derive(Default)]
-pub struct Hosts {
-    pub all: Vec<Host>,
+pub struct EndpointRegistry {
+    /// By index.
+    pub all: Vec<Endpoint>,
     by_name: HashMap<String, usize>,
     groups: HashMap<u64, usize>,
     sites: Vec<String>,
 }
 
-impl Hosts {
-    pub fn new(sites: Vec<String>) -> Hosts {
-        Hosts { sites, ..Hosts::default() }
+impl EndpointRegistry {
+    /// No endpoint is known yet; `sites` are the names of the sites, by their index in the routing module.
+    pub fn new(sites: Vec<String>) -> EndpointRegistry {
+        EndpointRegistry { sites, ..EndpointRegistry::default() }
     }
 
-    /// The group's index, if a list has named it.
+    /// The index of the replica set with that number, if a list has named it.
     pub fn group(&self, number: u64) -> Option<usize> {
         self.groups.get(&number).copied()
     }
 
-    /// Takes a list in, and gives what the module is to hear of it: entries as told, and, where the list is
-    /// whole, those that it lacks as gone. Beside them the hosts that are to be dialled elsewhere from now on.
-    pub fn take(&mut self, list: &List) -> (Vec<Listed>, Vec<usize>) {
+    /// The endpoint with that label, if a list has named it.
+    pub fn by_label(&self, label: u64) -> Option<&Endpoint> {
+        self.all.iter().find(|endpoint| endpoint.label == label)
+    }
+
+    /// Takes over what a list says.
+    pub fn apply(&mut self, list: &EndpointList) -> RegistryChange {
         let mut seen = vec![false; self.all.len()];
-        let (mut told, mut moved) = (Vec::with_capacity(list.hosts.len()), Vec::new());
-        for entry in &list.hosts {
-            let listed = self.listed(entry);
-            if let Some(seen) = seen.get_mut(listed.host) {
+        let mut change = RegistryChange::default();
+        for entry in &list.entries {
+            let index = self.index_of(entry);
+            if let Some(seen) = seen.get_mut(index) {
                 *seen = true;
             }
-            let host = &mut self.all[listed.host];
-            let dial = entry.dial.parse().ok();
-            // A host that has left may be listed without an address; what is out there goes on.
-            if dial.is_some() && dial != host.dial {
-                moved.extend(host.dial.map(|_| listed.host));
-                host.dial = dial;
+            if self.readdress(index, entry) {
+                change.readdressed.push(index);
             }
-            host.listed = listed;
-            told.push(listed);
+            change.updates.push(self.all[index].listed);
         }
-        if list.whole {
+        if list.is_complete {
             let missing = seen.iter().zip(&self.all).filter(|(seen, _)| !**seen);
-            told.extend(missing.map(|(_, host)| Listed { standing: Standing::Gone, ..host.listed }));
+            let gone = |endpoint: &Endpoint| Listed { standing: Standing::Gone, ..endpoint.listed };
+            change.updates.extend(missing.map(|(_, endpoint)| gone(endpoint)));
         }
-        (told, moved)
+        change
     }
 
-    fn listed(&mut self, entry: &Entry) -> Listed {
-        let next = self.groups.len();
-        let group = *self.groups.entry(entry.block).or_insert(next);
-        let host = self.by_name.get(entry.host.as_str()).copied().unwrap_or(self.all.len());
-        let mut order = DefaultHasher::new();
-        entry.host.hash(&mut order);
+    /// The index of the endpoint that an entry names, with what the entry says of it stored there. A new name gets the
+    /// next index, and so does a new replica set.
+    fn index_of(&mut self, entry: &EndpointEntry) -> usize {
+        let next_group = self.groups.len();
+        let group = *self.groups.entry(entry.group).or_insert(next_group);
+        let index = self.by_name.get(entry.name.as_str()).copied().unwrap_or(self.all.len());
         let listed = Listed {
-            host,
-            order: order.finish(),
+            host: index,
+            order: name_hash(&entry.name),
             group,
             site: self.sites.iter().position(|site| *site == entry.site),
-            size: entry.share,
+            size: entry.size,
             standing: entry.health.into(),
-            started_at: (entry.born_ms > 0.0).then_some(entry.born_ms / 1000.0),
+            started_at: (entry.started_at_ms > 0.0).then_some(entry.started_at_ms / 1000.0),
         };
-        if host == self.all.len() {
-            self.by_name.insert(entry.host.clone(), host);
-            let name = entry.host.clone();
-            let label = ottersill_fleet::terms::label(&name);
-            self.all.push(Host {
-                name,
-                label,
-                dial: None,
-                listed,
-                idle: Vec::new(),
-                broken: 0,
-                logged_at: 0.0,
-            });
+        if let Some(endpoint) = self.all.get_mut(index) {
+            endpoint.listed = listed;
+        } else {
+            self.by_name.insert(entry.name.clone(), index);
+            self.all.push(Endpoint::new(&entry.name, listed));
+        }
+        index
+    }
+
+    /// Takes over the address of an entry; true if the endpoint had another one. An endpoint that has left may be
+    /// listed without an address, which changes nothing for what is in flight there.
+    fn readdress(&mut self, index: usize, entry: &EndpointEntry) -> bool {
+        let endpoint = &mut self.all[index];
+        let address: Option<SocketAddr> = entry.address.parse().ok();
+        if address.is_none() || address == endpoint.dial {
+            return false;
         }
-        listed
+        let had_address = endpoint.dial.is_some();
+        endpoint.dial = address;
+        had_address
     }
 }
+
+/// Alike on all routers, which thereby order endpoints alike.
+fn name_hash(name: &str) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    name.hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -6,5 +6,6 @@
 pub mod discovery;
 pub mod lifecycle;
 pub mod memory;
+pub mod reactor;
 pub mod timers;
 pub mod wire;
--- a/crates/ottersill/src/lifecycle/charter.rs
+++ b/crates/ottersill/src/lifecycle/charter.rs
@@ -5,7 +5,7 @@
 use ottersill_terms::BootInfo;
 use serde::{Deserialize, Deserializer};
 
-use crate::discovery::client::List;
+use crate::discovery::endpoint_list::EndpointList as List;
 use crate::wire::exchange::Berths;
 
 /// Descriptors that are no connection: three standard ones, the loop's four, listener, discovery's two, of which one may
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -71,6 +71,6 @@
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
         self.charter.discovery = charter.discovery;
-        exchange.move_discovery(charter.discovery);
+        exchange.with_discovery(|client, context| client.move_to(charter.discovery, context));
     }
 }
--- a/crates/ottersill/src/lifecycle/serve.rs
+++ b/crates/ottersill/src/lifecycle/serve.rs
@@ -7,10 +7,12 @@
 use calloop::signals::{Signal, Signals};
 use slog::info;
 
+use crate::discovery::client::DiscoveryClient;
 use crate::lifecycle::charter::{self, Charter};
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
 use crate::memory::link::Link;
+use crate::reactor::Readiness;
 use crate::wire::client_side::CLOSING;
 use crate::wire::exchange::{Exchange, LEEWAY, Party};
 use crate::wire::{fleet_side, socket};
@@ -53,19 +55,19 @@
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP]);
     let signals = signals.map_err(|e| format!("signals: {e}"))?;
     let handle = events.handle();
-    let told = handle.insert_source(signals, |event, (), exchange: &mut Exchange| match event.signal() {
-        Signal::SIGUSR1 => exchange.print_asked = true,
-        Signal::SIGHUP => exchange.reload_asked = true,
-        _ => exchange.stop_asked = true,
+    let told = handle.insert_source(signals, |event, (), readiness: &mut Readiness| match event.signal() {
+        Signal::SIGUSR1 => readiness.signals.print_counters = true,
+        Signal::SIGHUP => readiness.signals.reload = true,
+        _ => readiness.signals.shutdown = true,
     });
     told.map_err(|e| format!("signals: {e}"))?;
     let logger = log.logger(&charter.name);
     let discovery = charter.discovery;
     let mut exchange = Exchange::new(terms, names, upkeep, berths, discovery, logger, handle);
     if let Some(known) = &charter.known {
-        exchange.take_list(known);
+        exchange.apply_endpoint_list(known);
     }
-    exchange.watch_discovery();
+    exchange.with_discovery(DiscoveryClient::start);
     if let Some(link) = link {
         fleet_side::begin(&mut exchange, link)?;
     }
@@ -79,15 +81,15 @@
         let next = exchange.next_at().min(phase.until()).min(reload.next_at());
         let wait = (next - exchange.clock.now()).clamp(0.0, 1.0);
         let wait = Duration::from_secs_f64(wait);
-        events.dispatch(Some(wait), &mut exchange).map_err(|e| format!("event loop: {e}"))?;
+        events.dispatch(Some(wait), &mut exchange.readiness).map_err(|e| format!("event loop: {e}"))?;
         exchange.turn();
-        if std::mem::take(&mut exchange.reload_asked) {
+        if std::mem::take(&mut exchange.readiness.signals.reload) {
             reload.ask(exchange.now);
             exchange.fleet_reloads();
         }
         reload.turn(&mut exchange);
         exchange.counters.log_dropped = log.dropped();
-        if std::mem::take(&mut exchange.print_asked) {
+        if std::mem::take(&mut exchange.readiness.signals.print_counters) {
             print(&exchange);
         }
         log.flush();
@@ -113,7 +115,7 @@
 
 fn advance(phase: Phase, exchange: &mut Exchange, door: &Door, longest: f64) -> Result<Phase, String> {
     Ok(match phase {
-        Phase::Starting if exchange.stop_asked => Phase::Done,
+        Phase::Starting if exchange.readiness.signals.shutdown => Phase::Done,
         // Ready only once something can be served: the front asks as soon as it gets through.
         Phase::Starting if !exchange.hosts.all.is_empty() || exchange.now >= exchange.started_at + BLIND => {
             let told = |e| format!("listen on {}: {e}", door.at);
@@ -125,7 +127,7 @@
             info!(exchange.log, "ready"; "listen" => at, "hosts" => exchange.hosts.all.len());
             Phase::Serving
         }
-        Phase::Serving if exchange.stop_asked => {
+        Phase::Serving if exchange.readiness.signals.shutdown => {
             info!(exchange.log, "stopping"; "in_hand" => exchange.statements.in_hand());
             exchange.stops_at = exchange.now + longest.min(COUNTED) + KILL - LEEWAY;
             // Half of it, as the last statements need their time too.
--- /dev/null
+++ b/crates/ottersill/src/reactor.rs
@@ -0,0 +1,123 @@
+//! What the parts of the program see of the event loop: registration of sockets, which of them became ready, and the
+//! context in which a part handles an event.
+
+use std::io;
+use std::mem;
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use slog::Logger;
+use socket2::Socket;
+
+use crate::counters::Counters;
+use crate::timers::Timers;
+
+/// Whose socket became ready. Ready sources are handled in this order: what discovery says counts for all that follows,
+/// and an answer that is read first makes room for the statement behind it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Source {
+    /// One of the connections to discovery.
+    Discovery,
+    /// The socket for datagrams of other routers.
+    Fleet,
+    /// The control listener.
+    Control,
+    /// The connection of an operator at the control listener.
+    ControlClient(usize),
+    /// A backend connection.
+    Line(usize),
+    /// A client connection.
+    Client(usize),
+    /// The listener for clients.
+    Listener,
+}
+
+/// What was noted while the event loop waited: the data that its callbacks write to.
+#[derive(Default)]
+pub struct Readiness {
+    sources: Vec<Source>,
+    /// What the operator has asked for by signals.
+    pub signals: SignalRequests,
+}
+
+/// What signals have asked for.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SignalRequests {
+    /// SIGTERM or SIGINT; never taken back.
+    pub shutdown: bool,
+    /// SIGUSR1, until the counters are written.
+    pub print_counters: bool,
+    /// SIGHUP, until the reload begins.
+    pub reload: bool,
+}
+
+impl Readiness {
+    /// Has a source handled in the next iteration.
+    pub fn wake(&mut self, source: Source) {
+        self.sources.push(source);
+    }
+
+    /// No source waits to be handled.
+    pub fn is_empty(&self) -> bool {
+        self.sources.is_empty()
+    }
+
+    /// The sources to handle, each once and in order; empties the queue.
+    pub fn take(&mut self) -> Vec<Source> {
+        let mut sources = mem::take(&mut self.sources);
+        sources.sort_unstable();
+        sources.dedup();
+        sources
+    }
+}
+
+/// The event loop's handle, by which sockets are registered and deregistered.
+pub type ReactorHandle = LoopHandle<'static, Readiness>;
+
+/// Registers a socket: its source is woken once for each change of its readiness (edge-triggered). Who leaves something
+/// unread has to wake the source itself.
+///
+/// # Errors
+/// If the system can't watch one more descriptor; the socket is closed then.
+pub fn register(
+    handle: &ReactorHandle,
+    socket: Socket,
+    source: Source,
+) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+    let socket = Rc::new(socket);
+    let events = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
+    let registered = handle.insert_source(events, move |_, _, readiness: &mut Readiness| {
+        readiness.wake(source);
+        Ok(PostAction::Continue)
+    });
+    Ok((socket, registered.map_err(|e| io::Error::other(e.error))?))
+}
+
+/// What a part of the program may use of the event loop while it handles an event.
+pub struct Context<'a> {
+    /// When the sockets were last found ready, in Unix seconds: the time of this iteration.
+    pub now: f64,
+    /// Registers and deregisters sockets.
+    pub handle: &'a ReactorHandle,
+    /// Wakes sources.
+    pub readiness: &'a mut Readiness,
+    /// Sets and clears timers.
+    pub timers: &'a mut Timers,
+    /// Counts what operators read.
+    pub counters: &'a mut Counters,
+    /// Where lines for operators go.
+    pub log: &'a Logger,
+}
+
+impl Context<'_> {
+    /// As [`register`].
+    pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+        register(self.handle, socket, source)
+    }
+
+    /// As [`Readiness::wake`].
+    pub fn wake(&mut self, source: Source) {
+        self.readiness.wake(source);
+    }
+}
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -2,30 +2,31 @@
 //! facade says is carried out. Nothing here decides.
 
 use std::io;
-use std::mem;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::RegistrationToken;
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
-use ottersill_core::interface::{Listed, Statement, Terms};
+use ottersill_core::interface::{Statement, Terms};
 use ottersill_statement::book::Book;
 use ottersill_statement::shape::Key;
 use ottersill_terms::{Names, Upkeep};
 use slab::Slab;
-use slog::Logger;
+use slog::{Logger, info};
 use socket2::Socket;
 
 use crate::control::Control;
 use crate::counters::Counters;
-use crate::discovery::client::Watch;
-use crate::discovery::registry::Hosts;
+use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::registry::EndpointRegistry;
 use crate::memory::clients::Client;
 use crate::memory::lines::Line;
 use crate::memory::link::Link;
 use crate::memory::statements::Statements;
+pub use crate::reactor::Source as Party;
+use crate::reactor::{self, Context, ReactorHandle, Readiness};
 use crate::timers::{Timer, TimerHandle, Timers};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
@@ -58,19 +59,6 @@
     }
 }
 
-/// Whose socket became ready. In this order they are seen to: what discovery wrote counts as told, and an answer
-/// that is read first makes room for the statement that follows.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
-    Discovery,
-    Fleet,
-    Control,
-    Asker(usize),
-    Line(usize),
-    Client(usize),
-    Listener,
-}
-
 /// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Berths {
@@ -90,10 +78,10 @@
 pub struct Exchange {
     pub facade: Facade,
     pub statements: Statements,
-    pub hosts: Hosts,
+    pub hosts: EndpointRegistry,
     pub clients: Slab<Client>,
     pub lines: Slab<Line>,
-    pub watch: Watch,
+    discovery: DiscoveryClient,
     pub alarms: Timers,
     /// The tie to the other routers; none where there is no talk.
     pub link: Option<Link>,
@@ -107,7 +95,7 @@
     pub upkeep: Upkeep,
     pub berths: Berths,
     pub log: Logger,
-    pub handle: LoopHandle<'static, Exchange>,
+    pub handle: ReactorHandle,
     pub clock: Clock,
     /// When the sockets were last found ready: what is read counts as having come then.
     pub now: f64,
@@ -123,12 +111,8 @@
     pub retiring: bool,
     /// What is taken in is answered by then; never, unless the router has been told to stop.
     pub stops_at: f64,
-    /// What signals have asked for.
-    pub stop_asked: bool,
-    pub print_asked: bool,
-    pub reload_asked: bool,
-    /// Emptied by each turn.
-    ready: Vec<Party>,
+    /// What the event loop notes while it waits.
+    pub readiness: Readiness,
 }
 
 impl Exchange {
@@ -139,7 +123,7 @@
         berths: Berths,
         discovery: std::net::SocketAddr,
         log: Logger,
-        handle: LoopHandle<'static, Exchange>,
+        handle: ReactorHandle,
     ) -> Exchange {
         let clock = Clock::default();
         let now = clock.now();
@@ -149,10 +133,10 @@
         Exchange {
             facade: Facade::start(now, terms),
             statements: Statements::default(),
-            hosts: Hosts::new(names.sites.clone()),
+            hosts: EndpointRegistry::new(names.sites.clone()),
             clients: Slab::new(),
             lines: Slab::new(),
-            watch: Watch::new(discovery),
+            discovery: DiscoveryClient::new(discovery, upkeep.drain_grace),
             alarms: Timers::default(),
             link: None,
             control: Control::default(),
@@ -173,51 +157,39 @@
             crowd: None,
             retiring: false,
             stops_at: f64::INFINITY,
-            stop_asked: false,
-            print_asked: false,
-            reload_asked: false,
-            ready: Vec::new(),
+            readiness: Readiness::default(),
         }
     }
 
     /// Has the loop tell when the socket becomes ready: once for each change, so that nothing needs to be asked
     /// for again; whoever leaves something unread says so by [`Exchange::again`].
-    pub fn attend(&mut self, socket: Socket, party: Party) -> io::Result<(Rc<Socket>, RegistrationToken)> {
-        let socket = Rc::new(socket);
-        let source = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
-        let told = self.handle.insert_source(source, move |_, _, exchange: &mut Exchange| {
-            exchange.again(party);
-            Ok(PostAction::Continue)
-        });
-        Ok((socket, told.map_err(|e| io::Error::other(e.error))?))
+    pub fn attend(&self, socket: Socket, party: Party) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+        reactor::register(&self.handle, socket, party)
     }
 
     /// Sees to that party in the next turn.
     pub fn again(&mut self, party: Party) {
-        self.ready.push(party);
+        self.readiness.wake(party);
     }
 
     /// When the next turn is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
-        let next = if self.ready.is_empty() { f64::INFINITY } else { self.now };
+        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
         self.alarms.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
     pub fn turn(&mut self) {
         self.now = self.clock.now();
         self.fleet_parts();
-        let mut ready = mem::take(&mut self.ready);
-        ready.sort_unstable();
-        ready.dedup();
-        for party in ready {
+        for party in self.readiness.take() {
             match party {
-                Party::Discovery => self.discovery_is_ready(),
+                Party::Discovery => self.with_discovery(DiscoveryClient::on_ready),
                 Party::Fleet => {
                     self.fleet_is_ready();
                     self.fleet_parts();
                 }
                 Party::Control => self.control_is_ready(),
-                Party::Asker(asker) => self.asker_is_ready(asker),
+                Party::ControlClient(id) => self.asker_is_ready(id),
                 Party::Line(line) => self.line_is_ready(line),
                 Party::Client(client) => self.client_is_ready(client),
                 Party::Listener => self.listener_is_ready(),
@@ -226,9 +198,9 @@
         }
         while let Some(timer) = self.alarms.expired(self.now) {
             match timer {
-                Timer::Discovery => self.discovery_is_due(),
+                Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
                 Timer::Fleet => self.fleet_is_due(),
-                Timer::ControlClient(asker) => self.asker_leaves(asker),
+                Timer::ControlClient(id) => self.asker_leaves(id),
                 Timer::Listener => {
                     self.crowd = None;
                     self.again(Party::Listener);
@@ -282,12 +254,39 @@
         self.facade.report(self.now, news);
     }
 
-    pub fn tell_list(&mut self, told: &[Listed]) {
-        self.tell(News::List(told));
+    /// Has the discovery client do something, and carries out what it says.
+    pub fn with_discovery(&mut self, step: impl FnOnce(&mut DiscoveryClient, &mut Context)) {
+        let mut context = Context {
+            now: self.now,
+            handle: &self.handle,
+            readiness: &mut self.readiness,
+            timers: &mut self.alarms,
+            counters: &mut self.counters,
+            log: &self.log,
+        };
+        step(&mut self.discovery, &mut context);
+        while let Some(event) = self.discovery.poll_event() {
+            match event {
+                DiscoveryEvent::List(list) => self.apply_endpoint_list(&list),
+                DiscoveryEvent::CallFailed => self.tell(News::ListFailed),
+            }
+        }
     }
 
-    pub fn list_failed(&mut self) {
-        self.tell(News::ListFailed);
+    /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
+    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        self.counters.lists += 1;
+        let change = self.hosts.apply(list);
+        for endpoint in change.readdressed {
+            self.close_idle_of(endpoint);
+        }
+        for listed in &change.updates {
+            let name = self.hosts.all[listed.host].name.as_str();
+            info!(self.log, "listed"; "host" => name, "standing" => format!("{:?}", listed.standing),
+                "started_at" => listed.started_at.unwrap_or(0.0));
+        }
+        self.tell(News::List(&change.updates));
+        self.call_back();
     }
 
     /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -1,9 +1,9 @@
 //! What is read off the wire, whatever pieces it comes in.
 
 use bytes::{Bytes, BytesMut};
-use ottersill::discovery::client::List;
+use ottersill::discovery::endpoint_list::EndpointList;
 use ottersill::discovery::http;
-use ottersill::discovery::registry::Hosts;
+use ottersill::discovery::registry::{EndpointRegistry, RegistryChange};
 use ottersill::lifecycle::charter;
 use ottersill::memory::clients::Session;
 use ottersill::memory::lines::Course;
@@ -260,7 +260,7 @@
     assert!(!Session::Busy(1).may_become(Session::Busy(2)), "two statements at once");
 }
 
-fn list(whole: bool, hosts: &[(&str, &str, &str)]) -> List {
+fn list(whole: bool, hosts: &[(&str, &str, &str)]) -> EndpointList {
     let entry = |(host, dial, health): &(&str, &str, &str)| {
         format!(r#"{{"host":"{host}","dial":"{dial}","block":7,"health":"{health}","born_ms":1500}}"#)
     };
@@ -276,10 +276,14 @@
 #[case::moved(list(false, &[("a", "127.0.0.1:9", "active")]), &[(0, Standing::Ready)], &[0])]
 #[case::new(list(false, &[("c", "127.0.0.1:3", "active")]), &[(2, Standing::Ready)], &[])]
 #[case::empty_and_whole(list(true, &[]), &[(0, Standing::Gone), (1, Standing::Gone)], &[])]
-fn lists_are_taken_as_told(#[case] list: List, #[case] told: &[(usize, Standing)], #[case] moved: &[usize]) {
-    let mut hosts = Hosts::new(Vec::new());
-    hosts.take(&self::list(true, &[("a", "127.0.0.1:1", "active"), ("b", "127.0.0.1:2", "active")]));
-    let (listed, elsewhere) = hosts.take(&list);
+fn lists_are_taken_as_told(
+    #[case] list: EndpointList,
+    #[case] told: &[(usize, Standing)],
+    #[case] moved: &[usize],
+) {
+    let mut hosts = EndpointRegistry::new(Vec::new());
+    hosts.apply(&self::list(true, &[("a", "127.0.0.1:1", "active"), ("b", "127.0.0.1:2", "active")]));
+    let RegistryChange { updates: listed, readdressed: elsewhere } = hosts.apply(&list);
     assert_eq!(listed.iter().map(|l| (l.host, l.standing)).collect::<Vec<_>>(), told);
     assert_eq!((elsewhere.as_slice(), hosts.group(7), hosts.group(8)), (moved, Some(0), None));
     assert!(listed.iter().all(|l| l.started_at == Some(1.5)));
