--- /dev/null
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -0,0 +1,118 @@
+//! What operators are told about the fleet, in JSON objects.
+
+use ottersill_fleet::books::{Key, Line};
+use ottersill_fleet::fleet::Fleet;
+use ottersill_fleet::members::Member;
+use ottersill_fleet::purse::Purse;
+use serde_json::{Value, json};
+
+use crate::discovery::registry::EndpointRegistry;
+use crate::memory::link::{Course, Link};
+
+/// The state that answers are made of.
+pub struct FleetReport<'a> {
+    /// Unix seconds, read from the clock for this answer.
+    pub now: f64,
+    /// The link to the fleet; none if this router is in no fleet.
+    pub link: Option<&'a Link>,
+    /// Names the endpoints that budgets are for.
+    pub endpoints: &'a EndpointRegistry,
+}
+
+impl FleetReport<'_> {
+    /// The answer to a question: JSON objects, a line each. An unknown question is answered by one with the field
+    /// `fault`.
+    pub fn answer(&self, question: &str) -> String {
+        let objects = match question {
+            "members" => self.members(),
+            "budgets" => self.budgets(),
+            "books" => self.ledger(),
+            "counts" => self.counters(),
+            other => vec![fault(&format!("expected members, budgets, books or counts, found {other:?}"))],
+        };
+        objects.into_iter().map(|object| object.to_string() + "\n").collect()
+    }
+
+    fn fleet(&self) -> Option<&Fleet> {
+        match &self.link?.course {
+            Course::Joined { fleet, .. } => Some(fleet),
+            Course::Barred { .. } | Course::Left => None,
+        }
+    }
+
+    /// Who is a member, and since when.
+    fn members(&self) -> Vec<Value> {
+        let fleet = match self.link.map(|link| &link.course) {
+            Some(Course::Joined { fleet, .. }) => fleet,
+            Some(Course::Barred { .. }) => return vec![fault("another process holds this member's address")],
+            Some(Course::Left) | None => return vec![fault("this router is in no fleet")],
+        };
+        let (leader, _) = fleet.keeper();
+        let object = |member: &Member| {
+            let name = member.process.name.as_str();
+            json!({"member": name, "incarnation": member.process.incarnation, "at": member.at,
+                "presence": member.presence, "for_s": self.now - member.since, "keeper": leader == Some(name),
+                "me": member.process == *fleet.me()})
+        };
+        fleet.members().map(object).collect()
+    }
+
+    /// What this router may spend, and until when.
+    fn budgets(&self) -> Vec<Value> {
+        let Some(fleet) = self.fleet() else { return Vec::new() };
+        let object = |(key, quota): (&Key, &Purse)| {
+            let ([part, floor], [part_until, floor_until]) = (quota.amounts(self.now), quota.until());
+            json!({"budget": self.budget_name(key.0), "subject": self.subject_name(key.1), "whole": quota.whole(),
+                "part": part, "part_for_s": (part_until - self.now).max(0.0), "floor": floor,
+                "floor_for_s": (floor_until - self.now).max(0.0), "in_use": quota.in_use(), "spent": quota.spent,
+                "turned_away": quota.turned_away, "standing": format!("{:?}", quota.standing())})
+        };
+        fleet.purses().map(object).collect()
+    }
+
+    /// Who holds what of each budget, which the leader alone knows.
+    fn ledger(&self) -> Vec<Value> {
+        let Some(fleet) = self.fleet() else { return Vec::new() };
+        if !fleet.keeps(self.now) {
+            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.keeper().0})];
+        }
+        let object = |line: Line| {
+            let granted = line.by_demand + line.floor;
+            json!({"budget": self.budget_name(line.budget), "subject": self.subject_name(line.subject),
+                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.by_demand,
+                "floor": line.floor, "in_use": line.used, "demand": line.demand,
+                "stranded": granted.saturating_sub(line.demand.max(line.used))})
+        };
+        fleet.lines(self.now).into_iter().map(object).collect()
+    }
+
+    /// Datagrams, elections, refusals.
+    fn counters(&self) -> Vec<Value> {
+        let (Some(link), Some(fleet)) = (self.link, self.fleet()) else { return Vec::new() };
+        let counts = fleet.counts;
+        vec![json!({"heard": counts.heard, "heard_bytes": counts.heard_bytes, "sent": counts.sent,
+            "sent_bytes": counts.sent_bytes, "unproved": counts.unproved, "astray": counts.astray, "old": counts.old,
+            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.strangers,
+            "namesakes": counts.namesakes, "elections": counts.elections, "refused": link.refused,
+            "unwritten": link.unwritten})]
+    }
+
+    /// The name of a budget, or its identifier where the configuration names none.
+    fn budget_name(&self, id: u64) -> String {
+        let budget = self.link.and_then(|link| link.bylaws.charter.budget(id));
+        budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
+    }
+
+    /// The name of the endpoint that a budget is for, or its label if it isn't known here; empty if the budget is for all.
+    fn subject_name(&self, label: u64) -> String {
+        if label == 0 {
+            return String::new();
+        }
+        let endpoint = self.endpoints.by_label(label);
+        endpoint.map_or_else(|| format!("{label:x}"), |endpoint| endpoint.name.clone())
+    }
+}
+
+fn fault(text: &str) -> Value {
+    json!({"fault": text})
+}
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -16,7 +16,8 @@
 use slog::{Logger, info};
 use socket2::Socket;
 
-use crate::control::Control;
+use crate::control::fleet_report::FleetReport;
+use crate::control::server::ControlServer;
 use crate::counters::Counters;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
@@ -85,7 +86,7 @@
     pub alarms: Timers,
     /// The tie to the other routers; none where there is no talk.
     pub link: Option<Link>,
-    pub control: Control,
+    control: ControlServer,
     pub counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
     pub book: Book,
@@ -139,7 +140,7 @@
             discovery: DiscoveryClient::new(discovery, upkeep.drain_grace),
             alarms: Timers::default(),
             link: None,
-            control: Control::default(),
+            control: ControlServer::default(),
             counters: Counters::default(),
             book,
             strict_logged_at: 0.0,
@@ -188,8 +189,12 @@
                     self.fleet_is_ready();
                     self.fleet_parts();
                 }
-                Party::Control => self.control_is_ready(),
-                Party::ControlClient(id) => self.asker_is_ready(id),
+                Party::Control => self.with_control(ControlServer::on_ready),
+                Party::ControlClient(id) => {
+                    self.with_control(|control, report, context| {
+                        control.on_client_ready(id, report, context)
+                    });
+                }
                 Party::Line(line) => self.line_is_ready(line),
                 Party::Client(client) => self.client_is_ready(client),
                 Party::Listener => self.listener_is_ready(),
@@ -200,7 +205,9 @@
             match timer {
                 Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
                 Timer::Fleet => self.fleet_is_due(),
-                Timer::ControlClient(id) => self.asker_leaves(id),
+                Timer::ControlClient(id) => {
+                    self.with_control(|control, _, context| control.close_client(id, context));
+                }
                 Timer::Listener => {
                     self.crowd = None;
                     self.again(Party::Listener);
@@ -289,6 +296,30 @@
         self.call_back();
     }
 
+    /// Has the control listener do something.
+    pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
+        let report = FleetReport { now: self.clock.now(), link: self.link.as_ref(), endpoints: &self.hosts };
+        let mut context = Context {
+            now: self.now,
+            handle: &self.handle,
+            readiness: &mut self.readiness,
+            timers: &mut self.alarms,
+            counters: &mut self.counters,
+            log: &self.log,
+        };
+        step(&mut self.control, &report, &mut context);
+    }
+
+    /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
+    pub fn open_control(&mut self) -> Result<(), String> {
+        let Some(address) = self.link.as_ref().and_then(|link| link.bylaws.control) else { return Ok(()) };
+        let mut opened = Ok(());
+        self.with_control(|control, _, context| opened = control.open(address, context));
+        opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
+        info!(self.log, "answers operators"; "control" => %address);
+        Ok(())
+    }
+
     /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
     pub fn retire(&mut self) {
         // Whom the machine has let in may have sent a statement, which then counts as taken.
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -242,7 +242,7 @@
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
 pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
     exchange.link = Some(link);
-    exchange.control_opens()?;
+    exchange.open_control()?;
     exchange.fleet_join();
     exchange.fleet_after();
     Ok(())
