--- a/crates/ottersill/src/command/mod.rs
+++ b/crates/ottersill/src/command/mod.rs
@@ -32,7 +32,7 @@
 /// Does what the command line asks for; the error is one line for whoever typed it.
 pub fn run(arguments: Arguments) -> Result<(), String> {
     match arguments.command {
-        None => crate::lifecycle::serve::run(arguments.fleet.as_deref(), arguments.log),
+        None => crate::lifecycle::run::run(arguments.fleet.as_deref(), arguments.log),
         Some(Command::Explain(arguments)) => explain::run(&arguments),
         Some(Command::Fleet(arguments)) => fleet::run(&arguments),
     }
--- a/crates/ottersill/src/lifecycle/mod.rs
+++ b/crates/ottersill/src/lifecycle/mod.rs
@@ -3,4 +3,4 @@
 pub mod charter;
 pub mod log;
 pub mod reload;
-pub mod serve;
+pub mod run;
