--- a/crates/ottersill/src/command/mod.rs
+++ b/crates/ottersill/src/command/mod.rs
@@ -5,7 +5,7 @@
 
 use clap::{Parser, Subcommand};
 
-use crate::lifecycle::log;
+use crate::lifecycle::{log, start};
 
 /// Routes reads and writes in a replicated store. Without a command: runs the router as the file tells that NODE_CONFIG names.
 #[derive(Parser)]
@@ -29,10 +29,13 @@
     Fleet(fleet::Arguments),
 }
 
-/// Does what the command line asks for; the error is one line for whoever typed it.
+/// Does what the command line asks for.
+///
+/// # Errors
+/// The text is one line for whoever typed the command.
 pub fn run(arguments: Arguments) -> Result<(), String> {
     match arguments.command {
-        None => crate::lifecycle::run::run(arguments.fleet.as_deref(), arguments.log),
+        None => start::run(arguments.fleet.as_deref(), arguments.log).map_err(|e| e.to_string()),
         Some(Command::Explain(arguments)) => explain::run(&arguments),
         Some(Command::Fleet(arguments)) => fleet::run(&arguments),
     }
--- /dev/null
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -0,0 +1,46 @@
+//! Why a router ends with an error.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+
+/// Why a router does not start, or does not go on. Its text is one line for the operator.
+#[derive(Debug)]
+pub enum RunError {
+    /// `NODE_CONFIG`, or the file it names; the text says field and reason.
+    Config(String),
+    /// The configuration of the fleet; the text says file, field and reason.
+    Fleet(String),
+    /// The event loop failed.
+    EventLoop(calloop::Error),
+    /// The signals can't be had.
+    Signals(calloop::Error),
+    /// The address for clients can't be had.
+    Listen {
+        /// As configured.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
+impl fmt::Display for RunError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            RunError::Config(text) | RunError::Fleet(text) => f.write_str(text),
+            RunError::EventLoop(error) => write!(f, "event loop: {error}"),
+            RunError::Signals(error) => write!(f, "signals: {error}"),
+            RunError::Listen { address, source } => write!(f, "listen on {address}: {source}"),
+        }
+    }
+}
+
+impl std::error::Error for RunError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            RunError::Config(_) | RunError::Fleet(_) => None,
+            RunError::EventLoop(error) | RunError::Signals(error) => Some(error),
+            RunError::Listen { source, .. } => Some(source),
+        }
+    }
+}
--- a/crates/ottersill/src/lifecycle/mod.rs
+++ b/crates/ottersill/src/lifecycle/mod.rs
@@ -1,6 +1,9 @@
-//! Start and stop: what the router is told, its log, ready, SIGHUP, SIGTERM, the exit.
+//! A router's life: its configuration, its log, start, reload and shutdown.
 
 pub mod charter;
+pub mod error;
 pub mod log;
 pub mod reload;
 pub mod run;
+pub mod shutdown;
+pub mod start;
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -1,76 +1,85 @@
-//! SIGHUP: the charter is read again, and discovery is asked where it names it now.
+//! SIGHUP: the configuration is read again, and discovery is asked where it names it now.
 
 use slog::{info, warn};
 
 use crate::lifecycle::charter::{self, Charter};
 use crate::wire::exchange::Exchange;
 
-/// What discovery has to tell counts as told this long after SIGHUP, as the service page has it; seconds. Until then
-/// a charter that can't be read is tried again, as it may be half written.
-const TOLD: f64 = 4.0;
-/// Between two such readings; seconds.
-const AGAIN: f64 = 0.25;
+/// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
+/// configuration that can't be read is tried again, as it may be half written.
+const RELOAD_DEADLINE: f64 = 4.0;
+/// Between two such tries, in seconds.
+const RETRY_INTERVAL: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Course {
-    /// Nobody has asked.
-    Resting,
-    /// Asked at `since`; the next reading is at `again_at`.
-    Reading { since: f64, again_at: f64 },
+enum State {
+    /// Nobody has asked for a reload.
+    Idle,
+    /// A reload is due. Both times are Unix seconds.
+    Requested { at: f64, next_try_at: f64 },
 }
 
+/// Reads the configuration again when asked to.
 pub struct Reload {
-    /// The charter that the router goes by.
-    charter: Charter,
-    course: Course,
+    /// The configuration that the router goes by.
+    config: Charter,
+    state: State,
 }
 
 impl Reload {
-    pub fn new(charter: Charter) -> Reload {
-        Reload { charter, course: Course::Resting }
+    /// `config` is what the router was started with.
+    pub fn new(config: Charter) -> Reload {
+        Reload { config, state: State::Idle }
     }
 
+    /// When the next try is due, in Unix seconds; infinite if none is.
     pub fn next_at(&self) -> f64 {
-        match self.course {
-            Course::Resting => f64::INFINITY,
-            Course::Reading { again_at, .. } => again_at,
+        match self.state {
+            State::Idle => f64::INFINITY,
+            State::Requested { next_try_at, .. } => next_try_at,
         }
     }
 
-    /// One more SIGHUP while a reading is due asks for the same.
-    pub fn ask(&mut self, now: f64) {
-        self.course = Course::Reading { since: now, again_at: now };
+    /// Asks for a reload at `now`, in Unix seconds. Another request while one is due asks for the same.
+    pub fn request(&mut self, now: f64) {
+        self.state = State::Requested { at: now, next_try_at: now };
     }
 
-    pub fn turn(&mut self, exchange: &mut Exchange) {
+    /// Tries to reload if that is due.
+    pub fn poll_once(&mut self, exchange: &mut Exchange) {
         let now = exchange.now;
-        let Course::Reading { since, again_at } = self.course else { return };
-        if now < again_at {
+        let State::Requested { at, next_try_at } = self.state else { return };
+        if now < next_try_at {
             return;
         }
-        self.course = match charter::find() {
-            Ok(charter) => {
-                self.take(charter, exchange);
-                Course::Resting
+        self.state = match charter::find() {
+            Ok(config) => {
+                self.apply(config, exchange);
+                State::Idle
             }
             Err(fault) => {
-                if again_at == since {
+                let is_first_try = next_try_at == at;
+                if is_first_try {
                     warn!(exchange.log, "charter not taken, all goes on as it was"; "fault" => fault);
                 }
                 exchange.counters.reloads_failed += 1;
-                let again_at = now + AGAIN;
-                if again_at < since + TOLD { Course::Reading { since, again_at } } else { Course::Resting }
+                let next_try_at = now + RETRY_INTERVAL;
+                if next_try_at < at + RELOAD_DEADLINE {
+                    State::Requested { at, next_try_at }
+                } else {
+                    State::Idle
+                }
             }
         };
     }
 
-    fn take(&mut self, charter: Charter, exchange: &mut Exchange) {
+    fn apply(&mut self, config: Charter, exchange: &mut Exchange) {
         exchange.counters.reloads += 1;
-        let needs_restart = self.charter.differs(&charter).join(",");
-        info!(exchange.log, "charter read again"; "discovery" => %charter.discovery,
+        let needs_restart = self.config.differs(&config).join(",");
+        info!(exchange.log, "charter read again"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
-        self.charter.discovery = charter.discovery;
-        exchange.with_discovery(|client, context| client.move_to(charter.discovery, context));
+        self.config.discovery = config.discovery;
+        exchange.with_discovery(|client, context| client.move_to(config.discovery, context));
     }
 }
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -1,151 +1,137 @@
-//! From the start to the exit.
+//! The main loop: waits for events, has them handled, and carries out what the phases of the router's life ask for.
 
+use std::io;
+use std::mem;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use calloop::EventLoop;
-use calloop::signals::{Signal, Signals};
 use slog::info;
 
-use crate::discovery::client::DiscoveryClient;
-use crate::lifecycle::charter::{self, Charter};
-use crate::lifecycle::log::{Form, Log};
+use crate::lifecycle::error::RunError;
+use crate::lifecycle::log::Log;
 use crate::lifecycle::reload::Reload;
-use crate::memory::link::Link;
+use crate::lifecycle::shutdown::{Observation, Phase};
 use crate::reactor::Readiness;
-use crate::wire::client_side::CLOSING;
-use crate::wire::exchange::{Exchange, LEEWAY, Party};
-use crate::wire::{fleet_side, socket};
+use crate::wire::exchange::{Exchange, Party};
+use crate::wire::socket;
 
-/// For this long after SIGTERM new clients still come: 0.4 s, as the protocol page has it, and what is on its way then.
-const ARRIVALS: f64 = 0.5;
-/// Ready by then without a list too: one that has none is told apart from one that does not start.
-const BLIND: f64 = 5.0;
-/// It may be killed this long after the longest statement timeout, which counts as so long at the most; seconds.
-const KILL: f64 = 0.7;
-const COUNTED: f64 = 3.0;
+/// The loop waits no longer than this, in seconds.
+const MAX_WAIT: f64 = 1.0;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Phase {
-    /// No list has named a host yet.
-    Starting,
-    Serving,
-    /// Asked to stop; clients still come, and go on on the connections they have, until then: turned away at once, they
-    /// would find nobody where several routers restart.
-    Arriving(f64),
-    /// What was taken in is answered, what idles is closed; until then at the latest.
-    Retiring(f64),
-    Done,
+/// Where clients are listened for.
+pub struct ListenAddress {
+    /// As configured; port 0 has the system choose one.
+    pub address: SocketAddr,
+    /// The length of the accept backlog. A full one drops the first packet of a connection, which is then sent again
+    /// after a second.
+    pub backlog: usize,
 }
 
-/// `fleet` names the file of the fleet, where routers talk.
-pub fn run(fleet: Option<&str>, form: Form) -> Result<(), String> {
-    let log = Log::new(form);
-    serve(charter::find()?, fleet, &log)
+/// A router that was built and runs.
+pub struct Program {
+    events: EventLoop<'static, Readiness>,
+    exchange: Exchange,
+    reload: Reload,
+    log: Log,
+    listen: ListenAddress,
+    /// Of all workloads, in seconds.
+    longest_statement_timeout: f64,
+    phase: Phase,
 }
 
-fn serve(charter: Charter, fleet: Option<&str>, log: &Log) -> Result<(), String> {
-    let berths = charter.limits.berths().map_err(|e| format!("NODE_CONFIG: {e}"))?;
-    let upkeep = charter.settings.upkeep().map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
-    let (terms, names) =
-        charter.settings.clone().terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
-    let longest = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
-    let link = fleet.map(|path| Link::open(path, &charter.name, longest, charter.seed)).transpose()?;
-    let mut events = EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP]);
-    let signals = signals.map_err(|e| format!("signals: {e}"))?;
-    let handle = events.handle();
-    let told = handle.insert_source(signals, |event, (), readiness: &mut Readiness| match event.signal() {
-        Signal::SIGUSR1 => readiness.signals.print_counters = true,
-        Signal::SIGHUP => readiness.signals.reload = true,
-        _ => readiness.signals.shutdown = true,
-    });
-    told.map_err(|e| format!("signals: {e}"))?;
-    let logger = log.logger(&charter.name);
-    let discovery = charter.discovery;
-    let mut exchange = Exchange::new(terms, names, upkeep, berths, discovery, logger, handle);
-    if let Some(known) = &charter.known {
-        exchange.apply_endpoint_list(known);
+impl Program {
+    /// In the phase [`Phase::Starting`]. `longest_statement_timeout` is in seconds.
+    pub fn new(
+        events: EventLoop<'static, Readiness>,
+        exchange: Exchange,
+        reload: Reload,
+        log: Log,
+        listen: ListenAddress,
+        longest_statement_timeout: f64,
+    ) -> Program {
+        Program { events, exchange, reload, log, listen, longest_statement_timeout, phase: Phase::Starting }
     }
-    exchange.with_discovery(DiscoveryClient::start);
-    if let Some(link) = link {
-        fleet_side::begin(&mut exchange, link)?;
-    }
-    info!(exchange.log, "started"; "listen" => %charter.listen, "discovery" => %charter.discovery);
-    // A full backlog drops the first packet of a connection, which is then sent again after a second.
-    let door = Door { at: charter.listen, backlog: charter.limits.sockets };
-    let mut reload = Reload::new(charter);
-    let mut phase = Phase::Starting;
-    while phase != Phase::Done {
-        phase = advance(phase, &mut exchange, &door, longest)?;
-        let next = exchange.next_at().min(phase.until()).min(reload.next_at());
-        let wait = (next - exchange.clock.now()).clamp(0.0, 1.0);
-        let wait = Duration::from_secs_f64(wait);
-        events.dispatch(Some(wait), &mut exchange.readiness).map_err(|e| format!("event loop: {e}"))?;
-        exchange.turn();
-        if std::mem::take(&mut exchange.readiness.signals.reload) {
-            reload.ask(exchange.now);
-            exchange.fleet_reloads();
-        }
-        reload.turn(&mut exchange);
-        exchange.counters.log_dropped = log.dropped();
-        if std::mem::take(&mut exchange.readiness.signals.print_counters) {
-            print(&exchange);
+
+    /// Runs until the router has shut down.
+    ///
+    /// # Errors
+    /// If the event loop fails, or the address for clients can't be had.
+    pub fn run(mut self) -> Result<(), RunError> {
+        while self.phase != Phase::Stopped {
+            self.advance_phase()?;
+            self.wait_for_events()?;
+            self.exchange.turn();
+            self.reload_if_asked();
+            self.exchange.counters.log_dropped = self.log.dropped();
+            if mem::take(&mut self.exchange.readiness.signals.print_counters) {
+                log_counters(&self.exchange);
+            }
+            self.log.flush();
         }
-        log.flush();
+        log_counters(&self.exchange);
+        self.log.flush();
+        Ok(())
     }
-    print(&exchange);
-    log.flush();
-    Ok(())
-}
 
-struct Door {
-    at: SocketAddr,
-    backlog: usize,
-}
+    fn wait_for_events(&mut self) -> Result<(), RunError> {
+        let next_at = self.exchange.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
+        let wait = (next_at - self.exchange.clock.now()).clamp(0.0, MAX_WAIT);
+        let wait = Some(Duration::from_secs_f64(wait));
+        self.events.dispatch(wait, &mut self.exchange.readiness).map_err(RunError::EventLoop)
+    }
 
-impl Phase {
-    fn until(self) -> f64 {
-        match self {
-            Phase::Arriving(until) | Phase::Retiring(until) => until,
-            _ => f64::INFINITY,
+    fn reload_if_asked(&mut self) {
+        if mem::take(&mut self.exchange.readiness.signals.reload) {
+            self.reload.request(self.exchange.now);
+            self.exchange.fleet_reloads();
         }
+        self.reload.poll_once(&mut self.exchange);
     }
-}
 
-fn advance(phase: Phase, exchange: &mut Exchange, door: &Door, longest: f64) -> Result<Phase, String> {
-    Ok(match phase {
-        Phase::Starting if exchange.readiness.signals.shutdown => Phase::Done,
-        // Ready only once something can be served: the front asks as soon as it gets through.
-        Phase::Starting if !exchange.hosts.all.is_empty() || exchange.now >= exchange.started_at + BLIND => {
-            let told = |e| format!("listen on {}: {e}", door.at);
-            let listener = socket::listen(door.at, door.backlog).map_err(told)?;
-            let at = listener.local_addr().map_err(told)?.as_socket();
-            exchange.listener = Some(exchange.attend(listener, Party::Listener).map_err(told)?);
-            exchange.again(Party::Listener);
-            let at = at.map_or(door.at.to_string(), |at| at.to_string());
-            info!(exchange.log, "ready"; "listen" => at, "hosts" => exchange.hosts.all.len());
-            Phase::Serving
-        }
-        Phase::Serving if exchange.readiness.signals.shutdown => {
-            info!(exchange.log, "stopping"; "in_hand" => exchange.statements.in_hand());
-            exchange.stops_at = exchange.now + longest.min(COUNTED) + KILL - LEEWAY;
-            // Half of it, as the last statements need their time too.
-            Phase::Arriving((exchange.now + ARRIVALS).max((exchange.now + exchange.stops_at) / 2.0))
+    /// Goes over to the next phase if it is time, and does what that asks for.
+    fn advance_phase(&mut self) -> Result<(), RunError> {
+        let exchange = &mut self.exchange;
+        let observed = Observation {
+            now: exchange.now,
+            started_at: exchange.started_at,
+            shutdown_requested: exchange.readiness.signals.shutdown,
+            knows_endpoints: !exchange.hosts.all.is_empty(),
+            has_no_clients: exchange.is_empty(),
+            longest_statement_timeout: self.longest_statement_timeout,
+        };
+        let next = self.phase.next(&observed);
+        let previous = mem::replace(&mut self.phase, next);
+        if next == previous {
+            return Ok(());
         }
-        Phase::Arriving(until) if exchange.now >= until => {
-            exchange.retire();
-            Phase::Retiring(exchange.now + longest + CLOSING)
+        match next {
+            Phase::Serving => open_listener(exchange, &self.listen)?,
+            Phase::LameDuck { answers_by, .. } => {
+                info!(exchange.log, "stopping"; "in_hand" => exchange.statements.in_hand());
+                exchange.stops_at = answers_by;
+            }
+            Phase::Draining { .. } => exchange.retire(),
+            Phase::Stopped if matches!(previous, Phase::Draining { .. }) => exchange.fleet_leaves(),
+            Phase::Starting | Phase::Stopped => {}
         }
-        Phase::Retiring(until) if exchange.is_empty() || exchange.now >= until => {
-            exchange.fleet_leaves();
-            Phase::Done
-        }
-        phase => phase,
-    })
+        Ok(())
+    }
+}
+
+fn open_listener(exchange: &mut Exchange, listen: &ListenAddress) -> Result<(), RunError> {
+    let ListenAddress { address, backlog } = *listen;
+    let failed = |source: io::Error| RunError::Listen { address, source };
+    let listener = socket::listen(address, backlog).map_err(failed)?;
+    let bound_to = listener.local_addr().map_err(failed)?.as_socket().unwrap_or(address);
+    exchange.listener = Some(exchange.attend(listener, Party::Listener).map_err(failed)?);
+    exchange.again(Party::Listener);
+    info!(exchange.log, "ready"; "listen" => %bound_to, "hosts" => exchange.hosts.all.len());
+    Ok(())
 }
 
-fn print(exchange: &Exchange) {
+/// Writes all counters to the log.
+fn log_counters(exchange: &Exchange) {
     let (book, found) = (&exchange.book, exchange.book.found);
     info!(exchange.log, "shapes"; "known" => found.known, "parsed" => found.parsed, "glanced" => found.glanced,
         "denied" => found.denied, "pages" => book.pages(), "bytes" => book.bytes());
--- /dev/null
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -0,0 +1,66 @@
+//! Builds a router from its configuration.
+
+use calloop::EventLoop;
+use calloop::signals::{Signal, Signals};
+use slog::info;
+
+use crate::discovery::client::DiscoveryClient;
+use crate::lifecycle::charter::{self, Charter};
+use crate::lifecycle::error::RunError;
+use crate::lifecycle::log::{Form, Log};
+use crate::lifecycle::reload::Reload;
+use crate::lifecycle::run::{ListenAddress, Program};
+use crate::memory::link::Link;
+use crate::reactor::{ReactorHandle, Readiness};
+use crate::wire::exchange::Exchange;
+use crate::wire::fleet_side;
+
+/// Runs a router until it is told to stop. `fleet_file` names the configuration of the fleet, where routers talk to each
+/// other.
+///
+/// # Errors
+/// If the configuration is wrong, or the system refuses what a router needs.
+pub fn run(fleet_file: Option<&str>, form: Form) -> Result<(), RunError> {
+    let config = charter::find().map_err(RunError::Config)?;
+    build(config, fleet_file, Log::new(form))?.run()
+}
+
+fn build(config: Charter, fleet_file: Option<&str>, log: Log) -> Result<Program, RunError> {
+    let in_settings = |fault: String| RunError::Config(format!("NODE_CONFIG: settings.{fault}"));
+    let limits = config.limits.berths().map_err(|e| RunError::Config(format!("NODE_CONFIG: {e}")))?;
+    let timeouts = config.settings.upkeep().map_err(in_settings)?;
+    let (terms, names) = config.settings.clone().terms(config.seed).map_err(in_settings)?;
+    let longest_statement_timeout = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
+    let open_link = |path| Link::open(path, &config.name, longest_statement_timeout, config.seed);
+    let link = fleet_file.map(open_link).transpose().map_err(RunError::Fleet)?;
+    let events = EventLoop::try_new().map_err(RunError::EventLoop)?;
+    listen_to_signals(&events.handle())?;
+    let logger = log.logger(&config.name);
+    let mut exchange =
+        Exchange::new(terms, names, timeouts, limits, config.discovery, logger, events.handle());
+    if let Some(known) = &config.known {
+        exchange.apply_endpoint_list(known);
+    }
+    exchange.with_discovery(DiscoveryClient::start);
+    if let Some(link) = link {
+        fleet_side::begin(&mut exchange, link).map_err(RunError::Fleet)?;
+    }
+    info!(exchange.log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
+    let listen = ListenAddress { address: config.listen, backlog: config.limits.sockets };
+    let reload = Reload::new(config);
+    Ok(Program::new(events, exchange, reload, log, listen, longest_statement_timeout))
+}
+
+fn listen_to_signals(handle: &ReactorHandle) -> Result<(), RunError> {
+    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP]);
+    let signals = signals.map_err(RunError::Signals)?;
+    let inserted = handle.insert_source(signals, |event, (), readiness: &mut Readiness| {
+        let requests = &mut readiness.signals;
+        match event.signal() {
+            Signal::SIGUSR1 => requests.print_counters = true,
+            Signal::SIGHUP => requests.reload = true,
+            _ => requests.shutdown = true,
+        }
+    });
+    inserted.map(|_| ()).map_err(|e| RunError::Signals(e.error))
+}
