--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `ottersill explain`: what the router takes statements for.
+//! `ottersill explain`: what the router takes statements for, and where it may send them.
 
 use std::fs::File;
 use std::io::{self, BufWriter, ErrorKind, Read, Write};
@@ -11,6 +11,10 @@
 
 use crate::lifecycle::charter;
 
+/// The name that stands for standard input.
+const STDIN: &str = "-";
+
+/// The arguments of `ottersill explain`.
 #[derive(Args)]
 pub struct Arguments {
     /// By the terms of this workload, in the file that NODE_CONFIG names; without such a file, or such a name, an
@@ -24,16 +28,17 @@
     #[arg(long)]
     nul: bool,
     /// One statement a line; - is standard input.
-    #[arg(value_name = "FILE", default_value = "-")]
+    #[arg(value_name = "FILE", default_value = STDIN)]
     file: String,
 }
 
+/// What is said of one statement. The names of the fields are those of the JSON output.
 #[derive(Serialize)]
-struct Explained<'a> {
+struct Explanation<'a> {
     nature: &'static str,
     /// A replica may take it.
     replica: bool,
-    /// It may go out again after it may have run.
+    /// It may be sent again after it may have run.
     resend: bool,
     shape: String,
     tables: &'a [Box<str>],
@@ -43,18 +48,18 @@
     why: &'a str,
 }
 
-impl<'a> Explained<'a> {
-    fn of(reading: &'a Reading, shape: Shape, workload: Option<&Workload>) -> Explained<'a> {
+impl<'a> Explanation<'a> {
+    fn new(reading: &'a Reading, fingerprint: Shape, workload: Option<&Workload>) -> Explanation<'a> {
         let reads = reading.nature == Nature::Read;
-        // As in the module: a reading only makes the terms stricter.
-        let replica = workload.is_none_or(|w| !matches!(w.needs, Needs::Primary | Needs::Fresh));
-        let writing = workload.is_some_and(|w| w.needs == Needs::Primary);
-        let resend = workload.is_none_or(|w| w.effect != Effect::NonIdempotent);
-        Explained {
+        // As in the routing module: what the text says only makes the workload's terms stricter.
+        let replica_suffices = workload.is_none_or(|w| !matches!(w.needs, Needs::Primary | Needs::Fresh));
+        let may_write = workload.is_some_and(|w| w.needs == Needs::Primary);
+        let is_idempotent = workload.is_none_or(|w| w.effect != Effect::NonIdempotent);
+        Explanation {
             nature: reading.nature.name(),
-            replica: reads && replica,
-            resend: (reads || writing) && resend && reading.refusal().is_none(),
-            shape: format!("{:032x}", shape.0),
+            replica: reads && replica_suffices,
+            resend: (reads || may_write) && is_idempotent && reading.refusal().is_none(),
+            shape: format!("{:032x}", fingerprint.0),
             tables: &reading.tables,
             functions: &reading.functions,
             refused: reading.refusal(),
@@ -62,23 +67,22 @@
         }
     }
 
-    fn text(&self) -> String {
-        let yes = |what: bool| if what { "yes" } else { "no" };
+    /// One line, and one more for tables, functions and a refusal each, where there are any.
+    fn to_text(&self) -> String {
+        let yes_or_no = |what: bool| if what { "yes" } else { "no" };
         let mut text = format!(
             "{:7}  replica {:3}  resend {:3}  {}  {}",
             self.nature,
-            yes(self.replica),
-            yes(self.resend),
+            yes_or_no(self.replica),
+            yes_or_no(self.resend),
             self.shape,
             self.why
         );
-        let mut names = |what: &str, names: &[Box<str>]| {
+        for (title, names) in [("tables", self.tables), ("functions", self.functions)] {
             if !names.is_empty() {
-                text.push_str(&format!("\n         {what}: {}", names.join(", ")));
+                text.push_str(&format!("\n         {title}: {}", names.join(", ")));
             }
-        };
-        names("tables", self.tables);
-        names("functions", self.functions);
+        }
         if let Some(why) = self.refused {
             text.push_str(&format!("\n         refused: {why}"));
         }
@@ -86,50 +90,61 @@
     }
 }
 
-fn workload(name: &str) -> Result<Option<Workload>, String> {
+/// The workload with that name in the configuration; none if no configuration is named.
+fn find_workload(name: &str) -> Result<Option<Workload>, String> {
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
-    let charter = charter::find()?;
+    let config = charter::find()?;
     let (terms, names) =
-        charter.settings.terms(charter.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
-    let at = names.workloads.iter().position(|known| known == name);
-    let at = at.ok_or_else(|| {
+        config.settings.terms(config.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let index = names.workloads.iter().position(|known| known == name).ok_or_else(|| {
         format!("--workload: no workload {name:?}; there are {}", names.workloads.join(", "))
     })?;
-    Ok(terms.workloads.get(at).cloned())
+    Ok(terms.workloads.get(index).cloned())
 }
 
-pub fn run(arguments: &Arguments) -> Result<(), String> {
-    let workload = arguments.workload.as_deref().map(workload).transpose()?.flatten();
+fn read_input(file: &str) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    let read = match arguments.file.as_str() {
-        "-" => io::stdin().lock().read_to_end(&mut text),
-        path => File::open(path).and_then(|mut file| file.read_to_end(&mut text)),
-    };
-    read.map_err(|fault| format!("{}: {fault}", arguments.file))?;
-    let end = if arguments.nul { 0 } else { b'\n' };
-    // What is behind the last end is a statement only if there is something.
-    let whole = text.strip_suffix(&[end]).unwrap_or(&text);
-    if whole.is_empty() {
+    if file == STDIN {
+        io::stdin().lock().read_to_end(&mut text)?;
+    } else {
+        File::open(file)?.read_to_end(&mut text)?;
+    }
+    Ok(text)
+}
+
+/// Writes what each statement of the input is.
+///
+/// # Errors
+/// If the input can't be read, the workload isn't known, or the output can't be written; the text is one line for
+/// whoever typed the command.
+pub fn run(arguments: &Arguments) -> Result<(), String> {
+    let workload = arguments.workload.as_deref().map(find_workload).transpose()?.flatten();
+    let text = read_input(&arguments.file).map_err(|fault| format!("{}: {fault}", arguments.file))?;
+    let separator = if arguments.nul { 0 } else { b'\n' };
+    // What follows the last separator is a statement only if it isn't empty.
+    let statements = text.strip_suffix(&[separator]).unwrap_or(&text);
+    if statements.is_empty() {
         return Ok(());
     }
-    // Nothing secret: the same text has the same shape each time.
+    // Nothing secret: the same text has the same fingerprint each time.
     let key = Key::from_seed(0);
     let mut out = BufWriter::new(io::stdout().lock());
-    for statement in whole.split(|byte| *byte == end) {
+    for statement in statements.split(|byte| *byte == separator) {
         let statement = statement.strip_suffix(b"\r").unwrap_or(statement);
         let reading = reading::read(statement);
-        let explained = Explained::of(&reading, shape::shape_of(key, statement), workload.as_ref());
+        let fingerprint = shape::shape_of(key, statement);
+        let explanation = Explanation::new(&reading, fingerprint, workload.as_ref());
         let line = if arguments.json {
-            serde_json::to_string(&explained).map_err(|fault| fault.to_string())?
+            serde_json::to_string(&explanation).map_err(|fault| fault.to_string())?
         } else {
-            explained.text()
+            explanation.to_text()
         };
         match writeln!(out, "{line}") {
-            // Whoever reads has seen enough.
+            // Whoever reads the output has stopped reading, such as `head`.
             Err(fault) if fault.kind() == ErrorKind::BrokenPipe => return Ok(()),
-            wrote => wrote.map_err(|fault| fault.to_string())?,
+            written => written.map_err(|fault| fault.to_string())?,
         }
     }
     out.flush().map_err(|fault| fault.to_string())
--- a/crates/ottersill/src/command/fleet.rs
+++ b/crates/ottersill/src/command/fleet.rs
@@ -1,4 +1,4 @@
-//! `ottersill fleet`: who is a member, who holds what, asked of a running router.
+//! `ottersill fleet`: who is a member and who holds which budget, asked of a running router at its control address.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,9 +7,10 @@
 use clap::{Args, ValueEnum};
 use serde_json::Value;
 
-/// Nobody who is asked needs longer than this; seconds.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long to wait for the connection and for each answer. A router answers within two seconds or not at all.
+const TIMEOUT: Duration = Duration::from_secs(3);
 
+/// What can be asked. The names are those of the command line, and go to the router in lower case.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Question {
     /// Who is there, and since when.
@@ -22,6 +23,7 @@
     Counts,
 }
 
+/// The arguments of `ottersill fleet`.
 #[derive(Args)]
 pub struct Arguments {
     /// The `control` address of the router's fleet file.
@@ -34,26 +36,30 @@
     question: Question,
 }
 
+/// Asks the router, and writes what it answers.
+///
+/// # Errors
+/// If the router can't be reached or has no answer; the text is one line for whoever typed the command.
 pub fn run(arguments: &Arguments) -> Result<(), String> {
-    let told = |e: std::io::Error| format!("{}: {e}", arguments.at);
-    let mut router = TcpStream::connect_timeout(&arguments.at, PATIENCE).map_err(told)?;
-    router.set_read_timeout(Some(PATIENCE)).map_err(told)?;
+    let failed = |e: std::io::Error| format!("{}: {e}", arguments.at);
+    let mut router = TcpStream::connect_timeout(&arguments.at, TIMEOUT).map_err(failed)?;
+    router.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
     let question = format!("{:?}", arguments.question).to_lowercase();
-    router.write_all(format!("{question}\n").as_bytes()).map_err(told)?;
-    let lines = BufReader::new(router).lines().collect::<Result<Vec<String>, _>>().map_err(told)?;
-    let mut faults = false;
+    router.write_all(format!("{question}\n").as_bytes()).map_err(failed)?;
+    let lines = BufReader::new(router).lines().collect::<Result<Vec<String>, _>>().map_err(failed)?;
+    let mut has_fault = false;
     let mut out = std::io::stdout().lock();
     for line in &lines {
         let object: Value = serde_json::from_str(line).map_err(|e| format!("{}: {e}", arguments.at))?;
-        faults |= object.get("fault").is_some();
-        let text = if arguments.json { line.clone() } else { plain(&object) };
+        has_fault |= object.get("fault").is_some();
+        let text = if arguments.json { line.clone() } else { to_text(&object) };
         writeln!(out, "{text}").map_err(|e| format!("standard output: {e}"))?;
     }
-    if faults { Err("the router has no answer to that".into()) } else { Ok(()) }
+    if has_fault { Err("the router has no answer to that".into()) } else { Ok(()) }
 }
 
-/// `name=value` pairs, by name.
-fn plain(object: &Value) -> String {
+/// An object as `name=value` pairs, sorted by name.
+fn to_text(object: &Value) -> String {
     let pairs = object.as_object().into_iter().flatten().map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text:?}"),
         Value::Number(number) if number.is_f64() => format!("{name}={:.2}", number.as_f64().unwrap_or(0.0)),
