--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -319,7 +319,8 @@
         context.counters.lists_failed += 1;
         if context.now - self.logged_at >= LOG_INTERVAL {
             self.logged_at = context.now;
-            warn!(context.log, "discovery"; "fault" => %error, "failed_so_far" => context.counters.lists_failed);
+            let calls_failed = context.counters.lists_failed;
+            warn!(context.log, "discovery call failed"; "error" => %error, "calls_failed" => calls_failed);
         }
         self.events.push_back(DiscoveryEvent::CallFailed);
     }
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -60,7 +60,7 @@
             Err(fault) => {
                 let is_first_try = next_try_at == at;
                 if is_first_try {
-                    warn!(exchange.log, "charter not taken, all goes on as it was"; "fault" => fault);
+                    warn!(exchange.log, "configuration not reloaded, the old one stays in force"; "error" => fault);
                 }
                 exchange.counters.reloads_failed += 1;
                 let next_try_at = now + RETRY_INTERVAL;
@@ -76,7 +76,7 @@
     fn apply(&mut self, config: Charter, exchange: &mut Exchange) {
         exchange.counters.reloads += 1;
         let needs_restart = self.config.differs(&config).join(",");
-        info!(exchange.log, "charter read again"; "discovery" => %config.discovery,
+        info!(exchange.log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
         self.config.discovery = config.discovery;
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -108,7 +108,7 @@
         match next {
             Phase::Serving => open_listener(exchange, &self.listen)?,
             Phase::LameDuck { answers_by, .. } => {
-                info!(exchange.log, "stopping"; "in_hand" => exchange.statements.in_hand());
+                info!(exchange.log, "shutdown requested"; "statements_in_flight" => exchange.statements.in_hand());
                 exchange.stops_at = answers_by;
             }
             Phase::Draining { .. } => exchange.retire(),
@@ -126,16 +126,16 @@
     let bound_to = listener.local_addr().map_err(failed)?.as_socket().unwrap_or(address);
     exchange.listener = Some(exchange.attend(listener, Party::Listener).map_err(failed)?);
     exchange.again(Party::Listener);
-    info!(exchange.log, "ready"; "listen" => %bound_to, "hosts" => exchange.hosts.all.len());
+    info!(exchange.log, "ready"; "listen" => %bound_to, "endpoints" => exchange.hosts.all.len());
     Ok(())
 }
 
 /// Writes all counters to the log.
 fn log_counters(exchange: &Exchange) {
     let (book, found) = (&exchange.book, exchange.book.found);
-    info!(exchange.log, "shapes"; "known" => found.known, "parsed" => found.parsed, "glanced" => found.glanced,
-        "denied" => found.denied, "pages" => book.pages(), "bytes" => book.bytes());
-    info!(exchange.log, "counters: {}", exchange.counters; "breaches_in_all" => exchange.breaches(),
-        "clients_now" => exchange.clients.len(), "lines_now" => exchange.lines.len(),
-        "in_hand" => exchange.statements.in_hand());
+    info!(exchange.log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
+        "prescanned" => found.glanced, "replica_refusals" => found.denied, "pages" => book.pages(), "bytes" => book.bytes());
+    info!(exchange.log, "counters: {}", exchange.counters; "invariant_violations_total" => exchange.breaches(),
+        "client_connections_open" => exchange.clients.len(), "backend_connections_open" => exchange.lines.len(),
+        "statements_in_flight" => exchange.statements.in_hand());
 }
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -289,7 +289,7 @@
         }
         for listed in &change.updates {
             let name = self.hosts.all[listed.host].name.as_str();
-            info!(self.log, "listed"; "host" => name, "standing" => format!("{:?}", listed.standing),
+            info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.standing),
                 "started_at" => listed.started_at.unwrap_or(0.0));
         }
         self.tell(News::List(&change.updates));
@@ -316,7 +316,7 @@
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
         opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
-        info!(self.log, "answers operators"; "control" => %address);
+        info!(self.log, "control listener ready"; "listen" => %address);
         Ok(())
     }
 
--- a/crates/ottersill/tests/service.rs
+++ b/crates/ottersill/tests/service.rs
@@ -391,7 +391,9 @@
     let (code, log) = service.exit();
     assert_eq!(code, Some(0));
     assert!(
-        log.contains("stopping") && log.contains(" statements=33 ") && log.contains("breaches_in_all=0"),
+        log.contains("shutdown requested")
+            && log.contains(" statements=33 ")
+            && log.contains("invariant_violations_total=0"),
         "{log}"
     );
 }
@@ -493,8 +495,8 @@
     assert_eq!(waiting.answer().expect("an answer"), "C40003");
     service.signal("-TERM");
     let (code, log) = service.exit();
-    assert!(code == Some(0) && log.contains("breaches_in_all=0"), "{log}");
-    assert_eq!(log.contains("charter not taken"), !before.is_empty(), "{log}");
+    assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{log}");
+    assert_eq!(log.contains("configuration not reloaded"), !before.is_empty(), "{log}");
 }
 
 /// The row says another length than it has: it may have run, and the primary is the primary all the same.
@@ -722,7 +724,7 @@
     assert!(slowest < Duration::from_millis(500), "{slowest:?}");
     service.signal("-TERM");
     let (_, log) = service.exit();
-    let line = log.lines().find(|line| line.contains(" shapes ")).expect("a line on shapes");
+    let line = log.lines().find(|line| line.contains(" fingerprint cache ")).expect("a line on shapes");
     let bytes = line.split("bytes=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
     assert!(bytes.is_some_and(|bytes| bytes <= 32 * 1024 * 1024 / 64), "{line}");
 }
