--- a/crates/ottersill/src/lifecycle/charter.rs
+++ b/crates/ottersill/src/lifecycle/charter.rs
@@ -5,7 +5,7 @@
 use ottersill_config::deployment::DeploymentSettings;
 use serde::{Deserialize, Deserializer};
 
-use crate::wire::discovery::List;
+use crate::discovery::endpoint_list::EndpointList as List;
 use crate::wire::exchange::Berths;
 
 /// Descriptors that are no connection: three standard ones, the loop's four, listener, discovery's two, of which one may
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use socket2::Socket;
 
-use crate::memory::alarms::Set;
+use crate::timers::TimerHandle as Set;
 
 /// Where the link stands.
 pub enum Course {
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -11,9 +11,9 @@
 use slog::{info, warn};
 use socket2::Socket;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::clients::{Client, Session};
 use crate::memory::statements::{Held, Stage};
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, LEEWAY, Party};
 use crate::wire::frame::{self, Code, Startup};
 use crate::wire::socket::{self, Got, Outbox};
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -12,8 +12,8 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::link::{Course, Link};
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket;
 
@@ -249,7 +249,7 @@
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
 pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
     exchange.link = Some(link);
-    exchange.control_opens()?;
+    exchange.open_control()?;
     exchange.fleet_join();
     exchange.fleet_after();
     Ok(())
