--- /dev/null
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -0,0 +1,146 @@
+//! The endpoints that discovery has named, by name and by replica set. An endpoint that was named once stays known, as
+//! the routing module refers to it by index; lists name few over a router's lifetime.
+
+use std::collections::HashMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::net::SocketAddr;
+
+use ottersill_core::interface::{Listed, Standing};
+
+use crate::discovery::endpoint_list::{EndpointEntry, EndpointList};
+
+/// What is known of one endpoint, with the idle connections to it.
+pub struct Endpoint {
+    /// Its name in endpoint lists.
+    pub name: String,
+    /// A hash of its name, by which the members of a fleet refer to it.
+    pub label: u64,
+    /// Where it is dialled; none until a list has said so.
+    pub dial: Option<SocketAddr>,
+    /// What the last list that named it said.
+    pub listed: Listed,
+    /// Idle connections, the last used at the end; one leaves when it is used or closed.
+    pub idle: Vec<usize>,
+    /// Connections that broke since the last log line about that.
+    pub broken: u64,
+    /// When that line was written, in Unix seconds.
+    pub logged_at: f64,
+}
+
+impl Endpoint {
+    fn new(name: &str, listed: Listed) -> Endpoint {
+        let label = ottersill_fleet::terms::label(name);
+        Endpoint {
+            name: name.to_string(),
+            label,
+            dial: None,
+            listed,
+            idle: Vec::new(),
+            broken: 0,
+            logged_at: 0.0,
+        }
+    }
+}
+
+/// What a list has changed.
+#[derive(Debug, Default)]
+pub struct RegistryChange {
+    /// What the routing module is to hear: the entries as listed and, after a complete list, the endpoints that it
+    /// lacks as gone.
+    pub updates: Vec<Listed>,
+    /// Endpoints whose address is another one now, by index.
+    pub readdressed: Vec<usize>,
+}
+
+/// All endpoints by index, which is also their index in the routing module.
+#[derive(Default)]
+pub struct EndpointRegistry {
+    /// By index.
+    pub all: Vec<Endpoint>,
+    by_name: HashMap<String, usize>,
+    groups: HashMap<u64, usize>,
+    sites: Vec<String>,
+}
+
+impl EndpointRegistry {
+    /// No endpoint is known yet; `sites` are the names of the sites, by their index in the routing module.
+    pub fn new(sites: Vec<String>) -> EndpointRegistry {
+        EndpointRegistry { sites, ..EndpointRegistry::default() }
+    }
+
+    /// The index of the replica set with that number, if a list has named it.
+    pub fn group(&self, number: u64) -> Option<usize> {
+        self.groups.get(&number).copied()
+    }
+
+    /// The endpoint with that label, if a list has named it.
+    pub fn by_label(&self, label: u64) -> Option<&Endpoint> {
+        self.all.iter().find(|endpoint| endpoint.label == label)
+    }
+
+    /// Takes over what a list says.
+    pub fn apply(&mut self, list: &EndpointList) -> RegistryChange {
+        let mut seen = vec![false; self.all.len()];
+        let mut change = RegistryChange::default();
+        for entry in &list.entries {
+            let index = self.index_of(entry);
+            if let Some(seen) = seen.get_mut(index) {
+                *seen = true;
+            }
+            if self.readdress(index, entry) {
+                change.readdressed.push(index);
+            }
+            change.updates.push(self.all[index].listed);
+        }
+        if list.is_complete {
+            let missing = seen.iter().zip(&self.all).filter(|(seen, _)| !**seen);
+            let gone = |endpoint: &Endpoint| Listed { standing: Standing::Gone, ..endpoint.listed };
+            change.updates.extend(missing.map(|(_, endpoint)| gone(endpoint)));
+        }
+        change
+    }
+
+    /// The index of the endpoint that an entry names, with what the entry says of it stored there. A new name gets the
+    /// next index, and so does a new replica set.
+    fn index_of(&mut self, entry: &EndpointEntry) -> usize {
+        let next_group = self.groups.len();
+        let group = *self.groups.entry(entry.group).or_insert(next_group);
+        let index = self.by_name.get(entry.name.as_str()).copied().unwrap_or(self.all.len());
+        let listed = Listed {
+            host: index,
+            order: name_hash(&entry.name),
+            group,
+            site: self.sites.iter().position(|site| *site == entry.site),
+            size: entry.size,
+            standing: entry.health.into(),
+            started_at: (entry.started_at_ms > 0.0).then_some(entry.started_at_ms / 1000.0),
+        };
+        if let Some(endpoint) = self.all.get_mut(index) {
+            endpoint.listed = listed;
+        } else {
+            self.by_name.insert(entry.name.clone(), index);
+            self.all.push(Endpoint::new(&entry.name, listed));
+        }
+        index
+    }
+
+    /// Takes over the address of an entry; true if the endpoint had another one. An endpoint that has left may be
+    /// listed without an address, which changes nothing for what is in flight there.
+    fn readdress(&mut self, index: usize, entry: &EndpointEntry) -> bool {
+        let endpoint = &mut self.all[index];
+        let address: Option<SocketAddr> = entry.address.parse().ok();
+        if address.is_none() || address == endpoint.dial {
+            return false;
+        }
+        let had_address = endpoint.dial.is_some();
+        endpoint.dial = address;
+        had_address
+    }
+}
+
+/// Alike on all routers, which thereby order endpoints alike.
+fn name_hash(name: &str) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    name.hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -12,8 +12,8 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::link::{Course, Link};
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket;
 
@@ -122,6 +122,12 @@
                 warn!(self.log, "another member's file has a smaller whole, which is gone by";
                     "budget" => self.budget_name(key.0), "own" => own, "used" => used);
             }
+            Event::Raised { from, to } => {
+                info!(self.log, "a larger incarnation of this name was known, taken a larger one still"; "from" => from, "to" => to);
+            }
+            Event::Superseded { by } => {
+                warn!(self.log, "no part of the fleet's budgets: a later process of this name is known"; "incarnation" => by);
+            }
             // Each is in the audit; in the log they would bury all else.
             Event::Right { .. } => {}
         }
@@ -243,7 +249,7 @@
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
 pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
     exchange.link = Some(link);
-    exchange.control_opens()?;
+    exchange.open_control()?;
     exchange.fleet_join();
     exchange.fleet_after();
     Ok(())
--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/scene/mod.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_lab::script::{Discovery, Host, list};
-use ottersill_lab::store::Client;
+use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
+use ottersill_testkit::stand_in::Client;
 
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -102,9 +102,9 @@
 
 /// A primary and a replica, a discovery that lists them, and the router between.
 pub struct Scene {
-    pub primary: Host,
-    pub replica: Host,
-    pub discovery: Discovery,
+    pub primary: ScriptedEndpoint,
+    pub replica: ScriptedEndpoint,
+    pub discovery: ScriptedDiscovery,
     pub router: Router,
 }
 
@@ -113,11 +113,12 @@
 
 impl Scene {
     pub fn set(replaced: &[(&str, &str)]) -> Scene {
-        let discovery = Discovery::start().expect("discovery");
-        let (primary, replica) = (Host::start(true).expect("a host"), Host::start(false).expect("a host"));
+        let discovery = ScriptedDiscovery::start().expect("discovery");
+        let (primary, replica) =
+            (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
         let router = Router::spawn(&charter(discovery.at, replaced), None);
         let scene = Scene { primary, replica, discovery, router };
-        scene.discovery.next().answer(&scene.list(1, "active", "active"));
+        scene.discovery.next().answer(&scene.endpoint_list(1, "active", "active"));
         let scene = Scene { router: scene.router.until_ready(), ..scene };
         // With the first answers it knows who is who.
         let mut client = scene.router.client();
@@ -133,8 +134,8 @@
         scene
     }
 
-    pub fn list(&self, seq: u64, primary: &str, replica: &str) -> String {
-        list(seq, &[("one", self.primary.at, primary), ("two", self.replica.at, replica)])
+    pub fn endpoint_list(&self, seq: u64, primary: &str, replica: &str) -> String {
+        endpoint_list(seq, &[("one", self.primary.at, primary), ("two", self.replica.at, replica)])
     }
 
     /// Another client's read is the first thing that comes to the replica from here on.
@@ -149,20 +150,22 @@
 
     /// A client whose read waits on a connection to the replica that is not up yet.
     pub fn read_on_its_way(&self, number: u32, left_ms: u32) -> Client {
-        self.replica.greets_no_more();
+        self.replica.hold_greeting_and_close_idle();
         let mut client = self.router.client();
         client.send(&read(number, left_ms)).expect("a query");
-        self.replica.until_dialled(1);
+        self.replica.wait_for_connections(1);
         client
     }
 }
 
-/// What the system says of a connection at one of its sides: the state, in its own two digits, and whether bytes lie unread.
+/// What the system says of a connection at one of its sides: the state, in its own two digits, whether bytes lie unread, and
+/// whether a process still has the socket open.
 struct Side {
     local: String,
     remote: String,
     state: String,
     unread: bool,
+    open: bool,
 }
 
 fn sides() -> Vec<Side> {
@@ -171,7 +174,9 @@
         let mut fields = line.split_whitespace().skip(1).map(str::to_string);
         let mut next = || fields.next().expect("a field");
         let (local, remote, state, queues) = (next(), next(), next(), next());
-        Side { local, remote, state, unread: !queues.ends_with(":00000000") }
+        // What no process has open has no inode.
+        let inode = fields.nth(4).expect("a field");
+        Side { local, remote, state, unread: !queues.ends_with(":00000000"), open: inode != "0" }
     };
     all.lines().skip(1).map(side).collect()
 }
@@ -186,6 +191,19 @@
     sides().into_iter().find(|side| side.local == router && side.remote == client).map(|side| side.state)
 }
 
+/// Whether bytes of `client` lie unread at the router.
+pub fn unread_at_router(router: SocketAddr, client: SocketAddr) -> bool {
+    let (router, client) = (hex(router), hex(client));
+    sides().iter().any(|side| side.local == router && side.remote == client && side.unread)
+}
+
+/// Waits until the router has closed its socket of the connection from `client`, whatever the system still does with it.
+pub fn until_closed(router: SocketAddr, client: SocketAddr) {
+    let (router, client) = (hex(router), hex(client));
+    let open = |side: &Side| side.local == router && side.remote == client && side.open;
+    until("the router closes it", || !sides().iter().any(open));
+}
+
 /// Waits until the end of the connection from `client` is at the router's side of it, read or not. A socket that is dropped
 /// is not always closed by then: tests run in threads, and what one of them starts (`kill`, a router) has all descriptors
 /// of the process until it has become that program, among them the one that another test drops meanwhile.
