--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -9,7 +9,7 @@
 use ottersill_statement::fingerprint::{self, Fingerprint, Key};
 use serde::Serialize;
 
-use crate::lifecycle::charter;
+use crate::lifecycle::config;
 
 /// The name that stands for standard input.
 const STDIN: &str = "-";
@@ -99,7 +99,7 @@
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
-    let config = charter::find()?;
+    let config = config::find()?;
     let terms = config.settings.terms(config.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
     let names = config.settings.catalog();
     let index = names.workloads.iter().position(|known| known == name).ok_or_else(|| {
--- a/crates/ottersill/src/lifecycle/mod.rs
+++ b/crates/ottersill/src/lifecycle/mod.rs
@@ -1,6 +1,6 @@
 //! A router's life: its configuration, its log, start, reload and shutdown.
 
-pub mod charter;
+pub mod config;
 pub mod error;
 pub mod log;
 pub mod reload;
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -2,7 +2,7 @@
 
 use slog::{info, warn};
 
-use crate::lifecycle::charter::{self, Charter};
+use crate::lifecycle::config::{self, Charter};
 use crate::wire::exchange::Exchange;
 
 /// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
@@ -52,7 +52,7 @@
         if now < next_try_at {
             return;
         }
-        self.state = match charter::find() {
+        self.state = match config::find() {
             Ok(config) => {
                 self.apply(config, exchange);
                 State::Idle
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -6,7 +6,7 @@
 use slog::info;
 
 use crate::discovery::client::DiscoveryClient;
-use crate::lifecycle::charter::{self, Charter};
+use crate::lifecycle::config::{self, Charter};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
@@ -22,7 +22,7 @@
 /// # Errors
 /// If the configuration is wrong, or the system refuses what a router needs.
 pub fn run(fleet_file: Option<&str>, form: Form) -> Result<(), RunError> {
-    let config = charter::find().map_err(RunError::Config)?;
+    let config = config::find().map_err(RunError::Config)?;
     build(config, fleet_file, Log::new(form))?.run()
 }
 
