--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -9,7 +9,7 @@
 use ottersill_statement::fingerprint::{self, Fingerprint, Key};
 use serde::Serialize;
 
-use crate::lifecycle::config;
+use crate::lifecycle::config::{Config, ConfigError};
 
 /// The name that stands for standard input.
 const STDIN: &str = "-";
@@ -99,8 +99,8 @@
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
-    let config = config::find()?;
-    let terms = config.settings.terms(config.seed).map_err(|e| format!("NODE_CONFIG: settings.{e}"))?;
+    let config = Config::load().map_err(|error| error.to_string())?;
+    let terms = config.settings.terms(config.seed).map_err(|error| ConfigError::from(error).to_string())?;
     let names = config.settings.catalog();
     let index = names.workloads.iter().position(|known| known == name).ok_or_else(|| {
         format!("--workload: no workload {name:?}; there are {}", names.workloads.join(", "))
--- a/crates/ottersill/src/lifecycle/error.rs
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -4,11 +4,13 @@
 use std::io;
 use std::net::SocketAddr;
 
+use crate::lifecycle::config::ConfigError;
+
 /// Why a router does not start, or does not go on. Its text is one line for the operator.
 #[derive(Debug)]
 pub enum RunError {
-    /// `NODE_CONFIG`, or the file it names; the text says field and reason.
-    Config(String),
+    /// The configuration is not taken.
+    Config(ConfigError),
     /// The configuration of the fleet; the text says file, field and reason.
     Fleet(String),
     /// The event loop failed.
@@ -27,7 +29,8 @@
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RunError::Config(text) | RunError::Fleet(text) => f.write_str(text),
+            RunError::Config(error) => error.fmt(f),
+            RunError::Fleet(text) => f.write_str(text),
             RunError::EventLoop(error) => write!(f, "event loop: {error}"),
             RunError::Signals(error) => write!(f, "signals: {error}"),
             RunError::Listen { address, source } => write!(f, "listen on {address}: {source}"),
@@ -38,9 +41,16 @@
 impl std::error::Error for RunError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            RunError::Config(_) | RunError::Fleet(_) => None,
+            RunError::Config(error) => Some(error),
+            RunError::Fleet(_) => None,
             RunError::EventLoop(error) | RunError::Signals(error) => Some(error),
             RunError::Listen { source, .. } => Some(source),
         }
     }
 }
+
+impl From<ConfigError> for RunError {
+    fn from(error: ConfigError) -> RunError {
+        RunError::Config(error)
+    }
+}
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -2,7 +2,7 @@
 
 use slog::{info, warn};
 
-use crate::lifecycle::config::{self, Charter};
+use crate::lifecycle::config::Config;
 use crate::wire::exchange::Exchange;
 
 /// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
@@ -22,13 +22,13 @@
 /// Reads the configuration again when asked to.
 pub struct Reload {
     /// The configuration that the router goes by.
-    config: Charter,
+    config: Config,
     state: State,
 }
 
 impl Reload {
     /// `config` is what the router was started with.
-    pub fn new(config: Charter) -> Reload {
+    pub fn new(config: Config) -> Reload {
         Reload { config, state: State::Idle }
     }
 
@@ -52,7 +52,7 @@
         if now < next_try_at {
             return;
         }
-        self.state = match config::find() {
+        self.state = match Config::load() {
             Ok(config) => {
                 self.apply(config, exchange);
                 State::Idle
@@ -60,7 +60,7 @@
             Err(fault) => {
                 let is_first_try = next_try_at == at;
                 if is_first_try {
-                    warn!(exchange.log, "configuration not reloaded, the old one stays in force"; "error" => fault);
+                    warn!(exchange.log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
                 }
                 exchange.counters.reloads_failed += 1;
                 let next_try_at = now + RETRY_INTERVAL;
@@ -73,9 +73,9 @@
         };
     }
 
-    fn apply(&mut self, config: Charter, exchange: &mut Exchange) {
+    fn apply(&mut self, config: Config, exchange: &mut Exchange) {
         exchange.counters.reloads += 1;
-        let needs_restart = self.config.differs(&config).join(",");
+        let needs_restart = self.config.restart_required(&config).join(",");
         info!(exchange.log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -2,11 +2,10 @@
 
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
-use ottersill_config::deployment::SettingsError;
 use slog::info;
 
 use crate::discovery::client::DiscoveryClient;
-use crate::lifecycle::config::{self, Charter};
+use crate::lifecycle::config::{Config, ConfigError};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
@@ -22,15 +21,13 @@
 /// # Errors
 /// If the configuration is wrong, or the system refuses what a router needs.
 pub fn run(fleet_file: Option<&str>, form: Form) -> Result<(), RunError> {
-    let config = config::find().map_err(RunError::Config)?;
-    build(config, fleet_file, Log::new(form))?.run()
+    build(Config::load()?, fleet_file, Log::new(form))?.run()
 }
 
-fn build(config: Charter, fleet_file: Option<&str>, log: Log) -> Result<Program, RunError> {
-    let in_settings = |fault: SettingsError| RunError::Config(format!("NODE_CONFIG: settings.{fault}"));
-    let limits = config.limits.berths().map_err(|e| RunError::Config(format!("NODE_CONFIG: {e}")))?;
-    let timeouts = config.settings.backend_timeouts().map_err(in_settings)?;
-    let terms = config.settings.terms(config.seed).map_err(in_settings)?;
+fn build(config: Config, fleet_file: Option<&str>, log: Log) -> Result<Program, RunError> {
+    let limits = config.limits.berths().map_err(ConfigError::from)?;
+    let timeouts = config.settings.backend_timeouts().map_err(ConfigError::from)?;
+    let terms = config.settings.terms(config.seed).map_err(ConfigError::from)?;
     let names = config.settings.catalog();
     let longest_statement_timeout = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
     let open_link = |path| Link::open(path, &config.name, longest_statement_timeout, config.seed);
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -4,7 +4,6 @@
 use ottersill::discovery::endpoint_list::EndpointList;
 use ottersill::discovery::http;
 use ottersill::discovery::registry::{EndpointRegistry, RegistryChange};
-use ottersill::lifecycle::config;
 use ottersill::memory::clients::Session;
 use ottersill::memory::lines::Course;
 use ottersill::memory::statements::Stage;
@@ -288,25 +287,3 @@
     assert_eq!((elsewhere.as_slice(), hosts.group(7), hosts.group(8)), (moved, Some(0), None));
     assert!(listed.iter().all(|l| l.started_at == Some(1.5)));
 }
-
-const CHARTER: &str = include_str!("../../../example/router.json");
-
-#[rstest]
-#[case::no_json("{", "EOF")]
-#[case::no_name("{}", "missing field `name`")]
-#[case::bad_address(r#"{"name":"a","listen":"here"}"#, "listen: ")]
-#[case::bad_seed(r#"{"name":"a","seed":"xyz"}"#, "seed: expected a hexadecimal number")]
-fn a_charter_that_lacks_something_is_named(#[case] json: &str, #[case] says: &str) {
-    let fault = config::read(json.as_bytes()).err().expect("a fault");
-    assert!(fault.contains(says), "{fault}");
-}
-
-#[rstest]
-#[case::usual(1024, Some(1005))]
-#[case::hardly_any(21, Some(2))]
-#[case::none(20, None)]
-fn connections_are_counted_against_the_limit(#[case] sockets: usize, #[case] expected: Option<usize>) {
-    let mut charter = config::read(CHARTER.as_bytes()).expect("the example's charter");
-    charter.limits.sockets = sockets;
-    assert_eq!(charter.limits.berths().ok().map(|berths| berths.all), expected);
-}
--- a/crates/ottersill/tests/config.rs
+++ b/crates/ottersill/tests/config.rs
@@ -1,8 +1,10 @@
 //! What an operator reads when the router does not take its configuration: one line with the field and the reason.
 
+use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+use ottersill::lifecycle::config::{Config, ConfigError, LimitsError};
 use rstest::rstest;
 
 const EXAMPLE: &str = include_str!("../../../example/router.json");
@@ -115,3 +117,37 @@
     let bad = format!("ottersill: {path}: line 2: drift: expected a number, but found 'x'\n");
     assert_eq!(refusal(&config, &["--fleet", &path]), bad);
 }
+
+#[rstest]
+#[case::no_json("{", "EOF")]
+#[case::no_name("{}", "missing field `name`")]
+#[case::bad_address(r#"{"name":"a","listen":"here"}"#, "listen: ")]
+#[case::bad_seed(r#"{"name":"a","seed":"xyz"}"#, "seed: expected a hexadecimal number")]
+fn a_config_that_lacks_something_is_named(#[case] json: &str, #[case] says: &str) {
+    let fault = Config::parse(json.as_bytes()).err().expect("a fault").to_string();
+    assert!(fault.contains(says), "{fault}");
+}
+
+#[rstest]
+#[case::usual(1024, Some(1005))]
+#[case::hardly_any(21, Some(2))]
+#[case::none(20, None)]
+fn connections_are_counted_against_the_limit(#[case] sockets: usize, #[case] expected: Option<usize>) {
+    let mut config = Config::parse(EXAMPLE.as_bytes()).expect("the example");
+    config.limits.sockets = sockets;
+    assert_eq!(config.limits.berths().ok().map(|berths| berths.all), expected);
+}
+
+/// What an error says of itself is also there as values: the field, line and column, the cause behind it.
+#[test]
+fn an_error_has_its_place_and_its_cause() {
+    let fault = Config::parse(b"{\"name\":\"a\",\n \"listen\":\"here\"}").err().expect("a fault");
+    assert_eq!((fault.field.as_str(), fault.source.line(), fault.source.column()), ("listen", 2, 16));
+    let text = fault.source.to_string();
+    let malformed = ConfigError::Malformed { path: "a.json".to_string(), source: fault };
+    let cause = malformed.source().and_then(Error::source).expect("a cause");
+    assert_eq!(cause.to_string(), text);
+    let limits = ConfigError::from(LimitsError::Sockets { least: 21, found: 3 });
+    assert_eq!(limits.to_string(), "NODE_CONFIG: limits.sockets: expected 21 at least, found 3");
+    assert!(limits.source().is_some_and(|cause| cause.is::<LimitsError>()));
+}
