--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Files that are refused, each with its line, its field and the reason.
+//! Fleet files that are rejected, each with its line, its field and the reason.
 
 use ottersill_config::fleet::FleetConfig;
 use ottersill_fleet::terms::Kind;
@@ -28,16 +28,16 @@
 "#;
 
 #[test]
-fn a_good_file_is_taken() {
-    let config = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a good file");
+fn a_valid_file_is_accepted() {
+    let config = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a valid file");
     assert_eq!(config.listen, "127.0.0.1:7412".parse().expect("an address"));
     assert_eq!(config.charter.voters, ["a", "b", "c"]);
     assert_eq!((config.charter.budgets[0].whole, config.charter.budgets[0].floor), (64, 2));
     let shrunk =
-        FleetConfig::from_textproto(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a good file");
+        FleetConfig::from_textproto(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a valid file");
     assert_eq!(config.restart_required(&shrunk), None);
     let other = FleetConfig::from_textproto(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0)
-        .expect("a good file");
+        .expect("a valid file");
     assert!(config.restart_required(&other).is_some_and(|field| field.contains("leases")));
 }
 
@@ -201,7 +201,7 @@
     "budget[0].every_s",
     "this budget is no rate"
 )]
-fn a_bad_file_is_refused(
+fn an_invalid_file_is_rejected(
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: usize,
@@ -214,22 +214,23 @@
     } else {
         GOOD.to_string()
     };
-    let fault = FleetConfig::from_textproto(&text.replacen(from, to, 1), "b", 2.0).expect_err("a bad file");
-    assert_eq!((fault.line, fault.field.as_str()), (line, field), "{fault}");
-    assert_eq!(fault.reason.to_string(), reason);
-    assert_eq!(fault.to_string(), format!("line {line}: {field}: {reason}"));
+    let error =
+        FleetConfig::from_textproto(&text.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
+    assert_eq!((error.line, error.field.as_str()), (line, field), "{error}");
+    assert_eq!(error.reason.to_string(), reason);
+    assert_eq!(error.to_string(), format!("line {line}: {field}: {reason}"));
 }
 
 #[test]
-fn one_that_is_no_peer_needs_an_address() {
-    let fault = FleetConfig::from_textproto(GOOD, "x", 2.0).expect_err("a stranger");
-    assert_eq!(fault.to_string(), "line 1: listen: \"x\" is no peer, so it needs its own address");
+fn a_member_that_is_no_peer_needs_a_listen_address() {
+    let error = FleetConfig::from_textproto(GOOD, "x", 2.0).expect_err("a stranger");
+    assert_eq!(error.to_string(), "line 1: listen: \"x\" is no peer, so it needs its own address");
     assert!(FleetConfig::from_textproto(&format!("{GOOD}listen: \"127.0.0.1:7419\""), "x", 2.0).is_ok());
 }
 
-/// Guards against a new version that takes the operators' file for something else than the version before it.
+/// Guards against a new version that reads other values from the same file.
 #[test]
-fn the_deployed_file_is_read_as_before() {
+fn the_deployed_file_has_these_values() {
     let text = include_str!("../../../deploy/fleet.textproto");
     let config = FleetConfig::from_textproto(text, "b", 2.0).expect("the deployed file");
     let charter = &config.charter;
@@ -262,22 +263,22 @@
     assert_eq!((config.key_file.as_str(), config.audit_file.as_deref()), ("target/fleet.key", None));
 }
 
-/// Every field that the file of one member may have, beside those above.
+/// Fields that differ between the files of members.
 #[test]
-fn the_fields_of_one_member_are_read_as_before() {
+fn fields_of_a_single_member() {
     let own = "listen: \"0.0.0.0:7419\" audit_file: \"audit.jsonl\"\n";
     let text = GOOD.replace("at: \"127.0.0.1:7412\"", "at: \"127.0.0.1:7412\" control: \"127.0.0.1:7422\"");
-    let config = FleetConfig::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a good file");
+    let config = FleetConfig::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a valid file");
     assert_eq!(
         (config.at.to_string(), config.listen.to_string()),
         ("127.0.0.1:7412".into(), "0.0.0.0:7419".into())
     );
-    // What is said for this member alone goes before what all are told of it.
+    // The field of the file goes before that of the peer.
     assert_eq!(config.control.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:7421"));
     assert_eq!(config.audit_file.as_deref(), Some("audit.jsonl"));
 }
 
-/// What a reload can't take over is named by these words.
+/// The exact texts for changes that a reload can't take over.
 #[rstest]
 #[case::a_floor(
     "floor: 2",
@@ -290,9 +291,13 @@
 #[case::key("fleet.key", "other.key", Some("key_file"))]
 #[case::audit("key_file", "audit_file: \"a\" key_file", Some("audit_file"))]
 #[case::a_whole("whole: 64", "whole: 32", None)]
-fn what_differs_is_named(#[case] from: &str, #[case] to: &str, #[case] expected: Option<&str>) {
-    let now = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a good file");
-    let next = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a good file");
+fn changes_that_need_a_restart_are_named(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: Option<&str>,
+) {
+    let now = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a valid file");
+    let next = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a valid file");
     assert_eq!(now.restart_required(&next), expected);
 }
 
@@ -305,7 +310,8 @@
 #[case::absent_in_a_message("every_s: 1", "", (21, 1))]
 #[case::absent("key_file: \"fleet.key\"", "", (1, 1))]
 #[case::not_parsed("drift: 0.01", "drift: 0.01 drift: 0.02", (13, 20))]
-fn the_place_of_an_error_is_told(#[case] from: &str, #[case] to: &str, #[case] place: (usize, usize)) {
-    let fault = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect_err("a bad file");
-    assert_eq!((fault.line, fault.column), place, "{fault}");
+fn errors_have_line_and_column(#[case] from: &str, #[case] to: &str, #[case] place: (usize, usize)) {
+    let error =
+        FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
+    assert_eq!((error.line, error.column), place, "{error}");
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,5 @@
-//! What the settings' JSON is read as, in words that no rename touches, and the exact texts of refusals.
+//! The terms that come from the settings' JSON, described in words that no rename touches, and the exact texts of
+//! errors.
 
 use ottersill_config::deployment::{Catalog, DeploymentSettings};
 use ottersill_core::interface::{Effect, Needs, Reports, Terms, Within, Workload};
@@ -12,7 +13,7 @@
     file["settings"].clone()
 }
 
-/// Every key that is read, none at its default; and one that is not known.
+/// Every key that is used, none at its default, and one that is unknown.
 fn every_key() -> Value {
     json!({
         "balancers": 300,
@@ -51,7 +52,7 @@
     serde_json::from_value(settings.clone()).expect("settings of the right form")
 }
 
-fn workload(workload: &Workload) -> String {
+fn describe_workload(workload: &Workload) -> String {
     let needs = match workload.needs {
         Needs::Primary => "primary".to_string(),
         Needs::Fresh => "fresh".to_string(),
@@ -76,7 +77,7 @@
     format!("{needs}, {effect}, importance {importance}, late {late}, aim {aim} s, limit {limit} s")
 }
 
-fn words(terms: &Terms, names: &Catalog) -> Vec<String> {
+fn describe(terms: &Terms, names: &Catalog) -> Vec<String> {
     let reports = match terms.reports {
         Reports::WithAnswers => "with answers",
         Reports::WithProbes => "with probes",
@@ -97,16 +98,16 @@
         format!("names {:?} {:?} {:?}", names.workloads, names.tenants, names.sites),
         format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.zero),
     ];
-    lines.extend(terms.workloads.iter().map(workload));
+    lines.extend(terms.workloads.iter().map(describe_workload));
     lines
 }
 
 #[test]
-fn the_example_is_read_as_before() {
+fn the_example_maps_to_these_terms() {
     let settings = parse(&example());
     let (terms, names) = (settings.terms(77).expect("terms"), settings.catalog());
     assert_eq!(
-        words(&terms, &names),
+        describe(&terms, &names),
         [
             "seed 77 routers 1 site Some(0)",
             "tenants [] over share 1",
@@ -130,11 +131,11 @@
 }
 
 #[test]
-fn every_key_is_read_as_before() {
+fn every_key_maps_to_these_terms() {
     let settings = parse(&every_key());
     let (terms, names) = (settings.terms(u64::MAX).expect("terms"), settings.catalog());
     assert_eq!(
-        words(&terms, &names),
+        describe(&terms, &names),
         [
             "seed 18446744073709551615 routers 300 site Some(1)",
             "tenants [12.5, 40.0] over share 0.25",
@@ -161,14 +162,14 @@
     assert_eq!((timeouts.connect, timeouts.idle, timeouts.drain_grace), (0.125, 8.0, 0.4));
 }
 
-/// What a value turns into where the two sets above do not say it.
+/// Values that neither of the two sets above has.
 #[rstest]
 #[case::reports_of_probes("/stats/how", json!("none"), 2, "reports nowhere")]
 #[case::no_roles_in_reports("/stats/fields", json!(["x0"]), 2, "reports nowhere")]
 #[case::unchecked("/domain/when_behind", json!("none"), 3, "members check reads false")]
 #[case::no_advice("/policy_limits/retry_after", json!(false), 7, "at most 5 attempts, 0 s until retry")]
 #[case::nowhere("/zone", json!("reef"), 0, "seed 5 routers 300 site None")]
-fn a_value_is_read_as_before(
+fn single_values_map_to_these_terms(
     #[case] key: &str,
     #[case] value: Value,
     #[case] line: usize,
@@ -178,7 +179,7 @@
     *settings.pointer_mut(key).expect("a key of the settings") = value;
     let settings = parse(&settings);
     let terms = settings.terms(5).expect("terms");
-    assert_eq!(words(&terms, &settings.catalog())[line], expected);
+    assert_eq!(describe(&terms, &settings.catalog())[line], expected);
 }
 
 #[rstest]
@@ -191,32 +192,32 @@
 #[case::registry("/registry_mode", json!("odd"), "registry_mode: expected automatic or subscribe, found \"odd\"")]
 #[case::classes("/domain/class_read", json!(["any"]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
 #[case::bounds("/domain/oldest_data_ms", json!([]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
-fn a_value_that_is_not_known_is_refused(#[case] key: &str, #[case] value: Value, #[case] expected: &str) {
+fn unknown_values_are_rejected(#[case] key: &str, #[case] value: Value, #[case] expected: &str) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = value;
-    let fault = parse(&settings).terms(5).expect_err("a refusal");
-    assert_eq!(fault.to_string(), expected);
+    let error = parse(&settings).terms(5).expect_err("an error");
+    assert_eq!(error.to_string(), expected);
 }
 
 #[rstest]
 #[case::connect("connect_timeout_ms", "policy_limits: missing field `connect_timeout_ms`")]
 #[case::idle("keepalive_ms", "policy_limits: missing field `keepalive_ms`")]
-fn times_that_only_sockets_need_are_asked_for_there(#[case] key: &str, #[case] expected: &str) {
+fn timeouts_are_required_only_for_sockets(#[case] key: &str, #[case] expected: &str) {
     let mut settings = every_key();
     settings["policy_limits"].as_object_mut().expect("an object").remove(key);
     let settings = parse(&settings);
     assert!(settings.terms(5).is_ok());
-    assert_eq!(settings.backend_timeouts().expect_err("a refusal").to_string(), expected);
+    assert_eq!(settings.backend_timeouts().expect_err("an error").to_string(), expected);
 }
 
-/// The error tells the place in the whole object, which its text does not.
+/// The error has the full path of the field, which its text does not.
 #[rstest]
 #[case::class("/domain/class_read/2", "domain.class_read[2]")]
 #[case::group("/profiles/3/group", "profiles[3].group")]
 #[case::effect("/profiles/0/effect", "profiles[0].effect")]
 #[case::reports("/stats/how", "stats.how")]
-fn the_place_of_an_unknown_value_is_told(#[case] key: &str, #[case] path: &str) {
+fn errors_have_the_full_path(#[case] key: &str, #[case] path: &str) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = json!("odd");
-    assert_eq!(parse(&settings).terms(5).expect_err("a refusal").path(), path);
+    assert_eq!(parse(&settings).terms(5).expect_err("an error").path(), path);
 }
--- a/crates/sim-adapter/tests/conversation.rs
+++ b/crates/sim-adapter/tests/conversation.rs
@@ -40,7 +40,7 @@
 
 /// Start, an empty list, probes, a write and reads, a miss, a hangup, a kill and a new start, reply by reply.
 #[test]
-fn a_short_conversation() {
+fn a_conversation_of_one_instance() {
     let beat = r#"{"notify_me":{"sleep_for_ms":20,"name":"beat"}}"#;
     let probes = r#"{"sound_out":{"host":"heron"}},{"sound_out":{"host":"otter"}}"#;
     let none = r#"{"roster":{"list":4,"members_list":[]}},{"backends_changed":{"kind":1,"gen":2,"list":4}}"#;
@@ -223,7 +223,7 @@
 
 /// The form of an action that a router asks for only after silence.
 #[test]
-fn what_a_silent_host_was_sent_is_called_off() {
+fn attempts_at_an_unresponsive_endpoint_are_called_off() {
     let wren = r#",{"state":0,"power_hint":1,"set":9,"site":"hill","host":"wren"}]}}"#;
     let told = r#"{"health_result":{"host":"heron","result":"ok","pressure":{"x0":2.004,"x1":1}}},
         {"health_result":{"host":"otter","result":"ok","pressure":{"x0":2.0,"x1":0}}},
@@ -296,7 +296,7 @@
     "line 1: field parts[0].in[0]: effect: expected pure, token or side_effect, found \"pur\" at line 1 column 902"
 )]
 #[case::not_utf8(b"{\"ts_ms\":1,\"\xff\n".as_slice(), "line 1: expected UTF-8: invalid utf-8 sequence of 1 bytes from index 12")]
-fn what_is_no_batch_ends_the_adapter(#[case] input: impl AsRef<[u8]>, #[case] expected: &str) {
+fn malformed_batches_end_the_adapter(#[case] input: impl AsRef<[u8]>, #[case] expected: &str) {
     refused(input.as_ref(), &[expected]);
 }
 
@@ -331,14 +331,14 @@
     r#"{"backends_changed":{"kind":7,"gen":1,"list":3}}"#,
     "expected a kind of 0 to 3 at line 1 column 83"
 )]
-fn an_event_that_names_what_is_not_there_ends_the_adapter(#[case] event: &str, #[case] expected: &str) {
+fn events_with_unknown_names_end_the_adapter(#[case] event: &str, #[case] expected: &str) {
     let input = batch(1, 0, &start()) + &batch(1, 0, event);
     refused(input.as_bytes(), &[&format!("line 2: field parts[0].in[0]: {expected}")]);
 }
 
 /// The event at fault is named by its place, though others that are skipped or ignored stand before it.
 #[test]
-fn the_event_at_fault_is_named() {
+fn the_event_at_fault_is_located() {
     let list = r#"{"roster":{"list":4,"members_list":[{"state":1,"power_hint":1,"set":9,"site":"hill","host":"otter"}]}}"#;
     let events = format!(
         r#"{{"reminder":{{"name":"beat"}}}},{list},{{"peer_data":1}},{{"never_met":2}},{{"backends_changed":{{"kind":1,"gen":1,"list":4}}}}"#
@@ -350,7 +350,7 @@
 
 /// What was on its way to an instance when it was killed names nothing that is known any more.
 #[test]
-fn events_for_an_instance_that_is_not_there_are_passed_over() {
+fn events_for_a_killed_instance_are_ignored() {
     let events = r#"{"backends_changed":{"kind":7,"gen":1}},{"hangup":{"tid":8}},
         {"resolved":{"tid":1,"host":"mole","result":"odd","cost_time_ms":1}}"#;
     let output = run(batch(1, 7, events));
