--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -259,7 +259,7 @@
     }
 
     /// Does what the facade names, until it names nothing more.
-    fn carry_out(&mut self) {
+    pub fn carry_out(&mut self) {
         loop {
             let due = self.facade.tick(self.now);
             if due.is_empty() {
