--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -363,13 +363,13 @@
 
 #[test]
 fn a_script_plays_faults_at_their_times() {
-    use ottersill_testkit::cluster::parse_script;
+    use ottersill_testkit::cluster::fault_schedule::parse_script;
     assert_eq!(
-        parse_script("1 kill r9", 4).expect_err("no such router"),
+        parse_script("1 kill r9", 4).expect_err("no such router").to_string(),
         "line 1: no router is called \"r9\""
     );
     assert_eq!(
-        parse_script("\n# so\nsoon heal", 4).expect_err("no time"),
+        parse_script("\n# so\nsoon heal", 4).expect_err("no time").to_string(),
         "line 3: a step begins with its time in seconds"
     );
     let steps = parse_script(
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -10,12 +10,19 @@
 /// A line of a router's audit file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Entry {
+    /// When it was written, in Unix seconds.
     pub at: f64,
+    /// The router's name.
     pub process: String,
+    /// Which process of that name; a later one has a larger number.
     pub incarnation: u64,
+    /// `right`, `take`, `put` or `put unproved`.
     pub what: String,
+    /// The budget's name.
     pub budget: String,
+    /// Whose budget it is, where there is one for each endpoint.
     pub subject: u64,
+    /// Of a `right`: units, and until when each part of them lasts, in Unix seconds.
     #[serde(default)]
     pub until: Option<[(u64, f64); 2]>,
 }
@@ -25,11 +32,16 @@
 pub enum Whole {
     /// So many come back each `every` seconds, and as many may be saved up.
     Rate {
+        /// Units of all routers together.
         units: u64,
+        /// Seconds.
         every: f64,
     },
+    /// So many may be in hand at once.
     InHand {
+        /// Units of all routers together.
         units: u64,
+        /// Seconds within which each thing in hand ends.
         hold: f64,
     },
 }
@@ -42,14 +54,18 @@
     }
 }
 
+/// What an audit found.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// What was broken, each in one line.
     pub faults: Vec<String>,
     /// By budget, the highest sum that was ever granted, as a part of the whole.
     pub highest: BTreeMap<String, f64>,
+    /// Units that were spent.
     pub spent: u64,
+    /// Rights that were granted.
     pub grants: u64,
+    /// Processes that wrote anything.
     pub processes: usize,
 }
 
--- /dev/null
+++ b/crates/testkit/src/cluster/harness.rs
@@ -0,0 +1,233 @@
+//! The cluster as a test holds it: starts routers, brings about faults, sends load.
+
+use std::fs;
+use std::net::{IpAddr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use crate::fault_proxy::{LinkFaults, StreamFaults};
+use crate::stand_in::StandInStore;
+
+use super::load::{Answers, LoadGenerator};
+use super::network::Network;
+use super::plan::ClusterPlan;
+use super::router_process::{DuplicateRouter, Launcher, RouterAddresses, RouterProcess};
+use super::{ClusterError, PATIENCE, files};
+
+/// Between two checks of a condition that is waited for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Many router processes with proxies between them, and a stand-in store behind. When it is dropped, load and routers are
+/// stopped, and their files removed unless the thread panics.
+pub struct Cluster {
+    /// What it is made of.
+    pub plan: ClusterPlan,
+    /// The store behind the routers.
+    pub store: StandInStore,
+    /// The routers, running or not.
+    pub routers: Vec<RouterProcess>,
+    /// Where their files are.
+    pub folder: PathBuf,
+    network: Network,
+    launcher: Launcher,
+    load: Option<LoadGenerator>,
+}
+
+impl Cluster {
+    /// Writes the files of all routers and starts the proxies; no router runs yet. `program` is the built router,
+    /// `example` the text of `example/router.json`, whose addresses are replaced.
+    pub fn new(plan: ClusterPlan, program: &Path, example: &str) -> Result<Cluster, ClusterError> {
+        let ip = unused_ip();
+        let store = start_store(&plan)?;
+        let folder = create_folder(&plan, ip)?;
+        files::write_key(&folder)?;
+        let router = |index| {
+            let addresses = RouterAddresses::new(ip, index);
+            RouterProcess::new(format!("r{index}"), &folder, addresses)
+        };
+        let routers: Vec<RouterProcess> = (0..plan.routers).map(router).collect();
+        let network = start_network(&plan, &store, &routers, ip)?;
+        let launcher = Launcher {
+            program: program.to_path_buf(),
+            folder: folder.clone(),
+            arguments: plan.arguments.clone(),
+            fleet_enabled: plan.fleet_enabled,
+        };
+        let cluster = Cluster { plan, store, routers, folder, network, launcher, load: None };
+        for index in 0..cluster.routers.len() {
+            cluster.write_config(index, ip, example)?;
+            cluster.write_fleet(index, cluster.plan.executions)?;
+        }
+        Ok(cluster)
+    }
+
+    /// Writes a router's settings, with a discovery of its own that names the proxies on its way to the endpoints.
+    fn write_config(&self, index: usize, ip: IpAddr, example: &str) -> Result<(), ClusterError> {
+        let proxied = self.network.addresses_of_endpoints(index);
+        let discovery =
+            self.store.add_discovery_via(&format!("{ip}:0"), proxied).map_err(ClusterError::Store)?;
+        files::write_config(&self.plan, index, &self.routers[index], discovery, example)
+    }
+
+    /// Writes a router's file of the fleet, with another budget of executions at each endpoint.
+    pub fn write_fleet(&self, index: usize, executions: u64) -> Result<(), ClusterError> {
+        files::write_fleet(&self.plan, &self.folder, &self.routers, &self.network, index, executions)
+    }
+
+    /// Starts a second process under a router's name and files, but for where it listens to clients and operators.
+    pub fn start_duplicate(&self, index: usize) -> Result<DuplicateRouter, ClusterError> {
+        let original = &self.routers[index];
+        let addresses = RouterAddresses::new(original.listen.ip(), self.routers.len() + index);
+        DuplicateRouter::start(&self.launcher, original, addresses)
+    }
+
+    /// Starts a router, or starts it again with nothing in memory, unless it runs.
+    pub fn start(&mut self, index: usize) -> Result<(), ClusterError> {
+        self.routers[index].start(&self.launcher)
+    }
+
+    /// Starts all routers that do not run.
+    pub fn start_all(&mut self) -> Result<(), ClusterError> {
+        (0..self.routers.len()).try_for_each(|index| self.start(index))
+    }
+
+    /// Kills a router, with SIGKILL.
+    pub fn kill(&mut self, index: usize) {
+        self.routers[index].kill();
+    }
+
+    /// Pauses a router, with SIGSTOP.
+    pub fn pause(&mut self, index: usize) {
+        self.routers[index].pause();
+    }
+
+    /// Lets a paused router go on, with SIGCONT.
+    pub fn resume(&mut self, index: usize) {
+        self.routers[index].resume();
+    }
+
+    /// Lets a router read its files again, with SIGHUP.
+    pub fn reload(&self, index: usize) {
+        self.routers[index].reload();
+    }
+
+    /// Ends a router, with SIGTERM, and waits for that; its exit status, or none if it had to be killed.
+    pub fn terminate(&mut self, index: usize) -> Option<i32> {
+        self.routers[index].terminate()
+    }
+
+    /// Changes what happens on one way between two routers.
+    pub fn change_link(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
+        self.network.change_link(from, to, change);
+    }
+
+    /// Replaces what happens on all ways between routers.
+    pub fn set_all_links(&self, faults: LinkFaults) {
+        self.network.set_all_links(faults);
+    }
+
+    /// Changes what happens between a router and an endpoint.
+    pub fn change_stream(&self, router: usize, endpoint: usize, change: impl FnOnce(&mut StreamFaults)) {
+        self.network.change_stream(router, endpoint, change);
+    }
+
+    /// Replaces what happens between routers and endpoints.
+    pub fn set_all_streams(&self, faults: StreamFaults) {
+        self.network.set_all_streams(faults);
+    }
+
+    /// Cuts every link between routers of different sides, and mends all others; `one_way` cuts only those from a lower
+    /// side to a higher one.
+    pub fn partition(&self, side: impl Fn(usize) -> usize, one_way: bool) {
+        self.network.partition(side, one_way);
+    }
+
+    /// Starts `clients` clients of each router, in place of those that run; one statement in `write_every` is a write,
+    /// none if that is zero.
+    pub fn start_load(&mut self, clients: usize, write_every: u64) {
+        self.start_load_at(&vec![clients; self.routers.len()], write_every);
+    }
+
+    /// The same, with a number of clients for each router.
+    pub fn start_load_at(&mut self, clients: &[usize], write_every: u64) {
+        self.stop_load();
+        let routers: Vec<SocketAddr> = self.routers.iter().map(|router| router.listen).collect();
+        self.load = Some(LoadGenerator::start(&routers, clients, write_every));
+    }
+
+    /// What the clients of each router were answered until now; empty if none run.
+    pub fn answers(&self) -> Vec<Answers> {
+        self.load.as_ref().map_or(Vec::new(), LoadGenerator::answers)
+    }
+
+    /// Stops the clients and returns what those of each router were answered; empty if none ran.
+    pub fn stop_load(&mut self) -> Vec<Answers> {
+        self.load.take().map_or(Vec::new(), LoadGenerator::stop)
+    }
+
+    /// Waits until it holds; false if it does not for longer than anything may take.
+    pub fn wait_until(&self, holds: impl Fn(&Cluster) -> bool) -> bool {
+        let since = Instant::now();
+        while since.elapsed() < PATIENCE {
+            if holds(self) {
+                return true;
+            }
+            thread::sleep(CHECK_INTERVAL);
+        }
+        false
+    }
+
+    /// Waits until all routers answer clients; false if they do not for longer than anything may take.
+    pub fn wait_until_ready(&self) -> bool {
+        self.wait_until(|cluster| (0..cluster.routers.len()).all(|index| cluster.is_ready(index)))
+    }
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        self.stop_load();
+        // Before their files go.
+        self.routers.clear();
+        if !thread::panicking() {
+            let _ = fs::remove_dir_all(&self.folder);
+        }
+    }
+}
+
+/// An address for this cluster alone: connections that other tests open take ports of 127.0.0.1, which may be the very
+/// one at which a router is about to listen.
+fn unused_ip() -> IpAddr {
+    static CLUSTERS: AtomicU64 = AtomicU64::new(0);
+    let (process, number) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
+    IpAddr::from([127, 64 + (process >> 8) as u8 % 128, process as u8, 1 + (number % 250) as u8])
+}
+
+fn start_store(plan: &ClusterPlan) -> Result<StandInStore, ClusterError> {
+    let store = StandInStore::default();
+    for _ in 0..plan.endpoints {
+        store.add_endpoint("127.0.0.1:0").map_err(ClusterError::Store)?;
+    }
+    store.set_statement_duration(Duration::from_secs_f64(plan.statement_seconds));
+    Ok(store)
+}
+
+fn create_folder(plan: &ClusterPlan, ip: IpAddr) -> Result<PathBuf, ClusterError> {
+    let unique = format!("ottersill-cluster-{}-{ip}-{}", std::process::id(), plan.seed);
+    let folder = std::env::temp_dir().join(unique);
+    fs::create_dir_all(&folder).map_err(ClusterError::file(&folder))?;
+    Ok(folder)
+}
+
+fn start_network(
+    plan: &ClusterPlan,
+    store: &StandInStore,
+    routers: &[RouterProcess],
+    ip: IpAddr,
+) -> Result<Network, ClusterError> {
+    let routers: Vec<SocketAddr> = routers.iter().map(|router| router.datagrams).collect();
+    let endpoints: Vec<SocketAddr> =
+        (0..plan.endpoints).map(|endpoint| store.endpoint_address(endpoint)).collect();
+    Network::start(&routers, &endpoints, ip, plan.seed)
+}
