--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Build, test, lint and run; each target is one command that can be typed as well.
-.PHONY: build test lint run toy fleet
+.PHONY: build test lint run store toy fleet
 
 build:
 	cargo build --release --locked
@@ -15,10 +15,13 @@
 run: build
 	NODE_CONFIG=example/router.json exec target/release/ottersill
 
-# The toy store and discovery that example/router.json names.
-toy: build
+# The stand-in store and discovery that example/router.json names.
+store: build
 	exec target/release/ottersill-testkit serve
 
+# What it was called before.
+toy: store
+
 # Three routers, a, b and c, that divide the budgets of deploy/fleet.textproto among them, until Ctrl-C.
 fleet: build
 	@umask 077; test -s target/fleet.key || head -c 32 /dev/urandom > target/fleet.key
