--- a/crates/ottersill/tests/crossings.rs
+++ b/crates/ottersill/tests/crossings.rs
@@ -2,7 +2,7 @@
 //! events have to be found in one turn the router is stopped while both come. Each was seen to fail before its mend, but for
 //! those that say so.
 
-mod scene;
+mod support;
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,8 +12,8 @@
 use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
-use scene::*;
 use socket2::{Domain, Socket, Type};
+use support::*;
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
@@ -51,16 +51,16 @@
 #[case::resets(Goes::Resets)]
 #[case::half_closes(Goes::HalfCloses)]
 fn a_first_execution_does_not_begin_for_a_client_that_is_gone(#[case] how: Goes) {
-    let scene = Scene::set(&[PATIENT, LONG, LATE]);
-    let client = scene.read_on_its_way(7, 8000);
-    scene.router.signal("-STOP");
+    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
+    let client = fixture.read_on_its_way(7, 8000);
+    fixture.router.signal("-STOP");
     let gone = client.socket.local_addr().expect("an address");
     let left = go(client, how);
-    until_the_end_is_there(scene.router.at, gone);
-    scene.replica.resume_greeting();
-    until_unread_from(scene.replica.at);
-    scene.router.signal("-CONT");
-    scene.next_read_is_the_first_to_come();
+    until_the_end_is_there(fixture.router.at, gone);
+    fixture.replica.resume_greeting();
+    until_unread_from(fixture.replica.at);
+    fixture.router.signal("-CONT");
+    fixture.next_read_is_the_first_to_come();
     drop(left);
 }
 
@@ -70,24 +70,24 @@
 #[case::failed("XX000")]
 #[case::too_far_behind("72000")]
 fn a_further_execution_does_not_begin_for_a_client_that_is_gone(#[case] code: &str) {
-    let scene = Scene::set(&[LONG, LATE]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[LONG, LATE]);
+    let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
-    let first = scene.replica.next();
-    scene.router.signal("-STOP");
+    let first = fixture.replica.next();
+    fixture.router.signal("-STOP");
     first.fail(code);
-    until_unread_from(scene.replica.at);
+    until_unread_from(fixture.replica.at);
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
-    until_the_end_is_there(scene.router.at, gone);
-    scene.router.signal("-CONT");
-    let mut next = scene.router.client();
+    until_the_end_is_there(fixture.router.at, gone);
+    fixture.router.signal("-CONT");
+    let mut next = fixture.router.client();
     next.send(&write(8, 8000)).expect("a query");
-    let arrival = scene.primary.next();
+    let arrival = fixture.primary.next();
     assert!(arrival.text.contains("id=b8"), "{}", arrival.text);
     arrival.answer("next");
     assert_eq!(next.answer().expect("an answer"), "row:next INSERT 0 1");
-    assert!(scene.replica.next_within(Duration::from_millis(50)).is_none());
+    assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
 }
 
 /// A client that has sent more ahead than is read ahead: its end lies behind that, and was not seen before its statement
@@ -96,8 +96,8 @@
 #[case::a_message_that_is_not_whole(400_000, 300_000)]
 #[case::many_statements(0, 600_000)]
 fn the_end_of_a_client_that_sent_much_ahead_is_seen(#[case] declared: usize, #[case] sent: usize) {
-    let scene = Scene::set(&[PATIENT, LONG, LATE]);
-    let mut client = scene.read_on_its_way(7, 8000);
+    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
+    let mut client = fixture.read_on_its_way(7, 8000);
     let ahead = if declared > 0 {
         let mut part = vec![b'Q'];
         part.extend((declared as u32).to_be_bytes());
@@ -119,9 +119,9 @@
     assert!(at > 200_000, "{at}");
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
-    until("the router sees the end", || router_side(scene.router.at, gone).is_none());
-    scene.replica.resume_greeting();
-    scene.next_read_is_the_first_to_come();
+    until("the router sees the end", || router_side(fixture.router.at, gone).is_none());
+    fixture.replica.resume_greeting();
+    fixture.next_read_is_the_first_to_come();
 }
 
 /// What a client has sent ahead counts as taken: all of it is answered in its order, however much it is. Where it was more than
@@ -132,10 +132,10 @@
 #[case::more_than_is_read_ahead(40, 192)]
 fn all_that_is_sent_ahead_is_answered(#[case] long_ones: usize, #[case] memory_mb: usize) {
     let memory = format!("\"memory_mb\": {memory_mb}");
-    let scene = Scene::set(&[LONG, LATE, ("\"memory_mb\": 192", &memory)]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[LONG, LATE, ("\"memory_mb\": 192", &memory)]);
+    let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
-    let first = scene.replica.next();
+    let first = fixture.replica.next();
     let long = |number| write(number, 8000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
     let mut ahead = client.socket.try_clone().expect("the same connection");
     let sender = thread::spawn(move || {
@@ -146,25 +146,25 @@
     });
     // All that is read ahead has been read once another client, of a later turn, is served.
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(scene.router.client().ask("").expect("an answer"), "empty");
+    assert_eq!(fixture.router.client().ask("").expect("an answer"), "empty");
     first.answer("late");
     assert_eq!(client.answer().expect("an answer"), "row:late SELECT 1");
     for number in 0..long_ones {
-        let arrival = scene.primary.next();
+        let arrival = fixture.primary.next();
         assert!(arrival.text.contains(&format!("id=b{:x},", 0x100 + number)), "in its order");
         arrival.answer("late");
         assert_eq!(client.answer().expect("an answer"), "row:late INSERT 0 1");
     }
     client.send(&read(8, 8000)).expect("a query");
-    scene.replica.next().answer("late");
+    fixture.replica.next().answer("late");
     assert_eq!(client.answer().expect("an answer"), "row:late SELECT 1");
     drop(client);
     sender.join().expect("all is sent");
 }
 
 /// A client that sends two statements at once.
-fn both(scene: &Scene, first: &str, second: &str) -> Client {
-    let mut client = scene.router.client();
+fn both(fixture: &Fixture, first: &str, second: &str) -> Client {
+    let mut client = fixture.router.client();
     let of = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
     client.socket.write_all(&[of(first), of(second)].concat()).expect("two queries");
     client
@@ -173,13 +173,13 @@
 /// The second's time went on while the first was in hand; the host was told the whole of it once more.
 #[test]
 fn a_statement_sent_ahead_has_what_is_left_of_its_time() {
-    let scene = Scene::set(&[LONG, LATE]);
-    let mut client = both(&scene, &read(7, 3000), &read(8, 3000));
-    let first = scene.replica.next();
+    let fixture = Fixture::start(&[LONG, LATE]);
+    let mut client = both(&fixture, &read(7, 3000), &read(8, 3000));
+    let first = fixture.replica.next();
     thread::sleep(Duration::from_millis(800));
     first.answer("first");
     assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
-    let second = scene.replica.next();
+    let second = fixture.replica.next();
     let left = second.text.split(",d=").nth(1).and_then(|d| d.split(',').next()?.parse::<u32>().ok());
     assert!(left.is_some_and(|left| left <= 2200), "{}", second.text);
     second.answer("second");
@@ -192,9 +192,9 @@
 #[case::a_read(&read(7, 8000))]
 #[case::a_write(&write(7, 8000))]
 fn a_statement_makes_way_for_one_that_can_wait_less(#[case] first: &str) {
-    let scene = Scene::set(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG, LATE]);
     let began = Instant::now();
-    let mut client = both(&scene, first, &read(8, 1000));
+    let mut client = both(&fixture, first, &read(8, 1000));
     let answers = [client.answer().expect("an answer"), client.answer().expect("an answer")];
     let took = began.elapsed();
     assert!(answers.iter().all(|answer| answer.starts_with('C')), "{answers:?}");
@@ -207,14 +207,14 @@
 #[case::drains("leaving")]
 #[case::is_gone("left")]
 fn nothing_goes_out_to_a_host_that_drains_by_now(#[case] health: &str) {
-    let scene = Scene::set(&[PATIENT, LONG, LATE]);
-    let mut client = scene.read_on_its_way(7, 8000);
-    scene.discovery.next().answer(&scene.endpoint_list(2, "active", health));
+    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
+    let mut client = fixture.read_on_its_way(7, 8000);
+    fixture.discovery.next().answer(&fixture.endpoint_list(2, "active", health));
     // It has taken the list in when it asks again; a read without a replica falls to the primary.
-    let asked_again = scene.discovery.next();
-    let at_primary = scene.primary.next();
-    scene.replica.resume_greeting();
-    assert!(scene.replica.next_within(Duration::from_millis(200)).is_none());
+    let asked_again = fixture.discovery.next();
+    let at_primary = fixture.primary.next();
+    fixture.replica.resume_greeting();
+    assert!(fixture.replica.next_within(Duration::from_millis(200)).is_none());
     at_primary.answer("elsewhere");
     assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
     drop(asked_again);
@@ -228,17 +228,17 @@
         "\"effect\": \"token\", \
                    \"group\": \"cell\", \"window_ms\": 300",
     );
-    let scene = Scene::set(&[PATIENT, LONG, marked]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[PATIENT, LONG, marked]);
+    let mut client = fixture.router.client();
     client.send(&write(7, 8000)).expect("a query");
-    let first = scene.primary.next();
+    let first = fixture.primary.next();
     let began = first.came;
-    scene.primary.hold_greeting_and_close_idle();
+    fixture.primary.hold_greeting_and_close_idle();
     first.fail_and_close("XX000");
-    scene.primary.wait_for_connections(1);
+    fixture.primary.wait_for_connections(1);
     thread::sleep(Duration::from_millis(400).saturating_sub(began.elapsed()));
-    scene.primary.resume_greeting();
-    assert!(scene.primary.next_within(Duration::from_millis(300)).is_none(), "after {:?}", began.elapsed());
+    fixture.primary.resume_greeting();
+    assert!(fixture.primary.next_within(Duration::from_millis(300)).is_none(), "after {:?}", began.elapsed());
     assert_eq!(client.answer().expect("an answer"), "C40003");
 }
 
@@ -246,21 +246,21 @@
 /// later; hosts of this customer answer from whatever they have.
 #[test]
 fn a_read_goes_out_while_the_data_is_fresh_only() {
-    let scene = Scene::set(&[
+    let fixture = Fixture::start(&[
         PATIENT,
         LONG,
         LATE,
         ("\"oldest_data_ms\": [3000, 0]", "\"oldest_data_ms\": [1000, 0]"),
         ("\"when_behind\": \"wait\"", "\"when_behind\": \"none\""),
     ]);
-    scene.replica.freeze_position();
+    fixture.replica.freeze_position();
     let stood_at = Instant::now();
-    let mut client = scene.read_on_its_way(7, 8000);
+    let mut client = fixture.read_on_its_way(7, 8000);
     thread::sleep(Duration::from_millis(1300).saturating_sub(stood_at.elapsed()));
-    scene.replica.resume_greeting();
+    fixture.replica.resume_greeting();
     // The primary stands at the present.
-    let arrival = scene.primary.next();
-    assert!(scene.replica.next_within(Duration::from_millis(50)).is_none());
+    let arrival = fixture.primary.next();
+    assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
     arrival.answer("fresh");
     assert_eq!(client.answer().expect("an answer"), "row:fresh SELECT 1");
 }
@@ -283,23 +283,23 @@
 #[case::has_stood_idle(false)]
 #[case::retires(true)]
 fn an_end_takes_no_answer_with_it(#[case] retires: bool) {
-    let scene = Scene::set(&[]);
-    let mut client = narrow_client(scene.router.at);
+    let fixture = Fixture::start(&[]);
+    let mut client = narrow_client(fixture.router.at);
     client.send(&read(7, 2000)).expect("a query");
     let value = "kept".repeat(16_000);
-    scene.replica.next().answer(&value);
+    fixture.replica.next().answer(&value);
     if retires {
-        scene.router.signal("-TERM");
+        fixture.router.signal("-TERM");
     }
     // FIN_WAIT1: the end waits behind what the client has not taken in.
     let at = client.socket.local_addr().expect("an address");
-    until("the router ends it", || router_side(scene.router.at, at).as_deref() == Some("04"));
+    until("the router ends it", || router_side(fixture.router.at, at).as_deref() == Some("04"));
     client.send(&read(8, 2000)).expect("a query that crosses");
     assert_eq!(client.answer().expect("the whole answer"), format!("row:{value} SELECT 1"));
     let end = client.hear().expect_err("and then the end");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof, "{end}");
     assert!(
-        scene.replica.next_within(Duration::from_millis(50)).is_none(),
+        fixture.replica.next_within(Duration::from_millis(50)).is_none(),
         "what comes after the end is not sent on"
     );
 }
@@ -307,22 +307,22 @@
 /// A second SIGTERM, and a SIGHUP, while it stops: all that was taken is answered, and it ends as it would have.
 #[test]
 fn a_stop_is_not_hurried() {
-    let mut scene = Scene::set(&[]);
-    let mut client = scene.router.client();
+    let mut fixture = Fixture::start(&[]);
+    let mut client = fixture.router.client();
     client.send(&read(7, 2000)).expect("a query");
-    let arrival = scene.replica.next();
+    let arrival = fixture.replica.next();
     for name in ["-TERM", "-HUP", "-TERM"] {
-        scene.router.signal(name);
-        assert_eq!(scene.router.client().ask("").expect("an answer"), "empty");
+        fixture.router.signal(name);
+        assert_eq!(fixture.router.client().ask("").expect("an answer"), "empty");
     }
     arrival.answer("taken");
     assert_eq!(client.answer().expect("an answer"), "row:taken SELECT 1");
     let started = Instant::now();
-    while scene.router.process.try_wait().expect("a state").is_none() {
+    while fixture.router.process.try_wait().expect("a state").is_none() {
         assert!(started.elapsed() < PATIENCE, "it ends");
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(scene.router.process.wait().expect("a status").code(), Some(0));
+    assert_eq!(fixture.router.process.wait().expect("a status").code(), Some(0));
 }
 
 /// The system gives fewer descriptors than the settings say. Accepting failed, and nothing told again of who was at the door.
@@ -330,7 +330,7 @@
 fn who_waits_at_the_door_is_let_in_once_a_descriptor_is_free() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let host = ScriptedEndpoint::start(true).expect("a host");
-    let router = Router::spawn(&charter(discovery.at, &[]), Some(24));
+    let router = Router::spawn(&config_text(discovery.at, &[]), Some(24));
     discovery.next().answer(&endpoint_list(1, &[("one", host.at, "active")]));
     let router = router.until_ready();
     let mut crowd: Vec<Client> = Vec::new();
@@ -353,22 +353,22 @@
 /// closed as it came.
 #[test]
 fn a_long_time_for_connections_closes_no_client() {
-    let scene = Scene::set(&[("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 4000")]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 4000")]);
+    let mut client = fixture.router.client();
     thread::sleep(Duration::from_millis(500));
     client.send(&read(7, 2000)).expect("a query");
-    scene.replica.next().answer("served");
+    fixture.replica.next().answer("served");
     assert_eq!(client.answer().expect("an answer"), "row:served SELECT 1");
-    let mut silent = TcpStream::connect(scene.router.at).expect("a connection");
+    let mut silent = TcpStream::connect(fixture.router.at).expect("a connection");
     silent.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let started = Instant::now();
     let _ = silent.read(&mut [0; 1]);
     assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
     // A stop takes its time from the same figures.
-    scene.router.signal("-TERM");
-    let mut last = scene.router.client();
+    fixture.router.signal("-TERM");
+    let mut last = fixture.router.client();
     last.send(&read(8, 2000)).expect("a query");
-    scene.replica.next().answer("served still");
+    fixture.replica.next().answer("served still");
     assert_eq!(last.answer().expect("an answer"), "row:served still SELECT 1");
 }
 
@@ -378,10 +378,10 @@
 #[case::half_a_description(12)]
 #[case::no_completion(60)]
 fn half_an_answer_reaches_no_client(#[case] bytes: usize) {
-    let scene = Scene::set(&[]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[]);
+    let mut client = fixture.router.client();
     client.send(&write(7, 2000)).expect("a query");
-    scene.primary.next().answer_partly_and_reset("half", bytes);
+    fixture.primary.next().answer_partly_and_reset("half", bytes);
     assert_eq!(client.answer().expect("an answer"), "C40003");
-    assert!(scene.primary.next_within(Duration::from_millis(100)).is_none());
+    assert!(fixture.primary.next_within(Duration::from_millis(100)).is_none());
 }
--- a/crates/ottersill/tests/service.rs
+++ b/crates/ottersill/tests/service.rs
@@ -17,7 +17,7 @@
     router: Child,
     at: SocketAddr,
     log: BufReader<ChildStdout>,
-    charter: PathBuf,
+    config: PathBuf,
 }
 
 impl Drop for Service {
@@ -25,7 +25,7 @@
         // It may have ended by itself.
         let _ = self.router.kill();
         let _ = self.router.wait();
-        let _ = std::fs::remove_file(&self.charter);
+        let _ = std::fs::remove_file(&self.config);
     }
 }
 
@@ -46,7 +46,7 @@
     (store, discovery)
 }
 
-fn charter_for(discovery: SocketAddr) -> String {
+fn config_text(discovery: SocketAddr) -> String {
     let text = include_str!("../../../example/router.json");
     text.replace("127.0.0.1:7400", "127.0.0.1:0").replace("127.0.0.1:7500", &discovery.to_string())
 }
@@ -58,12 +58,12 @@
 
 fn service_within(sockets: usize, memory_mb: u64) -> Service {
     let (store, discovery) = store();
-    let text = charter_for(discovery);
+    let text = config_text(discovery);
     let text = text.replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
     let text = text.replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
     let path =
         std::env::temp_dir().join(format!("ottersill-{}-{}.json", std::process::id(), discovery.port()));
-    std::fs::write(&path, text).expect("a charter");
+    std::fs::write(&path, text).expect("a configuration");
     let mut command = Command::new(env!("CARGO_BIN_EXE_ottersill"));
     let mut router = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn().expect("a router");
     let mut log = BufReader::new(router.stdout.take().expect("a log"));
@@ -76,7 +76,7 @@
         .split_once("listen=")
         .and_then(|(_, at)| at.split(' ').next()?.parse().ok())
         .expect("its address");
-    let mut service = Service { store, router, at, log, charter: path };
+    let mut service = Service { store, router, at, log, config: path };
     let mut client = service.client();
     for _ in 0..30 {
         assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
@@ -468,11 +468,11 @@
     waiting.send(&write("6f", 1500)).expect("a query");
     let (other, discovery) = store();
     for text in before {
-        std::fs::write(&service.charter, text).expect("a charter");
+        std::fs::write(&service.config, text).expect("a configuration");
         service.signal("-HUP");
         thread::sleep(Duration::from_millis(50));
     }
-    std::fs::write(&service.charter, charter_for(discovery)).expect("a charter");
+    std::fs::write(&service.config, config_text(discovery)).expect("a configuration");
     if before.is_empty() {
         // Several in a row ask for the same.
         (0..3).for_each(|_| service.signal("-HUP"));
--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -19,7 +19,7 @@
     pub process: Child,
     pub at: SocketAddr,
     pub log: BufReader<ChildStdout>,
-    pub charter: PathBuf,
+    pub config: PathBuf,
 }
 
 impl Drop for Router {
@@ -27,11 +27,11 @@
         // It may have ended by itself.
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.charter);
+        let _ = std::fs::remove_file(&self.config);
     }
 }
 
-pub fn charter(discovery: SocketAddr, replaced: &[(&str, &str)]) -> String {
+pub fn config_text(discovery: SocketAddr, replaced: &[(&str, &str)]) -> String {
     let text = include_str!("../../../../example/router.json");
     let text =
         text.replace("127.0.0.1:7400", "127.0.0.1:0").replace("127.0.0.1:7500", &discovery.to_string());
@@ -46,8 +46,9 @@
     pub fn spawn(text: &str, descriptors: Option<usize>) -> Router {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("scene-{}-{number}.json", std::process::id()));
-        std::fs::write(&path, text).expect("a charter");
+        let path =
+            std::env::temp_dir().join(format!("ottersill-fixture-{}-{number}.json", std::process::id()));
+        std::fs::write(&path, text).expect("a configuration");
         let program = env!("CARGO_BIN_EXE_ottersill");
         let mut command = match descriptors {
             None => Command::new(program),
@@ -60,7 +61,7 @@
         let process = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn();
         let mut process = process.expect("a router");
         let log = BufReader::new(process.stdout.take().expect("a log"));
-        Router { process, at: SocketAddr::from(([127, 0, 0, 1], 0)), log, charter: path }
+        Router { process, at: SocketAddr::from(([127, 0, 0, 1], 0)), log, config: path }
     }
 
     pub fn until_ready(mut self) -> Router {
@@ -101,7 +102,7 @@
 }
 
 /// A primary and a replica, a discovery that lists them, and the router between.
-pub struct Scene {
+pub struct Fixture {
     pub primary: ScriptedEndpoint,
     pub replica: ScriptedEndpoint,
     pub discovery: ScriptedDiscovery,
@@ -111,27 +112,27 @@
 /// Connections may take as long as the test wants to come up.
 pub const PATIENT: (&str, &str) = ("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 9000");
 
-impl Scene {
-    pub fn set(replaced: &[(&str, &str)]) -> Scene {
+impl Fixture {
+    pub fn start(replaced: &[(&str, &str)]) -> Fixture {
         let discovery = ScriptedDiscovery::start().expect("discovery");
         let (primary, replica) =
             (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
-        let router = Router::spawn(&charter(discovery.at, replaced), None);
-        let scene = Scene { primary, replica, discovery, router };
-        scene.discovery.next().answer(&scene.endpoint_list(1, "active", "active"));
-        let scene = Scene { router: scene.router.until_ready(), ..scene };
+        let router = Router::spawn(&config_text(discovery.at, replaced), None);
+        let fixture = Fixture { primary, replica, discovery, router };
+        fixture.discovery.next().answer(&fixture.endpoint_list(1, "active", "active"));
+        let fixture = Fixture { router: fixture.router.until_ready(), ..fixture };
         // With the first answers it knows who is who.
-        let mut client = scene.router.client();
+        let mut client = fixture.router.client();
         client.send(&read(0, 9000)).expect("a query");
-        scene.replica.next().answer("first");
+        fixture.replica.next().answer("first");
         assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
         client.send(&write(1, 9000)).expect("a query");
-        let second = scene.primary.next();
+        let second = fixture.primary.next();
         // Writes that take most of the work leave the primary no part of the reads: these go to the replica, always.
         thread::sleep(Duration::from_millis(300));
         second.answer("second");
         assert_eq!(client.answer().expect("an answer"), "row:second INSERT 0 1");
-        scene
+        fixture
     }
 
     pub fn endpoint_list(&self, seq: u64, primary: &str, replica: &str) -> String {
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery through its failures: what it has is heard in time, whatever was refused, cut or given up before.
 
-mod scene;
+mod support;
 
 use std::net::TcpStream;
 use std::thread;
@@ -9,7 +9,7 @@
 use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
-use scene::*;
+use support::*;
 
 /// What the service page allows from when discovery has something to when it counts as told.
 const TOLD: Duration = Duration::from_secs(6);
@@ -41,12 +41,12 @@
 #[case::length_ended(&[Then::Cut("Content-Length: 4000\r\n", false)])]
 #[case::chunks_reset(&[Then::Cut("Transfer-Encoding: chunked\r\n", true), Then::Silent])]
 fn what_discovery_has_is_heard_in_time_whatever_failed(#[case] course: &[Then]) {
-    let scene = Scene::set(&[]);
-    let drains = scene.endpoint_list(2, "active", "leaving");
+    let fixture = Fixture::start(&[]);
+    let drains = fixture.endpoint_list(2, "active", "leaving");
     let started = Instant::now();
     let mut silent = Vec::new();
     for then in course {
-        let mut call = scene.discovery.next();
+        let mut call = fixture.discovery.next();
         match then {
             Then::Silent => silent.push(call),
             Then::Resets => call.reset(),
@@ -67,17 +67,17 @@
             }
         }
     }
-    let call = scene.discovery.next_within(TOLD).expect("it asks again");
+    let call = fixture.discovery.next_within(TOLD).expect("it asks again");
     // Nothing of what was cut has moved the version on.
     assert!(!call.path.contains("since=2"), "{}", call.path);
     call.answer(&drains);
     assert!(started.elapsed() < TOLD, "{:?}", started.elapsed());
     // Once it has read that, it asks for what is newer.
-    let next = scene.discovery.next();
+    let next = fixture.discovery.next();
     assert!(next.path.contains("since=2"), "{}", next.path);
-    let mut client = scene.router.client();
+    let mut client = fixture.router.client();
     client.send(&read(7, 2000)).expect("a query");
-    let arrival = scene.primary.next();
+    let arrival = fixture.primary.next();
     assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
     arrival.answer("elsewhere");
     assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
@@ -87,10 +87,10 @@
 /// calls followed each other each second. Hosts that drained were known 0.8 s late, where they may be sent to for 0.25 s.
 #[test]
 fn silent_calls_follow_each_other_within_the_grace_of_drains() {
-    let scene = Scene::set(&[]);
-    let mut silent = vec![scene.discovery.next(), scene.discovery.next()];
+    let fixture = Fixture::start(&[]);
+    let mut silent = vec![fixture.discovery.next(), fixture.discovery.next()];
     for _ in 0..10 {
-        let next = scene.discovery.next();
+        let next = fixture.discovery.next();
         let gap = next.came - silent.last().expect("the one before").came;
         // Half of the grace, on a machine that may be busy.
         assert!(gap < Duration::from_millis(250), "{gap:?}");
@@ -101,11 +101,11 @@
 /// Discovery was down and answers the call that it has had for longest: that counts at once, and was given up before.
 #[test]
 fn a_call_that_is_answered_late_is_heard() {
-    let scene = Scene::set(&[]);
-    let watch = scene.discovery.next();
-    let next = scene.discovery.next();
-    watch.answer(&scene.endpoint_list(2, "active", "leaving"));
-    let after = scene.discovery.next();
+    let fixture = Fixture::start(&[]);
+    let watch = fixture.discovery.next();
+    let next = fixture.discovery.next();
+    watch.answer(&fixture.endpoint_list(2, "active", "leaving"));
+    let after = fixture.discovery.next();
     assert!(after.path.contains("since=2"), "{}", after.path);
     drop(next);
 }
@@ -113,15 +113,15 @@
 /// Moved by SIGHUP to a discovery that accepts and says nothing at first: told four seconds after the signal.
 #[test]
 fn a_new_discovery_that_is_silent_at_first_is_heard_in_time() {
-    let scene = Scene::set(&[]);
+    let fixture = Fixture::start(&[]);
     let other = ScriptedDiscovery::start().expect("discovery");
-    let text = std::fs::read_to_string(&scene.router.charter).expect("a charter");
-    let text = text.replace(&scene.discovery.at.to_string(), &other.at.to_string());
-    std::fs::write(&scene.router.charter, text).expect("a charter");
+    let text = std::fs::read_to_string(&fixture.router.config).expect("a configuration");
+    let text = text.replace(&fixture.discovery.at.to_string(), &other.at.to_string());
+    std::fs::write(&fixture.router.config, text).expect("a configuration");
     let started = Instant::now();
-    scene.router.signal("-HUP");
+    fixture.router.signal("-HUP");
     let silent = [other.next(), other.next()];
-    other.next().answer(&scene.endpoint_list(1, "active", "leaving"));
+    other.next().answer(&fixture.endpoint_list(1, "active", "leaving"));
     assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
     assert!(other.next().path.contains("since=1"));
     drop(silent);
@@ -130,10 +130,10 @@
 /// An agent that answers each watch at once with nothing must not keep the router busy.
 #[test]
 fn a_watch_that_never_waits_is_asked_again_after_a_rest() {
-    let scene = Scene::set(&[]);
-    let list = scene.endpoint_list(1, "active", "active");
+    let fixture = Fixture::start(&[]);
+    let list = fixture.endpoint_list(1, "active", "active");
     let started = Instant::now();
-    (0..5).for_each(|_| scene.discovery.next().answer(&list));
+    (0..5).for_each(|_| fixture.discovery.next().answer(&list));
     assert!(started.elapsed() > Duration::from_millis(300), "{:?}", started.elapsed());
 }
 
@@ -143,7 +143,7 @@
 fn idle_clients_do_not_keep_discovery_out() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let host = ScriptedEndpoint::start(true).expect("a host");
-    let text = charter(discovery.at, &[("\"sockets\": 1024", "\"sockets\": 40")]);
+    let text = config_text(discovery.at, &[("\"sockets\": 1024", "\"sockets\": 40")]);
     let router = Router::spawn(&text, Some(40));
     let hosts = [("one", host.at, "active")];
     discovery.next().answer(&endpoint_list(1, &hosts));
@@ -173,7 +173,7 @@
 fn a_router_without_a_list_is_ready_and_turns_away() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let started = Instant::now();
-    let router = Router::spawn(&charter(discovery.at, &[]), None).until_ready();
+    let router = Router::spawn(&config_text(discovery.at, &[]), None).until_ready();
     assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
     let mut client = router.client();
     assert_eq!(client.ask(&read(7, 2000)).expect("an answer"), "C53300 D500");
