--- a/crates/ottersill/tests/service/client_protocol.rs
+++ b/crates/ottersill/tests/service/client_protocol.rs
@@ -12,7 +12,7 @@
 #[test]
 fn queries_sent_ahead_byte_by_byte_are_answered_in_order() {
     let service = service(1024);
-    let mut client = Client::connect(service.at).expect("a connection");
+    let mut client = Client::connect(service.router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     for query in [&write("4f", 2000), "", &read(2000), "SELECT 1"] {
         for byte in message(b'Q', format!("{query}\0").as_bytes()) {
--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -16,7 +16,7 @@
     let service = service(26);
     service.all(Behaviour::Silent);
     let ask = |number| {
-        let mut client = Client::connect(service.at).expect("a connection");
+        let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         client.send(&read_as(number, 500)).expect("a query");
         client
@@ -47,7 +47,8 @@
     drop(clients);
     service.all(Behaviour::Replica);
     poll("served again", || service.client().ask(&read(2000)).is_ok_and(|answer| answer.starts_with("row:")));
-    let status = std::fs::read_to_string(format!("/proc/{}/status", service.router.id())).expect("a status");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", service.router.process.id())).expect("a status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
     let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
     assert!(peak < 32 << 10, "{peak} kB");
@@ -57,9 +58,10 @@
 #[test]
 fn silent_clients_make_room() {
     let service = service(26);
-    let silent: Vec<Client> = (0..30).map(|_| Client::connect(service.at).expect("a connection")).collect();
+    let silent: Vec<Client> =
+        (0..30).map(|_| Client::connect(service.router.at).expect("a connection")).collect();
     poll("served", || {
-        let mut client = Client::connect(service.at).expect("a connection");
+        let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         client.send(&read(2000)).expect("a query");
         client.last_words().starts_with("row:")
@@ -76,7 +78,7 @@
 fn who_says_nothing_whole_is_closed(#[case] bytes: &[u8], #[case] expected: &str) {
     let service = service(1024);
     let started = Instant::now();
-    let mut client = Client { socket: TcpStream::connect(service.at).expect("a connection") };
+    let mut client = Client { socket: TcpStream::connect(service.router.at).expect("a connection") };
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     client.socket.write_all(bytes).expect("bytes");
     let words = client.last_words();
@@ -130,7 +132,7 @@
     assert!(asked.ask(&read(2000)).expect("an answer").starts_with("row:"));
     let connect = |_| {
         thread::sleep(Duration::from_millis(10));
-        TcpStream::connect(service.at).expect("a connection")
+        TcpStream::connect(service.router.at).expect("a connection")
     };
     let crowd: Vec<TcpStream> = (0..80).map(connect).collect();
     assert!(asked.ask(&read(2000)).expect("its connection is kept").starts_with("row:"));
--- a/crates/ottersill/tests/service/fixture.rs
+++ b/crates/ottersill/tests/service/fixture.rs
@@ -1,31 +1,21 @@
 //! The program between clients and a stand-in store.
 
-use std::io::{BufRead, BufReader, Read};
+use std::io::Read;
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::{Child, ChildStdout, Command, Stdio};
+use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use ottersill_testkit::stand_in::{Behaviour, Client, StandInStore};
 
+use crate::support::{self, Router};
+
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
+/// A stand-in store and a router that knows the roles of its endpoints.
 pub struct Service {
     pub store: StandInStore,
-    pub router: Child,
-    pub at: SocketAddr,
-    pub log: BufReader<ChildStdout>,
-    pub config: PathBuf,
-}
-
-impl Drop for Service {
-    fn drop(&mut self) {
-        // It may have ended by itself.
-        let _ = self.router.kill();
-        let _ = self.router.wait();
-        let _ = std::fs::remove_file(&self.config);
-    }
+    pub router: Router,
 }
 
 pub fn poll(what: &str, mut holds: impl FnMut() -> bool) {
@@ -46,8 +36,7 @@
 }
 
 pub fn config_text(discovery: SocketAddr) -> String {
-    let text = include_str!("../../../../example/router.json");
-    text.replace("127.0.0.1:7400", "127.0.0.1:0").replace("127.0.0.1:7500", &discovery.to_string())
+    support::config_text(discovery, &[])
 }
 
 /// A primary and two replicas behind a router that knows their roles.
@@ -57,37 +46,27 @@
 
 pub fn service_within(sockets: usize, memory_mb: u64) -> Service {
     let (store, discovery) = store();
-    let text = config_text(discovery);
-    let text = text.replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
-    let text = text.replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
-    let path =
-        std::env::temp_dir().join(format!("ottersill-{}-{}.json", std::process::id(), discovery.port()));
-    std::fs::write(&path, text).expect("a configuration");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ottersill"));
-    let mut router = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn().expect("a router");
-    let mut log = BufReader::new(router.stdout.take().expect("a log"));
-    let mut line = String::new();
-    while !line.contains(" ready ") {
-        line.clear();
-        assert!(log.read_line(&mut line).expect("a line") > 0, "it ended before it was ready");
-    }
-    let at = line
-        .split_once("listen=")
-        .and_then(|(_, at)| at.split(' ').next()?.parse().ok())
-        .expect("its address");
-    let mut service = Service { store, router, at, log, config: path };
+    let text = support::config_text(
+        discovery,
+        &[
+            ("\"sockets\": 1024", &format!("\"sockets\": {sockets}")),
+            ("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}")),
+        ],
+    );
+    let router = Router::spawn(&text, None).until_ready();
+    let mut service = Service { store, router };
     let mut client = service.client();
     for _ in 0..30 {
         assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
     }
     assert_eq!(client.ask(&write("1f", 2000)).expect("an answer"), "row:value INSERT 0 1");
-    assert!(service.router.try_wait().expect("a state").is_none());
+    assert!(service.router.process.try_wait().expect("a state").is_none());
     service
 }
 
 impl Service {
     pub fn client(&self) -> Client {
-        let mut client = Client::connect(self.at).expect("a connection");
+        let mut client = Client::connect(self.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         client.answer().expect("a greeting");
         client
@@ -102,16 +81,16 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let id = self.router.id().to_string();
+        let id = self.router.process.id().to_string();
         let sent = Command::new("kill").args([name, &id]).status().expect("kill");
         assert!(sent.success());
     }
 
     pub fn exit(&mut self) -> (Option<i32>, String) {
-        poll("an exit", || self.router.try_wait().expect("a state").is_some());
-        let status = self.router.wait().expect("a status");
+        poll("an exit", || self.router.process.try_wait().expect("a state").is_some());
+        let status = self.router.process.wait().expect("a status");
         let mut log = String::new();
-        self.log.read_to_string(&mut log).expect("the log");
+        self.router.log.read_to_string(&mut log).expect("the log");
         (status.code(), log)
     }
 }
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -30,7 +30,7 @@
     let mut service = service(26);
     service.all(Behaviour::Silent);
     let ask = |number| {
-        let mut client = Client::connect(service.at).expect("a connection");
+        let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         client.send(&read_as(number, 1500)).expect("a query");
         client
@@ -111,11 +111,11 @@
     waiting.send(&write("6f", 1500)).expect("a query");
     let (other, discovery) = store();
     for text in before {
-        std::fs::write(&service.config, text).expect("a configuration");
+        std::fs::write(&service.router.config, text).expect("a configuration");
         service.signal("-HUP");
         thread::sleep(Duration::from_millis(50));
     }
-    std::fs::write(&service.config, config_text(discovery)).expect("a configuration");
+    std::fs::write(&service.router.config, config_text(discovery)).expect("a configuration");
     if before.is_empty() {
         // Several in a row ask for the same.
         (0..3).for_each(|_| service.signal("-HUP"));
--- a/crates/ottersill/tests/service/main.rs
+++ b/crates/ottersill/tests/service/main.rs
@@ -8,3 +8,5 @@
 mod fixture;
 mod lifecycle;
 mod statements_and_failures;
+#[path = "../support/mod.rs"]
+mod support;
