--- /dev/null
+++ b/crates/ottersill/tests/stored_files.rs
@@ -0,0 +1,137 @@
+//! Files of an earlier version are taken by this one: a fleet file, and an audit file to which the router appends.
+
+mod support;
+
+use std::fs;
+use std::io::BufReader;
+use std::net::SocketAddr;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Stdio};
+
+use ottersill_testkit::audit;
+use ottersill_testkit::cluster::query;
+use ottersill_testkit::stand_in::StandInStore;
+use support::{Router, config_text, read, until};
+
+/// `deploy/fleet.textproto` at commit 5872259.
+const STORED_FLEET: &str = include_str!("data/fleet-0.1.0.textproto");
+/// What a router of that commit wrote.
+const STORED_AUDIT: &str = include_str!("../../testkit/tests/data/audit-0.1.0.jsonl");
+const MEMBERS: [&str; 3] = ["a", "b", "c"];
+
+/// The three members of the stored fleet file, on an address of their own.
+struct Members {
+    folder: PathBuf,
+    routers: Vec<Router>,
+}
+
+impl Drop for Members {
+    fn drop(&mut self) {
+        // Before their files go.
+        self.routers.clear();
+        let _ = fs::remove_dir_all(&self.folder);
+    }
+}
+
+impl Members {
+    fn start() -> Members {
+        let folder = std::env::temp_dir().join(format!("ottersill-stored-{}", std::process::id()));
+        fs::create_dir_all(&folder).expect("a folder");
+        let key = folder.join("fleet.key");
+        fs::write(&key, "known to the members of this test only").expect("a key");
+        fs::set_permissions(&key, fs::Permissions::from_mode(0o600)).expect("a mode");
+        let store = StandInStore::default();
+        store.add_endpoint("127.0.0.1:0").expect("an endpoint");
+        let discovery = store.add_discovery("127.0.0.1:0").expect("discovery");
+        let mut members = Members { folder, routers: Vec::new() };
+        for name in MEMBERS {
+            let router = members.start_member(name, discovery);
+            members.routers.push(router);
+        }
+        members
+    }
+
+    /// Starts one with a stored audit file, to go on with.
+    fn start_member(&self, name: &str, discovery: SocketAddr) -> Router {
+        let (config, fleet) = (self.path(name, "json"), self.path(name, "textproto"));
+        let text = config_text(discovery, &[("\"toy-router\"", &format!("\"{name}\""))]);
+        fs::write(&config, text).expect("a configuration");
+        fs::write(self.audit_file(name), STORED_AUDIT).expect("an audit file");
+        let text = STORED_FLEET
+            .replace("127.0.0.1:", &format!("{}:", own_ip()))
+            .replace("target/fleet.key", &self.folder.join("fleet.key").display().to_string());
+        let audit = format!("audit_file: \"{}\"\n", self.audit_file(name).display());
+        fs::write(&fleet, text + &audit).expect("a fleet file");
+        let mut command = Command::new(env!("CARGO_BIN_EXE_ottersill"));
+        command.arg("--fleet").arg(&fleet).env("NODE_CONFIG", &config);
+        let mut process = command.stdout(Stdio::piped()).spawn().expect("a router");
+        let log = BufReader::new(process.stdout.take().expect("a log"));
+        Router { process, at: control(0), log, config }.until_ready()
+    }
+
+    fn path(&self, name: &str, kind: &str) -> PathBuf {
+        self.folder.join(name).with_extension(kind)
+    }
+
+    fn audit_file(&self, name: &str) -> PathBuf {
+        self.path(name, "audit")
+    }
+}
+
+/// An IP address that no other process's test uses; the stored file names its ports.
+fn own_ip() -> String {
+    let process = std::process::id();
+    format!("127.{}.{}.1", 192 + (process >> 8) as u8 % 32, process as u8)
+}
+
+fn control(member: usize) -> SocketAddr {
+    format!("{}:{}", own_ip(), 7421 + member).parse().expect("an address")
+}
+
+/// Whether each of the stored file's budgets is there with its size.
+fn has_stored_budgets(member: usize) -> bool {
+    let lines = query(control(member), "budgets");
+    let has = |budget: &str, units: u64| {
+        lines.iter().any(|line| line["budget"] == budget && line["whole"].as_u64() == Some(units))
+    };
+    has("executions at each host", 48)
+        && has("second tries", 20)
+        && has("probes", 60)
+        && has("new connections", 100)
+        && has("executions at each cold host", 30)
+}
+
+fn hears_all_members(member: usize) -> bool {
+    let lines = query(control(member), "members");
+    lines.iter().filter(|line| line["presence"] == "Here").count() == MEMBERS.len()
+}
+
+/// Sends a statement, without which no member asks for a share, and tells whether this member has one.
+fn has_a_share(member: usize, router: &Router) -> bool {
+    // It is rejected while there is no share.
+    router.client().ask(&read(1, 500)).expect("an answer");
+    query(control(member), "budgets").iter().any(|line| line["part"].as_u64() > Some(0))
+}
+
+fn read_text(path: &Path) -> String {
+    fs::read_to_string(path).expect("a file")
+}
+
+#[test]
+fn an_old_fleet_file_and_an_old_audit_file_are_taken() {
+    let members = Members::start();
+    for (index, name) in MEMBERS.into_iter().enumerate() {
+        until("the stored budgets are there", || has_stored_budgets(index));
+        until("all members are heard", || hears_all_members(index));
+        let appended = || read_text(&members.audit_file(name)).len() > STORED_AUDIT.len();
+        until("lines are appended", appended);
+    }
+    until("the first member has a share", || has_a_share(0, &members.routers[0]));
+    for name in MEMBERS {
+        let text = read_text(&members.audit_file(name));
+        assert!(text.starts_with(STORED_AUDIT), "what was there stays\n{text}");
+        let whole_lines = &text[..=text.rfind('\n').expect("a line")];
+        assert!(audit::read(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
+    }
+}
