--- a/crates/ottersill/tests/deadlines.rs
+++ b/crates/ottersill/tests/deadlines.rs
@@ -1,6 +1,6 @@
 //! The time left that a statement tells its host (`d`) is at most what its client has, with 0.15 s of slack.
 
-mod scene;
+mod support;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,8 +12,8 @@
 use ottersill_testkit::scripted_peer::{
     ReceivedStatement, ScriptedDiscovery, ScriptedEndpoint, endpoint_list,
 };
-use scene::*;
 use socket2::{Domain, Socket, Type};
+use support::*;
 
 const SLACK: Duration = Duration::from_millis(150);
 /// Of the slack, what is left to the way to the host when a router was held up for as long as it may be.
@@ -79,33 +79,33 @@
 }
 
 /// A long write that is stuck halfway to its primary.
-fn half_written() -> (Scene, NarrowPath, ottersill_testkit::stand_in::Client, Instant) {
+fn half_written() -> (Fixture, NarrowPath, ottersill_testkit::stand_in::Client, Instant) {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let (primary, replica) =
         (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
     let path = NarrowPath::start(primary.at);
-    let router = Router::spawn(&charter(discovery.at, &[LONG, LATE]), None);
+    let router = Router::spawn(&config_text(discovery.at, &[LONG, LATE]), None);
     let hosts = [("one", path.at, "active"), ("two", replica.at, "active")];
     discovery.next().answer(&endpoint_list(1, &hosts));
-    let scene = Scene { primary, replica, discovery, router: router.until_ready() };
-    let mut client = scene.router.client();
+    let fixture = Fixture { primary, replica, discovery, router: router.until_ready() };
+    let mut client = fixture.router.client();
     client.send(&write(1, 9000)).expect("a query");
-    scene.primary.next().answer("first");
+    fixture.primary.next().answer("first");
     assert_eq!(client.answer().expect("an answer"), "row:first INSERT 0 1");
     path.blocked.store(true, Ordering::Relaxed);
     let long = write(7, 3000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
     let sent = Instant::now();
     client.send(&long).expect("a long query");
-    (scene, path, client, sent)
+    (fixture, path, client, sent)
 }
 
 /// What was not written at once went out later, with the time that was left at first.
 #[test]
 fn a_statement_written_in_parts_tells_what_is_left_by_then() {
-    let (scene, path, mut client, sent) = half_written();
+    let (fixture, path, mut client, sent) = half_written();
     thread::sleep(Duration::from_millis(700));
     path.blocked.store(false, Ordering::Relaxed);
-    let arrival = scene.primary.next();
+    let arrival = fixture.primary.next();
     let excess = excess(&arrival, sent, 3000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("whole");
@@ -115,26 +115,26 @@
 /// Its client closes while a part of it is written: the rest is not, so that it never begins.
 #[test]
 fn a_statement_written_in_parts_does_not_begin_for_a_client_that_is_gone() {
-    let (scene, path, client, _) = half_written();
+    let (fixture, path, client, _) = half_written();
     thread::sleep(Duration::from_millis(100));
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
-    until("the router sees the end", || router_side(scene.router.at, gone).is_none());
+    until("the router sees the end", || router_side(fixture.router.at, gone).is_none());
     path.blocked.store(false, Ordering::Relaxed);
-    assert!(scene.primary.next_within(Duration::from_millis(500)).is_none());
+    assert!(fixture.primary.next_within(Duration::from_millis(500)).is_none());
 }
 
 /// The query lay in the router's buffer while the router stood still, which it can't know. Its time was counted from the reading
 /// of it, which used up the slack: nothing was left for the way to the host.
 #[test]
 fn a_query_that_came_while_the_router_was_held_up_tells_no_more_than_is_left() {
-    let scene = Scene::set(&[]);
-    let mut client = scene.router.client();
-    scene.router.signal("-STOP");
+    let fixture = Fixture::start(&[]);
+    let mut client = fixture.router.client();
+    fixture.router.signal("-STOP");
     client.send(&read(7, 2000)).expect("a query");
     thread::sleep(SLACK);
-    scene.router.signal("-CONT");
-    let arrival = scene.replica.next();
+    fixture.router.signal("-CONT");
+    let arrival = fixture.replica.next();
     let excess = (told(&arrival) + SLACK).saturating_sub(Duration::from_millis(2000));
     assert!(excess + WAY <= SLACK, "{excess:?}");
     arrival.answer("served");
@@ -144,12 +144,12 @@
 /// The connection comes up late: the time that this took is subtracted. Right already.
 #[test]
 fn a_statement_on_a_late_connection_tells_what_is_left() {
-    let scene = Scene::set(&[PATIENT, LONG, LATE]);
+    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let sent = Instant::now();
-    let client = scene.read_on_its_way(7, 8000);
+    let client = fixture.read_on_its_way(7, 8000);
     thread::sleep(Duration::from_millis(500));
-    scene.replica.resume_greeting();
-    let arrival = scene.replica.next();
+    fixture.replica.resume_greeting();
+    let arrival = fixture.replica.next();
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
     drop(client);
@@ -158,14 +158,14 @@
 /// The first host fails after a while, and the next one is told what is left by then. Right already.
 #[test]
 fn a_retry_tells_what_is_left() {
-    let scene = Scene::set(&[LONG, LATE]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[LONG, LATE]);
+    let mut client = fixture.router.client();
     let sent = Instant::now();
     client.send(&read(7, 8000)).expect("a query");
-    let first = scene.replica.next();
+    let first = fixture.replica.next();
     thread::sleep(Duration::from_millis(500));
     first.fail("53300");
-    let arrival = scene.primary.next();
+    let arrival = fixture.primary.next();
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("served");
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -1,50 +1,53 @@
 //! A turn of the loop that is held up: its parts are called one by one here, on real connections, so that time passes and peers
 //! act between two of them.
 
-mod scene;
+mod support;
 
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use ottersill::lifecycle::charter;
+use ottersill::lifecycle::config::Config;
 use ottersill::memory::clients::Session;
 use ottersill::memory::lines::Load;
-use ottersill::wire::exchange::{Exchange, Party};
+use ottersill::reactor::{Readiness, Source as Party};
+use ottersill::wire::exchange::Exchange;
 use ottersill::wire::socket;
-use ottersill_lab::script::{Arrival, Host, list};
-use ottersill_lab::store::Client;
-use scene::*;
+use ottersill_testkit::scripted_peer::{ReceivedStatement, ScriptedEndpoint, endpoint_list};
+use ottersill_testkit::stand_in::Client;
 use slog::{Discard, Logger, o};
+use support::*;
 
 /// As long as a router may be held up.
 const HELD_UP: Duration = Duration::from_millis(150);
 
 struct Stage {
-    events: EventLoop<'static, Exchange>,
+    events: EventLoop<'static, Readiness>,
     exchange: Exchange,
     at: SocketAddr,
-    primary: Host,
-    replica: Host,
+    primary: ScriptedEndpoint,
+    replica: ScriptedEndpoint,
 }
 
 impl Stage {
     /// A router that knows its hosts' roles and has a connection to each.
     fn set() -> Stage {
-        let (primary, replica) = (Host::start(true).expect("a host"), Host::start(false).expect("a host"));
+        let (primary, replica) =
+            (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
         // Nobody answers there.
-        let text = scene::charter(SocketAddr::from(([127, 0, 0, 1], 1)), &[LONG, LATE]);
-        let charter = charter::read(text.as_bytes()).expect("a charter");
-        let berths = charter.limits.berths().expect("limits");
-        let upkeep = charter.settings.upkeep().expect("settings");
-        let (terms, names) = charter.settings.clone().terms(charter.seed).expect("settings");
+        let text = config_text(SocketAddr::from(([127, 0, 0, 1], 1)), &[LONG, LATE]);
+        let config = Config::parse(text.as_bytes()).expect("a configuration");
+        let berths = config.limits.berths().expect("limits");
+        let upkeep = config.settings.backend_timeouts().expect("settings");
+        let terms = config.settings.terms(config.seed).expect("settings");
+        let names = config.settings.catalog();
         let events = EventLoop::try_new().expect("a loop");
         let log = Logger::root(Discard, o!());
         let handle = events.handle();
-        let mut exchange = Exchange::new(terms, names, upkeep, berths, charter.discovery, log, handle);
-        let hosts = list(1, &[("one", primary.at, "active"), ("two", replica.at, "active")]);
-        exchange.take_list(&serde_json::from_str(&hosts).expect("a list"));
+        let mut exchange = Exchange::new(terms, names, upkeep, berths, config.discovery, log, handle);
+        let hosts = endpoint_list(1, &[("one", primary.at, "active"), ("two", replica.at, "active")]);
+        exchange.apply_endpoint_list(&serde_json::from_str(&hosts).expect("a list"));
         let listener = socket::listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("a listener");
         let at = listener.local_addr().ok().and_then(|at| at.as_socket()).expect("an address");
         exchange.listener = Some(exchange.attend(listener, Party::Listener).expect("a place in the loop"));
@@ -63,7 +66,7 @@
     }
 
     fn turn(&mut self) {
-        self.events.dispatch(Some(Duration::from_millis(2)), &mut self.exchange).expect("the loop");
+        self.events.dispatch(Some(Duration::from_millis(2)), &mut self.exchange.readiness).expect("the loop");
         self.exchange.turn();
     }
 
@@ -74,7 +77,7 @@
         }
     }
 
-    fn arrival(&mut self, host: impl Fn(&Stage) -> &Host) -> Arrival {
+    fn arrival(&mut self, host: impl Fn(&Stage) -> &ScriptedEndpoint) -> ReceivedStatement {
         let began = Instant::now();
         loop {
             self.turn();
--- /dev/null
+++ b/crates/ottersill/tests/service/fixture.rs
@@ -0,0 +1,113 @@
+//! The program between clients and a stand-in store.
+
+use std::io::Read;
+use std::net::SocketAddr;
+use std::process::Command;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use ottersill_testkit::stand_in::{Behaviour, Client, StandInStore};
+
+use crate::support::{self, Router};
+
+pub const PATIENCE: Duration = Duration::from_secs(10);
+
+/// A stand-in store and a router that knows the roles of its endpoints.
+pub struct Service {
+    pub store: StandInStore,
+    pub router: Router,
+}
+
+pub fn poll(what: &str, mut holds: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !holds() {
+        assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        thread::sleep(Duration::from_millis(10));
+    }
+}
+
+pub fn store() -> (StandInStore, SocketAddr) {
+    let store = StandInStore::default();
+    for _ in 0..3 {
+        store.add_endpoint("127.0.0.1:0").expect("a host");
+    }
+    let discovery = store.add_discovery("127.0.0.1:0").expect("discovery");
+    (store, discovery)
+}
+
+pub fn config_text(discovery: SocketAddr) -> String {
+    support::config_text(discovery, &[])
+}
+
+/// A primary and two replicas behind a router that knows their roles.
+pub fn service(sockets: usize) -> Service {
+    service_within(sockets, 192)
+}
+
+pub fn service_within(sockets: usize, memory_mb: u64) -> Service {
+    let (store, discovery) = store();
+    let text = support::config_text(
+        discovery,
+        &[
+            ("\"sockets\": 1024", &format!("\"sockets\": {sockets}")),
+            ("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}")),
+        ],
+    );
+    let router = Router::spawn(&text, None).until_ready();
+    let mut service = Service { store, router };
+    let mut client = service.client();
+    for _ in 0..30 {
+        assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    }
+    assert_eq!(client.ask(&write("1f", 2000)).expect("an answer"), "row:value INSERT 0 1");
+    assert!(service.router.process.try_wait().expect("a state").is_none());
+    service
+}
+
+impl Service {
+    pub fn client(&self) -> Client {
+        let mut client = Client::connect(self.router.at).expect("a connection");
+        client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        client.answer().expect("a greeting");
+        client
+    }
+
+    pub fn all(&self, behaviour: Behaviour) {
+        (0..self.store.endpoint_count()).for_each(|host| self.store.set_behaviour(host, behaviour));
+    }
+
+    pub fn taken(&self) -> usize {
+        (0..self.store.endpoint_count()).map(|host| self.store.received(host).len()).sum()
+    }
+
+    pub fn signal(&self, name: &str) {
+        let id = self.router.process.id().to_string();
+        let sent = Command::new("kill").args([name, &id]).status().expect("kill");
+        assert!(sent.success());
+    }
+
+    pub fn exit(&mut self) -> (Option<i32>, String) {
+        poll("an exit", || self.router.process.try_wait().expect("a state").is_some());
+        let status = self.router.process.wait().expect("a status");
+        let mut log = String::new();
+        self.router.log.read_to_string(&mut log).expect("the log");
+        (status.code(), log)
+    }
+}
+
+pub fn read(left_ms: u32) -> String {
+    format!("SELECT content FROM kv WHERE name = '1f' /* id=5c,c=get,d={left_ms},cluster=1 */")
+}
+
+/// The same under another id, as each client gives its own.
+pub fn read_as(number: u32, left_ms: u32) -> String {
+    read(left_ms).replace("id=5c", &format!("id=e{number:x}"))
+}
+
+pub fn write(key: &str, left_ms: u32) -> String {
+    let hex = "76616c7565";
+    format!(
+        "INSERT INTO kv (name, content) VALUES ('{key}', '\\x{hex}') RETURNING content \
+         /* id=5d,c=put,d={left_ms},cluster=1 */"
+    )
+}
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -1,13 +1,13 @@
 //! A stop while nothing that was sent to the hosts comes back.
 
-mod scene;
+mod support;
 
 use std::io::ErrorKind;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use scene::*;
+use support::*;
 
 /// From SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
 const KILLED_AFTER: Duration = Duration::from_millis(2700);
@@ -18,10 +18,10 @@
 /// came in time has its answer before the router may be killed. Right already.
 #[test]
 fn hosts_that_hang_through_a_stop_leave_no_query_unanswered() {
-    let mut scene = Scene::set(&[]);
+    let mut fixture = Fixture::start(&[]);
     let told_at = Instant::now();
-    scene.router.signal("-TERM");
-    let at = scene.router.at;
+    fixture.router.signal("-TERM");
+    let at = fixture.router.at;
     let client = |number: u32| {
         thread::spawn(move || {
             let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("a connection");
@@ -47,8 +47,8 @@
         assert!(*answered && *ended < KILLED_AFTER, "sent at {sent:?}, ended at {ended:?}: {answered}");
     }
     assert!(owed.count() >= 10);
-    until("it ends", || scene.router.state() == "Z");
-    assert_eq!(scene.router.process.wait().expect("a status").code(), Some(0));
+    until("it ends", || fixture.router.state() == "Z");
+    assert_eq!(fixture.router.process.wait().expect("a status").code(), Some(0));
 }
 
 /// A few milliseconds are left, and the host drops the query without a word: its client has an answer all the same. Right already.
@@ -57,14 +57,14 @@
 #[case::five(5)]
 #[case::thirty(30)]
 fn a_query_with_little_time_left_is_answered(#[case] left_ms: u32) {
-    let scene = Scene::set(&[]);
-    let mut client = scene.router.client();
+    let fixture = Fixture::start(&[]);
+    let mut client = fixture.router.client();
     let began = Instant::now();
     let answer = client.ask(&read(7, left_ms)).expect("an answer");
     assert!(answer.starts_with('C'), "{answer}");
     assert!(began.elapsed() < Duration::from_millis(u64::from(left_ms) + 500), "{:?}", began.elapsed());
     // If it went out, the host was told no more than there was.
-    if let Some(arrival) = scene.replica.next_within(Duration::from_millis(50)) {
+    if let Some(arrival) = fixture.replica.next_within(Duration::from_millis(50)) {
         let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse::<u32>().ok());
         assert!(told.is_some_and(|told| told <= left_ms), "{}", arrival.text);
     }
