--- a/crates/ottersill/src/counters.rs
+++ b/crates/ottersill/src/counters.rs
@@ -1,5 +1,7 @@
 //! What was accepted, sent and answered, logged on SIGUSR1 and at the exit. All counters only rise; their number is fixed.
 
+#![warn(missing_docs)]
+
 use std::fmt;
 
 /// Declares the counters: the field, the name under which operators read it, and what it counts.
--- a/crates/ottersill/src/lifecycle/error.rs
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -1,5 +1,7 @@
 //! Why a router ends with an error.
 
+#![warn(missing_docs)]
+
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -1,5 +1,7 @@
 //! SIGHUP: the configuration is read again, and discovery is asked where it names it now.
 
+#![warn(missing_docs)]
+
 use slog::{info, warn};
 
 use crate::lifecycle::charter::{self, Charter};
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -1,6 +1,8 @@
 //! The phases of a router's life, above all of its graceful shutdown, as one state machine. It only says which phase
 //! comes next; [`run`](crate::lifecycle::run) does what the phase asks for. Times are Unix seconds, durations seconds.
 
+#![warn(missing_docs)]
+
 use crate::wire::client_side::CLOSING;
 use crate::wire::exchange::LEEWAY;
 
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -1,5 +1,7 @@
 //! Builds a router from its configuration.
 
+#![warn(missing_docs)]
+
 use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use slog::info;
--- a/crates/ottersill/src/main.rs
+++ b/crates/ottersill/src/main.rs
@@ -1,4 +1,4 @@
-//! One router, or what its command line asks for. What a router is told stands in the file that `NODE_CONFIG` names.
+//! Runs a router, or the command that the command line names. `NODE_CONFIG` names the file with the configuration.
 
 use std::process::ExitCode;
 
