--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -2,29 +2,20 @@
 //! [`DiscoveryEvent`]s and leaves what follows from them to the event loop.
 
 use std::collections::VecDeque;
-use std::fmt;
-use std::io;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-use bytes::BytesMut;
-use calloop::RegistrationToken;
 use slog::warn;
-use socket2::Socket;
 
+use crate::discovery::call::{Answer, Call, CallError};
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::http::{self, HttpError};
 use crate::discovery::watch::{self, CallState, RETRY_DELAY, Request, SUPERSEDED_CALL_LIFETIME};
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
-use crate::wire::socket::{self, Got, Outbox};
 
 /// Calls that are open at a time: one that is silent, and the next.
 const MAX_CALLS: usize = 2;
 /// Between two log lines about failed calls, in seconds.
 const LOG_INTERVAL: f64 = 1.0;
-/// The only status of an answer that counts.
-const STATUS_OK: u16 = 200;
 
 /// What the event loop is told by [`DiscoveryClient::poll_event`].
 #[derive(Debug)]
@@ -35,64 +26,6 @@
     CallFailed,
 }
 
-/// Why a call has failed.
-#[derive(Debug)]
-enum CallError {
-    /// The connection did not come up, or broke.
-    Connection(io::Error),
-    /// Discovery ended the connection without an answer.
-    Ended,
-    /// Nothing came in time.
-    Timeout,
-    /// The answer is no HTTP response.
-    Http(HttpError),
-    /// The answer has another status than 200.
-    Status(u16),
-    /// The body is no endpoint list.
-    List(serde_json::Error),
-}
-
-impl fmt::Display for CallError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            CallError::Connection(error) => write!(f, "{error}"),
-            CallError::Ended => f.write_str("it ended the connection"),
-            CallError::Timeout => f.write_str("no answer in time"),
-            CallError::Http(error) => write!(f, "{error}"),
-            CallError::Status(status) => write!(f, "status {status}"),
-            CallError::List(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl From<io::Error> for CallError {
-    fn from(error: io::Error) -> CallError {
-        CallError::Connection(error)
-    }
-}
-
-/// An answer that was read whole.
-struct Answer {
-    list: EndpointList,
-    /// Discovery closes the connection after it.
-    closes: bool,
-}
-
-/// One connection to discovery, with the request on it.
-struct Call {
-    state: CallState,
-    socket: Rc<Socket>,
-    token: RegistrationToken,
-    inbox: BytesMut,
-    outbox: Outbox,
-    /// When its request was sent.
-    requested_at: f64,
-    /// Until when it is kept beside the calls that follow it.
-    keep_until: f64,
-    /// A request on it was answered: if the connection ends after that, discovery is still there.
-    was_answered: bool,
-}
-
 /// Keeps a watch on discovery. Times are Unix seconds, durations seconds.
 pub struct DiscoveryClient {
     address: SocketAddr,
@@ -169,7 +102,7 @@
     /// The timer has expired.
     pub fn on_timer(&mut self, context: &mut Context) {
         self.timer = None;
-        match self.calls.last().map(|call| call.state) {
+        match self.calls.last().map(Call::state) {
             None => self.begin_call(context),
             Some(CallState::Pausing) => {
                 let newest = self.calls.len() - 1;
@@ -188,26 +121,16 @@
     /// Dials discovery. The oldest call may still be answered for a while; the one between is closed.
     fn begin_call(&mut self, context: &mut Context) {
         if self.calls.len() >= MAX_CALLS {
-            let oldest_is_over = context.now >= self.calls[0].keep_until;
+            let oldest_is_over = self.calls[0].is_over(context.now);
             self.close_call(usize::from(!oldest_is_over), context);
         }
         let keep_until = context.now + SUPERSEDED_CALL_LIFETIME;
         for call in &mut self.calls {
-            call.keep_until = call.keep_until.min(keep_until);
+            call.limit(keep_until);
         }
-        let dialled = socket::dial(self.address);
-        match dialled.and_then(|socket| context.register(socket, Source::Discovery)) {
-            Ok((socket, token)) => {
-                self.calls.push(Call {
-                    state: CallState::Connecting,
-                    socket,
-                    token,
-                    inbox: BytesMut::new(),
-                    outbox: Outbox::default(),
-                    requested_at: context.now,
-                    keep_until: f64::INFINITY,
-                    was_answered: false,
-                });
+        match Call::dial(self.address, context) {
+            Ok(call) => {
+                self.calls.push(call);
                 self.set_timer(self.silent_call_interval, context);
             }
             Err(error) => {
@@ -227,44 +150,24 @@
 
     fn send_request(&mut self, index: usize, context: &mut Context) -> Result<(), CallError> {
         let request = self.next_request();
-        self.transition(index, request.state, context);
+        let sent = self.calls[index].send(&request, self.address, context);
         let is_newest = index + 1 == self.calls.len();
-        let call = &mut self.calls[index];
-        call.requested_at = context.now;
-        call.outbox.push(http::get(&request.path, &self.address.to_string()));
-        let flushed = call.outbox.flush(&call.socket);
         if is_newest {
             self.set_timer(request.timeout, context);
         }
-        flushed?;
-        Ok(())
+        Ok(sent?)
     }
 
-    /// Sends what is left to send on a call, and reads the answer if it is there whole.
+    /// Reads the answer on a call if it is there whole; one that has just come up gets its request first.
     fn read_answer(&mut self, index: usize, context: &mut Context) -> Result<Option<Answer>, CallError> {
-        let is_up = socket::is_up(&self.calls[index].socket)?;
-        if self.calls[index].state == CallState::Connecting {
+        let is_up = self.calls[index].is_up()?;
+        if self.calls[index].state() == CallState::Connecting {
             if !is_up {
                 return Ok(None);
             }
             self.send_request(index, context)?;
         }
-        let call = &mut self.calls[index];
-        call.outbox.flush(&call.socket)?;
-        // A reset is no end: what came before it is dropped with the connection.
-        let got = socket::read(&call.socket, &mut call.inbox, http::MAX_RESPONSE_BYTES)?;
-        let response = http::response(&mut call.inbox, got == Got::End).map_err(CallError::Http)?;
-        if let Some(response) = response {
-            return parse_answer(&response).map(Some);
-        }
-        match got {
-            Got::End => Err(CallError::Ended),
-            Got::More => {
-                context.wake(Source::Discovery);
-                Ok(None)
-            }
-            Got::All => Ok(None),
-        }
+        self.calls[index].read(context)
     }
 
     /// The call that was answered is the only one from here on. The next request follows at once, as only that keeps up
@@ -273,13 +176,10 @@
         for other in (0..self.calls.len()).rev().filter(|other| *other != index) {
             self.close_call(other, context);
         }
-        let call = &mut self.calls[0];
-        let early = call.state == CallState::Watching && watch::is_early(context.now - call.requested_at);
-        call.was_answered = true;
-        call.keep_until = f64::INFINITY;
+        let was_early = self.calls[0].answered(context.now);
         let old_version = self.version.replace(answer.list.version);
         // A discovery that never waits must not keep this router busy.
-        let pauses = early && old_version == self.version;
+        let pauses = was_early && old_version == self.version;
         self.is_unresponsive = false;
         self.events.push_back(DiscoveryEvent::List(answer.list));
         if answer.closes {
@@ -287,7 +187,7 @@
         }
         match (pauses, answer.closes) {
             (true, false) => {
-                self.transition(0, CallState::Pausing, context);
+                self.calls[0].transition(CallState::Pausing, context);
                 self.set_timer(RETRY_DELAY, context);
             }
             (true, true) => self.set_timer(RETRY_DELAY, context),
@@ -325,13 +225,6 @@
         self.events.push_back(DiscoveryEvent::CallFailed);
     }
 
-    /// Every change of a call's state.
-    fn transition(&mut self, index: usize, next: CallState, context: &mut Context) {
-        let call = &mut self.calls[index];
-        context.counters.must(call.state.may_become(next), "a call goes its ways only");
-        call.state = next;
-    }
-
     /// Sets the one timer, in seconds from now.
     fn set_timer(&mut self, after: f64, context: &mut Context) {
         context.timers.clear(self.timer.take());
@@ -340,16 +233,6 @@
 
     /// Closes a connection; true if a request on it was answered.
     fn close_call(&mut self, index: usize, context: &mut Context) -> bool {
-        let call = self.calls.remove(index);
-        context.handle.remove(call.token);
-        call.was_answered
-    }
-}
-
-fn parse_answer(response: &http::Response) -> Result<Answer, CallError> {
-    if response.status != STATUS_OK {
-        return Err(CallError::Status(response.status));
+        self.calls.remove(index).close(context)
     }
-    let list = serde_json::from_slice(&response.body).map_err(CallError::List)?;
-    Ok(Answer { list, closes: response.closes })
 }
--- a/crates/ottersill/src/discovery/mod.rs
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -2,6 +2,7 @@
 
 #![warn(missing_docs)]
 
+pub mod call;
 pub mod client;
 pub mod endpoint_list;
 pub mod http;
