--- a/crates/ottersill/src/discovery/mod.rs
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -1,5 +1,8 @@
 //! Discovery: the endpoint list that it serves, the watch kept on it, and what is known of each endpoint.
 
+#![warn(missing_docs)]
+
+pub mod call;
 pub mod client;
 pub mod endpoint_list;
 pub mod http;
