--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of ottersill, without I/O: [`Router`] decides, a [`Front`](interface::Front) carries out.
 
-mod decide;
 pub mod facade;
 pub mod interface;
+mod router;
 mod state;
 
-pub use decide::Router;
+pub use router::Router;
