--- /dev/null
+++ b/crates/core/src/ids.rs
@@ -0,0 +1,76 @@
+//! Typed indices, and tables that are read by them.
+//!
+//! The public interface names endpoints, groups, workloads and requests by bare `usize`; inside the crate each kind
+//! has a type of its own, so that one can't stand where another is meant.
+
+use std::marker::PhantomData;
+use std::ops::{Index, IndexMut};
+
+/// An index into a [`Table`].
+pub(crate) trait Id: Copy {
+    /// The identifier with that index.
+    fn new(index: usize) -> Self;
+    /// Its index.
+    fn index(self) -> usize;
+}
+
+macro_rules! ids {
+    ($($(#[$doc:meta])* $name:ident;)*) => {$(
+        $(#[$doc])*
+        #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+        pub(crate) struct $name(usize);
+
+        impl Id for $name {
+            fn new(index: usize) -> Self {
+                $name(index)
+            }
+
+            fn index(self) -> usize {
+                self.0
+            }
+        }
+    )*};
+}
+
+ids! {
+    /// A database server.
+    EndpointId;
+    /// A workload as the settings name it, or its stricter twin for texts that may write.
+    ClassId;
+}
+
+/// A list whose entries are read by one kind of identifier.
+#[derive(Clone, Debug)]
+pub(crate) struct Table<I, T> {
+    entries: Vec<T>,
+    kind: PhantomData<I>,
+}
+
+impl<I: Id, T> Table<I, T> {
+    /// A table of these entries, in their order.
+    pub(crate) fn of(entries: Vec<T>) -> Self {
+        Table { entries, kind: PhantomData }
+    }
+
+    pub(crate) fn iter(&self) -> std::slice::Iter<'_, T> {
+        self.entries.iter()
+    }
+
+    pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, T> {
+        self.entries.iter_mut()
+    }
+}
+
+impl<I: Id, T> Index<I> for Table<I, T> {
+    type Output = T;
+
+    fn index(&self, id: I) -> &T {
+        &self.entries[id.index()]
+    }
+}
+
+impl<I: Id, T> IndexMut<I> for Table<I, T> {
+    fn index_mut(&mut self, id: I) -> &mut T {
+        &mut self.entries[id.index()]
+    }
+}
--- /dev/null
+++ b/crates/core/src/retry.rs
@@ -0,0 +1,149 @@
+//! Retries: which are safe, what pays for them, and which requests are themselves retries of a client.
+
+use crate::ids::EndpointId;
+use crate::interface::{Effect, Within};
+
+/// Retries earned by one request, for attempts that follow one that may have run.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Retries that may be sent at the start, and most that are saved up by requests.
+const INITIAL_RETRIES: f64 = 5.0;
+const MAX_RETRIES: f64 = 20.0;
+/// Seconds by which two times that a client gives may differ and count as the same.
+const SAME_TIME: f64 = 0.02;
+
+/// The earliest attempt of a request that may have had an effect.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleEffect {
+    pub(crate) sent_at: f64,
+    pub(crate) endpoint: EndpointId,
+}
+
+/// Whether another attempt can't repeat an effect.
+///
+/// `same_site` says whether the endpoint to be used is at the site of the earlier attempt's. A group's idempotency
+/// window needs no such check, as a request never leaves its group.
+pub(crate) fn is_safe(
+    now: f64,
+    effect: Effect,
+    earlier: Option<PossibleEffect>,
+    same_site: impl FnOnce(EndpointId) -> bool,
+) -> bool {
+    let Some(earlier) = earlier else { return true };
+    match effect {
+        Effect::Idempotent => true,
+        Effect::NonIdempotent => false,
+        Effect::Deduplicated { within, window } => {
+            let in_window = now < earlier.sent_at + window;
+            in_window && (within != Within::Site || same_site(earlier.endpoint))
+        }
+    }
+}
+
+/// Whether a client that is rejected may send its request again without repeating an effect.
+pub(crate) fn client_may_repeat(effect: Effect, earlier: Option<PossibleEffect>) -> bool {
+    if earlier.is_none() {
+        return true;
+    }
+    match effect {
+        Effect::Idempotent => true,
+        Effect::NonIdempotent => false,
+        Effect::Deduplicated { within, .. } => within == Within::Everywhere,
+    }
+}
+
+/// Guards against retries that feed the overload which made them needed.
+///
+/// Only attempts that follow one which may have run are paid for; what had no effect cost next to nothing.
+#[derive(Clone, Debug)]
+pub(crate) struct RetryBudget {
+    retries: f64,
+}
+
+impl RetryBudget {
+    pub(crate) fn new() -> RetryBudget {
+        RetryBudget { retries: INITIAL_RETRIES }
+    }
+
+    pub(crate) fn deposit_for_request(&mut self) {
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
+    }
+
+    pub(crate) fn withdraw(&mut self) {
+        self.retries -= 1.0;
+    }
+
+    /// A retry that was answered in full is not counted.
+    pub(crate) fn refund(&mut self) {
+        self.retries += 1.0;
+    }
+
+    /// Takes over what the fleet grants.
+    pub(crate) fn set(&mut self, retries: f64) {
+        self.retries = retries;
+    }
+
+    pub(crate) fn is_available(&self) -> bool {
+        self.retries >= 1.0
+    }
+}
+
+/// What is known of a request's earlier tries by its client.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClientAttempt {
+    /// The client has sent this request before.
+    pub(crate) is_retry: bool,
+    /// Seconds since it did so first, as far as its remaining time tells.
+    pub(crate) elapsed: f64,
+}
+
+/// Recognizes requests that clients send again after a failure, for one class.
+///
+/// A client gives each first try the same time and each later one what is left of its patience.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClientRetryDetector {
+    /// Seconds that most clients give a first try, by a running majority vote.
+    usual_time: f64,
+    votes: i32,
+    /// Requests that failed here of late and whose clients may come back.
+    expected: f64,
+}
+
+impl ClientRetryDetector {
+    /// Takes a request into account. `marked` says that the client marked it as a repeat, `full_time` is the time in
+    /// seconds that a first try may have at most.
+    pub(crate) fn observe(&mut self, marked: bool, time_left: f64, full_time: f64) -> ClientAttempt {
+        if !marked {
+            self.vote(time_left);
+        }
+        let unusual = (time_left - self.usual_time).abs() >= SAME_TIME;
+        // Without a mark an unusual time tells of a retry only as far as requests have failed here.
+        let is_retry = marked || unusual && self.expected >= 1.0;
+        if !(unusual && is_retry) {
+            return ClientAttempt { is_retry, elapsed: 0.0 };
+        }
+        self.expected -= self.expected.min(1.0);
+        ClientAttempt { is_retry, elapsed: (full_time - time_left).max(0.0) }
+    }
+
+    fn vote(&mut self, time_left: f64) {
+        if (time_left - self.usual_time).abs() < SAME_TIME {
+            self.votes += 1;
+        } else {
+            self.votes -= 1;
+        }
+        if self.votes < 0 {
+            self.usual_time = time_left;
+            self.votes = 1;
+        }
+    }
+
+    /// Clients are expected back, by this number on average.
+    pub(crate) fn expect(&mut self, clients: f64) {
+        self.expected += clients;
+    }
+
+    /// Applies `decay` to the number of expected clients.
+    pub(crate) fn decay(&mut self, decay: impl FnOnce(f64) -> f64) {
+        self.expected = decay(self.expected);
+    }
+}
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -2,10 +2,14 @@
 //! in `interface.rs`, records in `state.rs`; the `Front` that a [`Router`] is lent carries out decisions.
 
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 
+use crate::clock::{StallDetector, TICK, decayed};
+use crate::ids::{ClassId, EndpointId, Id};
 use crate::interface::*;
+use crate::retry::{self, PossibleEffect, RetryBudget};
+use crate::sampling::Sampler;
 use crate::state::*;
+use crate::stats::{self, ClassStats, Classes};
 
 /// Probes a second for each member while its group polls (the design's default).
 const POLL: f64 = 1.0;
@@ -13,8 +17,6 @@
 const POLL_SOON: f64 = 0.25;
 /// Probes that a statement pays for: what is told of a member is worth as much as is asked of it.
 const PROBES: f64 = 0.12;
-/// Between two looks at what waits and what is silent; well under any SLO time, too rare to cost anything.
-const BEAT: f64 = 0.02;
 /// How long a read that finds no fresh replica waits before it takes the primary.
 const READ_WAIT: f64 = 0.03;
 /// Answers that use this part of the SLO time on average leave room for long ones; the second does not.
@@ -35,14 +37,10 @@
 /// Typical answer times that an execution needs to be likely in time, and that are worth a try at once.
 const ENOUGH: f64 = 1.4;
 const HASTE: f64 = 0.7;
-/// Further executions of what may have run, as a part of first ones.
-const SECOND_TRIES: f64 = 0.1;
 /// When a client that was turned away in time may try again.
 const RETRY: f64 = 0.1;
 /// The spread of a shape's work from which on nothing is believed of it.
 const VAGUE: f64 = 0.7;
-/// A read is long if it takes this many times what the shortest workload takes.
-const LONG: f64 = 4.0;
 /// Seconds over which worth is weighed and a word on load fades; change a beat of what is held back.
 const WORTH: f64 = 5.0;
 const FLOW: f64 = 0.02;
@@ -57,7 +55,7 @@
 
 pub struct Router {
     terms: Terms,
-    rows: Vec<Row>,
+    classes: Classes,
     members: Vec<Member>,
     groups: Vec<Group>,
     /// A slot a statement held by the front; as many as were ever held at once.
@@ -67,16 +65,14 @@
     /// Last write of each session of a group, where these are remembered, and writes of it that are out;
     /// emptied once all the group has it.
     marks: BTreeMap<(usize, u64), (f64, u32)>,
-    second_tries: f64,
+    retries: RetryBudget,
     /// Probes paid for.
     probes: f64,
-    called_at: f64,
-    /// When it last came back from a stall of its own.
-    awake_since: f64,
+    stalls: StallDetector,
     pace: f64,
     bound: Option<f64>,
     list_is_due: bool,
-    draws: u64,
+    sampler: Sampler,
     turn: usize,
 }
 
@@ -102,76 +98,49 @@
     }
 }
 
-impl Row {
-    /// Seconds that an answer takes, for a statement with so much more work than is usual.
-    fn takes(&self, more: f64) -> f64 {
-        (self.typical + more).max(self.typical / FEW)
-    }
-}
-
 impl Router {
     pub fn start(now: f64, terms: Terms, front: &mut impl Front) -> Router {
-        let usual = (0.0, 0);
-        let row =
-            |w: Workload| Row { typical: Router::typical(&w), terms: w, usual, may_return: 0.0, work: 0.0 };
-        // Behind the workloads their twins, for a text that may write, whatever its name.
-        let (needs, effect) = (Needs::Primary, Effect::NonIdempotent);
-        let twins = terms.workloads.iter().map(|w| Workload { needs, effect, ..w.clone() });
         let router = Router {
-            rows: terms.workloads.iter().cloned().chain(twins).map(row).collect(),
+            classes: Classes::new(&terms),
             shares: vec![(0.0, now); terms.tenant_rates.len()],
             members: Vec::new(),
             groups: Vec::new(),
             held: Vec::new(),
             marks: BTreeMap::new(),
-            second_tries: 5.0,
+            retries: RetryBudget::new(),
             probes: 0.0,
-            called_at: now,
-            awake_since: now,
+            stalls: StallDetector::new(now),
             pace: 0.0,
             bound: terms.workloads.iter().filter_map(|w| w.bound()).reduce(f64::min),
             list_is_due: terms.list_on_request,
-            draws: 0,
+            sampler: Sampler::new(terms.seed),
             turn: 0,
             terms,
         };
-        front.wake(BEAT);
+        front.wake(TICK);
         router
     }
 
     /// What an answer of a workload is taken to need before any came.
     pub fn typical(workload: &Workload) -> f64 {
-        workload.slo_time / 6.0
-    }
-
-    fn row_of(&self, workload: usize, writes: bool) -> usize {
-        let count = self.terms.workloads.len();
-        let reads = workload < count && self.rows[workload].terms.needs != Needs::Primary;
-        if writes && reads { workload + count } else { workload }
+        stats::initial_latency(workload)
     }
 
     pub fn statement(&mut self, now: f64, index: usize, stmt: Statement, front: &mut impl Front) {
-        let stmt = Statement { workload: self.row_of(stmt.workload, stmt.writes), ..stmt };
-        let row = &mut self.rows[stmt.workload];
-        // A client gives each first try the same time, a later one what is left of its patience.
-        let (usual, votes) = row.usual;
-        if !stmt.repeat {
-            let vote = if (stmt.time_left - usual).abs() < BEAT { 1 } else { -1 };
-            row.usual = if votes + vote < 0 { (stmt.time_left, 1) } else { (usual, votes + vote) };
-        }
-        let later = (stmt.time_left - row.usual.0).abs() >= BEAT;
-        // Unmarked, another time than the usual tells of a later try as far as tries have failed here.
-        let returned = stmt.repeat || later && row.may_return >= 1.0;
-        let late = f64::from(later && returned);
-        row.may_return -= late * row.may_return.min(1.0);
-        let passed = late * (row.terms.statement_timeout - stmt.time_left).max(0.0);
-        let worth = if returned { 0.0 } else { row.terms.importance };
-        let slo_left = if row.terms.late_share > 0.0 { f64::INFINITY } else { row.terms.slo_time - passed };
+        let class_id = self.classes.classify(stmt.workload, stmt.writes);
+        let stmt = Statement { workload: class_id.index(), ..stmt };
+        let class = self.classes.get_mut(class_id);
+        let full_time = class.settings().statement_timeout;
+        let client = class.client_retries().observe(stmt.repeat, stmt.time_left, full_time);
+        let settings = class.settings();
+        let worth = if client.is_retry { 0.0 } else { settings.importance };
+        let slo_left =
+            if settings.late_share > 0.0 { f64::INFINITY } else { settings.slo_time - client.elapsed };
         let left = stmt.time_left.min(slo_left);
         let more = stmt.work.map_or(0.0, |w| (1.0 - w.spread / VAGUE).max(0.0) * (w.own - w.usual));
-        let typical = row.takes(more);
-        let start_by = now + (left - ENOUGH * typical).max((left - HASTE * typical).min(BEAT / 10.0));
-        let mut rank = row.terms.importance / typical;
+        let typical = class.estimate(more);
+        let start_by = now + (left - ENOUGH * typical).max((left - HASTE * typical).min(TICK / 10.0));
+        let mut rank = settings.importance / typical;
         if let Some(tenant) = stmt.tenant {
             let rate = self.terms.tenant_rates[tenant] / self.terms.routers as f64;
             let (left, at) = self.shares[tenant];
@@ -180,18 +149,18 @@
             self.shares[tenant] = (if left < 1.0 { left } else { left - 1.0 }, now);
         }
         let mark = stmt.since_write.map_or(0.0, |since| now - since);
-        let (state, arrived, lot, sent) = (State::Vacant, now, self.draws, (now, None));
+        let (state, arrived, lot, sent) = (State::Vacant, now, self.sampler.counter(), (now, None));
         let (executions, ran) = (0, None);
         let held =
             Held { state, stmt, arrived, start_by, mark, more, rank, lot, worth, executions, sent, ran };
         self.group(stmt.group);
         self.held.resize(self.held.len().max(index + 1), held);
         self.held[index] = held;
-        self.second_tries = (self.second_tries + SECOND_TRIES).min(20.0);
+        self.retries.deposit_for_request();
         self.probes = (self.probes + PROBES).min(20.0);
         self.pass(index, State::Waiting);
-        let terms = self.terms_of(&held);
-        let (long, writes) = (self.is_long(terms, typical), terms.needs == Needs::Primary);
+        let class = self.class_of(&held);
+        let (long, writes) = (self.classes.is_long_read(class, typical), class.is_write());
         let group = &mut self.groups[stmt.group];
         group.reads += if long { 0.0 } else { worth * f64::from(!writes) };
         group.writes += worth * f64::from(writes);
@@ -199,7 +168,7 @@
         let often = now - group.answered_at < TRIAL / 5.0;
         let open = group.open.powi(1 + i32::from(long));
         let open = if writes { 1.0 - group.held_back } else { open.max(f64::from(often)) };
-        if self.odds(self.draws, index) > open {
+        if self.sampler.current(index) > open {
             return self.give_up(now, index, front);
         }
         self.place(now, index, front);
@@ -208,16 +177,17 @@
 
     pub fn outcome(&mut self, now: f64, outcome: &Outcome, front: &mut impl Front) {
         let Outcome { stmt: index, host, ending, closed, .. } = *outcome;
-        self.wake_up(now);
+        self.stalls.record_call(now);
         let held = self.held[index];
         let needs = self.terms_of(&held).needs;
         self.learn(now, &held, outcome);
         if !ending.never_ran() && ending != Ending::Completed {
-            self.held[index].ran.get_or_insert((held.sent.0, host));
+            let effect = PossibleEffect { sent_at: held.sent.0, endpoint: EndpointId::new(host) };
+            self.held[index].ran.get_or_insert(effect);
         }
         if ending == Ending::ReadOnly {
             // The text writes, which its reading missed; no member is worse for it.
-            self.held[index].stmt.workload = self.row_of(held.stmt.workload, true);
+            self.held[index].stmt.workload = self.classes.as_write(ClassId::new(held.stmt.workload)).index();
         }
         // It would turn away the next read too, and where it waits first that read would come late.
         self.members[host].turns_away |= ending == Ending::Miss && needs != Needs::Primary;
@@ -248,7 +218,7 @@
             self.pass(index, State::Waiting);
             let once = self.terms_of(&held).effect == Effect::NonIdempotent;
             // Second tries must not feed the overload that made them needed.
-            let no_more = self.held[index].ran.is_some() && (once || self.second_tries < 1.0);
+            let no_more = self.held[index].ran.is_some() && (once || !self.retries.is_available());
             if no_more || held.executions >= self.terms.max_executions {
                 self.give_up(now, index, front);
             }
@@ -258,7 +228,7 @@
 
     /// A probe's end, and what the member reported if it did.
     pub fn probed(&mut self, now: f64, host: usize, ending: Ending, report: Report, front: &mut impl Front) {
-        let lot = self.odds(self.draws, host);
+        let lot = self.sampler.current(host);
         let m = &mut self.members[host];
         m.probe_out = false;
         if ending == Ending::NeverSent {
@@ -293,7 +263,7 @@
         let first_limit = (FIRST_LIMIT / self.terms.routers as f64).max(2.0);
         for listed in list {
             if listed.host == self.members.len() {
-                let probed_at = now - POLL * self.odds(self.draws, listed.host);
+                let probed_at = now - POLL * self.sampler.current(listed.host);
                 self.members.push(Member { probed_at, load: EASY, limit: first_limit, ..Member::default() });
                 // Hundreds that start at once ask where they are asked; a few ask each host.
                 self.probes += (FEW / self.terms.routers as f64).min(1.0);
@@ -324,7 +294,9 @@
             (self.members[part.host].units, self.members[part.host].tokens) = (part.units, part.tokens);
         }
         self.terms.routers = parts.routers.unwrap_or(self.terms.routers);
-        self.second_tries = parts.second_tries.unwrap_or(self.second_tries);
+        if let Some(retries) = parts.second_tries {
+            self.retries.set(retries);
+        }
         (0..self.groups.len()).for_each(|group| self.place_waiting(now, group, front));
     }
 
@@ -342,7 +314,8 @@
 
     /// The client left, or its time is up: nothing is owed any more.
     pub fn hangup(&mut self, index: usize) {
-        self.rows[self.held[index].stmt.workload].may_return += 1.0;
+        let class = ClassId::new(self.held[index].stmt.workload);
+        self.classes.get_mut(class).client_retries().expect(1.0);
         let next = self.held[index].state.out_at().map_or(State::Vacant, State::Abandoned);
         self.pass(index, next);
     }
@@ -351,11 +324,8 @@
         if std::mem::take(&mut self.list_is_due) {
             front.follow();
         }
-        self.wake_up(now);
-        for row in &mut self.rows {
-            row.may_return -= row.may_return * BEAT / WORTH;
-            row.work -= row.work * BEAT / (4.0 * FORGET);
-        }
+        self.stalls.record_call(now);
+        self.classes.tick();
         self.notice_silence(now, front);
         self.set_flow(now);
         self.turn = (self.turn + 1) % self.groups.len().max(1);
@@ -366,7 +336,7 @@
             }
         }
         self.forget_marks();
-        front.wake(BEAT);
+        front.wake(TICK);
     }
 
     /// Where a write's session is remembered, its last write and how many are out.
@@ -404,17 +374,11 @@
             let hold =
                 often && part * at.reads > at.writes && part * at.reads_lost > at.writes * at.held_back;
             at.held_back = (at.held_back + if hold { FLOW } else { -FLOW / 2.0 }).clamp(0.0, 0.95);
-            let fade = |worth: &mut f64| *worth -= *worth * BEAT / WORTH;
+            let fade = |worth: &mut f64| *worth = decayed(*worth, WORTH);
             [&mut at.reads_lost, &mut at.reads, &mut at.writes].into_iter().for_each(fade);
         }
     }
 
-    /// Guards against stalls of this router itself: what was not heard meanwhile tells nothing of members.
-    fn wake_up(&mut self, now: f64) {
-        self.awake_since = if now - self.called_at > 5.0 * BEAT { now } else { self.awake_since };
-        self.called_at = now;
-    }
-
     /// Every change of a statement's state.
     fn pass(&mut self, index: usize, to: State) {
         let held = self.held[index];
@@ -436,14 +400,10 @@
     /// The final answer, at once, to what nothing better can come of.
     fn give_up(&mut self, now: f64, index: usize, front: &mut impl Front) {
         let held = self.held[index];
-        let harmless = match (self.terms_of(&held).effect, held.ran) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::Deduplicated { within, .. }, Some(_)) => within == Within::Everywhere,
-            (Effect::NonIdempotent, Some(_)) => false,
-        };
+        let harmless = retry::client_may_repeat(self.class_of(&held).effect(), held.ran);
         self.pass(index, State::Vacant);
-        let row = &mut self.rows[held.stmt.workload];
-        row.may_return += if held.worth > 0.0 { 1.0 } else { 0.5 };
+        let returns = if held.worth > 0.0 { 1.0 } else { 0.5 };
+        self.classes.get_mut(ClassId::new(held.stmt.workload)).client_retries().expect(returns);
         let bounded = self.terms_of(&held).bound().is_some();
         self.groups[held.stmt.group].reads_lost += if bounded { held.worth } else { 0.0 };
         if harmless {
@@ -462,9 +422,9 @@
 
     fn place(&mut self, now: f64, index: usize, front: &mut impl Front) {
         let held = self.held[index];
-        self.draws += 1;
+        self.sampler.advance();
         // Never sent and given up after half of its time, a statement costs more than it may still earn.
-        let half = if held.executions > 0 { f64::INFINITY } else { held.stmt.time_left / 2.0 - BEAT };
+        let half = if held.executions > 0 { f64::INFINITY } else { held.stmt.time_left / 2.0 - TICK };
         if now >= held.start_by.min(held.arrived + half) {
             self.give_up(now, index, front);
         } else if let Some(host) = self.choose(now, &held) {
@@ -490,7 +450,8 @@
         // A primary under suspicion is tried with a read: a write that it swallowed could not be tried again.
         let mut trial = pointer.filter(|host| self.members[*host].suspicion.is_some());
         let kept = self.kept(now, group);
-        if self.is_long(self.terms_of(held), self.rows[held.stmt.workload].takes(held.more)) {
+        let class = self.class_of(held);
+        if self.classes.is_long_read(class, class.estimate(held.more)) {
             // Guards against long reads that stop the log: spread evenly, a few hold every replica back.
             fresh.sort_by_key(|host| self.members[*host].listed.order);
             trial = trial.or_else(|| self.fewest(now, &fresh[..kept.len()], |h| self.room(now, h, held)));
@@ -526,25 +487,17 @@
             let m = &self.members[*host];
             // Where the group is heard of rarely, the primary's own word tells what all send there.
             let rare = now - group.answered_at >= TRIAL / 5.0;
-            let waited = waited && !(rare && self.odds(held.lot + 2, *host) > m.spare(now));
-            waited && m.holds(now, READS_ON_PRIMARY, self.odds(held.lot, *host)) && self.part(now, m) >= 1.0
+            let waited = waited && !(rare && self.sampler.sample(held.lot + 2, *host) > m.spare(now));
+            waited
+                && m.holds(now, READS_ON_PRIMARY, self.sampler.sample(held.lot, *host))
+                && self.part(now, m) >= 1.0
         })
     }
 
-    fn part_of(&self, of: impl Fn(&&Row) -> bool) -> f64 {
-        let all: f64 = self.rows.iter().map(|row| row.work).sum();
-        self.rows.iter().filter(of).map(|row| row.work).sum::<f64>() / all.max(1e-9)
-    }
-
-    fn is_long(&self, terms: &Workload, takes: f64) -> bool {
-        let shortest = self.rows.iter().map(|row| row.typical).fold(f64::INFINITY, f64::min);
-        terms.needs == Needs::Any && takes > LONG * shortest
-    }
-
     /// The replicas that long reads are kept together on: as many as their part of all work fills, in an
     /// order that is the same at all routers, so that hundreds meet without a word.
     fn kept(&self, now: f64, group: &Group) -> Vec<usize> {
-        let part = self.part_of(|row| self.is_long(&row.terms, row.typical));
+        let part = self.classes.long_read_share();
         let mut kept = group.members.clone();
         kept.retain(|host| self.usable(now, *host));
         let few = (part * kept.len() as f64).round().max(f64::from(part > 0.0)) as usize;
@@ -556,11 +509,11 @@
 
     /// The primary, for as much of the reads as leaves it no more work than each of few fresh replicas has.
     fn spare(&self, now: f64, group: &Group, fresh: usize, held: &Held) -> Option<usize> {
-        let writes = self.part_of(|row| row.terms.needs == Needs::Primary);
-        let reads = self.part_of(|row| !matches!(row.terms.needs, Needs::Primary | Needs::Any));
+        let writes = self.classes.work_share(ClassStats::is_write);
+        let reads = self.classes.work_share(|class| !matches!(class.needs(), Needs::Primary | Needs::Any));
         let m = &self.members[group.pointer?];
         let part = ((writes + reads) / (fresh + 1) as f64 - writes) / reads.max(1e-9) * m.spare(now);
-        let taken = self.odds(held.lot, usize::MAX) < part && self.part(now, m) >= 1.0;
+        let taken = self.sampler.sample(held.lot, usize::MAX) < part && self.part(now, m) >= 1.0;
         group.pointer.filter(|host| taken && self.room(now, *host, held))
     }
 
@@ -572,20 +525,18 @@
             let m = &self.members[*host];
             let near = if m.listed.site == self.terms.site { 1.5 } else { 1.0 };
             let weight = m.listed.size * near * m.spare(now) / m.load.max(0.1).powi(2);
-            -(self.odds(self.draws, *host)).ln() / weight
+            -self.sampler.current(*host).ln() / weight
         };
         let tied = open.into_iter().filter(|host| self.members[*host].in_flight == least);
         tied.min_by(|a, b| lot(a).total_cmp(&lot(b)))
     }
 
-    fn terms_of(&self, held: &Held) -> &Workload {
-        &self.rows[held.stmt.workload].terms
+    fn class_of(&self, held: &Held) -> &ClassStats {
+        self.classes.get(ClassId::new(held.stmt.workload))
     }
 
-    fn odds(&self, counter: u64, host: usize) -> f64 {
-        let mut hasher = DefaultHasher::new();
-        (self.terms.seed, counter, host).hash(&mut hasher);
-        hasher.finish() as f64 / u64::MAX as f64
+    fn terms_of(&self, held: &Held) -> &Workload {
+        self.class_of(held).settings()
     }
 
     fn needed(&self, now: f64, held: &Held) -> f64 {
@@ -646,18 +597,13 @@
         let m = &self.members[host];
         let trial = m.in_flight == 0 && self.terms_of(held).effect == Effect::Idempotent;
         let health = (m.suspicion.is_none() || trial) && self.usable(now, host) && m.full_at < held.arrived;
-        health && self.cold_allows(now, host, held) && m.holds(now, 1.0, self.odds(held.lot, host))
+        health && self.cold_allows(now, host, held) && m.holds(now, 1.0, self.sampler.sample(held.lot, host))
     }
 
     fn effect_allows(&self, now: f64, host: usize, held: &Held) -> bool {
-        match (self.terms_of(held).effect, held.ran) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::NonIdempotent, Some(_)) => false,
-            (Effect::Deduplicated { within, window }, Some((at, ran))) => {
-                let same_site = self.members[ran].listed.site == self.members[host].listed.site;
-                now < at + window && (within != Within::Site || same_site)
-            }
-        }
+        let site = |endpoint: usize| self.members[endpoint].listed.site;
+        let same_site = |earlier: EndpointId| site(earlier.index()) == site(host);
+        retry::is_safe(now, self.terms_of(held).effect, held.ran, same_site)
     }
 
     /// Guards against pushing over a cold host: of the statements that fall to it by its size, a lot lets
@@ -686,7 +632,7 @@
         let hot = (asked(group) / mean).max(1.0);
         // What waited for it, as for a new primary, would come from all routers at once: few of that.
         let prompt = (1.0 - (now - held.arrived) / (self.terms.fall_span / 2.0)).max(0.0);
-        let lot = self.odds(held.lot + u64::from(held.executions), host);
+        let lot = self.sampler.sample(held.lot + u64::from(held.executions), host);
         lot < COLD * self.terms.fall_multiple / 2.0 * part * share * prompt / hot
     }
 
@@ -703,7 +649,9 @@
         let time_out = self.members[host].suspicion.map_or(0.0, |_| self.terms_of(&held).slo_time / 2.0);
         let m = &mut self.members[host];
         m.suspicion = m.suspicion.map(|s| Suspicion { trial_at: now + TRIAL, ..s });
-        self.second_tries -= if held.ran.is_some() { 1.0 } else { 0.0 };
+        if held.ran.is_some() {
+            self.retries.withdraw();
+        }
         self.mark_of(&held).into_iter().for_each(|(_, out)| *out += 1);
         self.held[index] = Held { executions: held.executions + 1, sent: (now, Some(host)), ..held };
         self.pass(index, State::Executing(host));
@@ -757,18 +705,19 @@
 
     /// What an execution's end tells of its member and its workload.
     fn learn(&mut self, now: f64, held: &Held, outcome: &Outcome) {
-        let row = &mut self.rows[held.stmt.workload];
+        let class = self.classes.get_mut(ClassId::new(held.stmt.workload));
+        let slo_time = class.settings().slo_time;
         let m = &mut self.members[outcome.host];
         let weight = m.weight(now);
         let group = &mut self.groups[m.listed.group];
         let since = (now - group.answered_at).min(TRIAL);
-        let stalled = held.sent.0 < self.awake_since;
+        let stalled = self.stalls.has_stalled_since(held.sent.0);
         // A statement that is long itself tells of no crowd; one that is short could hide it.
         let took = (outcome.took - held.more).max(0.0);
         // Guards against crowds no router sees. A time-out tells of one if answers take long too.
-        let late = outcome.ending == Ending::Full || outcome.took.min(took) > row.terms.slo_time;
+        let late = outcome.ending == Ending::Full || outcome.took.min(took) > slo_time;
         let done = outcome.ending == Ending::Completed;
-        self.pace += f64::from(done) * LEARN * ((took / row.terms.slo_time).min(1.0) - self.pace);
+        self.pace += f64::from(done) * LEARN * ((took / slo_time).min(1.0) - self.pace);
         let crowd = outcome.ending == Ending::TimedOut && self.pace > EASY;
         if !stalled && (done || crowd || outcome.ending == Ending::Full) {
             let step = if late { -group.open / 2.0 } else { REOPEN };
@@ -776,8 +725,10 @@
         }
         group.answered_at = now;
         // A second try that paid is not counted.
-        self.second_tries += f64::from(done && held.ran.is_some());
-        let share = if stalled { m.load } else { took / row.terms.slo_time };
+        if done && held.ran.is_some() {
+            self.retries.refund();
+        }
+        let share = if stalled { m.load } else { took / slo_time };
         // Guards against members taken for crowded that are slow themselves: few would be no quicker there.
         let few = m.limit.min(FEW / self.terms.routers as f64);
         let gave_up = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
@@ -789,10 +740,14 @@
             (m.answered_at, m.missed) = (now, 0.0);
         }
         m.missed += f64::from(gave_up);
-        row.work += f64::from(!outcome.ending.never_ran()) * if done { took } else { row.typical };
+        if !outcome.ending.never_ran() {
+            class.record_work(done.then_some(took));
+        }
         match outcome.ending {
             Ending::Completed => {
-                row.typical += if stalled { 0.0 } else { LEARN / 5.0 * (took - row.typical) };
+                if !stalled {
+                    class.record_latency(took);
+                }
                 if m.suspicion.take().is_some() {
                     (m.limit, m.load) = (m.limit / 2.0, EASY);
                 }
@@ -827,10 +782,10 @@
         let mut silence: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
         for held in &self.held {
             if let Some(host) = held.state.out_at() {
-                let (m, row) = (&self.members[host], &self.rows[held.stmt.workload]);
-                let typical = row.takes(held.more).max(row.terms.slo_time * m.load);
+                let (m, class) = (&self.members[host], self.class_of(held));
+                let typical = class.estimate(held.more).max(class.settings().slo_time * m.load);
                 let (sum, count) = silence.entry(host).or_insert((0.0, m.missed));
-                *sum += (now - held.sent.0.max(m.answered_at).max(self.awake_since)) / typical;
+                *sum += (now - held.sent.0.max(m.answered_at).max(self.stalls.resumed_at())) / typical;
                 *count += 1.0;
             }
         }
@@ -848,11 +803,11 @@
         for index in 0..self.held.len() {
             let held = self.held[index];
             let State::Executing(host) = held.state else { continue };
-            let (row, m) = (&self.rows[held.stmt.workload], &self.members[host]);
+            let (class, m) = (self.class_of(&held), &self.members[host]);
             let silent = m.suspicion.is_some() && m.answered_at < held.sent.0;
-            let last_moment = now >= held.start_by - row.takes(held.more) && now < held.start_by;
+            let last_moment = now >= held.start_by - class.estimate(held.more) && now < held.start_by;
             let may = self.terms.may_cancel && held.executions < self.terms.max_executions;
-            let again = row.terms.effect == Effect::Idempotent && self.second_tries >= 1.0;
+            let again = class.effect() == Effect::Idempotent && self.retries.is_available();
             if silent && last_moment && may && again {
                 self.pass(index, State::Recalled(host));
                 front.cancel(index, held.executions - 1);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,7 +1,8 @@
 //! What a [`Router`](crate::Router) keeps of its statements, members, groups and workloads. Nothing here
 //! decides.
 
-use crate::interface::{Listed, Role, Statement, Workload};
+use crate::interface::{Listed, Role, Statement};
+use crate::retry::PossibleEffect;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
@@ -43,7 +44,7 @@
     /// When and where the last execution was sent; when it came, where none was.
     pub sent: (f64, Option<usize>),
     /// When and where an execution was first sent that may have run.
-    pub ran: Option<(f64, usize)>,
+    pub ran: Option<PossibleEffect>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -115,15 +116,3 @@
     /// Highest rank first, then newest, as the oldest would come late; sends, rejections, hangups empty it.
     pub waiting: Vec<usize>,
 }
-
-/// What differs by workload and is learnt.
-#[derive(Clone, Debug)]
-pub struct Row {
-    pub terms: Workload,
-    pub typical: f64,
-    /// The time most clients give a first try, and by how many votes it leads.
-    pub usual: (f64, i32),
-    pub may_return: f64,
-    /// Seconds that its executions took of late.
-    pub work: f64,
-}
