--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -1,101 +1,73 @@
-//! The decisions of ottersill: which member runs a statement, when it waits, when it is given up. Types are
-//! in `interface.rs`, records in `state.rs`; the `Front` that a [`Router`] is lent carries out decisions.
+//! The entry points of the router: what happens is handed to the concerns.
 
 use std::collections::BTreeMap;
 
-use crate::clock::{StallDetector, TICK, decayed};
-use crate::ids::{ClassId, EndpointId, Id};
-use crate::interface::*;
-use crate::retry::{self, PossibleEffect, RetryBudget};
+use crate::clock::StallDetector;
+use crate::clock::TICK;
+use crate::feedback::FEW;
+use crate::ids::ClassId;
+use crate::ids::EndpointId;
+use crate::ids::Id;
+use crate::interface::Effect;
+use crate::interface::Ending;
+use crate::interface::Front;
+use crate::interface::Listed;
+use crate::interface::Needs;
+use crate::interface::Outcome;
+use crate::interface::Parts;
+use crate::interface::Report;
+use crate::interface::Reports;
+use crate::interface::Role;
+use crate::interface::Standing;
+use crate::interface::Statement;
+use crate::interface::Terms;
+use crate::interface::Workload;
+use crate::monitoring::POLL;
+use crate::monitoring::POLL_SOON;
+use crate::retry::PossibleEffect;
+use crate::retry::RetryBudget;
 use crate::sampling::Sampler;
-use crate::state::*;
-use crate::stats::{self, ClassStats, Classes};
+use crate::state::EASY;
+use crate::state::Group;
+use crate::state::Held;
+use crate::state::Member;
+use crate::state::State;
+use crate::state::Suspicion;
+use crate::state::TRIAL;
+use crate::stats;
+use crate::stats::Classes;
 
-/// Probes a second for each member while its group polls (the design's default).
-const POLL: f64 = 1.0;
-/// Between probes where the next answer decides something: no primary, a suspect, a position about to age.
-const POLL_SOON: f64 = 0.25;
 /// Probes that a statement pays for: what is told of a member is worth as much as is asked of it.
-const PROBES: f64 = 0.12;
-/// How long a read that finds no fresh replica waits before it takes the primary.
-const READ_WAIT: f64 = 0.03;
-/// Answers that use this part of the SLO time on average leave room for long ones; the second does not.
-const EASY: f64 = 0.35;
-const TIGHT: f64 = 0.5;
+pub(crate) const PROBES: f64 = 0.12;
 /// Executions in flight on a member nothing is known of yet, from all routers.
-const FIRST_LIMIT: f64 = 20.0;
-/// In flight from all routers, where slow answers tell of the member or the statement, not of a crowd.
-const FEW: f64 = 8.0;
-/// Part of the primary's limit that reads may fill; the rest is kept for writes.
-const READS_ON_PRIMARY: f64 = 0.5;
-/// Silence, in typical answer times summed over what is out, that chance hardly explains (e^-7: 1 in 1000).
-const SILENCE: f64 = 7.0;
-/// Time between trials of a suspect, and after which what was learnt of a member counts half.
-const TRIAL: f64 = 1.0;
-/// Margin for the chance in what a cold host is sent.
-const COLD: f64 = 0.8;
+pub(crate) const FIRST_LIMIT: f64 = 20.0;
 /// Typical answer times that an execution needs to be likely in time, and that are worth a try at once.
-const ENOUGH: f64 = 1.4;
-const HASTE: f64 = 0.7;
-/// When a client that was turned away in time may try again.
-const RETRY: f64 = 0.1;
+pub(crate) const ENOUGH: f64 = 1.4;
+pub(crate) const HASTE: f64 = 0.7;
 /// The spread of a shape's work from which on nothing is believed of it.
-const VAGUE: f64 = 0.7;
-/// Seconds over which worth is weighed and a word on load fades; change a beat of what is held back.
-const WORTH: f64 = 5.0;
-const FLOW: f64 = 0.02;
-/// Weight of the newest answer in what is learnt of a member; a fifth of it in what is learnt of a workload.
-const LEARN: f64 = 0.1;
-/// Time after which a member that took nothing is tried again.
-const FORGET: f64 = 15.0;
-/// Marks of sessions that are remembered one by one; beyond, all are folded into what every session needs.
-const MARKS: usize = 10_000;
-/// What a group that was closed to some reads opens in a second; a sixth of its answers may come late.
-const REOPEN: f64 = 0.1;
+pub(crate) const VAGUE: f64 = 0.7;
 
 pub struct Router {
-    terms: Terms,
-    classes: Classes,
-    members: Vec<Member>,
-    groups: Vec<Group>,
+    pub(crate) terms: Terms,
+    pub(crate) classes: Classes,
+    pub(crate) members: Vec<Member>,
+    pub(crate) groups: Vec<Group>,
     /// A slot a statement held by the front; as many as were ever held at once.
-    held: Vec<Held>,
+    pub(crate) held: Vec<Held>,
     /// Statements each tenant may still send within its share, as of when.
-    shares: Vec<(f64, f64)>,
+    pub(crate) shares: Vec<(f64, f64)>,
     /// Last write of each session of a group, where these are remembered, and writes of it that are out;
     /// emptied once all the group has it.
-    marks: BTreeMap<(usize, u64), (f64, u32)>,
-    retries: RetryBudget,
+    pub(crate) marks: BTreeMap<(usize, u64), (f64, u32)>,
+    pub(crate) retries: RetryBudget,
     /// Probes paid for.
-    probes: f64,
-    stalls: StallDetector,
-    pace: f64,
-    bound: Option<f64>,
-    list_is_due: bool,
-    sampler: Sampler,
-    turn: usize,
-}
-
-impl Member {
-    /// Weight of one answer: what was learnt fades, and a router that hears rarely has little else to go by.
-    fn weight(&self, now: f64) -> f64 {
-        let since = now - self.answered_at;
-        (since / (since + TRIAL)).clamp(LEARN, 0.5)
-    }
-
-    /// The part of it that is free, by its own word, or where it has none for that by how its answers come.
-    fn spare(&self, now: f64) -> f64 {
-        let (told, late) = (self.busy * (-(now - self.busy_at) / WORTH).exp(), self.load - EASY);
-        (1.0 - if self.busy_at > 0.0 { told } else { late / (TIGHT - EASY) }).clamp(0.05, 1.0)
-    }
-
-    /// Whether one more execution is within a part of the limit, of which the fraction goes by lot, as
-    /// hundreds of routers may have one out. A bad word fades, or nothing better would be heard.
-    fn holds(&self, now: f64, part: f64, odds: f64) -> bool {
-        let limit = self.limit.max(((now - self.answered_at) / FORGET).min(1.0));
-        let granted = self.units.is_none_or(|units| (self.in_flight as f64) < units);
-        granted && (self.in_flight as f64) + odds < limit * part
-    }
+    pub(crate) probes: f64,
+    pub(crate) stalls: StallDetector,
+    pub(crate) pace: f64,
+    pub(crate) bound: Option<f64>,
+    pub(crate) list_is_due: bool,
+    pub(crate) sampler: Sampler,
+    pub(crate) turn: usize,
 }
 
 impl Router {
@@ -283,7 +255,7 @@
         (0..self.groups.len()).for_each(|group| self.place_waiting(now, group, front));
     }
 
-    fn group(&mut self, group: usize) -> &mut Group {
+    pub(crate) fn group(&mut self, group: usize) -> &mut Group {
         self.groups.resize(self.groups.len().max(group + 1), Group { open: 1.0, ..Group::default() });
         &mut self.groups[group]
     }
@@ -339,238 +311,6 @@
         front.wake(TICK);
     }
 
-    /// Where a write's session is remembered, its last write and how many are out.
-    fn mark_of(&mut self, held: &Held) -> Option<&mut (f64, u32)> {
-        let writes = self.terms.remembers_writes && self.terms_of(held).needs == Needs::Primary;
-        let session = held.stmt.session.filter(|_| writes)?;
-        Some(self.marks.entry((held.stmt.group, session)).or_default())
-    }
-
-    /// Forgets the marks that all of a group have. Who joins later, from an older copy, must come up to them.
-    fn forget_marks(&mut self) {
-        let mut marks = std::mem::take(&mut self.marks);
-        let full = marks.len() > MARKS;
-        marks.retain(|(group, _), (mark, out)| {
-            let lacks = |host: &usize| !self.barred(*host) && self.members[*host].lsn < *mark;
-            let kept = *out > 0 || !full && self.groups[*group].members.iter().any(lacks);
-            let floor = &mut self.groups[*group].floor;
-            *floor = floor.max(if kept { 0.0 } else { *mark });
-            kept
-        });
-        self.marks = marks;
-    }
-
-    /// Guards against replicas that fall behind for good, where reads lost are worth more than writes held.
-    fn set_flow(&mut self, now: f64) {
-        let Some(bound) = self.bound else { return };
-        for group in 0..self.groups.len() {
-            let at = &self.groups[group];
-            let replicas = at.members.iter().filter(|h| Some(**h) != at.pointer && self.usable(now, **h));
-            let lags: Vec<f64> = replicas.map(|h| self.members[*h].lag).collect();
-            let part =
-                lags.iter().filter(|lag| **lag > bound / 2.0).count() as f64 / lags.len().max(1) as f64;
-            let often = now - at.answered_at < TRIAL / 5.0;
-            let at = &mut self.groups[group];
-            let hold =
-                often && part * at.reads > at.writes && part * at.reads_lost > at.writes * at.held_back;
-            at.held_back = (at.held_back + if hold { FLOW } else { -FLOW / 2.0 }).clamp(0.0, 0.95);
-            let fade = |worth: &mut f64| *worth = decayed(*worth, WORTH);
-            [&mut at.reads_lost, &mut at.reads, &mut at.writes].into_iter().for_each(fade);
-        }
-    }
-
-    /// Every change of a statement's state.
-    fn pass(&mut self, index: usize, to: State) {
-        let held = self.held[index];
-        let waiting = &mut self.groups[held.stmt.group].waiting;
-        if held.state == State::Waiting {
-            waiting.retain(|other| *other != index);
-        }
-        if to == State::Waiting {
-            let all = &self.held;
-            let ahead = |other: &usize| (all[*other].rank, all[*other].arrived) >= (held.rank, held.arrived);
-            let place = waiting.partition_point(ahead);
-            waiting.insert(place, index);
-        }
-        held.state.out_at().into_iter().for_each(|host| self.members[host].in_flight -= 1);
-        to.out_at().into_iter().for_each(|host| self.members[host].in_flight += 1);
-        self.held[index].state = to;
-    }
-
-    /// The final answer, at once, to what nothing better can come of.
-    fn give_up(&mut self, now: f64, index: usize, front: &mut impl Front) {
-        let held = self.held[index];
-        let harmless = retry::client_may_repeat(self.class_of(&held).effect(), held.ran);
-        self.pass(index, State::Vacant);
-        let returns = if held.worth > 0.0 { 1.0 } else { 0.5 };
-        self.classes.get_mut(ClassId::new(held.stmt.workload)).client_retries().expect(returns);
-        let bounded = self.terms_of(&held).bound().is_some();
-        self.groups[held.stmt.group].reads_lost += if bounded { held.worth } else { 0.0 };
-        if harmless {
-            // A client that comes back after its SLO time only adds load; until then the sooner the better.
-            let late = now >= held.arrived + self.terms_of(&held).slo_time;
-            let soonest = if late { f64::INFINITY } else { RETRY };
-            front.reject(index, self.terms.max_retry_after.min(soonest));
-        } else {
-            front.abort(index);
-        }
-    }
-
-    fn place_waiting(&mut self, now: f64, group: usize, front: &mut impl Front) {
-        self.groups[group].waiting.clone().into_iter().for_each(|index| self.place(now, index, front));
-    }
-
-    fn place(&mut self, now: f64, index: usize, front: &mut impl Front) {
-        let held = self.held[index];
-        self.sampler.advance();
-        // Never sent and given up after half of its time, a statement costs more than it may still earn.
-        let half = if held.executions > 0 { f64::INFINITY } else { held.stmt.time_left / 2.0 - TICK };
-        if now >= held.start_by.min(held.arrived + half) {
-            self.give_up(now, index, front);
-        } else if let Some(host) = self.choose(now, &held) {
-            self.execute(now, index, host, front);
-        }
-    }
-
-    /// The member to run a statement now, by the design page; none means wait.
-    fn choose(&self, now: f64, held: &Held) -> Option<usize> {
-        let group = &self.groups[held.stmt.group];
-        let pointer = group.pointer;
-        let to_primary = |router: &Router| pointer.filter(|host| router.room(now, *host, held));
-        if let Needs::Primary | Needs::Fresh = self.terms_of(held).needs {
-            return to_primary(self);
-        }
-        let needed = self.needed(now, held);
-        let bounded = needed > f64::NEG_INFINITY;
-        let replicas = group.members.iter().copied().filter(|host| Some(*host) != pointer);
-        let (mut fresh, stale): (Vec<usize>, Vec<usize>) =
-            replicas.filter(|host| self.usable(now, *host)).partition(|host| {
-                self.stands(now, *host) >= needed && !(bounded && self.members[*host].turns_away)
-            });
-        // A primary under suspicion is tried with a read: a write that it swallowed could not be tried again.
-        let mut trial = pointer.filter(|host| self.members[*host].suspicion.is_some());
-        let kept = self.kept(now, group);
-        let class = self.class_of(held);
-        if self.classes.is_long_read(class, class.estimate(held.more)) {
-            // Guards against long reads that stop the log: spread evenly, a few hold every replica back.
-            fresh.sort_by_key(|host| self.members[*host].listed.order);
-            trial = trial.or_else(|| self.fewest(now, &fresh[..kept.len()], |h| self.room(now, h, held)));
-            fresh.truncate(fresh.len().div_ceil(2).max(kept.len()));
-            trial = trial.or_else(|| fresh.iter().copied().find(|host| self.room(now, *host, held)));
-        } else if bounded {
-            // Where the long reads are, the log stands still, unless one has told otherwise just now.
-            let apart = |host: &usize| !kept.contains(host) || now - self.members[*host].told_at < POLL;
-            if fresh.iter().any(apart) {
-                fresh.retain(apart);
-            }
-            if now - group.answered_at >= TRIAL / 5.0 {
-                trial = trial.or_else(|| self.spare(now, group, fresh.len(), held));
-            }
-        }
-        // A cold member whose lot has come is taken, as its share is counted by lots alone.
-        let cold =
-            |host: &&usize| self.part(now, &self.members[**host]) < 1.0 && self.room(now, **host, held);
-        trial = trial.or_else(|| fresh.iter().find(cold).copied());
-        let found = trial.filter(|host| self.room(now, *host, held));
-        if let Some(host) = found.or_else(|| self.fewest(now, &fresh, |h| self.room(now, h, held))) {
-            return Some(host);
-        }
-        let ahead = stale.into_iter().max_by(|a, b| self.members[*a].lsn.total_cmp(&self.members[*b].lsn));
-        let ahead = ahead.filter(|host| self.room(now, *host, held) && !self.members[*host].turns_away);
-        if fresh.is_empty() && self.terms.members_check_reads && ahead.is_some() {
-            return ahead;
-        }
-        // The last resort is the primary, of which writes keep their part.
-        let known = fresh.iter().any(|host| self.rules(now, *host, held));
-        let waited = known || self.terms.members_check_reads || now - held.arrived >= READ_WAIT;
-        to_primary(self).filter(|host| {
-            let m = &self.members[*host];
-            // Where the group is heard of rarely, the primary's own word tells what all send there.
-            let rare = now - group.answered_at >= TRIAL / 5.0;
-            let waited = waited && !(rare && self.sampler.sample(held.lot + 2, *host) > m.spare(now));
-            waited
-                && m.holds(now, READS_ON_PRIMARY, self.sampler.sample(held.lot, *host))
-                && self.part(now, m) >= 1.0
-        })
-    }
-
-    /// The replicas that long reads are kept together on: as many as their part of all work fills, in an
-    /// order that is the same at all routers, so that hundreds meet without a word.
-    fn kept(&self, now: f64, group: &Group) -> Vec<usize> {
-        let part = self.classes.long_read_share();
-        let mut kept = group.members.clone();
-        kept.retain(|host| self.usable(now, *host));
-        let few = (part * kept.len() as f64).round().max(f64::from(part > 0.0)) as usize;
-        kept.retain(|host| Some(*host) != group.pointer);
-        kept.sort_by_key(|host| self.members[*host].listed.order);
-        kept.truncate(few);
-        kept
-    }
-
-    /// The primary, for as much of the reads as leaves it no more work than each of few fresh replicas has.
-    fn spare(&self, now: f64, group: &Group, fresh: usize, held: &Held) -> Option<usize> {
-        let writes = self.classes.work_share(ClassStats::is_write);
-        let reads = self.classes.work_share(|class| !matches!(class.needs(), Needs::Primary | Needs::Any));
-        let m = &self.members[group.pointer?];
-        let part = ((writes + reads) / (fresh + 1) as f64 - writes) / reads.max(1e-9) * m.spare(now);
-        let taken = self.sampler.sample(held.lot, usize::MAX) < part && self.part(now, m) >= 1.0;
-        group.pointer.filter(|host| taken && self.room(now, *host, held))
-    }
-
-    /// Of those with fewest executions in flight, nearly all where routers are many, one is drawn by lot.
-    fn fewest(&self, now: f64, among: &[usize], open: impl Fn(usize) -> bool) -> Option<usize> {
-        let open: Vec<usize> = among.iter().copied().filter(|host| open(*host)).collect();
-        let least = open.iter().map(|host| self.members[*host].in_flight).min()?;
-        let lot = |host: &usize| {
-            let m = &self.members[*host];
-            let near = if m.listed.site == self.terms.site { 1.5 } else { 1.0 };
-            let weight = m.listed.size * near * m.spare(now) / m.load.max(0.1).powi(2);
-            -self.sampler.current(*host).ln() / weight
-        };
-        let tied = open.into_iter().filter(|host| self.members[*host].in_flight == least);
-        tied.min_by(|a, b| lot(a).total_cmp(&lot(b)))
-    }
-
-    fn class_of(&self, held: &Held) -> &ClassStats {
-        self.classes.get(ClassId::new(held.stmt.workload))
-    }
-
-    fn terms_of(&self, held: &Held) -> &Workload {
-        self.class_of(held).settings()
-    }
-
-    fn needed(&self, now: f64, held: &Held) -> f64 {
-        match self.terms_of(held).needs {
-            Needs::Primary | Needs::Fresh => f64::INFINITY,
-            Needs::Session => {
-                let marks = held.stmt.session.and_then(|session| self.marks.get(&(held.stmt.group, session)));
-                let floor = self.groups[held.stmt.group].floor;
-                // What is out may have been answered, and the answer be on its way, or broken off.
-                held.mark.max(marks.map_or(floor, |(mark, out)| if *out > 0 { f64::INFINITY } else { *mark }))
-            }
-            Needs::Bounded(bound) => now - bound,
-            Needs::Any => f64::NEG_INFINITY,
-        }
-    }
-
-    /// The position taken for a member's, carried on from its last word; `rules` may want to be told anew.
-    fn stands(&self, now: f64, host: usize) -> f64 {
-        let m = &self.members[host];
-        // Nobody asks it often where routers are many: one that fell behind is taken to catch up meanwhile.
-        m.lsn.max(now - (m.lag - (now - m.told_at)).max(m.lag.min(READ_WAIT)))
-    }
-
-    fn barred(&self, host: usize) -> bool {
-        let m = &self.members[host];
-        m.drained || m.listed.standing == Standing::Gone && !self.terms.only_draining_bars
-    }
-
-    fn usable(&self, now: f64, host: usize) -> bool {
-        let m = &self.members[host];
-        let heard = m.role.is_some() || !self.terms.may_probe;
-        heard && !self.barred(host) && m.suspicion.is_none_or(|s| now >= s.trial_at && s.probe_ok)
-    }
-
     /// Whether what was chosen may still go out, as a list, a role or the time may have changed meanwhile.
     pub fn may_begin(&self, now: f64, index: usize, host: usize) -> bool {
         !self.barred(host) && self.rules(now, host, &self.held[index])
@@ -580,275 +320,4 @@
     pub fn may_probe(&self, host: usize) -> bool {
         !self.barred(host)
     }
-
-    /// The rules on data and effects for one more execution there now.
-    fn rules(&self, now: f64, host: usize, held: &Held) -> bool {
-        let m = &self.members[host];
-        let known = self.terms.members_check_reads || self.groups[m.listed.group].pointer == Some(host);
-        (known || m.lsn >= self.needed(now, held)) && self.effect_allows(now, host, held)
-    }
-
-    /// Whether a member may be given one more execution, by the rules first, then by its health and its load.
-    fn room(&self, now: f64, host: usize, held: &Held) -> bool {
-        self.rules(now, host, held) && self.is_willing(now, host, held)
-    }
-
-    fn is_willing(&self, now: f64, host: usize, held: &Held) -> bool {
-        let m = &self.members[host];
-        let trial = m.in_flight == 0 && self.terms_of(held).effect == Effect::Idempotent;
-        let health = (m.suspicion.is_none() || trial) && self.usable(now, host) && m.full_at < held.arrived;
-        health && self.cold_allows(now, host, held) && m.holds(now, 1.0, self.sampler.sample(held.lot, host))
-    }
-
-    fn effect_allows(&self, now: f64, host: usize, held: &Held) -> bool {
-        let site = |endpoint: usize| self.members[endpoint].listed.site;
-        let same_site = |earlier: EndpointId| site(earlier.index()) == site(host);
-        retry::is_safe(now, self.terms_of(held).effect, held.ran, same_site)
-    }
-
-    /// Guards against pushing over a cold host: of the statements that fall to it by its size, a lot lets
-    /// through its part times the multiple at which it falls, with a margin, at all routers alike.
-    fn cold_allows(&self, now: f64, host: usize, held: &Held) -> bool {
-        let m = &self.members[host];
-        let part = self.part(now, m);
-        // One that fails or turns away at once would get all executions of what its lot lets through.
-        let again = part < 1.0 && held.sent.1 == Some(host);
-        // Where the fleet has a budget for it, that goes before any lot.
-        if part >= 1.0 || again || m.tokens.is_some() {
-            return !again && m.tokens.is_none_or(|tokens| part >= 1.0 || tokens >= 1.0);
-        }
-        let group = &self.groups[m.listed.group];
-        let size = |host: &usize| self.members[*host].listed.size;
-        let all: f64 = group.members.iter().map(size).sum();
-        let there: f64 = group.members.iter().filter(|host| self.usable(now, **host)).map(size).sum();
-        let share = match self.terms_of(held).needs {
-            // All fall to the primary, but are far from all of its work, and reads keep off it.
-            Needs::Primary | Needs::Fresh => 1.6,
-            _ => size(&host) / there.max(all / 2.0),
-        };
-        // A group that is asked for more than others would have more fall to each of its members.
-        let asked = |group: &Group| group.reads + group.writes;
-        let mean = self.groups.iter().map(asked).sum::<f64>() / self.groups.len() as f64;
-        let hot = (asked(group) / mean).max(1.0);
-        // What waited for it, as for a new primary, would come from all routers at once: few of that.
-        let prompt = (1.0 - (now - held.arrived) / (self.terms.fall_span / 2.0)).max(0.0);
-        let lot = self.sampler.sample(held.lot + u64::from(held.executions), host);
-        lot < COLD * self.terms.fall_multiple / 2.0 * part * share * prompt / hot
-    }
-
-    /// The part of its capacity that a member has at least.
-    fn part(&self, now: f64, m: &Member) -> f64 {
-        let grown = m.cold_since.map_or(1.0, |since| ((now - since) / self.terms.warm_after).clamp(0.0, 1.0));
-        self.terms.cold_part + (1.0 - self.terms.cold_part) * grown
-    }
-
-    /// Every execution passes here; what `room` has allowed is counted.
-    fn execute(&mut self, now: f64, index: usize, host: usize, front: &mut impl Front) {
-        let held = self.held[index];
-        // A trial must leave time for a second execution elsewhere.
-        let time_out = self.members[host].suspicion.map_or(0.0, |_| self.terms_of(&held).slo_time / 2.0);
-        let m = &mut self.members[host];
-        m.suspicion = m.suspicion.map(|s| Suspicion { trial_at: now + TRIAL, ..s });
-        if held.ran.is_some() {
-            self.retries.withdraw();
-        }
-        self.mark_of(&held).into_iter().for_each(|(_, out)| *out += 1);
-        self.held[index] = Held { executions: held.executions + 1, sent: (now, Some(host)), ..held };
-        self.pass(index, State::Executing(host));
-        front.execute(index, host, time_out);
-    }
-
-    /// Role and position from an answer, which speaks of now, or from a report, which speaks of its position.
-    fn hear(&mut self, now: f64, host: usize, said: Report, answer: bool) {
-        let barred = self.barred(host);
-        let m = &mut self.members[host];
-        (m.busy, m.busy_at) = said.busy.map_or((m.busy, m.busy_at), |busy| (busy.clamp(0.0, 1.0), now));
-        let lsn = said.lsn.filter(|lsn| *lsn <= now);
-        if let Some(lsn) = lsn {
-            m.lsn = m.lsn.max(lsn);
-            (m.lag, m.told_at) = (now - m.lsn, now);
-            m.turns_away &= answer;
-        }
-        let Some(role) = said.role else { return };
-        let at = if answer { now } else { lsn.unwrap_or(0.0) };
-        let group = &mut self.groups[m.listed.group];
-        if role == Role::Primary && at > m.denied_at {
-            m.role = Some(role);
-            if !barred && (group.claimant == Some(host) || at > group.claim) {
-                (group.pointer, group.claimant, group.claim) = (Some(host), Some(host), at);
-            }
-        } else if role == Role::Replica && (answer || group.pointer != Some(host) || at > group.claim) {
-            self.deny(at, host);
-        }
-    }
-
-    /// The member is no primary at that time; what it claimed before counts no more.
-    fn deny(&mut self, at: f64, host: usize) {
-        let m = &mut self.members[host];
-        m.role = Some(Role::Replica);
-        m.denied_at = m.denied_at.max(at);
-        self.unseat(host);
-    }
-
-    /// The member may have been lost as a primary; its next word on that is believed again.
-    fn unseat(&mut self, host: usize) {
-        let pointer = &mut self.groups[self.members[host].listed.group].pointer;
-        *pointer = pointer.filter(|primary| *primary != host);
-    }
-
-    fn suspect(&mut self, now: f64, host: usize, lost: bool) {
-        let (trial_at, probe_ok) = (now + TRIAL, !self.terms.may_probe);
-        let new = Suspicion { trial_at, lost, dark: false, probe_ok };
-        self.members[host].suspicion.get_or_insert(new);
-        self.unseat(host);
-    }
-
-    /// What an execution's end tells of its member and its workload.
-    fn learn(&mut self, now: f64, held: &Held, outcome: &Outcome) {
-        let class = self.classes.get_mut(ClassId::new(held.stmt.workload));
-        let slo_time = class.settings().slo_time;
-        let m = &mut self.members[outcome.host];
-        let weight = m.weight(now);
-        let group = &mut self.groups[m.listed.group];
-        let since = (now - group.answered_at).min(TRIAL);
-        let stalled = self.stalls.has_stalled_since(held.sent.0);
-        // A statement that is long itself tells of no crowd; one that is short could hide it.
-        let took = (outcome.took - held.more).max(0.0);
-        // Guards against crowds no router sees. A time-out tells of one if answers take long too.
-        let late = outcome.ending == Ending::Full || outcome.took.min(took) > slo_time;
-        let done = outcome.ending == Ending::Completed;
-        self.pace += f64::from(done) * LEARN * ((took / slo_time).min(1.0) - self.pace);
-        let crowd = outcome.ending == Ending::TimedOut && self.pace > EASY;
-        if !stalled && (done || crowd || outcome.ending == Ending::Full) {
-            let step = if late { -group.open / 2.0 } else { REOPEN };
-            group.open = (group.open + since * step).clamp(REOPEN / 2.0, 1.0);
-        }
-        group.answered_at = now;
-        // A second try that paid is not counted.
-        if done && held.ran.is_some() {
-            self.retries.refund();
-        }
-        let share = if stalled { m.load } else { took / slo_time };
-        // Guards against members taken for crowded that are slow themselves: few would be no quicker there.
-        let few = m.limit.min(FEW / self.terms.routers as f64);
-        let gave_up = matches!(outcome.ending, Ending::TimedOut | Ending::Cancelled);
-        // It has answered others since: what came to nothing was long itself, or one answer was lost.
-        let mild = gave_up && m.answered_at > held.sent.0;
-        let (lost, least) = if mild { (weight / 2.0, few) } else { (weight, 0.0) };
-        use Ending::{Completed, Error, Full, Miss, ReadOnly};
-        if matches!(outcome.ending, Completed | Miss | ReadOnly | Error | Full) {
-            (m.answered_at, m.missed) = (now, 0.0);
-        }
-        m.missed += f64::from(gave_up);
-        if !outcome.ending.never_ran() {
-            class.record_work(done.then_some(took));
-        }
-        match outcome.ending {
-            Ending::Completed => {
-                if !stalled {
-                    class.record_latency(took);
-                }
-                if m.suspicion.take().is_some() {
-                    (m.limit, m.load) = (m.limit / 2.0, EASY);
-                }
-                m.load += weight * (share - m.load);
-                // Reads fill their part of the primary at most, and it is full with that.
-                let part = if group.pointer == Some(outcome.host) { READS_ON_PRIMARY } else { 1.0 };
-                if m.load < EASY && m.in_flight as f64 >= m.limit * part - 1.0 {
-                    m.limit += (1.0 / m.limit).min(m.limit);
-                } else if m.load > TIGHT {
-                    m.limit = (m.limit * (1.0 - weight / 2.0)).max(few);
-                }
-            }
-            Ending::Error | Ending::Full | Ending::TimedOut | Ending::Cancelled => {
-                m.load += lost * (share.max(1.0) - m.load);
-                // Full with no more than this of ours: a limit beyond that means nothing.
-                if outcome.ending == Ending::Full {
-                    (m.full_at, m.limit) = (now, m.limit.min(m.in_flight as f64));
-                }
-                m.limit = (m.limit * (1.0 - lost)).max(least);
-            }
-            // Under a cap on connections some fail at a member that answers others.
-            Ending::ConnectFailed | Ending::Reset if now - m.answered_at > TRIAL / 2.0 => {
-                self.suspect(now, outcome.host, true)
-            }
-            _ => {}
-        }
-    }
-
-    /// Guards against members that take statements and answer none, by how many typical answer times have
-    /// passed for all that is out there, two executions at least: one alone may be a lost answer.
-    fn notice_silence(&mut self, now: f64, front: &mut impl Front) {
-        let mut silence: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
-        for held in &self.held {
-            if let Some(host) = held.state.out_at() {
-                let (m, class) = (&self.members[host], self.class_of(held));
-                let typical = class.estimate(held.more).max(class.settings().slo_time * m.load);
-                let (sum, count) = silence.entry(host).or_insert((0.0, m.missed));
-                *sum += (now - held.sent.0.max(m.answered_at).max(self.stalls.resumed_at())) / typical;
-                *count += 1.0;
-            }
-        }
-        silence.retain(|_, (sum, count)| *sum > SILENCE && *count > 1.0);
-        let silent: Vec<usize> = silence.into_keys().collect();
-        // Where most are silent at once, the judgement or the router's own link is at fault.
-        if 2 * silent.len() <= self.members.len() {
-            silent.into_iter().for_each(|host| self.suspect(now, host, false));
-        }
-        self.recall(now, front);
-    }
-
-    /// Calls a read off a silent suspect at the last moment for another to answer in time.
-    fn recall(&mut self, now: f64, front: &mut impl Front) {
-        for index in 0..self.held.len() {
-            let held = self.held[index];
-            let State::Executing(host) = held.state else { continue };
-            let (class, m) = (self.class_of(&held), &self.members[host]);
-            let silent = m.suspicion.is_some() && m.answered_at < held.sent.0;
-            let last_moment = now >= held.start_by - class.estimate(held.more) && now < held.start_by;
-            let may = self.terms.may_cancel && held.executions < self.terms.max_executions;
-            let again = class.effect() == Effect::Idempotent && self.retries.is_available();
-            if silent && last_moment && may && again {
-                self.pass(index, State::Recalled(host));
-                front.cancel(index, held.executions - 1);
-            }
-        }
-    }
-
-    /// The replica to ask where a read waits that none is known to be fresh enough for.
-    fn asked(&self, now: f64, group: &Group) -> Option<usize> {
-        let read = |index: &&usize| self.needed(now, &self.held[**index]).is_finite();
-        let held = &self.held[*group.waiting.iter().find(read)?];
-        self.fewest(now, &group.members, |host| {
-            let m = &self.members[host];
-            let due = !m.probe_out && now - m.probed_at >= POLL_SOON && group.pointer != Some(host);
-            due && !self.rules(now, host, held) && self.is_willing(now, host, held)
-        })
-    }
-
-    /// Probes the members of a polling group, and those whose next word decides something, as far as
-    /// statements pay for it, or many routers would ask more than they send; what one waits for at once.
-    fn poll(&mut self, now: f64, group: usize, front: &mut impl Front) {
-        let at = &self.groups[group];
-        let (pointer, waits, asked) = (at.pointer, !at.waiting.is_empty(), self.asked(now, at));
-        let mut members: Vec<usize> = at.members.iter().copied().filter(|h| !self.barred(*h)).collect();
-        members.sort_by(|a, b| self.members[*a].probed_at.total_cmp(&self.members[*b].probed_at));
-        let polling = pointer.is_none()
-            || members.iter().map(|h| &self.members[*h]).any(|m| m.role.is_none() || !m.reports);
-        let bound = self.bound.filter(|_| !self.terms.members_check_reads).unwrap_or(f64::INFINITY);
-        for host in members {
-            let m = &mut self.members[host];
-            let ages = pointer != Some(host) && now - m.lsn > bound - 2.0 * POLL_SOON;
-            let decides = pointer.is_none() || m.role.is_none() || m.suspicion.is_some() || m.turns_away;
-            let period = if decides || ages { POLL_SOON } else { POLL };
-            let due = now - m.probed_at >= period || waits && m.role.is_none();
-            let paid = waits && decides || self.probes >= 1.0;
-            let wanted = (polling || decides || ages) && due && paid || asked == Some(host);
-            if self.terms.may_probe && wanted && !m.probe_out {
-                (m.probe_out, m.probed_at) = (true, now);
-                self.probes = (self.probes - 1.0).max(0.0);
-                front.probe(host);
-            }
-        }
-    }
 }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,9 +1,20 @@
-//! What a [`Router`](crate::Router) keeps of its statements, members, groups and workloads. Nothing here
-//! decides.
+//! What a [`Router`](crate::Router) keeps of its statements, members, groups and workloads.
 
 use crate::interface::{Listed, Role, Statement};
 use crate::retry::PossibleEffect;
 
+/// Answers that use this part of the SLO time on average leave room for long ones; the second does not.
+pub(crate) const EASY: f64 = 0.35;
+pub(crate) const TIGHT: f64 = 0.5;
+/// Time between trials of a suspect, and after which what was learnt of a member counts half.
+pub(crate) const TRIAL: f64 = 1.0;
+/// Seconds over which worth is weighed and a word on load fades; change a beat of what is held back.
+pub(crate) const WORTH: f64 = 5.0;
+/// Weight of the newest answer in what is learnt of a member; a fifth of it in what is learnt of a workload.
+pub(crate) const LEARN: f64 = 0.1;
+/// Time after which a member that took nothing is tried again.
+pub(crate) const FORGET: f64 = 15.0;
+
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
     Vacant,
@@ -116,3 +127,25 @@
     /// Highest rank first, then newest, as the oldest would come late; sends, rejections, hangups empty it.
     pub waiting: Vec<usize>,
 }
+
+impl Member {
+    /// Weight of one answer: what was learnt fades, and a router that hears rarely has little else to go by.
+    pub(crate) fn weight(&self, now: f64) -> f64 {
+        let since = now - self.answered_at;
+        (since / (since + TRIAL)).clamp(LEARN, 0.5)
+    }
+
+    /// The part of it that is free, by its own word, or where it has none for that by how its answers come.
+    pub(crate) fn spare(&self, now: f64) -> f64 {
+        let (told, late) = (self.busy * (-(now - self.busy_at) / WORTH).exp(), self.load - EASY);
+        (1.0 - if self.busy_at > 0.0 { told } else { late / (TIGHT - EASY) }).clamp(0.05, 1.0)
+    }
+
+    /// Whether one more execution is within a part of the limit, of which the fraction goes by lot, as
+    /// hundreds of routers may have one out. A bad word fades, or nothing better would be heard.
+    pub(crate) fn holds(&self, now: f64, part: f64, odds: f64) -> bool {
+        let limit = self.limit.max(((now - self.answered_at) / FORGET).min(1.0));
+        let granted = self.units.is_none_or(|units| (self.in_flight as f64) < units);
+        granted && (self.in_flight as f64) + odds < limit * part
+    }
+}
