--- a/crates/core/src/stats.rs
+++ b/crates/core/src/stats.rs
@@ -143,15 +143,20 @@
 
     /// The part of all recent work that is due to long reads.
     pub(crate) fn long_read_share(&self) -> f64 {
-        self.work_share(|class| self.is_long_read(class, class.expected_latency))
+        let threshold = self.long_read_threshold();
+        self.work_share(|class| class.needs() == Needs::Any && class.expected_latency > threshold)
     }
 
     /// Whether an answer of that class which takes so many seconds is a long read: one of any data that holds back the
     /// replication of the endpoint it runs on.
     pub(crate) fn is_long_read(&self, class: &ClassStats, seconds: f64) -> bool {
+        class.needs() == Needs::Any && seconds > self.long_read_threshold()
+    }
+
+    /// Seconds from which on a read of any data is long.
+    fn long_read_threshold(&self) -> f64 {
         let latencies = self.table.iter().map(|class| class.expected_latency);
-        let shortest = latencies.fold(f64::INFINITY, f64::min);
-        class.needs() == Needs::Any && seconds > LONG_READ_FACTOR * shortest
+        LONG_READ_FACTOR * latencies.fold(f64::INFINITY, f64::min)
     }
 
     pub(crate) fn tick(&mut self) {
