--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -1,4 +1,4 @@
-//! The module in blocking style, for network code: [`Facade::pick`], [`Facade::report`], [`Facade::tick`].
+//! Routing in blocking style, for network code: [`Facade::pick`], [`Facade::report`], [`Facade::tick`].
 //! Nothing here decides; it keeps what the [`Router`] asked for until it is picked up.
 //!
 //! One loop can't block in `pick`, so it answers [`Choice::Wait`] instead, and what waits is picked again once
@@ -9,24 +9,29 @@
 use crate::Router;
 use crate::interface::{Ending, Front, Listed, Outcome, Parts, Report, Statement, Terms};
 
+/// What [`Facade::pick`] is called for.
 pub enum Ask {
-    /// A statement that was just taken in.
+    /// A request that has just arrived.
     New(Statement),
     /// One that `tick` has named.
     Again(usize),
 }
 
-/// What to do now for a statement.
+/// What to do now for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it to that host; `time_out` of 0 leaves it out until its client gives up.
+    /// Send an attempt.
     Execute {
+        /// To that endpoint.
         host: usize,
+        /// Seconds after which it counts as not answered; 0 means when its client gives up.
         time_out: f64,
     },
+    /// Wait until [`Facade::tick`] names the request.
     Wait,
-    /// Final: nothing ran, trying again in that many seconds is harmless.
+    /// Final: nothing took effect, trying again is harmless.
     Reject {
+        /// Seconds after which its client may try again.
         retry_after: f64,
     },
     /// Final, and promises nothing.
@@ -35,36 +40,52 @@
 
 /// What was learnt.
 pub enum News<'a> {
+    /// An attempt ended.
     Execution {
+        /// The request.
         stmt: usize,
+        /// The endpoint.
         host: usize,
+        /// How it ended.
         ending: Ending,
+        /// Seconds from its start to its end.
         took: f64,
+        /// What the answer itself showed.
         note: Report,
+        /// The load report that came with the answer.
         report: Option<Report>,
     },
+    /// A health check ended.
     Probe {
+        /// The endpoint.
         host: usize,
+        /// How it ended.
         ending: Ending,
+        /// What the endpoint said, if it answered.
         report: Report,
     },
+    /// The endpoint list, or entries of it that have changed.
     List(&'a [Listed]),
     /// What the fleet leaves this router of its budgets.
     Parts(&'a Parts),
+    /// The endpoint list was asked for and did not come.
     ListFailed,
     /// The client left before its answer.
     ClientGone(usize),
 }
 
-/// What is due.
+/// What [`Facade::tick`] names as due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Due {
+    /// Pick that request again.
     Pick(usize),
-    /// Stop waiting for the statement's execution; its end is still to be reported.
+    /// Cancel the request's attempt; its end is still to be reported.
     Recall(usize),
+    /// Health-check that endpoint.
     Probe(usize),
 }
 
+/// A router in blocking style.
 pub struct Facade {
     router: Router,
     desk: Desk,
@@ -93,13 +114,14 @@
 }
 
 impl Facade {
+    /// A router that knows no endpoint yet.
     pub fn start(now: f64, terms: Terms) -> Facade {
         let mut desk = Desk { now, ..Desk::default() };
         let router = Router::start(now, terms, &mut desk);
         Facade { router, desk }
     }
 
-    /// The statement's number, which is its own until it is over and nothing of it is out, and what to do.
+    /// The request's number, which is its own until it is over and no attempt of it is in flight, and what to do.
     pub fn pick(&mut self, now: f64, ask: Ask) -> (usize, Choice) {
         self.desk.now = now;
         let index = match ask {
@@ -124,6 +146,7 @@
         (index, choice)
     }
 
+    /// Takes in what was learnt.
     pub fn report(&mut self, now: f64, news: News) {
         self.desk.now = now;
         match news {
@@ -182,22 +205,22 @@
         std::mem::take(&mut self.desk.due)
     }
 
-    /// Whether a host is taken for one that is not warm yet.
+    /// Whether an endpoint is taken for one that is not warm yet.
     pub fn is_cold(&self, now: f64, host: usize) -> bool {
         self.router.is_cold(now, host)
     }
 
-    /// Whether an execution that was picked may still go out; to be asked when its bytes are about to.
+    /// Whether an attempt that was picked may still be sent; to be asked when its bytes are about to go out.
     pub fn may_begin(&self, now: f64, stmt: usize, host: usize) -> bool {
         self.router.may_begin(now, stmt, host)
     }
 
-    /// The same of a probe.
+    /// The same of a health check.
     pub fn may_probe(&self, host: usize) -> bool {
         self.router.may_probe(host)
     }
 
-    /// Statements that wait in a group for a member that may take them.
+    /// Requests that wait in a group for an endpoint that may take them.
     pub fn waiting(&self, group: usize) -> usize {
         self.router.waiting(group)
     }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,26 +1,34 @@
-//! What passes between [`Router`](crate::Router) and whoever fronts it. Nothing here decides.
+//! What passes between [`Router`](crate::Router) and its caller. Nothing here decides.
 //!
-//! All times are seconds. `now` is any clock that never goes back; a log position (`lsn`) is the time on that
-//! same clock up to which a member holds every commit. Hosts, groups, workloads, sites, tenants and
-//! statements are small indices that the front hands out; a statement's index is free again once the statement
-//! has its final answer and no execution of it is out.
+//! All times are seconds. `now` is any clock that never goes back; a position in the replication log (`lsn`) is the time on
+//! that same clock up to which an endpoint has every commit. Endpoints (`host`), groups, workloads, sites, tenants and
+//! requests (`stmt`) are small, dense indices that the caller hands out; a request's index is free again once the request
+//! has its final answer and no attempt of it is in flight.
 
-/// How often a statement may take effect.
+/// How often a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// May run again.
     Idempotent,
-    /// Repeats are dropped among the hosts of `within`, for `window` seconds after the first execution.
-    Deduplicated { within: Within, window: f64 },
+    /// It has an idempotency key: repeats are dropped for a time.
+    Deduplicated {
+        /// Among which endpoints.
+        within: Within,
+        /// Seconds after the first attempt.
+        window: f64,
+    },
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// The hosts among which a repeat of a deduplicated statement is known.
+/// The endpoints among which a repeat of a deduplicated request is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Within {
+    /// All endpoints.
     Everywhere,
+    /// Those of one site.
     Site,
+    /// Those of one group.
     Group,
 }
 
@@ -29,30 +37,35 @@
 pub enum Needs {
     /// The primary, for a write.
     Primary,
-    /// All commits made before the statement arrived.
+    /// All commits made before the request arrived.
     Fresh,
     /// The writes of its own session.
     Session,
-    /// Data at most this old when an execution is sent.
+    /// Data at most this many seconds old when an attempt is sent.
     Bounded(f64),
-    /// Whatever a member holds.
+    /// Whatever an endpoint holds.
     Any,
 }
 
-/// One workload's row of the terms.
+/// The settings of one workload.
 #[derive(Clone, Debug)]
 pub struct Workload {
+    /// What data it needs.
     pub needs: Needs,
+    /// How often a request of it may take effect.
     pub effect: Effect,
+    /// Priority weight: what an answer in time is worth.
     pub importance: f64,
     /// Share of the importance that an answer after the SLO time still earns.
     pub late_share: f64,
+    /// Seconds from a client's first try within which an answer is in time.
     pub slo_time: f64,
+    /// Seconds that a client gives a first try at most.
     pub statement_timeout: f64,
 }
 
 impl Workload {
-    /// How old the data of a bounded read may be.
+    /// How old the data of a bounded read may be, in seconds; `None` if it is no bounded read.
     pub fn bound(&self) -> Option<f64> {
         match self.needs {
             Needs::Bounded(bound) => Some(bound),
@@ -64,59 +77,78 @@
 /// Where load reports travel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
+    /// With answers, and with health checks.
     WithAnswers,
+    /// With health checks alone.
     WithProbes,
+    /// There are none.
     Nowhere,
 }
 
-/// What the router is told when it starts.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct Terms {
+    /// Seed of all random choices.
     pub seed: u64,
+    /// How many routers there are.
     pub routers: usize,
+    /// The router's own site.
     pub site: Option<usize>,
+    /// All workloads; requests name them by their index.
     pub workloads: Vec<Workload>,
-    /// Statements a second, over all routers, that lie within each tenant's share.
+    /// Requests a second, over all routers, that lie within each tenant's share.
     pub tenant_rates: Vec<f64>,
-    /// What a statement above its tenant's share is worth, as a part of its importance.
+    /// What a request above its tenant's share is worth, as a part of its importance.
     pub over_share: f64,
+    /// Where load reports travel.
     pub reports: Reports,
-    /// Members turn away a read for which they lag too far, rather than answer it from old data.
+    /// Endpoints reject a read for which they lag too far, rather than answer it from old data.
     pub members_check_reads: bool,
     /// A session's last write is not told with its reads: the router has to remember it.
     pub remembers_writes: bool,
-    /// The host list comes only on asking.
+    /// The endpoint list comes only on asking.
     pub list_on_request: bool,
+    /// Health checks may be sent.
     pub may_probe: bool,
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
+    /// Most attempts of one request.
     pub max_executions: u32,
+    /// Most seconds that a rejected client may be told to stay away.
     pub max_retry_after: f64,
-    /// Only a host seen draining is barred; one that is merely gone from the list is not.
+    /// Only an endpoint seen draining is excluded; one that is merely gone from the list is not.
     pub only_draining_bars: bool,
-    /// A started host has at least this part of its capacity, and all of it after `warm_after`.
+    /// An endpoint that was just started has at least this part of its capacity.
     pub cold_part: f64,
+    /// Seconds after its start from which on an endpoint has all of its capacity.
     pub warm_after: f64,
-    /// A cold host that is sent `fall_multiple` of what it can do for `fall_span` falls over.
+    /// A warming endpoint that is sent this multiple of what it can do, for `fall_span`, falls over.
     pub fall_multiple: f64,
+    /// Seconds, see `fall_multiple`.
     pub fall_span: f64,
 }
 
-/// What a statement's shape is known to cost, in seconds of a host's work.
+/// What requests with one fingerprint are known to cost, in seconds of an endpoint's work.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
+    /// Of a request with this fingerprint.
     pub own: f64,
-    /// The same of a usual statement of its workload.
+    /// Of a usual request of its workload.
     pub usual: f64,
     /// How far off `own` may be: the standard error of its logarithm.
     pub spread: f64,
 }
 
-/// A statement as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct Statement {
+    /// Index of its workload in the settings.
     pub workload: usize,
+    /// The group that it is for.
     pub group: usize,
+    /// Its tenant, where there are tenants.
     pub tenant: Option<usize>,
+    /// Its session, where there are sessions.
     pub session: Option<u64>,
     /// Seconds until the client gives this try up.
     pub time_left: f64,
@@ -126,120 +158,155 @@
     pub repeat: bool,
     /// Its text may write, whatever its workload is said to do.
     pub writes: bool,
-    /// Nothing where texts are not read, or the shape is not known yet.
+    /// `None` where texts are not read, or the fingerprint is not known yet.
     pub work: Option<Work>,
 }
 
+/// What an endpoint is in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Takes writes.
     Primary,
+    /// Follows the primary, and serves reads.
     Replica,
 }
 
-/// How an execution ended.
+/// How an attempt, or a health check, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
+    /// It was answered in full.
     Completed,
+    /// It was answered with an error that proves nothing of its effect.
     Error,
+    /// The endpoint rejected it because it was full.
     Full,
+    /// It was not answered in time.
     TimedOut,
+    /// No connection came up.
     ConnectFailed,
+    /// The connection broke after it was sent.
     Reset,
+    /// It was cancelled by the router.
     Cancelled,
+    /// It never left this router.
     NeverSent,
-    /// The member is not the one for it: no primary, or too far behind.
+    /// The endpoint is not the one for it: no primary, or too far behind.
     Miss,
-    /// The member only reads, and the text writes. A member that tells no difference says `Miss`.
+    /// The endpoint only reads, and the text writes. An endpoint that tells no difference says `Miss`.
     ReadOnly,
 }
 
 impl Ending {
-    /// True if the ending proves that the execution had no effect.
+    /// Whether the ending proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        use Ending::*;
-        matches!(self, Full | ConnectFailed | NeverSent | Miss | ReadOnly)
+        match self {
+            Ending::Full | Ending::ConnectFailed | Ending::NeverSent | Ending::Miss | Ending::ReadOnly => {
+                true
+            }
+            Ending::Completed | Ending::Error | Ending::TimedOut | Ending::Reset | Ending::Cancelled => false,
+        }
     }
 }
 
-/// What a member said of itself.
+/// What an endpoint said of itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
+    /// Its role.
     pub role: Option<Role>,
+    /// Its position in the replication log.
     pub lsn: Option<f64>,
-    /// The part of its cores that is busy, by all that it does.
+    /// Its utilization: the part of its cores that is busy, by all that it does.
     pub busy: Option<f64>,
 }
 
-/// The end of one execution.
+/// The result of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
+    /// The request.
     pub stmt: usize,
+    /// The endpoint that the attempt was sent to.
     pub host: usize,
+    /// How it ended.
     pub ending: Ending,
+    /// Seconds from its start to its end.
     pub took: f64,
-    /// The statement has its final answer, by this outcome or an earlier one.
+    /// The request has its final answer, by this result or an earlier one.
     pub closed: bool,
     /// What the answer itself showed; for a completed write the position is its commit.
     pub note: Report,
+    /// The load report that came with the answer.
     pub report: Option<Report>,
 }
 
+/// The state of an endpoint by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
+    /// It may be sent requests.
     #[default]
     Ready,
+    /// It finishes what it has, and gets nothing new.
     Draining,
+    /// It is no longer listed.
     Gone,
 }
 
-/// A line of the host list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listed {
+    /// The endpoint.
     pub host: usize,
-    /// An opaque number, the same for a host at every router, as the indices are not.
+    /// An opaque number, the same for an endpoint at every router, as the indices are not.
     pub order: u64,
+    /// Its group.
     pub group: usize,
+    /// Its site, where sites are told.
     pub site: Option<usize>,
+    /// Its capacity relative to others.
     pub size: f64,
+    /// Its state.
     pub standing: Standing,
-    /// When the host last started; `None` means long ago.
+    /// When the endpoint last started; `None` means long ago.
     pub started_at: Option<f64>,
 }
 
-/// What this router may use of the fleet's budgets at a host; nothing where there is no such budget.
+/// What this router may use of the fleet's budgets at an endpoint; `None` where there is no such budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Part {
+    /// The endpoint.
     pub host: usize,
-    /// Executions that it may have out there.
+    /// Attempts that it may have in flight there.
     pub units: Option<f64>,
-    /// Executions that it may send there now while the host is cold.
+    /// Attempts that it may send there now while the endpoint warms up.
     pub tokens: Option<f64>,
 }
 
 /// This router's parts of the fleet's budgets, as they are now.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
+    /// Its parts at endpoints.
     pub hosts: Vec<Part>,
     /// Routers that are there, as the fleet knows them.
     pub routers: Option<usize>,
-    /// Second tries that it may send now, where there is a budget for these.
+    /// Retries of attempts that may have run that it may send now, where there is a budget for these.
     pub second_tries: Option<f64>,
 }
 
-/// Carries out what the router decides.
+/// Carries out what a [`Router`](crate::Router) decides.
 pub trait Front {
-    /// Sends an execution; `time_out` of 0 leaves it out until the client gives up.
+    /// Sends an attempt; after `time_out` seconds it counts as not answered, 0 means when its client gives up.
     fn execute(&mut self, stmt: usize, host: usize, time_out: f64);
-    /// Final answer: nothing ran, trying again in `retry_after` seconds is harmless.
+    /// Final answer: nothing took effect, trying again in `retry_after` seconds is harmless.
     fn reject(&mut self, stmt: usize, retry_after: f64);
     /// Final answer that promises nothing.
     fn abort(&mut self, stmt: usize);
-    /// Stops waiting for the execution with that number; its outcome still comes.
+    /// Cancels the request's attempt with that number, counted from 0; its result still comes.
     fn cancel(&mut self, stmt: usize, execution: u32);
+    /// Sends a health check.
     fn probe(&mut self, host: usize);
     /// Asks for one call of `Router::timer`, in `after` seconds.
     fn wake(&mut self, after: f64);
-    /// Asks that the host list and its changes be sent from now on.
+    /// Asks that the endpoint list and its changes be sent from now on.
     fn follow(&mut self);
+    /// Writes a line to the log.
     fn log(&mut self, text: &str);
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -20,6 +20,8 @@
 //! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling` and
 //! `interface`.
 
+#![warn(missing_docs)]
+
 mod admission;
 mod arrival;
 mod clock;
