--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -88,58 +88,61 @@
 /// A router in blocking style.
 pub struct Facade {
     router: Router,
-    desk: Desk,
+    pending: Pending,
 }
 
 /// What the router asked for and network code has not picked up yet.
 #[derive(Default)]
-struct Desk {
-    /// As many as were ever held at once; a slot is free again once its statement is over and nothing is out.
-    held: Vec<Slot>,
+struct Pending {
+    /// As many as there were ever requests at once; a slot is free again once its request is over and no attempt is in
+    /// flight.
+    slots: Vec<Slot>,
     free: Vec<usize>,
     /// Emptied by each `tick`.
     due: VecDeque<Due>,
     picking: Option<usize>,
     now: f64,
     wake_at: f64,
-    breaches: u64,
+    violations: u64,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Slot {
-    taken: bool,
+    is_taken: bool,
+    /// Decided, and not picked up yet.
     choice: Option<Choice>,
-    over: bool,
-    out: u32,
+    /// The request has its final answer, or its client left.
+    is_over: bool,
+    in_flight: u32,
 }
 
 impl Facade {
     /// A router that knows no endpoint yet.
     pub fn start(now: f64, terms: Terms) -> Facade {
-        let mut desk = Desk { now, ..Desk::default() };
-        let router = Router::start(now, terms, &mut desk);
-        Facade { router, desk }
+        let mut pending = Pending { now, ..Pending::default() };
+        let router = Router::start(now, terms, &mut pending);
+        Facade { router, pending }
     }
 
     /// The request's number, which is its own until it is over and no attempt of it is in flight, and what to do.
     pub fn pick(&mut self, now: f64, ask: Ask) -> (usize, Choice) {
-        self.desk.now = now;
+        self.pending.now = now;
         let index = match ask {
             Ask::New(stmt) => {
-                let index = self.desk.open();
-                self.desk.picking = Some(index);
-                self.router.statement(now, index, stmt, &mut self.desk);
-                self.desk.picking = None;
+                let index = self.pending.allocate();
+                self.pending.picking = Some(index);
+                self.router.statement(now, index, stmt, &mut self.pending);
+                self.pending.picking = None;
                 index
             }
             Ask::Again(index) => index,
         };
-        let choice = self.desk.held[index].choice.take().unwrap_or(Choice::Wait);
+        let choice = self.pending.slots[index].choice.take().unwrap_or(Choice::Wait);
         match choice {
-            Choice::Execute { .. } => self.desk.held[index].out += 1,
+            Choice::Execute { .. } => self.pending.slots[index].in_flight += 1,
             Choice::Reject { .. } | Choice::Abort => {
-                self.desk.held[index].over = true;
-                self.desk.settle(index);
+                self.pending.slots[index].is_over = true;
+                self.pending.free_if_over(index);
             }
             Choice::Wait => {}
         }
@@ -148,61 +151,61 @@
 
     /// Takes in what was learnt.
     pub fn report(&mut self, now: f64, news: News) {
-        self.desk.now = now;
+        self.pending.now = now;
         match news {
             News::Execution { stmt, host, ending, took, note, report } => {
-                let slot = &mut self.desk.held[stmt];
-                let known = slot.taken && slot.out > 0;
-                self.desk.must(known, "an execution that was picked ends once");
+                let slot = &mut self.pending.slots[stmt];
+                let known = slot.is_taken && slot.in_flight > 0;
+                self.pending.check_invariant(known, "an execution that was picked ends once");
                 if known {
-                    let slot = &mut self.desk.held[stmt];
-                    slot.out -= 1;
-                    slot.over |= ending == Ending::Completed;
-                    let closed = slot.over;
+                    let slot = &mut self.pending.slots[stmt];
+                    slot.in_flight -= 1;
+                    slot.is_over |= ending == Ending::Completed;
+                    let closed = slot.is_over;
                     let outcome = Outcome { stmt, host, ending, took, closed, note, report };
-                    self.router.outcome(now, &outcome, &mut self.desk);
-                    self.desk.settle(stmt);
+                    self.router.outcome(now, &outcome, &mut self.pending);
+                    self.pending.free_if_over(stmt);
                 }
             }
             News::Probe { host, ending, report } => {
-                self.router.probed(now, host, ending, report, &mut self.desk);
+                self.router.probed(now, host, ending, report, &mut self.pending);
             }
-            News::List(list) => self.router.hosts(now, list, &mut self.desk),
-            News::Parts(parts) => self.router.parts(now, parts, &mut self.desk),
+            News::List(list) => self.router.hosts(now, list, &mut self.pending),
+            News::Parts(parts) => self.router.parts(now, parts, &mut self.pending),
             News::ListFailed => self.router.list_failed(),
-            News::ClientGone(stmt) => self.gone(now, stmt),
+            News::ClientGone(stmt) => self.client_gone(now, stmt),
         }
     }
 
-    fn gone(&mut self, now: f64, stmt: usize) {
-        let slot = self.desk.held[stmt];
-        self.desk.must(slot.taken && !slot.over, "a client leaves before its answer");
-        if !slot.taken || slot.over {
+    fn client_gone(&mut self, now: f64, stmt: usize) {
+        let slot = self.pending.slots[stmt];
+        self.pending.check_invariant(slot.is_taken && !slot.is_over, "a client leaves before its answer");
+        if !slot.is_taken || slot.is_over {
             return;
         }
-        self.desk.held[stmt].over = true;
-        match self.desk.held[stmt].choice.take() {
+        self.pending.slots[stmt].is_over = true;
+        match self.pending.slots[stmt].choice.take() {
             // Decided, and not picked up: the router no longer holds it.
             Some(Choice::Reject { .. } | Choice::Abort) => {}
             Some(Choice::Execute { host, .. }) => {
                 self.router.hangup(stmt);
                 let (ending, note) = (Ending::NeverSent, Report::default());
                 let outcome = Outcome { stmt, host, ending, took: 0.0, closed: true, note, report: None };
-                self.router.outcome(now, &outcome, &mut self.desk);
+                self.router.outcome(now, &outcome, &mut self.pending);
             }
             Some(Choice::Wait) | None => self.router.hangup(stmt),
         }
-        self.desk.settle(stmt);
+        self.pending.free_if_over(stmt);
     }
 
     /// What is due now; nothing is named twice for the same reason.
     pub fn tick(&mut self, now: f64) -> VecDeque<Due> {
-        self.desk.now = now;
-        if now >= self.desk.wake_at {
-            self.desk.wake_at = f64::INFINITY;
-            self.router.timer(now, &mut self.desk);
+        self.pending.now = now;
+        if now >= self.pending.wake_at {
+            self.pending.wake_at = f64::INFINITY;
+            self.router.timer(now, &mut self.pending);
         }
-        std::mem::take(&mut self.desk.due)
+        std::mem::take(&mut self.pending.due)
     }
 
     /// Whether an endpoint is taken for one that is not warm yet.
@@ -227,57 +230,57 @@
 
     /// When `tick` wants to be called, if nothing else happens before.
     pub fn wake_at(&self) -> f64 {
-        self.desk.wake_at
+        self.pending.wake_at
     }
 
     /// How often something that must hold did not.
     pub fn breaches(&self) -> u64 {
-        self.desk.breaches
+        self.pending.violations
     }
 }
 
-impl Desk {
-    fn must(&mut self, holds: bool, what: &str) {
+impl Pending {
+    fn check_invariant(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
-        self.breaches += u64::from(!holds);
+        self.violations += u64::from(!holds);
     }
 
-    fn open(&mut self) -> usize {
-        let index = self.free.pop().unwrap_or(self.held.len());
-        self.held.resize(self.held.len().max(index + 1), Slot::default());
-        self.held[index] = Slot { taken: true, ..Slot::default() };
+    fn allocate(&mut self) -> usize {
+        let index = self.free.pop().unwrap_or(self.slots.len());
+        self.slots.resize(self.slots.len().max(index + 1), Slot::default());
+        self.slots[index] = Slot { is_taken: true, ..Slot::default() };
         index
     }
 
-    fn settle(&mut self, index: usize) {
-        let slot = self.held[index];
-        if slot.taken && slot.over && slot.out == 0 && slot.choice.is_none() {
-            self.held[index].taken = false;
+    fn free_if_over(&mut self, index: usize) {
+        let slot = self.slots[index];
+        if slot.is_taken && slot.is_over && slot.in_flight == 0 && slot.choice.is_none() {
+            self.slots[index].is_taken = false;
             self.free.push(index);
         }
     }
 
-    fn choose(&mut self, index: usize, choice: Choice) {
-        let free = self.held[index].choice.is_none() && !self.held[index].over;
-        self.must(free, "one choice at a time, and none after the last");
-        self.held[index].choice = Some(choice);
+    fn record_choice(&mut self, index: usize, choice: Choice) {
+        let free = self.slots[index].choice.is_none() && !self.slots[index].is_over;
+        self.check_invariant(free, "one choice at a time, and none after the last");
+        self.slots[index].choice = Some(choice);
         if self.picking != Some(index) {
             self.due.push_back(Due::Pick(index));
         }
     }
 }
 
-impl Front for Desk {
+impl Front for Pending {
     fn execute(&mut self, stmt: usize, host: usize, time_out: f64) {
-        self.choose(stmt, Choice::Execute { host, time_out });
+        self.record_choice(stmt, Choice::Execute { host, time_out });
     }
 
     fn reject(&mut self, stmt: usize, retry_after: f64) {
-        self.choose(stmt, Choice::Reject { retry_after });
+        self.record_choice(stmt, Choice::Reject { retry_after });
     }
 
     fn abort(&mut self, stmt: usize) {
-        self.choose(stmt, Choice::Abort);
+        self.record_choice(stmt, Choice::Abort);
     }
 
     fn cancel(&mut self, stmt: usize, _execution: u32) {
