--- /dev/null
+++ b/crates/core/src/eligibility.rs
@@ -0,0 +1,127 @@
+//! Whether an endpoint may be sent one more attempt: first by the rules on data and effects, then by its health and load.
+//!
+//! [`View::can_accept`] is the one gate before an attempt is sent.
+
+use crate::endpoint::Endpoint;
+use crate::ids::{EndpointId, Id};
+use crate::interface::{Effect, Needs};
+use crate::request::Request;
+use crate::retry;
+use crate::slow_start::Candidate;
+use crate::state::RouterState;
+use crate::stats::ClassStats;
+
+/// A read-only view of a router's state at one time.
+#[derive(Clone, Copy)]
+pub(crate) struct View<'a> {
+    pub(crate) now: f64,
+    pub(crate) state: &'a RouterState,
+}
+
+impl<'a> View<'a> {
+    pub(crate) fn new(now: f64, state: &'a RouterState) -> View<'a> {
+        View { now, state }
+    }
+
+    pub(crate) fn endpoint(&self, endpoint: EndpointId) -> &'a Endpoint {
+        &self.state.endpoints[endpoint]
+    }
+
+    pub(crate) fn class_of(&self, request: &Request) -> &'a ClassStats {
+        self.state.classes.get(request.class)
+    }
+
+    /// The request's own sample for that endpoint, the same as often as it is asked for.
+    pub(crate) fn sample_of(&self, request: &Request, endpoint: EndpointId) -> f64 {
+        self.state.sampler.sample(request.sample_counter, endpoint.index())
+    }
+
+    /// Whether the endpoint may be sent anything at all: it was heard of, does not drain, and is not ejected.
+    pub(crate) fn is_usable(&self, endpoint: EndpointId) -> bool {
+        let target = self.endpoint(endpoint);
+        let was_heard = !target.role.is_unknown() || !self.state.terms.may_probe;
+        was_heard && !self.state.is_excluded(endpoint) && target.outlier.is_available(self.now)
+    }
+
+    /// The position that an endpoint needs to serve the request from its own data; infinite where only the primary will do.
+    pub(crate) fn required_position(&self, request: &Request) -> f64 {
+        match self.class_of(request).needs() {
+            Needs::Primary | Needs::Fresh => f64::INFINITY,
+            Needs::Session => {
+                let remembered = self.state.watermarks.required(request.group, request.session);
+                request.watermark.max(remembered)
+            }
+            Needs::Bounded(bound) => self.now - bound,
+            Needs::Any => f64::NEG_INFINITY,
+        }
+    }
+
+    /// The rules on data and effects for one more attempt there now.
+    pub(crate) fn meets_rules(&self, endpoint: EndpointId, request: &Request) -> bool {
+        self.has_position(endpoint, request) && self.is_retry_safe(endpoint, request)
+    }
+
+    /// Whether the endpoint's data are known to be new enough, or it checks that itself.
+    fn has_position(&self, endpoint: EndpointId, request: &Request) -> bool {
+        let target = self.endpoint(endpoint);
+        let is_primary = self.state.replica_sets[target.group()].tracker.is_primary(endpoint);
+        self.state.terms.members_check_reads
+            || is_primary
+            || target.position.known() >= self.required_position(request)
+    }
+
+    fn is_retry_safe(&self, endpoint: EndpointId, request: &Request) -> bool {
+        let effect = self.class_of(request).effect();
+        let same_site = |earlier| self.endpoint(earlier).site() == self.endpoint(endpoint).site();
+        retry::is_safe(self.now, effect, request.possible_effect, same_site)
+    }
+
+    /// Whether the endpoint may be sent one more attempt, for this request.
+    pub(crate) fn can_accept(&self, endpoint: EndpointId, request: &Request) -> bool {
+        self.meets_rules(endpoint, request) && self.is_fit(endpoint, request)
+    }
+
+    /// The part of [`View::can_accept`] that goes by the endpoint's health and load.
+    pub(crate) fn is_fit(&self, endpoint: EndpointId, request: &Request) -> bool {
+        self.is_healthy(endpoint, request)
+            && self.slow_start_allows(endpoint, request)
+            && self.endpoint(endpoint).has_capacity(self.now, 1.0, self.sample_of(request, endpoint))
+    }
+
+    fn is_healthy(&self, endpoint: EndpointId, request: &Request) -> bool {
+        let target = self.endpoint(endpoint);
+        let is_idempotent = self.class_of(request).effect() == Effect::Idempotent;
+        let may_be_trial = target.limit.in_flight() == 0 && is_idempotent;
+        // Guards against asking a full endpoint again and again for the same request.
+        let was_full = target.limit.full_at() >= request.arrived_at;
+        (!target.outlier.is_ejected() || may_be_trial) && self.is_usable(endpoint) && !was_full
+    }
+
+    /// The part of its capacity that the endpoint has at least.
+    pub(crate) fn capacity_fraction(&self, endpoint: EndpointId) -> f64 {
+        self.endpoint(endpoint).slow_start.capacity_fraction(self.now, &self.state.terms)
+    }
+
+    pub(crate) fn is_warming(&self, endpoint: EndpointId) -> bool {
+        self.capacity_fraction(endpoint) < 1.0
+    }
+
+    fn slow_start_allows(&self, endpoint: EndpointId, request: &Request) -> bool {
+        let target = self.endpoint(endpoint);
+        let group = &self.state.replica_sets[target.group()];
+        let members = group.members().iter();
+        let candidate = Candidate {
+            is_second_in_a_row: request.last_endpoint == Some(endpoint),
+            to_primary: matches!(self.class_of(request).needs(), Needs::Primary | Needs::Fresh),
+            waited: self.now - request.arrived_at,
+            size: target.size(),
+            members: members.map(|member| (self.endpoint(*member).size(), self.is_usable(*member))),
+            demand: group.demand.total(),
+            demands: self.state.replica_sets.iter().map(|group| group.demand.total()),
+        };
+        // Each attempt of a request has a sample of its own.
+        let counter = request.sample_counter + u64::from(request.attempts);
+        let sample = || self.state.sampler.sample(counter, endpoint.index());
+        target.slow_start.allows(self.now, &self.state.terms, candidate, sample)
+    }
+}
--- /dev/null
+++ b/crates/core/src/monitoring.rs
@@ -0,0 +1,207 @@
+//! Keeping track of endpoints beside their answers: reports, health checks, silence, ejection, lagging replicas.
+
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::eligibility::View;
+use crate::endpoint::Endpoint;
+use crate::health_check::{POLL_INTERVAL, Reasons, URGENT_INTERVAL};
+use crate::ids::{EndpointId, GroupId, Id};
+use crate::interface::{Ending, Front, Listed, Report};
+use crate::outlier::{self, SilenceDetector, Verdict};
+use crate::primary::RoleClaim;
+use crate::selection;
+use crate::state::RouterState;
+
+/// Part of the tightest staleness bound from which on a replica counts as lagging.
+const LAGGING: f64 = 0.5;
+
+impl RouterState {
+    /// Takes over what an endpoint said of itself. An answer speaks of now, a report of its own position.
+    pub(crate) fn hear(&mut self, now: f64, id: EndpointId, report: Report, in_answer: bool) {
+        let is_excluded = self.is_excluded(id);
+        let endpoint = &mut self.endpoints[id];
+        if let Some(utilization) = report.busy {
+            endpoint.record_utilization(now, utilization);
+        }
+        let position = report.lsn.filter(|position| *position <= now);
+        if let Some(position) = position {
+            endpoint.position.record(now, position, in_answer);
+        }
+        if let Some(role) = report.role {
+            let at = if in_answer { now } else { position.unwrap_or(0.0) };
+            let claim = RoleClaim { role, at, in_answer };
+            let tracker = &mut self.replica_sets[endpoint.group()].tracker;
+            tracker.hear(id, &mut endpoint.role, claim, is_excluded);
+        }
+    }
+
+    /// The endpoint is no primary, as it refused what a primary takes.
+    pub(crate) fn deny_primary(&mut self, now: f64, id: EndpointId) {
+        let endpoint = &mut self.endpoints[id];
+        self.replica_sets[endpoint.group()].tracker.deny(id, &mut endpoint.role, now);
+    }
+
+    /// The endpoint may have been lost as a primary.
+    pub(crate) fn unseat(&mut self, id: EndpointId) {
+        self.replica_sets[self.endpoints[id].group()].tracker.unseat(id);
+    }
+
+    /// Ejects an endpoint; it may have been lost as a primary too.
+    pub(crate) fn eject(&mut self, now: f64, id: EndpointId, connection_failed: bool) {
+        self.endpoints[id].outlier.eject(now, connection_failed, self.terms.may_probe);
+        self.unseat(id);
+    }
+
+    /// Ejects the endpoints that take attempts and answer none (departure 5 of docs/design.md).
+    pub(crate) fn eject_silent(&mut self, now: f64) {
+        let mut detector = SilenceDetector::default();
+        for (request, id) in self.requests.in_flight() {
+            let endpoint = &self.endpoints[id];
+            let class = self.classes.get(request.class);
+            let by_endpoint = class.settings().slo_time * endpoint.limit.latency();
+            let expected = class.estimate(request.extra_work).max(by_endpoint);
+            let last_sign = request.sent_at.max(endpoint.last_answer_at()).max(self.stalls.resumed_at());
+            detector.add(id, (now - last_sign) / expected, endpoint.outlier.unanswered());
+        }
+        for endpoint in detector.silent(self.endpoints.len()) {
+            self.eject(now, endpoint, false);
+        }
+    }
+
+    /// Health-checks the members of a group that polls, and those whose next report decides something (departure 12 of
+    /// docs/design.md).
+    pub(crate) fn poll(&mut self, now: f64, group: GroupId, front: &mut impl Front) {
+        if !self.terms.may_probe {
+            return;
+        }
+        let asked_for = selection::replica_to_check(View::new(now, self), group);
+        let members = self.members_by_last_check(group);
+        let roles = members.iter().map(|member| &self.endpoints[*member].role);
+        let group_polls = self.replica_sets[group].tracker.polls(roles);
+        for id in members {
+            let reasons = Reasons {
+                group_polls,
+                is_asked_for: asked_for == Some(id),
+                request_waits: !self.requests.waiting(group).is_empty(),
+                ..self.reasons_to_check(now, group, id)
+            };
+            let health_check = &mut self.endpoints[id].health_check;
+            if health_check.is_wanted(now, &reasons, &self.health_checks) {
+                health_check.begin(now);
+                self.health_checks.withdraw();
+                front.probe(id.index());
+            }
+        }
+    }
+
+    /// The members of a group that may be sent something, the one that was checked longest ago first.
+    fn members_by_last_check(&self, group: GroupId) -> Vec<EndpointId> {
+        let members = self.replica_sets[group].members().iter().copied();
+        let mut members: Vec<EndpointId> = members.filter(|member| !self.is_excluded(*member)).collect();
+        let checked_at = |member: &EndpointId| self.endpoints[*member].health_check.sent_at();
+        members.sort_by(|one, other| checked_at(one).total_cmp(&checked_at(other)));
+        members
+    }
+
+    fn reasons_to_check(&self, now: f64, group: GroupId, id: EndpointId) -> Reasons {
+        let endpoint = &self.endpoints[id];
+        let primary = self.replica_sets[group].primary();
+        let is_unknown = endpoint.role.is_unknown();
+        let is_unsettled = endpoint.outlier.is_ejected() || endpoint.position.rejects_reads();
+        let age = now - endpoint.position.known();
+        Reasons {
+            group_polls: false,
+            is_decisive: primary.is_none() || is_unknown || is_unsettled,
+            position_ages: primary != Some(id) && age > self.ageing_limit(),
+            request_waits: !self.requests.waiting(group).is_empty(),
+            is_unknown,
+            is_asked_for: false,
+        }
+    }
+
+    /// The age in seconds from which on a position is about to be too old for some reads; infinite where endpoints check
+    /// reads themselves.
+    fn ageing_limit(&self) -> f64 {
+        match self.tightest_bound {
+            Some(bound) if !self.terms.members_check_reads => bound - 2.0 * URGENT_INTERVAL,
+            _ => f64::INFINITY,
+        }
+    }
+
+    /// A health check ended in any way but not being sent (departure 5 of docs/design.md).
+    pub(crate) fn record_health_check(&mut self, now: f64, id: EndpointId, ending: Ending) {
+        let endpoint = &self.endpoints[id];
+        let answered = !matches!(ending, Ending::TimedOut | Ending::ConnectFailed | Ending::Reset);
+        let checked_at = endpoint.health_check.sent_at();
+        if !answered && outlier::failed_health_check_ejects(checked_at, endpoint.last_answer_at()) {
+            self.eject(now, id, false);
+        }
+        let sample = self.sampler.current(id.index());
+        let endpoint = &mut self.endpoints[id];
+        if endpoint.outlier.record_health_check(answered) == Verdict::Restarted {
+            endpoint.restart(now);
+        }
+        if ending == Ending::Full {
+            endpoint.health_check.retry_sooner(sample);
+        }
+    }
+
+    /// Takes over an entry of the endpoint list.
+    pub(crate) fn apply_update(&mut self, now: f64, listing: &Listed) {
+        let id = EndpointId::new(listing.host);
+        let initial_limit = ConcurrencyLimit::initial(self.terms.routers);
+        if id.index() == self.endpoints.len() {
+            self.add_endpoint(now, listing, initial_limit);
+        }
+        self.endpoints[id].apply_update(listing, initial_limit);
+        if self.is_excluded(id) {
+            self.unseat(id);
+        }
+    }
+
+    fn add_endpoint(&mut self, now: f64, listing: &Listed, initial_limit: f64) {
+        let id = EndpointId::new(listing.host);
+        // Spreads the first health checks of many endpoints over an interval.
+        let checked_at = now - POLL_INTERVAL * self.sampler.current(id.index());
+        self.endpoints.push(Endpoint::new(*listing, initial_limit, checked_at));
+        self.health_checks.deposit_for_new_endpoint(self.terms.routers);
+        self.replica_set_mut(GroupId::new(listing.group)).add(id);
+    }
+
+    /// Adjusts what writes each group admits while its replicas lag (departure 4 of docs/design.md).
+    pub(crate) fn adjust_write_throttles(&mut self, now: f64) {
+        let Some(bound) = self.tightest_bound else { return };
+        for group in self.replica_sets.ids() {
+            let lagging = self.lagging_share(now, group, bound * LAGGING);
+            let group = &mut self.replica_sets[group];
+            let is_current = group.is_heard_often(now);
+            group.write_throttle.tick(lagging, &group.demand, is_current);
+            group.demand.tick();
+        }
+    }
+
+    /// The part of a group's usable replicas that lag by more than so many seconds.
+    fn lagging_share(&self, now: f64, group: GroupId, limit: f64) -> f64 {
+        let view = View::new(now, self);
+        let group = &self.replica_sets[group];
+        let (mut replicas, mut lagging) = (0, 0);
+        for member in group.members() {
+            if !group.tracker.is_primary(*member) && view.is_usable(*member) {
+                replicas += 1;
+                lagging += u32::from(self.endpoints[*member].position.lag() > limit);
+            }
+        }
+        f64::from(lagging) / f64::from(replicas.max(1))
+    }
+
+    /// Forgets the watermarks of sessions that every endpoint of their group has come up to.
+    pub(crate) fn forget_watermarks(&mut self) {
+        let mut watermarks = std::mem::take(&mut self.watermarks);
+        watermarks.forget(|group, position| {
+            let is_behind = |member: &EndpointId| {
+                !self.is_excluded(*member) && self.endpoints[*member].position.known() < position
+            };
+            self.replica_sets[group].members().iter().any(is_behind)
+        });
+        self.watermarks = watermarks;
+    }
+}
