--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -332,7 +332,7 @@
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
         opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
-        info!(self.log, "control listener ready"; "listen" => %address);
+        info!(self.log, "control listener open"; "control" => %address);
         Ok(())
     }
 
