--- a/crates/ottersill/src/wire/client_close.rs
+++ b/crates/ottersill/src/wire/client_close.rs
@@ -11,10 +11,9 @@
 use crate::wire::exchange::{Exchange, LEEWAY};
 use crate::wire::socket;
 
-/// A connection that is shut is closed after so many seconds, though its client has not ended: its end takes a round trip.
-pub const CLOSING: f64 = 1.0;
-/// The same where closing would reset the connection.
-const CLOSING_WITH_RESET: f64 = 3.0;
+/// A connection that is shut is closed after so many seconds, though its client has not ended: a slow one may still be reading
+/// its last answer, which a reset would discard, and whatever it sends after the close is answered by one.
+pub const CLOSING: f64 = 3.0;
 /// Shut connections of which one is chosen to make room for another.
 const CANDIDATES: usize = 8;
 
@@ -49,17 +48,6 @@
         }
     }
 
-    /// The time of a connection that was shut is over, unless closing it now would discard an answer.
-    pub(super) fn closing_is_due(&mut self, id: usize) {
-        let client = &self.clients[id];
-        let last_due = client.since + CLOSING_WITH_RESET;
-        if self.now < last_due && socket::close_would_reset(&client.socket) {
-            self.set_client_alarm(id, last_due);
-        } else {
-            self.close_client(id);
-        }
-    }
-
     /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
     /// resets has had the time of a round trip at least.
     pub fn drop_closing(&mut self) -> bool {
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/wire/client_side.rs
@@ -101,8 +101,8 @@
         // Who has said nothing yet goes first: a crowd of those must not cost the others their connections.
         (open < self.berths.clients || self.close_idle_client(false) || self.close_idle_client(true))
             && (self.clients.len() + self.lines.len() < self.berths.all
-                || self.close_idle_line()
-                || self.drop_closing())
+                || self.drop_closing()
+                || self.close_idle_line())
     }
 
     /// One for whom there is no room is let in all the same, to be told so once its statement is read: an answer that
@@ -178,7 +178,7 @@
     pub fn client_is_due(&mut self, id: usize) {
         self.clients[id].alarm = None;
         if self.clients[id].session == Session::Closing {
-            return self.closing_is_due(id);
+            return self.close_client(id);
         }
         // A last look: what has come meanwhile is taken in instead.
         self.client_is_ready(id);
--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/wire/host_side.rs
@@ -82,7 +82,7 @@
         // One for a probe of each host is kept back, as what can't be probed can't be judged.
         let kept_back = if load == Load::Probe { 0 } else { self.hosts.all.len().min(self.berths.all / 4) };
         let taken = self.clients.len().min(self.berths.clients) + self.lines.len();
-        if taken + kept_back >= self.berths.all && !self.close_idle_line() && !self.drop_closing() {
+        if taken + kept_back >= self.berths.all && !self.drop_closing() && !self.close_idle_line() {
             self.counters.lines_wanting += 1;
             return Err(Ending::NeverSent);
         }
