--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -118,6 +118,7 @@
 
 impl Facade {
     /// A router that knows no endpoint yet.
+    #[must_use]
     pub fn start(now: f64, terms: Terms) -> Facade {
         let mut pending = Pending { now, ..Pending::default() };
         let router = Router::start(now, terms, &mut pending);
@@ -210,31 +211,37 @@
     }
 
     /// Whether an endpoint is taken for one that is not warm yet.
+    #[must_use]
     pub fn is_cold(&self, now: f64, host: usize) -> bool {
         self.router.is_cold(now, host)
     }
 
     /// Whether an attempt that was picked may still be sent; to be asked when its bytes are about to go out.
+    #[must_use]
     pub fn may_begin(&self, now: f64, stmt: usize, host: usize) -> bool {
         self.router.may_begin(now, stmt, host)
     }
 
     /// The same of a health check.
+    #[must_use]
     pub fn may_probe(&self, host: usize) -> bool {
         self.router.may_probe(host)
     }
 
     /// Requests that wait in a group for an endpoint that may take them.
+    #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.router.waiting(group)
     }
 
     /// When `tick` wants to be called, if nothing else happens before.
+    #[must_use]
     pub fn wake_at(&self) -> f64 {
         self.pending.wake_at
     }
 
     /// How often something that must hold did not.
+    #[must_use]
     pub fn breaches(&self) -> u64 {
         self.pending.violations
     }
--- a/crates/core/src/health_check.rs
+++ b/crates/core/src/health_check.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether the endpoint is to be checked now.
-    pub(crate) fn is_wanted(&self, now: f64, reasons: &Reasons, budget: &HealthCheckBudget) -> bool {
+    pub(crate) fn is_wanted(&self, now: f64, reasons: Reasons, budget: &HealthCheckBudget) -> bool {
         if self.in_flight {
             return false;
         }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -66,6 +66,7 @@
 
 impl Workload {
     /// How old the data of a bounded read may be, in seconds; `None` if it is no bounded read.
+    #[must_use]
     pub fn bound(&self) -> Option<f64> {
         match self.needs {
             Needs::Bounded(bound) => Some(bound),
@@ -198,6 +199,7 @@
 
 impl Ending {
     /// Whether the ending proves that the attempt had no effect.
+    #[must_use]
     pub fn never_ran(self) -> bool {
         match self {
             Ending::Full | Ending::ConnectFailed | Ending::NeverSent | Ending::Miss | Ending::ReadOnly => {
--- a/crates/core/src/monitoring.rs
+++ b/crates/core/src/monitoring.rs
@@ -81,7 +81,7 @@
             let is_asked_for = asked_for == Some(id);
             let reasons = self.reasons_to_check(now, group, id, group_polls, is_asked_for);
             let health_check = &mut self.endpoints[id].health_check;
-            if health_check.is_wanted(now, &reasons, &self.health_checks) {
+            if health_check.is_wanted(now, reasons, &self.health_checks) {
                 health_check.begin(now);
                 self.health_checks.withdraw();
                 front.probe(id.index());
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -32,6 +32,7 @@
     }
 
     /// Seconds that an answer of a workload is taken to need before any came.
+    #[must_use]
     pub fn typical(workload: &Workload) -> f64 {
         stats::initial_latency(workload)
     }
@@ -156,17 +157,20 @@
     }
 
     /// Whether an endpoint is taken for one that is not warm yet.
+    #[must_use]
     pub fn is_cold(&self, now: f64, host: usize) -> bool {
         View::new(now, &self.state).is_warming(EndpointId::new(host))
     }
 
     /// How many requests wait in a group.
+    #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.state.requests.waiting(GroupId::new(group)).len()
     }
 
     /// Whether an attempt that was decided on may still be sent, as the list, a role or the time may have changed
     /// meanwhile.
+    #[must_use]
     pub fn may_begin(&self, now: f64, index: usize, host: usize) -> bool {
         let endpoint = EndpointId::new(host);
         let request = self.state.requests.get(RequestId::new(index));
@@ -174,6 +178,7 @@
     }
 
     /// The same of a health check.
+    #[must_use]
     pub fn may_probe(&self, host: usize) -> bool {
         !self.state.is_excluded(EndpointId::new(host))
     }
--- a/crates/core/src/selection.rs
+++ b/crates/core/src/selection.rs
@@ -201,7 +201,7 @@
         }
         let primary = self.group.primary()?;
         let classes = &self.view.state.classes;
-        let writes = classes.work_share(|class| class.is_write());
+        let writes = classes.work_share(super::stats::ClassStats::is_write);
         let reads = classes.work_share(|class| !matches!(class.needs(), Needs::Primary | Needs::Any));
         let fair_share = (writes + reads) / (fresh + 1) as f64;
         let spare_capacity = self.view.endpoint(primary).spare_capacity(self.view.now);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -37,7 +37,7 @@
 impl RouterState {
     /// The state of a router that has just started.
     pub(crate) fn new(now: f64, terms: Terms) -> RouterState {
-        let bounds = terms.workloads.iter().filter_map(|workload| workload.bound());
+        let bounds = terms.workloads.iter().filter_map(super::interface::Workload::bound);
         RouterState {
             tightest_bound: bounds.reduce(f64::min),
             classes: Classes::new(&terms),
