--- /dev/null
+++ b/crates/core/tests/digests/simulation.rs
@@ -0,0 +1,608 @@
+//! A seeded simulation around one router: clients, endpoints that fail and change, discovery.
+
+use std::collections::BTreeMap;
+
+use ottersill_core::Router;
+use ottersill_core::interface::*;
+
+use crate::transcript::{Action, Recorder, bits, ending_word, listed_words, optional, report_words};
+
+/// Something that happens to the endpoints of the scenario while it runs.
+#[derive(Clone, Copy)]
+pub enum Change {
+    Hang,
+    Crash,
+    Crowd,
+    Slow,
+    Recover,
+    Failover,
+    Drain,
+    Remove,
+    Restore,
+    Restart,
+    Join,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Health {
+    Up,
+    /// Takes attempts, answers health checks only.
+    Hung,
+    /// Refuses connections.
+    Down,
+    /// Rejects attempts.
+    Full,
+    Slow,
+}
+
+pub struct Scenario {
+    pub terms: Terms,
+    /// How often each workload is asked for, relative to the others.
+    pub weights: Vec<u64>,
+    pub groups: usize,
+    pub endpoints_in_group: usize,
+    pub sites: usize,
+    pub requests_per_second: f64,
+    pub seconds: f64,
+    /// Time of a usual answer as a fraction of the workload's SLO time.
+    pub service_time: f64,
+    /// Largest replication lag in seconds.
+    pub lag: f64,
+    /// Attempts in a thousand that fail at a healthy endpoint.
+    pub failures: u64,
+    pub changes: Vec<Change>,
+    /// Requests in a thousand whose client leaves early.
+    pub hangups: u64,
+    /// Timer calls in a thousand that come late.
+    pub stalls: u64,
+    pub sessions: u64,
+    /// The session's last write is told with its requests.
+    pub tells_writes: bool,
+    pub repeats: u64,
+    pub hidden_writes: u64,
+    pub with_work: bool,
+    pub tells_utilization: bool,
+    pub with_parts: bool,
+}
+
+/// SplitMix64.
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn unit(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    fn below(&mut self, count: usize) -> usize {
+        (self.next() % count as u64) as usize
+    }
+
+    /// True this many times in a thousand.
+    fn chance(&mut self, per_mille: u64) -> bool {
+        self.next() % 1000 < per_mille
+    }
+}
+
+#[derive(Clone, Copy)]
+enum Event {
+    Arrival,
+    Begin { request: usize, serial: u64 },
+    End { request: usize, serial: u64 },
+    CheckEnds { endpoint: usize },
+    Hangup { request: usize, taken: u64 },
+    Timer,
+    Change,
+    Parts,
+    List,
+}
+
+#[derive(Clone, Copy)]
+struct Attempt {
+    endpoint: usize,
+    sent: f64,
+    time_out: f64,
+    ending: Ending,
+    serial: u64,
+}
+
+#[derive(Clone, Copy)]
+struct Request {
+    statement: Statement,
+    hidden_write: bool,
+    /// Tells this use of the index from earlier ones.
+    taken: u64,
+    over: bool,
+    free: bool,
+    attempt: Option<Attempt>,
+}
+
+struct Endpoint {
+    listed: Listed,
+    health: Health,
+    lag: f64,
+    attempts: usize,
+}
+
+pub struct Simulation {
+    scenario: Scenario,
+    random: Random,
+    router: Router,
+    recorder: Recorder,
+    now: f64,
+    serial: u64,
+    /// By time, as its bits order like it, and by number.
+    events: BTreeMap<(u64, u64), Event>,
+    requests: Vec<Request>,
+    free: Vec<usize>,
+    endpoints: Vec<Endpoint>,
+    primaries: Vec<usize>,
+}
+
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
+        let mut recorder = Recorder::default();
+        let router = Router::start(1000.0, scenario.terms.clone(), &mut recorder);
+        let mut simulation = Simulation {
+            random: Random(scenario.terms.seed ^ 0xD16E_5757),
+            router,
+            recorder,
+            now: 1000.0,
+            serial: 0,
+            events: BTreeMap::new(),
+            requests: Vec::new(),
+            free: Vec::new(),
+            endpoints: Vec::new(),
+            primaries: vec![0; scenario.groups],
+            scenario,
+        };
+        for group in 0..simulation.scenario.groups {
+            simulation.primaries[group] = simulation.endpoints.len();
+            (0..simulation.scenario.endpoints_in_group).for_each(|_| simulation.add_endpoint(group, None));
+        }
+        simulation.carry_out();
+        if !simulation.scenario.terms.list_on_request {
+            simulation.schedule(0.0, Event::List);
+        }
+        simulation.schedule(0.01, Event::Arrival);
+        simulation.schedule(0.5, Event::Change);
+        if simulation.scenario.with_parts {
+            simulation.schedule(0.3, Event::Parts);
+        }
+        simulation
+    }
+
+    fn add_endpoint(&mut self, group: usize, started_at: Option<f64>) {
+        let listed = Listed {
+            host: self.endpoints.len(),
+            order: self.random.next(),
+            group,
+            site: Some(self.random.below(self.scenario.sites)),
+            size: [1.0, 1.0, 2.0, 0.5][self.random.below(4)],
+            standing: Standing::Ready,
+            started_at,
+        };
+        self.endpoints.push(Endpoint { listed, health: Health::Up, lag: 0.0, attempts: 0 });
+    }
+
+    fn schedule(&mut self, after: f64, event: Event) {
+        self.serial += 1;
+        self.events.insert(((self.now + after).to_bits(), self.serial), event);
+    }
+
+    /// Runs the scenario to its end.
+    pub fn run(mut self) -> Recorder {
+        let until = self.now + self.scenario.seconds;
+        while self.now < until {
+            let ((due, _), event) = self.events.pop_first().expect("a timer is always scheduled");
+            // After a stall of the router all that was due meanwhile comes late.
+            self.now = self.now.max(f64::from_bits(due));
+            self.take(event);
+            self.carry_out();
+        }
+        self.recorder
+    }
+
+    fn take(&mut self, event: Event) {
+        match event {
+            Event::Arrival => self.arrive(),
+            Event::Begin { request, serial } => self.begin(request, serial),
+            Event::End { request, serial } => self.end(request, serial),
+            Event::CheckEnds { endpoint } => self.check_ends(endpoint),
+            Event::Hangup { request, taken } => self.hang_up(request, taken),
+            Event::Timer => self.timer(),
+            Event::Change => self.change(),
+            Event::Parts => self.parts(),
+            Event::List => {
+                let all: Vec<usize> = (0..self.endpoints.len()).collect();
+                self.list(&all);
+            }
+        }
+    }
+
+    fn carry_out(&mut self) {
+        for action in std::mem::take(&mut self.recorder.actions) {
+            match action {
+                Action::Send { request, endpoint, time_out } => self.send(request, endpoint, time_out),
+                Action::Final { request } => {
+                    self.requests[request].over = true;
+                    self.settle(request);
+                }
+                Action::Cancel { request } => self.cancel(request),
+                Action::Check { endpoint } => self.check(endpoint),
+                Action::Wake { after } => {
+                    self.schedule(after, Event::Timer);
+                }
+                Action::Follow => self.follow(),
+            }
+        }
+    }
+
+    fn follow(&mut self) {
+        if self.random.chance(500) {
+            self.recorder.line(format_args!("list-failed {}", bits(self.now)));
+            self.router.list_failed();
+        } else {
+            self.schedule(0.005, Event::List);
+        }
+    }
+
+    fn arrive(&mut self) {
+        let gap = 2.0 * self.random.unit() / self.scenario.requests_per_second;
+        self.schedule(gap, Event::Arrival);
+        let (statement, hidden_write) = self.draw_statement();
+        self.serial += 1;
+        let taken = self.serial;
+        let request = self.free.pop().unwrap_or(self.requests.len());
+        let entry = Request { statement, hidden_write, taken, over: false, free: false, attempt: None };
+        if request == self.requests.len() {
+            self.requests.push(entry);
+        } else {
+            self.requests[request] = entry;
+        }
+        let early = self.random.chance(self.scenario.hangups);
+        let patience = statement.time_left * if early { self.random.unit() } else { 1.0 };
+        self.schedule(patience, Event::Hangup { request, taken });
+        let Statement { workload, group, tenant, session, time_left, since_write, repeat, writes, work } =
+            statement;
+        let work = work.map_or("-".to_string(), |work| {
+            format!("{} {} {}", bits(work.own), bits(work.usual), bits(work.spread))
+        });
+        self.recorder.line(format_args!(
+            "request {} {request} {workload} {group} {} {} {} {} {repeat} {writes} {work}",
+            bits(self.now),
+            tenant.map_or("-".to_string(), |tenant| tenant.to_string()),
+            session.map_or("-".to_string(), |session| session.to_string()),
+            bits(time_left),
+            optional(since_write),
+        ));
+        self.router.statement(self.now, request, statement, &mut self.recorder);
+    }
+
+    fn draw_statement(&mut self) -> (Statement, bool) {
+        let workload = self.draw_workload();
+        let terms = self.scenario.terms.workloads[workload].clone();
+        let repeat = self.random.chance(self.scenario.repeats);
+        let left_of_it =
+            if repeat || self.random.chance(self.scenario.repeats) { self.random.unit() } else { 1.0 };
+        let tenants = self.scenario.terms.tenant_rates.len();
+        let session =
+            (self.scenario.sessions > 0).then(|| self.random.next() % self.scenario.sessions.max(1));
+        let since_write = self.scenario.tells_writes.then(|| 3.0 * self.random.unit());
+        let usual = terms.slo_time * self.scenario.service_time;
+        let work = (self.scenario.with_work && self.random.chance(800)).then(|| Work {
+            own: usual * 4.0 * self.random.unit(),
+            usual,
+            spread: self.random.unit(),
+        });
+        let reads = terms.needs != Needs::Primary;
+        let statement = Statement {
+            workload,
+            group: self.random.below(self.scenario.groups),
+            tenant: (tenants > 0).then(|| self.random.below(tenants.max(1))),
+            session,
+            time_left: terms.statement_timeout * left_of_it,
+            since_write,
+            repeat: repeat && self.random.chance(700),
+            writes: reads && self.random.chance(self.scenario.hidden_writes),
+            work,
+        };
+        (statement, reads && self.random.chance(self.scenario.hidden_writes))
+    }
+
+    fn draw_workload(&mut self) -> usize {
+        let total: u64 = self.scenario.weights.iter().sum();
+        let mut drawn = self.random.next() % total;
+        for (workload, weight) in self.scenario.weights.iter().enumerate() {
+            if drawn < *weight {
+                return workload;
+            }
+            drawn -= weight;
+        }
+        unreachable!("the weights add up to their total")
+    }
+
+    fn send(&mut self, request: usize, endpoint: usize, time_out: f64) {
+        self.serial += 1;
+        let serial = self.serial;
+        let attempt = Attempt { endpoint, sent: self.now, time_out, ending: Ending::NeverSent, serial };
+        self.requests[request].attempt = Some(attempt);
+        self.endpoints[endpoint].attempts += 1;
+        // A connection has to come up first, at times.
+        let delay = if self.random.chance(100) { 0.03 * self.random.unit() } else { 0.0 };
+        self.schedule(delay, Event::Begin { request, serial });
+    }
+
+    fn attempt(&mut self, request: usize, serial: u64) -> Option<&mut Attempt> {
+        self.requests[request].attempt.as_mut().filter(|attempt| attempt.serial == serial)
+    }
+
+    fn begin(&mut self, request: usize, serial: u64) {
+        let Some(attempt) = self.attempt(request, serial).copied() else { return };
+        let may = self.router.may_begin(self.now, request, attempt.endpoint);
+        self.recorder.line(format_args!("begin {} {request} {} {may}", bits(self.now), attempt.endpoint));
+        if !may {
+            return self.end(request, serial);
+        }
+        let (ending, took) = self.draw_ending(request, &attempt);
+        let time_out = if attempt.time_out > 0.0 { attempt.time_out } else { f64::INFINITY };
+        let (ending, took) = if took > time_out { (Ending::TimedOut, time_out) } else { (ending, took) };
+        if let Some(attempt) = self.attempt(request, serial) {
+            attempt.ending = ending;
+        }
+        self.schedule(took, Event::End { request, serial });
+    }
+
+    fn draw_ending(&mut self, request: usize, attempt: &Attempt) -> (Ending, f64) {
+        let Request { statement, hidden_write, .. } = self.requests[request];
+        let terms = &self.scenario.terms.workloads[statement.workload];
+        let (needs, slo_time) = (terms.needs, terms.slo_time);
+        let endpoint = &self.endpoints[attempt.endpoint];
+        let (health, lag) = (endpoint.health, endpoint.lag);
+        let crowd = 1.0 + endpoint.attempts as f64 / (8.0 * endpoint.listed.size);
+        let is_primary = self.primaries[endpoint.listed.group] == attempt.endpoint;
+        let quick = 0.001 + 0.002 * self.random.unit();
+        match health {
+            Health::Down => return (Ending::ConnectFailed, quick),
+            Health::Full => return (Ending::Full, quick),
+            Health::Hung => return (Ending::TimedOut, statement.time_left),
+            Health::Up | Health::Slow => {}
+        }
+        let old =
+            matches!(needs, Needs::Bounded(bound) if lag > bound) && self.scenario.terms.members_check_reads;
+        if !is_primary && (needs == Needs::Primary || statement.writes) || old {
+            return (Ending::Miss, quick);
+        }
+        if hidden_write && !is_primary {
+            return (Ending::ReadOnly, quick);
+        }
+        let slow = if health == Health::Slow { 6.0 } else { 1.0 };
+        let own = statement.work.map_or(slo_time * self.scenario.service_time, |work| work.own);
+        let took = own * crowd * slow * (0.3 + 1.4 * self.random.unit());
+        if self.random.chance(self.scenario.failures) {
+            let endings = [
+                Ending::Error,
+                Ending::Full,
+                Ending::TimedOut,
+                Ending::Reset,
+                Ending::ConnectFailed,
+                Ending::Miss,
+            ];
+            return (endings[self.random.below(endings.len())], took);
+        }
+        if took > statement.time_left {
+            (Ending::TimedOut, statement.time_left)
+        } else {
+            (Ending::Completed, took)
+        }
+    }
+
+    fn report_of(&mut self, endpoint: usize, age: f64) -> Report {
+        let Endpoint { listed, lag, .. } = &self.endpoints[endpoint];
+        let is_primary = self.primaries[listed.group] == endpoint;
+        let lag = if is_primary { 0.0 } else { *lag };
+        let busy = 1.1 * self.random.unit();
+        Report {
+            role: Some(if is_primary { Role::Primary } else { Role::Replica }),
+            lsn: Some(self.now - lag - age),
+            busy: self.scenario.tells_utilization.then_some(busy),
+        }
+    }
+
+    fn end(&mut self, request: usize, serial: u64) {
+        let Some(attempt) = self.attempt(request, serial).copied() else { return };
+        self.requests[request].attempt = None;
+        self.endpoints[attempt.endpoint].attempts -= 1;
+        let Request { statement, over, .. } = self.requests[request];
+        let answered = matches!(attempt.ending, Ending::Completed | Ending::Miss | Ending::ReadOnly);
+        let mut note = Report::default();
+        if answered && self.random.chance(900) {
+            note = self.report_of(attempt.endpoint, 0.0);
+            note.busy = None;
+            let writes = self.scenario.terms.workloads[statement.workload].needs == Needs::Primary;
+            let tells_position =
+                if writes { attempt.ending == Ending::Completed } else { self.random.chance(300) };
+            note.lsn = note.lsn.filter(|_| tells_position);
+        }
+        let reports =
+            answered && self.scenario.terms.reports == Reports::WithAnswers && self.random.chance(700);
+        let age = 0.2 * self.random.unit();
+        let report = reports.then(|| self.report_of(attempt.endpoint, age));
+        let closed = over || attempt.ending == Ending::Completed;
+        let outcome = Outcome {
+            stmt: request,
+            host: attempt.endpoint,
+            ending: attempt.ending,
+            took: self.now - attempt.sent,
+            closed,
+            note,
+            report,
+        };
+        self.recorder.line(format_args!(
+            "result {} {request} {} {} {} {closed} {} {}",
+            bits(self.now),
+            attempt.endpoint,
+            ending_word(attempt.ending),
+            bits(outcome.took),
+            report_words(&note),
+            report.map_or("-".to_string(), |report| report_words(&report)),
+        ));
+        self.requests[request].over = closed;
+        self.router.outcome(self.now, &outcome, &mut self.recorder);
+        self.settle(request);
+    }
+
+    /// Frees the request's index once it has its final answer and no attempt is out.
+    fn settle(&mut self, index: usize) {
+        let request = &mut self.requests[index];
+        if request.over && request.attempt.is_none() && !request.free {
+            request.free = true;
+            self.free.push(index);
+        }
+    }
+
+    fn cancel(&mut self, request: usize) {
+        self.serial += 1;
+        let serial = self.serial;
+        let Some(attempt) = &mut self.requests[request].attempt else { return };
+        attempt.serial = serial;
+        attempt.ending = Ending::Cancelled;
+        self.schedule(0.0005, Event::End { request, serial });
+    }
+
+    fn hang_up(&mut self, request: usize, taken: u64) {
+        let Request { taken: now_taken, over, .. } = self.requests[request];
+        if over || taken != now_taken {
+            return;
+        }
+        self.requests[request].over = true;
+        self.recorder.line(format_args!("client-gone {} {request}", bits(self.now)));
+        self.router.hangup(request);
+        self.settle(request);
+    }
+
+    fn check(&mut self, endpoint: usize) {
+        let may = self.router.may_probe(endpoint);
+        self.recorder.line(format_args!("may-check {endpoint} {may}"));
+        let lost = self.random.chance(self.scenario.failures);
+        let took = match self.endpoints[endpoint].health {
+            Health::Down => 0.3,
+            _ if lost => 0.5,
+            _ => 0.001 + 0.003 * self.random.unit(),
+        };
+        self.schedule(took, Event::CheckEnds { endpoint });
+    }
+
+    fn check_ends(&mut self, endpoint: usize) {
+        let lost = self.random.chance(self.scenario.failures);
+        let ending = match self.endpoints[endpoint].health {
+            Health::Down => [Ending::ConnectFailed, Ending::TimedOut][self.random.below(2)],
+            Health::Full => [Ending::Full, Ending::Completed][self.random.below(2)],
+            _ if lost => [Ending::Reset, Ending::TimedOut, Ending::NeverSent][self.random.below(3)],
+            _ => Ending::Completed,
+        };
+        let told = ending == Ending::Completed && self.scenario.terms.reports != Reports::Nowhere;
+        let mut report = self.report_of(endpoint, 0.0);
+        if ending != Ending::Completed {
+            report = Report::default();
+        } else if !told {
+            report.lsn = None;
+        }
+        self.recorder.line(format_args!(
+            "checked {} {endpoint} {} {}",
+            bits(self.now),
+            ending_word(ending),
+            report_words(&report)
+        ));
+        self.router.probed(self.now, endpoint, ending, report, &mut self.recorder);
+    }
+
+    fn timer(&mut self) {
+        if self.random.chance(self.scenario.stalls) {
+            self.now += 0.05 + 0.7 * self.random.unit();
+        }
+        self.recorder.line(format_args!("timer {}", bits(self.now)));
+        self.router.timer(self.now, &mut self.recorder);
+        let group = self.random.below(self.scenario.groups);
+        self.recorder.line(format_args!("waiting {group} {}", self.router.waiting(group)));
+    }
+
+    fn list(&mut self, endpoints: &[usize]) {
+        let list: Vec<Listed> = endpoints.iter().map(|endpoint| self.endpoints[*endpoint].listed).collect();
+        self.recorder.line(format_args!("list {}", bits(self.now)));
+        for listed in &list {
+            self.recorder.line(format_args!("listed {}", listed_words(listed)));
+        }
+        self.router.hosts(self.now, &list, &mut self.recorder);
+        for endpoint in endpoints {
+            let cold = self.router.is_cold(self.now, *endpoint);
+            self.recorder.line(format_args!("warming {endpoint} {cold}"));
+        }
+    }
+
+    /// What the fleet leaves this router at some of the endpoints.
+    fn parts(&mut self) {
+        self.schedule(0.1, Event::Parts);
+        let mut hosts = Vec::new();
+        for host in 0..self.endpoints.len() {
+            if self.random.chance(400) {
+                let units = self.random.chance(700).then(|| (12.0 * self.random.unit()).floor());
+                let tokens = self.random.chance(700).then(|| 3.0 * self.random.unit());
+                hosts.push(Part { host, units, tokens });
+            }
+        }
+        let routers = self.random.chance(100).then(|| 1 + self.random.below(4));
+        let second_tries = self.random.chance(500).then(|| 4.0 * self.random.unit());
+        let words: Vec<String> = hosts
+            .iter()
+            .map(|part| format!("{} {} {}", part.host, optional(part.units), optional(part.tokens)))
+            .collect();
+        let count = routers.map_or("-".to_string(), |routers| routers.to_string());
+        let (words, tries) = (words.join(","), optional(second_tries));
+        self.recorder.line(format_args!("quotas {} {count} {tries} {words}", bits(self.now)));
+        self.router.parts(self.now, &Parts { hosts, routers, second_tries }, &mut self.recorder);
+    }
+
+    fn change(&mut self) {
+        let gap = 0.1 + 0.3 * self.random.unit();
+        self.schedule(gap, Event::Change);
+        let endpoint = self.random.below(self.endpoints.len());
+        let group = self.endpoints[endpoint].listed.group;
+        self.endpoints[endpoint].lag = self.scenario.lag * self.random.unit();
+        if self.scenario.changes.is_empty() {
+            return;
+        }
+        let change = self.scenario.changes[self.random.below(self.scenario.changes.len())];
+        let target = &mut self.endpoints[endpoint];
+        match change {
+            Change::Hang => target.health = Health::Hung,
+            Change::Crash => target.health = Health::Down,
+            Change::Crowd => target.health = Health::Full,
+            Change::Slow => target.health = Health::Slow,
+            Change::Recover => self.endpoints.iter_mut().for_each(|endpoint| endpoint.health = Health::Up),
+            Change::Failover => self.primaries[group] = endpoint,
+            Change::Drain => target.listed.standing = Standing::Draining,
+            Change::Remove => target.listed.standing = Standing::Gone,
+            Change::Restore => target.listed.standing = Standing::Ready,
+            Change::Restart => target.listed.started_at = Some(self.now),
+            Change::Join
+                if self.endpoints.len() < 3 * self.scenario.groups * self.scenario.endpoints_in_group =>
+            {
+                self.add_endpoint(group, Some(self.now));
+            }
+            Change::Join => {}
+        }
+        match change {
+            Change::Drain | Change::Remove | Change::Restore | Change::Restart => self.list(&[endpoint]),
+            Change::Join => self.list(&[self.endpoints.len() - 1]),
+            _ => {}
+        }
+    }
+}
