--- a/crates/core/src/facade.rs
+++ b/crates/core/src/facade.rs
@@ -118,6 +118,7 @@
 
 impl Facade {
     /// A router that knows no endpoint yet.
+    #[must_use]
     pub fn start(now: f64, terms: Terms) -> Facade {
         let mut pending = Pending { now, ..Pending::default() };
         let router = Router::start(now, terms, &mut pending);
@@ -177,6 +178,7 @@
         }
     }
 
+    /// The client left before its answer.
     fn client_gone(&mut self, now: f64, stmt: usize) {
         let slot = self.pending.slots[stmt];
         self.pending.check_invariant(slot.is_taken && !slot.is_over, "a client leaves before its answer");
@@ -209,42 +211,50 @@
     }
 
     /// Whether an endpoint is taken for one that is not warm yet.
+    #[must_use]
     pub fn is_cold(&self, now: f64, host: usize) -> bool {
         self.router.is_cold(now, host)
     }
 
     /// Whether an attempt that was picked may still be sent; to be asked when its bytes are about to go out.
+    #[must_use]
     pub fn may_begin(&self, now: f64, stmt: usize, host: usize) -> bool {
         self.router.may_begin(now, stmt, host)
     }
 
     /// The same of a health check.
+    #[must_use]
     pub fn may_probe(&self, host: usize) -> bool {
         self.router.may_probe(host)
     }
 
     /// Requests that wait in a group for an endpoint that may take them.
+    #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.router.waiting(group)
     }
 
     /// When `tick` wants to be called, if nothing else happens before.
+    #[must_use]
     pub fn wake_at(&self) -> f64 {
         self.pending.wake_at
     }
 
     /// How often something that must hold did not.
+    #[must_use]
     pub fn breaches(&self) -> u64 {
         self.pending.violations
     }
 }
 
 impl Pending {
+    /// What must hold: panics in a debug build, counts a violation in a release build.
     fn check_invariant(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         self.violations += u64::from(!holds);
     }
 
+    /// A free slot for a new request.
     fn allocate(&mut self) -> usize {
         let index = self.free.pop().unwrap_or(self.slots.len());
         self.slots.resize(self.slots.len().max(index + 1), Slot::default());
@@ -252,6 +262,7 @@
         index
     }
 
+    /// Frees the slot of a request that is over, once no attempt of it is in flight.
     fn free_if_over(&mut self, index: usize) {
         let slot = self.slots[index];
         if slot.is_taken && slot.is_over && slot.in_flight == 0 && slot.choice.is_none() {
@@ -260,6 +271,7 @@
         }
     }
 
+    /// Keeps a choice until it is picked up, and names the request as due unless it is being picked right now.
     fn record_choice(&mut self, index: usize, choice: Choice) {
         let free = self.slots[index].choice.is_none() && !self.slots[index].is_over;
         self.check_invariant(free, "one choice at a time, and none after the last");
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -32,6 +32,7 @@
     }
 
     /// Seconds that an answer of a workload is taken to need before any came.
+    #[must_use]
     pub fn typical(workload: &Workload) -> f64 {
         stats::initial_latency(workload)
     }
@@ -39,7 +40,7 @@
     /// A request arrives; `index` is its own until it has its final answer and no attempt is in flight.
     pub fn statement(&mut self, now: f64, index: usize, stmt: Statement, front: &mut impl Front) {
         let id = RequestId::new(index);
-        self.state.take_in(now, id, &stmt);
+        self.state.register(now, id, &stmt);
         if !self.state.is_admitted(now, id) {
             self.state.shed(now, id, front);
             return;
@@ -54,9 +55,9 @@
         let id = RequestId::new(outcome.stmt);
         let before = *state.requests.get(id);
         state.stalls.record_call(now);
-        state.learn(now, &before, outcome);
+        state.record_result(now, &before, outcome);
         state.record_effect(now, id, outcome);
-        state.learn_of_role(now, &before, outcome);
+        state.update_role(now, &before, outcome);
         let is_abandoned = matches!(state.requests.state(id), RequestState::Abandoned(_));
         if outcome.closed || is_abandoned {
             state.transition(id, RequestState::Free);
@@ -75,14 +76,14 @@
         let id = EndpointId::new(host);
         state.endpoints[id].health_check.end();
         if ending == Ending::NeverSent {
-            // It lay with this router: taken for an answer, it would end an ejection.
+            // Its endpoint is not the cause: taken for an answer, it would end an ejection.
             return;
         }
         state.record_health_check(now, id, ending);
         if report.role.is_some() && state.terms.reports == Reports::WithAnswers {
             state.endpoints[id].role.record_sends_reports();
         }
-        state.hear(now, id, report, false);
+        state.apply_report(now, id, report, false);
         state.dispatch_waiting(now, state.endpoints[id].group(), front);
     }
 
@@ -116,7 +117,7 @@
         self.must_request_list = self.state.terms.list_on_request;
     }
 
-    /// The client left, or its time is up: nothing is owed any more.
+    /// The client left, or its time is up: no answer is needed any more.
     pub fn hangup(&mut self, index: usize) {
         let id = RequestId::new(index);
         let class = self.state.requests.get(id).class;
@@ -156,17 +157,20 @@
     }
 
     /// Whether an endpoint is taken for one that is not warm yet.
+    #[must_use]
     pub fn is_cold(&self, now: f64, host: usize) -> bool {
         View::new(now, &self.state).is_warming(EndpointId::new(host))
     }
 
     /// How many requests wait in a group.
+    #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.state.requests.waiting(GroupId::new(group)).len()
     }
 
     /// Whether an attempt that was decided on may still be sent, as the list, a role or the time may have changed
     /// meanwhile.
+    #[must_use]
     pub fn may_begin(&self, now: f64, index: usize, host: usize) -> bool {
         let endpoint = EndpointId::new(host);
         let request = self.state.requests.get(RequestId::new(index));
@@ -174,6 +178,7 @@
     }
 
     /// The same of a health check.
+    #[must_use]
     pub fn may_probe(&self, host: usize) -> bool {
         !self.state.is_excluded(EndpointId::new(host))
     }
--- /dev/null
+++ b/crates/core/tests/digests/main.rs
@@ -0,0 +1,52 @@
+//! Guards against unintended changes of behaviour: for the same seed and the same events the router has to answer as
+//! before. Each scenario drives one `Router` through its public API with some thousand seeded events, writes every event and
+//! every action in the words of this file, and compares the FNV-1a hash of that transcript with a recorded one.
+//!
+//! If a change of behaviour is meant, the message of the failed assertion has the new digest; the commit says why it
+//! changed. `KEEP_TRANSCRIPTS=1` writes each transcript to the target's `tmp` directory, to compare two versions line by line.
+
+mod scenarios;
+mod simulation;
+mod transcript;
+
+use rstest::rstest;
+
+use scenarios::*;
+use simulation::{Scenario, Simulation};
+
+#[rstest]
+#[case::bounded_reads(bounded_reads, 0xA7A7_C65D_03F3_5FF7)]
+#[case::checked_reads(checked_reads, 0x30CC_5F7B_4F9F_AD11)]
+#[case::remembered_sessions(remembered_sessions, 0x8647_6707_7FE4_7D55)]
+#[case::told_sessions(told_sessions, 0x782B_8F3D_FCE8_EEC6)]
+#[case::fresh_reads(fresh_reads, 0xCCD1_9A90_BA09_44E1)]
+#[case::writes_of_each_effect(writes_of_each_effect, 0xEF4E_6E47_5F04_8A6D)]
+#[case::no_health_checks(no_health_checks, 0x065B_0EDE_BFDA_3854)]
+#[case::hung_endpoints(hung_endpoints, 0x4332_41A7_F8E2_DE2C)]
+#[case::no_cancelling(no_cancelling, 0xC484_17A8_6ACB_6A28)]
+#[case::tenants(tenants, 0xE74A_8B83_22CB_2EBB)]
+#[case::sites_and_sizes(sites_and_sizes, 0x1394_ABA2_5F24_BA20)]
+#[case::warming_endpoints(warming_endpoints, 0xA338_BD7F_6363_B598)]
+#[case::fleet_quotas(fleet_quotas, 0xD045_F57C_93C8_0422)]
+#[case::replaced_endpoints(replaced_endpoints, 0xEF5D_09BB_4CF1_BBEE)]
+#[case::only_draining_bars(only_draining_bars, 0x353F_3D1D_91D2_3698)]
+#[case::hundreds_of_routers(hundreds_of_routers, 0x5CB8_F8BF_C188_A1C8)]
+#[case::hundreds_of_checking_routers(hundreds_of_checking_routers, 0x2A8D_3154_60DA_34E9)]
+#[case::overload(overload, 0xA588_E1C5_D123_5799)]
+#[case::lagging_replicas(lagging_replicas, 0x6305_870B_139B_6A2D)]
+#[case::stalling_router(stalling_router, 0xBB63_C625_9B83_C2A4)]
+#[case::known_work_and_hidden_writes(known_work_and_hidden_writes, 0xB3E4_CDCB_956B_35BC)]
+#[case::repeats_and_late_answers(repeats_and_late_answers, 0x5E53_80B5_4CDB_60C5)]
+#[case::scarce_retries(scarce_retries, 0xA1FF_5673_BFE2_4503)]
+#[case::reads_that_may_be_long(reads_that_may_be_long, 0x76B7_36D5_E2F3_B9BC)]
+fn same_events_same_actions(#[case] scenario: fn() -> Scenario, #[case] expected: u64) {
+    let recorder = Simulation::new(scenario()).run();
+    let name = std::thread::current().name().unwrap_or("scenario").replace("::", "-");
+    if std::env::var_os("KEEP_TRANSCRIPTS").is_some() {
+        let path = format!("{}/{name}.txt", env!("CARGO_TARGET_TMPDIR"));
+        std::fs::write(&path, &recorder.transcript).expect("the transcript can be written");
+    }
+    let (digest, lines) = (recorder.digest(), recorder.transcript.lines().count());
+    assert!(lines > 5000, "{name} has only {lines} lines");
+    assert_eq!(digest, expected, "{name}: digest 0x{digest:016X} over {lines} lines");
+}
--- a/crates/core/tests/digests.rs
+++ b/crates/core/tests/digests/simulation.rs
@@ -1,20 +1,15 @@
-//! Guards against unintended changes of behaviour: for the same seed and the same events the router has to answer as
-//! before. Each scenario drives one `Router` through its public API with some thousand seeded events, writes every event and
-//! every action in the words of this file, and compares the FNV-1a hash of that transcript with a recorded one.
-//!
-//! If a change of behaviour is meant, the message of the failed assertion has the new digest; the commit says why it
-//! changed. `KEEP_TRANSCRIPTS=1` writes each transcript to the target's `tmp` directory, to compare two versions line by line.
+//! A seeded simulation around one router: clients, endpoints that fail and change, discovery.
 
 use std::collections::BTreeMap;
-use std::fmt::Write;
 
 use ottersill_core::Router;
 use ottersill_core::interface::*;
-use rstest::rstest;
+
+use crate::transcript::{Action, Recorder, bits, ending_word, listed_words, optional, report_words};
 
 /// Something that happens to the endpoints of the scenario while it runs.
 #[derive(Clone, Copy)]
-enum Change {
+pub enum Change {
     Hang,
     Crash,
     Crowd,
@@ -40,34 +35,34 @@
     Slow,
 }
 
-struct Scenario {
-    terms: Terms,
+pub struct Scenario {
+    pub terms: Terms,
     /// How often each workload is asked for, relative to the others.
-    weights: Vec<u64>,
-    groups: usize,
-    endpoints_in_group: usize,
-    sites: usize,
-    requests_per_second: f64,
-    seconds: f64,
+    pub weights: Vec<u64>,
+    pub groups: usize,
+    pub endpoints_in_group: usize,
+    pub sites: usize,
+    pub requests_per_second: f64,
+    pub seconds: f64,
     /// Time of a usual answer as a fraction of the workload's SLO time.
-    service_time: f64,
+    pub service_time: f64,
     /// Largest replication lag in seconds.
-    lag: f64,
+    pub lag: f64,
     /// Attempts in a thousand that fail at a healthy endpoint.
-    failures: u64,
-    changes: Vec<Change>,
+    pub failures: u64,
+    pub changes: Vec<Change>,
     /// Requests in a thousand whose client leaves early.
-    hangups: u64,
+    pub hangups: u64,
     /// Timer calls in a thousand that come late.
-    stalls: u64,
-    sessions: u64,
+    pub stalls: u64,
+    pub sessions: u64,
     /// The session's last write is told with its requests.
-    tells_writes: bool,
-    repeats: u64,
-    hidden_writes: u64,
-    with_work: bool,
-    tells_utilization: bool,
-    with_parts: bool,
+    pub tells_writes: bool,
+    pub repeats: u64,
+    pub hidden_writes: u64,
+    pub with_work: bool,
+    pub tells_utilization: bool,
+    pub with_parts: bool,
 }
 
 /// SplitMix64.
@@ -96,76 +91,6 @@
     }
 }
 
-enum Action {
-    Send { request: usize, endpoint: usize, time_out: f64 },
-    Final { request: usize },
-    Cancel { request: usize },
-    Check { endpoint: usize },
-    Wake { after: f64 },
-    Follow,
-}
-
-/// Writes down the actions of the router and keeps them for the scenario to carry out.
-#[derive(Default)]
-struct Recorder {
-    transcript: String,
-    actions: Vec<Action>,
-}
-
-fn bits(value: f64) -> String {
-    format!("{:016x}", value.to_bits())
-}
-
-fn optional(value: Option<f64>) -> String {
-    value.map_or("-".to_string(), bits)
-}
-
-impl Recorder {
-    fn line(&mut self, line: std::fmt::Arguments) {
-        self.transcript.write_fmt(line).expect("strings take all that is written");
-        self.transcript.push('\n');
-    }
-
-    fn digest(&self) -> u64 {
-        let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01B3);
-        self.transcript.bytes().fold(0xCBF2_9CE4_8422_2325, step)
-    }
-}
-
-impl Front for Recorder {
-    fn execute(&mut self, request: usize, endpoint: usize, time_out: f64) {
-        self.line(format_args!("> send {request} {endpoint} {}", bits(time_out)));
-        self.actions.push(Action::Send { request, endpoint, time_out });
-    }
-    fn reject(&mut self, request: usize, retry_after: f64) {
-        self.line(format_args!("> reject {request} {}", bits(retry_after)));
-        self.actions.push(Action::Final { request });
-    }
-    fn abort(&mut self, request: usize) {
-        self.line(format_args!("> abort {request}"));
-        self.actions.push(Action::Final { request });
-    }
-    fn cancel(&mut self, request: usize, attempt: u32) {
-        self.line(format_args!("> cancel {request} {attempt}"));
-        self.actions.push(Action::Cancel { request });
-    }
-    fn probe(&mut self, endpoint: usize) {
-        self.line(format_args!("> check {endpoint}"));
-        self.actions.push(Action::Check { endpoint });
-    }
-    fn wake(&mut self, after: f64) {
-        self.line(format_args!("> wake {}", bits(after)));
-        self.actions.push(Action::Wake { after });
-    }
-    fn follow(&mut self) {
-        self.line(format_args!("> follow"));
-        self.actions.push(Action::Follow);
-    }
-    fn log(&mut self, text: &str) {
-        self.line(format_args!("> log {text}"));
-    }
-}
-
 #[derive(Clone, Copy)]
 enum Event {
     Arrival,
@@ -206,7 +131,7 @@
     attempts: usize,
 }
 
-struct Run {
+pub struct Simulation {
     scenario: Scenario,
     random: Random,
     router: Router,
@@ -221,46 +146,11 @@
     primaries: Vec<usize>,
 }
 
-fn ending_word(ending: Ending) -> &'static str {
-    match ending {
-        Ending::Completed => "completed",
-        Ending::Error => "error",
-        Ending::Full => "full",
-        Ending::TimedOut => "timed-out",
-        Ending::ConnectFailed => "connect-failed",
-        Ending::Reset => "reset",
-        Ending::Cancelled => "cancelled",
-        Ending::NeverSent => "never-sent",
-        Ending::Miss => "miss",
-        Ending::ReadOnly => "read-only",
-    }
-}
-
-fn report_words(report: &Report) -> String {
-    let role = match report.role {
-        Some(Role::Primary) => "primary",
-        Some(Role::Replica) => "replica",
-        None => "-",
-    };
-    format!("{role} {} {}", optional(report.lsn), optional(report.busy))
-}
-
-fn listed_words(listed: &Listed) -> String {
-    let state = match listed.standing {
-        Standing::Ready => "ready",
-        Standing::Draining => "draining",
-        Standing::Gone => "gone",
-    };
-    let site = listed.site.map_or("-".to_string(), |site| site.to_string());
-    let Listed { host, order, group, size, started_at, .. } = *listed;
-    format!("{host} {order} {group} {site} {} {state} {}", bits(size), optional(started_at))
-}
-
-impl Run {
-    fn new(scenario: Scenario) -> Run {
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
         let mut recorder = Recorder::default();
         let router = Router::start(1000.0, scenario.terms.clone(), &mut recorder);
-        let mut run = Run {
+        let mut simulation = Simulation {
             random: Random(scenario.terms.seed ^ 0xD16E_5757),
             router,
             recorder,
@@ -273,20 +163,20 @@
             primaries: vec![0; scenario.groups],
             scenario,
         };
-        for group in 0..run.scenario.groups {
-            run.primaries[group] = run.endpoints.len();
-            (0..run.scenario.endpoints_in_group).for_each(|_| run.add_endpoint(group, None));
+        for group in 0..simulation.scenario.groups {
+            simulation.primaries[group] = simulation.endpoints.len();
+            (0..simulation.scenario.endpoints_in_group).for_each(|_| simulation.add_endpoint(group, None));
         }
-        run.carry_out();
-        if !run.scenario.terms.list_on_request {
-            run.schedule(0.0, Event::List);
+        simulation.carry_out();
+        if !simulation.scenario.terms.list_on_request {
+            simulation.schedule(0.0, Event::List);
         }
-        run.schedule(0.01, Event::Arrival);
-        run.schedule(0.5, Event::Change);
-        if run.scenario.with_parts {
-            run.schedule(0.3, Event::Parts);
+        simulation.schedule(0.01, Event::Arrival);
+        simulation.schedule(0.5, Event::Change);
+        if simulation.scenario.with_parts {
+            simulation.schedule(0.3, Event::Parts);
         }
-        run
+        simulation
     }
 
     fn add_endpoint(&mut self, group: usize, started_at: Option<f64>) {
@@ -307,7 +197,8 @@
         self.events.insert(((self.now + after).to_bits(), self.serial), event);
     }
 
-    fn run(mut self) -> Recorder {
+    /// Runs the scenario to its end.
+    pub fn run(mut self) -> Recorder {
         let until = self.now + self.scenario.seconds;
         while self.now < until {
             let ((due, _), event) = self.events.pop_first().expect("a timer is always scheduled");
@@ -715,321 +606,3 @@
         }
     }
 }
-
-const SHORT_READ: usize = 0;
-const LONG_READ: usize = 1;
-const WRITE: usize = 2;
-const GROUP_WRITE: usize = 3;
-const SESSION_READ: usize = 4;
-const FRESH_READ: usize = 5;
-const SAFE_WRITE: usize = 6;
-const SITE_WRITE: usize = 7;
-const GLOBAL_WRITE: usize = 8;
-const ANY_READ: usize = 9;
-
-fn workloads() -> Vec<Workload> {
-    let workload = |needs, effect, importance, slo_time, statement_timeout| Workload {
-        needs,
-        effect,
-        importance,
-        late_share: 0.0,
-        slo_time,
-        statement_timeout,
-    };
-    let once_in = |within, window| Effect::Deduplicated { within, window };
-    vec![
-        workload(Needs::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
-        workload(Needs::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
-        workload(Needs::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
-        workload(Needs::Primary, once_in(Within::Group, 0.5), 4.0, 0.6, 2.0),
-        workload(Needs::Session, Effect::Idempotent, 2.0, 0.3, 0.8),
-        workload(Needs::Fresh, Effect::Idempotent, 5.0, 0.4, 1.0),
-        workload(Needs::Primary, Effect::Idempotent, 3.0, 0.5, 1.5),
-        workload(Needs::Primary, once_in(Within::Site, 1.0), 4.0, 0.6, 2.0),
-        workload(Needs::Primary, once_in(Within::Everywhere, 2.0), 4.0, 0.6, 2.0),
-        workload(Needs::Any, Effect::Idempotent, 1.0, 0.25, 0.6),
-    ]
-}
-
-fn terms(seed: u64) -> Terms {
-    Terms {
-        seed,
-        routers: 1,
-        site: Some(0),
-        workloads: workloads(),
-        tenant_rates: Vec::new(),
-        over_share: 0.1,
-        reports: Reports::WithAnswers,
-        members_check_reads: false,
-        remembers_writes: false,
-        list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        max_executions: 8,
-        max_retry_after: 1.0,
-        only_draining_bars: false,
-        cold_part: 0.2,
-        warm_after: 10.0,
-        fall_multiple: 2.5,
-        fall_span: 1.0,
-    }
-}
-
-fn weights(pairs: &[(usize, u64)]) -> Vec<u64> {
-    let mut weights = vec![0; workloads().len()];
-    for (workload, weight) in pairs {
-        weights[*workload] = *weight;
-    }
-    weights
-}
-
-/// Two groups of four endpoints under one router, a light load, nothing that fails.
-fn calm(seed: u64) -> Scenario {
-    Scenario {
-        terms: terms(seed),
-        weights: weights(&[(SHORT_READ, 6), (LONG_READ, 1), (WRITE, 2)]),
-        groups: 2,
-        endpoints_in_group: 4,
-        sites: 2,
-        requests_per_second: 60.0,
-        seconds: 40.0,
-        service_time: 0.15,
-        lag: 0.3,
-        failures: 0,
-        changes: Vec::new(),
-        hangups: 10,
-        stalls: 0,
-        sessions: 0,
-        tells_writes: false,
-        repeats: 0,
-        hidden_writes: 0,
-        with_work: false,
-        tells_utilization: false,
-        with_parts: false,
-    }
-}
-
-fn bounded_reads() -> Scenario {
-    Scenario { lag: 1.6, ..calm(1) }
-}
-
-fn checked_reads() -> Scenario {
-    let terms = Terms { members_check_reads: true, ..terms(2) };
-    Scenario { terms, lag: 1.6, requests_per_second: 120.0, failures: 10, ..calm(2) }
-}
-
-fn remembered_sessions() -> Scenario {
-    let terms = Terms { remembers_writes: true, ..terms(3) };
-    Scenario {
-        terms,
-        weights: weights(&[(SESSION_READ, 5), (GROUP_WRITE, 2), (WRITE, 1)]),
-        sessions: 30,
-        lag: 0.8,
-        failures: 30,
-        changes: vec![Change::Drain, Change::Restore, Change::Join],
-        ..calm(3)
-    }
-}
-
-fn told_sessions() -> Scenario {
-    Scenario {
-        weights: weights(&[(SESSION_READ, 5), (SAFE_WRITE, 2), (ANY_READ, 2)]),
-        sessions: 30,
-        tells_writes: true,
-        lag: 2.0,
-        changes: vec![Change::Failover, Change::Slow, Change::Recover, Change::Recover],
-        ..calm(4)
-    }
-}
-
-fn fresh_reads() -> Scenario {
-    Scenario {
-        weights: weights(&[(FRESH_READ, 5), (SAFE_WRITE, 2), (WRITE, 1)]),
-        failures: 20,
-        changes: vec![Change::Failover, Change::Crash, Change::Recover, Change::Recover],
-        ..calm(5)
-    }
-}
-
-fn writes_of_each_effect() -> Scenario {
-    Scenario {
-        weights: weights(&[
-            (WRITE, 2),
-            (GROUP_WRITE, 2),
-            (SITE_WRITE, 2),
-            (GLOBAL_WRITE, 2),
-            (SAFE_WRITE, 2),
-        ]),
-        failures: 120,
-        changes: vec![Change::Failover, Change::Recover, Change::Crash],
-        ..calm(6)
-    }
-}
-
-fn no_health_checks() -> Scenario {
-    let terms = Terms { may_probe: false, ..terms(7) };
-    let changes = vec![Change::Hang, Change::Recover, Change::Crash, Change::Recover];
-    Scenario { terms, failures: 20, lag: 0.6, changes, ..calm(7) }
-}
-
-fn hung_endpoints() -> Scenario {
-    Scenario {
-        weights: weights(&[(SHORT_READ, 6), (ANY_READ, 3), (SAFE_WRITE, 1)]),
-        requests_per_second: 150.0,
-        changes: vec![Change::Hang, Change::Recover, Change::Recover],
-        ..calm(8)
-    }
-}
-
-fn no_cancelling() -> Scenario {
-    let terms = Terms { may_cancel: false, max_executions: 2, ..terms(9) };
-    Scenario { terms, ..hung_endpoints() }
-}
-
-fn tenants() -> Scenario {
-    let terms = Terms { tenant_rates: vec![4.0, 20.0, 60.0], ..terms(10) };
-    Scenario { terms, requests_per_second: 250.0, service_time: 0.4, seconds: 20.0, ..calm(10) }
-}
-
-fn sites_and_sizes() -> Scenario {
-    let terms = Terms { site: Some(2), routers: 3, ..terms(11) };
-    Scenario { terms, sites: 3, endpoints_in_group: 6, requests_per_second: 200.0, seconds: 20.0, ..calm(11) }
-}
-
-fn warming_endpoints() -> Scenario {
-    let terms = Terms { routers: 4, ..terms(12) };
-    let changes = vec![Change::Restart, Change::Join, Change::Failover, Change::Crash, Change::Recover];
-    Scenario { terms, groups: 3, requests_per_second: 150.0, changes, ..calm(12) }
-}
-
-fn fleet_quotas() -> Scenario {
-    let terms = Terms { routers: 3, ..terms(13) };
-    let changes = vec![Change::Restart, Change::Hang, Change::Recover, Change::Recover];
-    Scenario { terms, with_parts: true, failures: 40, requests_per_second: 120.0, changes, ..calm(13) }
-}
-
-fn replaced_endpoints() -> Scenario {
-    let changes = vec![Change::Drain, Change::Remove, Change::Restore, Change::Join, Change::Failover];
-    Scenario { changes, failures: 10, ..calm(14) }
-}
-
-fn only_draining_bars() -> Scenario {
-    let terms = Terms { only_draining_bars: true, reports: Reports::Nowhere, ..terms(15) };
-    Scenario { terms, ..replaced_endpoints() }
-}
-
-fn hundreds_of_routers() -> Scenario {
-    let terms = Terms { routers: 300, list_on_request: true, reports: Reports::WithProbes, ..terms(16) };
-    Scenario {
-        terms,
-        groups: 6,
-        requests_per_second: 40.0,
-        seconds: 60.0,
-        tells_utilization: true,
-        failures: 60,
-        changes: vec![Change::Crowd, Change::Recover, Change::Restart, Change::Failover],
-        ..calm(16)
-    }
-}
-
-fn hundreds_of_checking_routers() -> Scenario {
-    let terms = Terms { routers: 200, members_check_reads: true, ..terms(17) };
-    Scenario { terms, tells_utilization: true, lag: 1.3, service_time: 0.3, ..hundreds_of_routers() }
-}
-
-fn overload() -> Scenario {
-    Scenario {
-        weights: weights(&[(SHORT_READ, 6), (LONG_READ, 1), (WRITE, 2), (ANY_READ, 3)]),
-        requests_per_second: 600.0,
-        service_time: 0.5,
-        seconds: 12.0,
-        failures: 30,
-        repeats: 200,
-        changes: vec![Change::Slow, Change::Recover, Change::Crowd, Change::Recover],
-        ..calm(18)
-    }
-}
-
-fn lagging_replicas() -> Scenario {
-    Scenario {
-        weights: weights(&[(SHORT_READ, 12), (WRITE, 2), (LONG_READ, 2)]),
-        groups: 1,
-        requests_per_second: 250.0,
-        service_time: 0.4,
-        seconds: 25.0,
-        lag: 3.0,
-        ..calm(19)
-    }
-}
-
-fn stalling_router() -> Scenario {
-    let changes = vec![Change::Hang, Change::Recover, Change::Crash];
-    Scenario { stalls: 60, requests_per_second: 150.0, failures: 10, changes, ..calm(20) }
-}
-
-fn known_work_and_hidden_writes() -> Scenario {
-    Scenario { with_work: true, hidden_writes: 40, requests_per_second: 200.0, seconds: 25.0, ..calm(21) }
-}
-
-fn repeats_and_late_answers() -> Scenario {
-    let mut terms = terms(22);
-    terms.workloads.iter_mut().for_each(|workload| workload.late_share = 0.3);
-    let changes = vec![Change::Failover, Change::Crash, Change::Recover];
-    Scenario { terms, repeats: 300, failures: 80, service_time: 0.3, hangups: 100, changes, ..calm(22) }
-}
-
-fn scarce_retries() -> Scenario {
-    Scenario {
-        weights: weights(&[(SHORT_READ, 3), (ANY_READ, 5), (SAFE_WRITE, 3)]),
-        failures: 350,
-        requests_per_second: 100.0,
-        ..calm(23)
-    }
-}
-
-fn reads_that_may_be_long() -> Scenario {
-    Scenario {
-        weights: weights(&[(SHORT_READ, 3), (ANY_READ, 8), (WRITE, 1)]),
-        with_work: true,
-        service_time: 0.25,
-        requests_per_second: 100.0,
-        ..calm(24)
-    }
-}
-
-#[rstest]
-#[case::bounded_reads(bounded_reads, 0xA7A7_C65D_03F3_5FF7)]
-#[case::checked_reads(checked_reads, 0x30CC_5F7B_4F9F_AD11)]
-#[case::remembered_sessions(remembered_sessions, 0x8647_6707_7FE4_7D55)]
-#[case::told_sessions(told_sessions, 0x782B_8F3D_FCE8_EEC6)]
-#[case::fresh_reads(fresh_reads, 0xCCD1_9A90_BA09_44E1)]
-#[case::writes_of_each_effect(writes_of_each_effect, 0xEF4E_6E47_5F04_8A6D)]
-#[case::no_health_checks(no_health_checks, 0x065B_0EDE_BFDA_3854)]
-#[case::hung_endpoints(hung_endpoints, 0x4332_41A7_F8E2_DE2C)]
-#[case::no_cancelling(no_cancelling, 0xC484_17A8_6ACB_6A28)]
-#[case::tenants(tenants, 0xE74A_8B83_22CB_2EBB)]
-#[case::sites_and_sizes(sites_and_sizes, 0x1394_ABA2_5F24_BA20)]
-#[case::warming_endpoints(warming_endpoints, 0xA338_BD7F_6363_B598)]
-#[case::fleet_quotas(fleet_quotas, 0xD045_F57C_93C8_0422)]
-#[case::replaced_endpoints(replaced_endpoints, 0xEF5D_09BB_4CF1_BBEE)]
-#[case::only_draining_bars(only_draining_bars, 0x353F_3D1D_91D2_3698)]
-#[case::hundreds_of_routers(hundreds_of_routers, 0x5CB8_F8BF_C188_A1C8)]
-#[case::hundreds_of_checking_routers(hundreds_of_checking_routers, 0x2A8D_3154_60DA_34E9)]
-#[case::overload(overload, 0xA588_E1C5_D123_5799)]
-#[case::lagging_replicas(lagging_replicas, 0x6305_870B_139B_6A2D)]
-#[case::stalling_router(stalling_router, 0xBB63_C625_9B83_C2A4)]
-#[case::known_work_and_hidden_writes(known_work_and_hidden_writes, 0xB3E4_CDCB_956B_35BC)]
-#[case::repeats_and_late_answers(repeats_and_late_answers, 0x5E53_80B5_4CDB_60C5)]
-#[case::scarce_retries(scarce_retries, 0xA1FF_5673_BFE2_4503)]
-#[case::reads_that_may_be_long(reads_that_may_be_long, 0x76B7_36D5_E2F3_B9BC)]
-fn same_events_same_actions(#[case] scenario: fn() -> Scenario, #[case] expected: u64) {
-    let recorder = Run::new(scenario()).run();
-    let name = std::thread::current().name().unwrap_or("scenario").replace("::", "-");
-    if std::env::var_os("KEEP_TRANSCRIPTS").is_some() {
-        let path = format!("{}/{name}.txt", env!("CARGO_TARGET_TMPDIR"));
-        std::fs::write(&path, &recorder.transcript).expect("the transcript can be written");
-    }
-    let (digest, lines) = (recorder.digest(), recorder.transcript.lines().count());
-    assert!(lines > 5000, "{name} has only {lines} lines");
-    assert_eq!(digest, expected, "{name}: digest 0x{digest:016X} over {lines} lines");
-}
