--- /dev/null
+++ b/crates/config/src/deployment/mod.rs
@@ -0,0 +1,22 @@
+//! Deployment settings: the JSON object that every router of a deployment is given, over sockets and on the
+//! simulator's wire alike.
+//!
+//! [`DeploymentSettings`] is the object as parsed. From it come the [`Terms`](ottersill_core::interface::Terms) that
+//! routing decides by, the [`Catalog`] of names that the program keeps beside them, and the [`BackendTimeouts`].
+
+mod backend_timeouts;
+mod catalog;
+mod error;
+mod schema;
+mod terms;
+mod workload;
+
+pub use backend_timeouts::BackendTimeouts;
+pub use catalog::Catalog;
+pub use error::SettingsError;
+pub use schema::DeploymentSettings;
+
+/// Milliseconds, as the JSON has times, in seconds, as the program has them.
+fn seconds(milliseconds: f64) -> f64 {
+    milliseconds / 1000.0
+}
--- /dev/null
+++ b/crates/config/src/lib.rs
@@ -0,0 +1,14 @@
+//! Configuration of ottersill, read and checked. Operators write two files: the JSON file that `NODE_CONFIG` names,
+//! whose object `settings` describes the deployment, and the optional fleet file in protobuf text format. This crate
+//! turns both into checked Rust values and opens no file itself. A configuration is accepted as a whole or rejected
+//! with a typed error that names the field and the reason.
+//!
+//! Modules in reading order:
+//!
+//! 1. [`deployment`]: the object `settings` of the JSON file, which the simulator also hands to each router.
+//! 2. [`fleet`]: the fleet file, with the members of the fleet and the budgets that they share.
+
+#![warn(missing_docs)]
+
+pub mod deployment;
+pub mod fleet;
--- a/crates/ottersill/src/lifecycle/charter.rs
+++ b/crates/ottersill/src/lifecycle/charter.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use ottersill_terms::BootInfo;
+use ottersill_config::deployment::DeploymentSettings;
 use serde::{Deserialize, Deserializer};
 
-use crate::wire::discovery::List;
+use crate::discovery::endpoint_list::EndpointList as List;
 use crate::wire::exchange::Berths;
 
 /// Descriptors that are no connection: three standard ones, the loop's four, listener, discovery's two, of which one may
@@ -27,7 +27,7 @@
     /// The hosts as this router last had them; may be old.
     #[serde(default)]
     pub known: Option<List>,
-    pub settings: BootInfo,
+    pub settings: DeploymentSettings,
 }
 
 impl Charter {
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -2,36 +2,41 @@
 //! facade says is carried out. Nothing here decides.
 
 use std::io;
-use std::mem;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::RegistrationToken;
+use ottersill_config::deployment::{BackendTimeouts, Catalog};
 use ottersill_core::Router;
 use ottersill_core::facade::{Ask, Choice, Due, Facade, News};
-use ottersill_core::interface::{Listed, Statement, Terms};
-use ottersill_statement::book::Book;
-use ottersill_statement::shape::Key;
-use ottersill_terms::{Names, Upkeep};
+use ottersill_core::interface::{Statement, Terms};
+use ottersill_statement::fingerprint::Key;
+use ottersill_statement::fingerprint_cache::FingerprintCache;
 use slab::Slab;
-use slog::Logger;
+use slog::{Logger, info};
 use socket2::Socket;
 
-use crate::memory::alarms::{Alarm, Alarms, Set};
+use crate::control::fleet_report::FleetReport;
+use crate::control::server::ControlServer;
+use crate::counters::Counters;
+use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::registry::EndpointRegistry;
 use crate::memory::clients::Client;
-use crate::memory::counters::Counters;
-use crate::memory::hosts::Hosts;
 use crate::memory::lines::Line;
 use crate::memory::link::Link;
 use crate::memory::statements::Statements;
-use crate::wire::control::Control;
-use crate::wire::discovery::Watch;
+pub use crate::reactor::Source as Party;
+use crate::reactor::{self, Context, ReactorHandle, Readiness};
+use crate::timers::{Timer, TimerHandle, Timers};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
 /// connection comes up is no measure for it: a customer's settings may give that any length.
 pub const LEEWAY: f64 = 0.25;
 
+/// Sockets that are found ready within so many seconds after a turn may have been ready during it.
+const NO_WAIT: f64 = 0.001;
+
 /// One time for everything: it never goes back, and was tied to Unix time once, since positions are Unix times.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -58,19 +63,6 @@
     }
 }
 
-/// Whose socket became ready. In this order they are seen to: what discovery wrote counts as told, and an answer
-/// that is read first makes room for the statement that follows.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
-    Discovery,
-    Fleet,
-    Control,
-    Asker(usize),
-    Line(usize),
-    Client(usize),
-    Listener,
-}
-
 /// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Berths {
@@ -90,27 +82,31 @@
 pub struct Exchange {
     pub facade: Facade,
     pub statements: Statements,
-    pub hosts: Hosts,
+    pub hosts: EndpointRegistry,
     pub clients: Slab<Client>,
     pub lines: Slab<Line>,
-    pub watch: Watch,
-    pub alarms: Alarms,
+    discovery: DiscoveryClient,
+    pub alarms: Timers,
     /// The tie to the other routers; none where there is no talk.
     pub link: Option<Link>,
-    pub control: Control,
+    control: ControlServer,
     pub counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
-    pub book: Book,
+    pub book: FingerprintCache,
     /// When a line last said why a statement was taken for one that may write.
     pub strict_logged_at: f64,
-    pub names: Names,
-    pub upkeep: Upkeep,
+    pub names: Catalog,
+    pub upkeep: BackendTimeouts,
     pub berths: Berths,
     pub log: Logger,
-    pub handle: LoopHandle<'static, Exchange>,
+    pub handle: ReactorHandle,
     pub clock: Clock,
-    /// When the sockets were last found ready: what is read counts as having come then.
+    /// When the sockets were last found ready.
     pub now: f64,
+    /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
+    /// bytes then may have lain there while that turn was held up.
+    pub arrivals_since: f64,
+    turn_ended_at: f64,
     pub started_at: f64,
     /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
     pub come_again: f64,
@@ -118,44 +114,40 @@
     pub stored: usize,
     pub listener: Option<(Rc<Socket>, RegistrationToken)>,
     /// Set while clients wait at the door for one to leave.
-    pub crowd: Option<Set>,
+    pub crowd: Option<TimerHandle>,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
     pub retiring: bool,
     /// What is taken in is answered by then; never, unless the router has been told to stop.
     pub stops_at: f64,
-    /// What signals have asked for.
-    pub stop_asked: bool,
-    pub print_asked: bool,
-    pub reload_asked: bool,
-    /// Emptied by each turn.
-    ready: Vec<Party>,
+    /// What the event loop notes while it waits.
+    pub readiness: Readiness,
 }
 
 impl Exchange {
     pub fn new(
         terms: Terms,
-        names: Names,
-        upkeep: Upkeep,
+        names: Catalog,
+        upkeep: BackendTimeouts,
         berths: Berths,
         discovery: std::net::SocketAddr,
         log: Logger,
-        handle: LoopHandle<'static, Exchange>,
+        handle: ReactorHandle,
     ) -> Exchange {
         let clock = Clock::default();
         let now = clock.now();
         let come_again = terms.max_retry_after;
         let usual = terms.workloads.iter().map(Router::typical).collect();
-        let book = Book::new(now, Key::from_seed(terms.seed), berths.book, usual);
+        let book = FingerprintCache::new(now, Key::from_seed(terms.seed), berths.book, usual);
         Exchange {
             facade: Facade::start(now, terms),
             statements: Statements::default(),
-            hosts: Hosts::new(names.sites.clone()),
+            hosts: EndpointRegistry::new(names.sites.clone()),
             clients: Slab::new(),
             lines: Slab::new(),
-            watch: Watch::new(discovery),
-            alarms: Alarms::default(),
+            discovery: DiscoveryClient::new(discovery, upkeep.drain_grace),
+            alarms: Timers::default(),
             link: None,
-            control: Control::default(),
+            control: ControlServer::default(),
             counters: Counters::default(),
             book,
             strict_logged_at: 0.0,
@@ -166,6 +158,8 @@
             handle,
             clock,
             now,
+            arrivals_since: now,
+            turn_ended_at: now,
             started_at: now,
             come_again,
             stored: 0,
@@ -173,73 +167,74 @@
             crowd: None,
             retiring: false,
             stops_at: f64::INFINITY,
-            stop_asked: false,
-            print_asked: false,
-            reload_asked: false,
-            ready: Vec::new(),
+            readiness: Readiness::default(),
         }
     }
 
     /// Has the loop tell when the socket becomes ready: once for each change, so that nothing needs to be asked
     /// for again; whoever leaves something unread says so by [`Exchange::again`].
-    pub fn attend(&mut self, socket: Socket, party: Party) -> io::Result<(Rc<Socket>, RegistrationToken)> {
-        let socket = Rc::new(socket);
-        let source = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
-        let told = self.handle.insert_source(source, move |_, _, exchange: &mut Exchange| {
-            exchange.again(party);
-            Ok(PostAction::Continue)
-        });
-        Ok((socket, told.map_err(|e| io::Error::other(e.error))?))
+    pub fn attend(&self, socket: Socket, party: Party) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+        reactor::register(&self.handle, socket, party)
     }
 
     /// Sees to that party in the next turn.
     pub fn again(&mut self, party: Party) {
-        self.ready.push(party);
+        self.readiness.wake(party);
     }
 
     /// When the next turn is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
-        let next = if self.ready.is_empty() { f64::INFINITY } else { self.now };
+        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
         self.alarms.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
     pub fn turn(&mut self) {
-        self.now = self.clock.now();
+        self.begin_turn(self.clock.now());
         self.fleet_parts();
-        let mut ready = mem::take(&mut self.ready);
-        ready.sort_unstable();
-        ready.dedup();
-        for party in ready {
+        for party in self.readiness.take() {
             match party {
-                Party::Discovery => self.discovery_is_ready(),
+                Party::Discovery => self.with_discovery(DiscoveryClient::on_ready),
                 Party::Fleet => {
                     self.fleet_is_ready();
                     self.fleet_parts();
                 }
-                Party::Control => self.control_is_ready(),
-                Party::Asker(asker) => self.asker_is_ready(asker),
+                Party::Control => self.with_control(ControlServer::on_ready),
+                Party::ControlClient(id) => {
+                    self.with_control(|control, report, context| {
+                        control.on_client_ready(id, report, context)
+                    });
+                }
                 Party::Line(line) => self.line_is_ready(line),
                 Party::Client(client) => self.client_is_ready(client),
                 Party::Listener => self.listener_is_ready(),
             }
             self.carry_out();
         }
-        while let Some(alarm) = self.alarms.due(self.now) {
-            match alarm {
-                Alarm::Discovery => self.discovery_is_due(),
-                Alarm::Fleet => self.fleet_is_due(),
-                Alarm::Asker(asker) => self.asker_leaves(asker),
-                Alarm::Listener => {
+        while let Some(timer) = self.alarms.expired(self.now) {
+            match timer {
+                Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
+                Timer::Fleet => self.fleet_is_due(),
+                Timer::ControlClient(id) => {
+                    self.with_control(|control, _, context| control.close_client(id, context));
+                }
+                Timer::Listener => {
                     self.crowd = None;
                     self.again(Party::Listener);
                 }
-                Alarm::Line(line) => self.line_is_due(line),
-                Alarm::Client(client) => self.client_is_due(client),
+                Timer::Line(line) => self.line_is_due(line),
+                Timer::Client(client) => self.client_is_due(client),
             }
             self.carry_out();
         }
         self.carry_out();
         self.fleet_after();
+        self.turn_ended_at = self.clock.now();
+    }
+
+    fn begin_turn(&mut self, time: f64) {
+        let waited = time - self.turn_ended_at;
+        self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
+        self.now = time;
     }
 
     /// Does what the facade names, until it names nothing more.
@@ -282,12 +277,63 @@
         self.facade.report(self.now, news);
     }
 
-    pub fn tell_list(&mut self, told: &[Listed]) {
-        self.tell(News::List(told));
+    /// Has the discovery client do something, and carries out what it says.
+    pub fn with_discovery(&mut self, step: impl FnOnce(&mut DiscoveryClient, &mut Context)) {
+        let mut context = Context {
+            now: self.now,
+            handle: &self.handle,
+            readiness: &mut self.readiness,
+            timers: &mut self.alarms,
+            counters: &mut self.counters,
+            log: &self.log,
+        };
+        step(&mut self.discovery, &mut context);
+        while let Some(event) = self.discovery.poll_event() {
+            match event {
+                DiscoveryEvent::List(list) => self.apply_endpoint_list(&list),
+                DiscoveryEvent::CallFailed => self.tell(News::ListFailed),
+            }
+        }
+    }
+
+    /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
+    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        self.counters.lists += 1;
+        let change = self.hosts.apply(list);
+        for endpoint in change.readdressed {
+            self.close_idle_of(endpoint);
+        }
+        for listed in &change.updates {
+            let name = self.hosts.all[listed.host].name.as_str();
+            info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.standing),
+                "started_at" => listed.started_at.unwrap_or(0.0));
+        }
+        self.tell(News::List(&change.updates));
+        self.call_back();
+    }
+
+    /// Has the control listener do something.
+    pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
+        let report = FleetReport { now: self.clock.now(), link: self.link.as_ref(), endpoints: &self.hosts };
+        let mut context = Context {
+            now: self.now,
+            handle: &self.handle,
+            readiness: &mut self.readiness,
+            timers: &mut self.alarms,
+            counters: &mut self.counters,
+            log: &self.log,
+        };
+        step(&mut self.control, &report, &mut context);
     }
 
-    pub fn list_failed(&mut self) {
-        self.tell(News::ListFailed);
+    /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
+    pub fn open_control(&mut self) -> Result<(), String> {
+        let Some(address) = self.link.as_ref().and_then(|link| link.bylaws.control) else { return Ok(()) };
+        let mut opened = Ok(());
+        self.with_control(|control, _, context| opened = control.open(address, context));
+        opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
+        info!(self.log, "control listener ready"; "listen" => %address);
+        Ok(())
     }
 
     /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -3,7 +3,7 @@
 
 use std::io::ErrorKind;
 
-use ottersill_bylaws::fleet::Of;
+use ottersill_config::fleet::BudgetKind;
 use ottersill_core::facade::News;
 use ottersill_core::interface::Part;
 use ottersill_fleet::fleet::{Event, Fleet};
@@ -12,8 +12,8 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::memory::alarms::Alarm;
 use crate::memory::link::{Course, Link};
+use crate::timers::Timer as Alarm;
 use crate::wire::exchange::{Exchange, Party};
 use crate::wire::socket;
 
@@ -122,6 +122,12 @@
                 warn!(self.log, "another member's file has a smaller whole, which is gone by";
                     "budget" => self.budget_name(key.0), "own" => own, "used" => used);
             }
+            Event::Raised { from, to } => {
+                info!(self.log, "a larger incarnation of this name was known, taken a larger one still"; "from" => from, "to" => to);
+            }
+            Event::Superseded { by } => {
+                warn!(self.log, "no part of the fleet's budgets: a later process of this name is known"; "incarnation" => by);
+            }
             // Each is in the audit; in the log they would bury all else.
             Event::Right { .. } => {}
         }
@@ -149,7 +155,7 @@
         let in_hand = self.statements.in_hand();
         for (index, host) in self.hosts.all.iter().enumerate() {
             let waiting = self.facade.waiting(host.listed.group) as u64;
-            let units = link.key(Of::ExecutionsAtEachHost, &host.name).map(|key| {
+            let units = link.key(BudgetKind::AttemptsPerEndpoint, &host.name).map(|key| {
                 link.fleet().map_or(0, |fleet| {
                     fleet.expect(now, key);
                     if waiting > 0 && !fleet.has(now, key) {
@@ -160,7 +166,7 @@
             });
             // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
             let cold = self.facade.is_cold(self.now, index);
-            let key = link.key(Of::ExecutionsAtEachColdHost, &host.name).filter(|_| cold);
+            let key = link.key(BudgetKind::AttemptsPerWarmingEndpoint, &host.name).filter(|_| cold);
             let tokens = key.map(|key| {
                 link.fleet().map_or(0.0, |fleet| {
                     let tokens = fleet.tokens(now, key);
@@ -178,8 +184,9 @@
         }
         let here = |fleet: &mut Fleet| fleet.members().filter(|m| m.presence == Presence::Here).count();
         link.parts.routers = link.fleet().map(here);
-        link.parts.second_tries =
-            link.key(Of::SecondTries, "").map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        link.parts.second_tries = link
+            .key(BudgetKind::Retries, "")
+            .map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.facade.report(self.now, News::Parts(&link.parts));
         let next = link.next_at();
         self.alarms.clear(link.alarm.take());
@@ -195,16 +202,16 @@
         let again = self.statements.get(stmt).is_some_and(|held| held.ran);
         let Some(link) = &mut self.link else { return true };
         let name = &self.hosts.all[host].name;
-        if again && !link.take(now, Of::SecondTries, "") {
+        if again && !link.take(now, BudgetKind::Retries, "") {
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
         let cold = self.facade.is_cold(self.now, host);
-        (!cold || link.take(now, Of::ExecutionsAtEachColdHost, name))
-            && link.take(now, Of::ExecutionsAtEachHost, name)
+        (!cold || link.take(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
+            && link.take(now, BudgetKind::AttemptsPerEndpoint, name)
     }
 
-    pub fn fleet_has(&mut self, of: Of) -> bool {
+    pub fn fleet_has(&mut self, of: BudgetKind) -> bool {
         let now = self.clock.now();
         self.link.as_mut().is_none_or(|link| link.take(now, of, ""))
     }
@@ -213,7 +220,7 @@
     pub fn fleet_ends(&mut self, host: usize, proved: bool) {
         let now = self.clock.now();
         if let Some(link) = &mut self.link {
-            link.put(now, Of::ExecutionsAtEachHost, &self.hosts.all[host].name, proved);
+            link.put(now, BudgetKind::AttemptsPerEndpoint, &self.hosts.all[host].name, proved);
         }
     }
 
@@ -242,7 +249,7 @@
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
 pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
     exchange.link = Some(link);
-    exchange.control_opens()?;
+    exchange.open_control()?;
     exchange.fleet_join();
     exchange.fleet_after();
     Ok(())
--- a/crates/ottersill/tests/service/classification.rs
+++ b/crates/ottersill/tests/service/classification.rs
@@ -97,7 +97,7 @@
     assert!(slowest < Duration::from_millis(500), "{slowest:?}");
     service.signal("-TERM");
     let (_, log) = service.exit();
-    let line = log.lines().find(|line| line.contains(" shapes ")).expect("a line on shapes");
+    let line = log.lines().find(|line| line.contains(" fingerprint cache ")).expect("a line on shapes");
     let bytes = line.split("bytes=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
     assert!(bytes.is_some_and(|bytes| bytes <= 32 * 1024 * 1024 / 64), "{line}");
 }
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -58,7 +58,9 @@
     let (code, log) = service.exit();
     assert_eq!(code, Some(0));
     assert!(
-        log.contains("stopping") && log.contains(" statements=33 ") && log.contains("breaches_in_all=0"),
+        log.contains("shutdown requested")
+            && log.contains(" statements=33 ")
+            && log.contains("invariant_violations_total=0"),
         "{log}"
     );
 }
@@ -136,8 +138,8 @@
     assert_eq!(waiting.answer().expect("an answer"), "C40003");
     service.signal("-TERM");
     let (code, log) = service.exit();
-    assert!(code == Some(0) && log.contains("breaches_in_all=0"), "{log}");
-    assert_eq!(log.contains("charter not taken"), !before.is_empty(), "{log}");
+    assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{log}");
+    assert_eq!(log.contains("configuration not reloaded"), !before.is_empty(), "{log}");
 }
 
 /// Other routers may be restarting as well: half the time that a stop has goes to whom is there, and to whom comes.
