--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -13,14 +13,11 @@
 const EXECUTIONS: &str = "executions at each host";
 
 fn start_cluster(plan: ClusterPlan) -> Cluster {
-    let charter = include_str!("../../../example/router.json");
+    let example = include_str!("../../../example/router.json");
     let mut cluster =
-        Cluster::new(plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), charter).expect("a cluster");
+        Cluster::new(plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), example).expect("a cluster");
     cluster.start_all().expect("routers");
-    assert!(
-        cluster.wait_until(|cluster| (0..cluster.routers.len()).all(|index| cluster.is_ready(index))),
-        "all ready"
-    );
+    assert!(cluster.wait_until_ready(), "all ready");
     cluster
 }
 
@@ -60,10 +57,10 @@
     let mut cluster = start_cluster(ClusterPlan { routers: 4, ..ClusterPlan::default() });
     cluster.start_load(8, 10);
     assert!(cluster.wait_until(|cluster| cluster.leader().is_some()));
-    let first = cluster.leader().expect("a keeper");
+    let first = cluster.leader().expect("a leader");
     cluster.pause(first);
     assert!(
-        cluster.wait_until(|cluster| cluster.leader().is_some_and(|keeper| keeper != first)),
+        cluster.wait_until(|cluster| cluster.leader().is_some_and(|leader| leader != first)),
         "another takes its place"
     );
     sleep(1.0);
@@ -141,8 +138,8 @@
     });
     cluster.start_load(40, 0);
     sleep(4.0);
-    let keeper = cluster.leader().expect("a keeper");
-    let other = (0..3).find(|index| *index != keeper).expect("another");
+    let leader = cluster.leader().expect("a leader");
+    let other = (0..3).find(|index| *index != leader).expect("another");
     cluster.write_fleet(other, 6).expect("a file");
     cluster.reload(other);
     sleep(cluster.plan.lease + 0.4);
@@ -230,7 +227,7 @@
     // A and B on one side, two of the three voters among them; the rest go on within their floors, then not at all.
     cluster.partition(|index| usize::from(index > 1), false);
     sleep(1.6);
-    assert!(cluster.wait_until(|cluster| cluster.leader().is_some_and(|keeper| keeper < 2)));
+    assert!(cluster.wait_until(|cluster| cluster.leader().is_some_and(|leader| leader < 2)));
     assert_eq!(cluster.held_units(4, "probes"), 0);
     sleep(1.5);
     assert_eq!(cluster.held_units(3, EXECUTIONS), 0, "floors are leases, too");
@@ -398,8 +395,8 @@
     });
     cluster.start_load(20, 0);
     sleep(3.5);
-    let keeper = cluster.leader().expect("a keeper");
-    let dead = (0..4).find(|index| *index != keeper).expect("another");
+    let leader = cluster.leader().expect("a leader");
+    let dead = (0..4).find(|index| *index != leader).expect("another");
     cluster.kill(dead);
     sleep(cluster.plan.lease + cluster.plan.hold + 1.0);
     cluster.stop_load();
@@ -421,24 +418,24 @@
     let arguments = ["--log", "json"].map(String::from).to_vec();
     let cluster = start_cluster(ClusterPlan { routers: 3, arguments, ..ClusterPlan::default() });
     assert!(cluster.wait_until(|cluster| cluster.leader().is_some()));
-    let keeper = cluster.leader().expect("a keeper");
-    assert!(cluster.wait_until(|cluster| cluster.log(keeper).contains("keeps the books")));
-    let log = cluster.log(keeper);
+    let leader = cluster.leader().expect("a leader");
+    assert!(cluster.wait_until(|cluster| cluster.log(leader).contains("keeps the books")));
+    let log = cluster.log(leader);
     let lines: Vec<serde_json::Value> =
         log.lines().map(|line| serde_json::from_str(line).expect("an object")).collect();
     let member = lines.iter().find(|line| line["message"] == "member").expect("a member");
-    assert_eq!(member["router"], format!("r{keeper}"));
+    assert_eq!(member["router"], format!("r{leader}"));
     assert!(member["at"].as_f64() > Some(1.7e9) && member["member"].is_string(), "{member}");
 }
 
 #[test]
 fn a_key_that_others_can_read_is_refused() {
     use std::os::unix::fs::PermissionsExt;
-    let charter = include_str!("../../../example/router.json");
+    let example = include_str!("../../../example/router.json");
     let mut cluster = Cluster::new(
         ClusterPlan { routers: 1, voters: 1, ..ClusterPlan::default() },
         Path::new(env!("CARGO_BIN_EXE_ottersill")),
-        charter,
+        example,
     )
     .expect("a cluster");
     let key = cluster.folder.join("fleet.key");
