--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -66,7 +66,7 @@
 
     pub fn until_ready(mut self) -> Router {
         let mut line = String::new();
-        while !line.contains(" ready ") {
+        while !line.contains(" INFO ready ") {
             line.clear();
             assert!(self.log.read_line(&mut line).expect("a line") > 0, "it ended before it was ready");
         }
