--- /dev/null
+++ b/crates/ottersill/tests/audit_file.rs
@@ -0,0 +1,70 @@
+//! The form of the lines that a router writes to its audit file: files of earlier releases are read by later ones.
+
+use std::path::Path;
+
+use ottersill_lab::audit;
+use ottersill_lab::rig::{Plan, Rig};
+
+/// The line with each number in it written as 0.
+fn without_numbers(line: &str) -> String {
+    let mut text = String::new();
+    let mut in_number = false;
+    let mut before = ' ';
+    for character in line.chars() {
+        let goes_on = in_number && (character.is_ascii_digit() || ".e-".contains(character));
+        // Digits within a name are no number.
+        let starts = character.is_ascii_digit() && !before.is_ascii_alphabetic() && !in_number;
+        if starts {
+            text.push('0');
+        }
+        in_number = goes_on || starts;
+        if !in_number {
+            text.push(character);
+        }
+        before = character;
+    }
+    text
+}
+
+/// Guards against: renamed types or fields that change what is stored.
+#[test]
+fn each_kind_of_line_has_this_form() {
+    let settings = include_str!("../../../example/router.json");
+    let plan = Plan { routers: 1, voters: 1, ..Plan::default() };
+    let mut rig = Rig::new(plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), settings).expect("a rig");
+    rig.start_all().expect("a router");
+    assert!(rig.until(|rig| rig.is_ready(0)), "ready");
+    rig.load(4, 0);
+    let file = rig.folder.join(format!("{}.audit", rig.routers[0].name));
+    let text = || std::fs::read_to_string(&file).unwrap_or_default();
+    let name = rig.routers[0].name.clone();
+    let head = format!(r#"{{"at":0,"process":"{name}","incarnation":0,"what":"#);
+    let expected = [
+        r#""right","budget":"executions at each host","subject":0,"grant":"0/0","units":0,"until":[[0,0],[0,0]]}"#,
+        r#""take","budget":"executions at each host","subject":0}"#,
+        r#""put","budget":"executions at each host","subject":0}"#,
+        r#""take","budget":"probes","subject":0}"#,
+    ];
+    for tail in expected {
+        let line = format!("{head}{tail}");
+        let is_written = |_: &Rig| text().lines().any(|written| without_numbers(written) == line);
+        assert!(rig.until(is_written), "{line} is not among\n{}", text());
+    }
+    rig.rest();
+    assert!(!audit::read(&text()).expect("lines").is_empty());
+}
+
+/// Lines of an earlier release, as they were written.
+#[test]
+fn lines_of_an_earlier_release_are_read() {
+    let text = concat!(
+        r#"{"at":1764672000.25,"process":"r0","incarnation":1764671999123456,"what":"right","budget":"probes","subject":0,"grant":"3.0.1764671999123456/17","units":12,"until":[[11,1764672001.25],[1,1764672003.5]]}"#,
+        "\n",
+        r#"{"at":1764672000.5,"process":"r0","incarnation":1764671999123456,"what":"take","budget":"probes","subject":0}"#,
+        "\n",
+    );
+    let entries = audit::read(text).expect("entries");
+    assert_eq!(entries.len(), 2);
+    assert_eq!(entries[0].until, Some([(11, 1_764_672_001.25), (1, 1_764_672_003.5)]));
+    assert_eq!((entries[1].what.as_str(), entries[1].incarnation), ("take", 1_764_671_999_123_456));
+}
