--- a/crates/bylaws/src/fleet.rs
+++ b/crates/bylaws/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ottersill_fleet::terms::{Budget, Charter, Kind};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind};
 use serde::Deserialize;
 
 use crate::{Fault, locate, parse};
@@ -72,7 +72,7 @@
 /// A file that passed all checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bylaws {
-    pub charter: Charter,
+    pub charter: FleetConfig,
     pub peers: Vec<(String, SocketAddr)>,
     /// Where the others reach this member, and where it listens.
     pub at: SocketAddr,
@@ -202,7 +202,7 @@
                 );
                 must(row.hold_s >= longest && row.hold_s <= 600.0, &at("hold_s"), &reason)?;
                 must(row.every_s == 0.0, &at("every_s"), "this budget is no rate")?;
-                Kind::InHand { hold: row.hold_s }
+                Kind::Concurrency { hold: row.hold_s }
             }
             _ => {
                 span(&at("every_s"), row.every_s, 0.01, 60.0)?;
@@ -213,10 +213,10 @@
         budgets.push(Budget::named(row.of.name(), kind, whole, floor));
         purposes.push(row.of);
     }
-    let charter = Charter {
+    let charter = FleetConfig {
         name: name.to_string(),
         voters: file.voter,
-        keeper_lease: file.keeper_lease_s,
+        leader_lease: file.keeper_lease_s,
         lease: file.lease_s,
         floor_lease: file.floor_lease_s,
         drift: file.drift,
--- a/crates/bylaws/tests/refusals.rs
+++ b/crates/bylaws/tests/refusals.rs
@@ -31,7 +31,7 @@
     let bylaws = read(GOOD, "b", 2.0).expect("a good file");
     assert_eq!(bylaws.listen, "127.0.0.1:7412".parse().expect("an address"));
     assert_eq!(bylaws.charter.voters, ["a", "b", "c"]);
-    assert_eq!((bylaws.charter.budgets[0].whole, bylaws.charter.budgets[0].floor), (64, 2));
+    assert_eq!((bylaws.charter.budgets[0].total, bylaws.charter.budgets[0].floor), (64, 2));
     let shrunk = read(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a good file");
     assert_eq!(bylaws.differs(&shrunk), None);
     let other = read(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0).expect("a good file");
--- a/crates/fleet/src/divide.rs
+++ b/crates/fleet/src/allocation.rs
@@ -5,12 +5,12 @@
 /// Max-min fair parts: nobody gets less than another that asks for less, and none goes to waste while somebody asks.
 /// What is left beyond all that was asked for is spread in proportion, as room for what comes next. `asked` is
 /// each one's demand and its turn; units that can't be divided go by turn, the lowest first.
-pub fn divide(whole: u64, asked: &[(u64, u64)]) -> Vec<u64> {
+pub fn allocate(total: u64, asked: &[(u64, u64)]) -> Vec<u64> {
     let mut parts = vec![0; asked.len()];
     let mut order: Vec<usize> = (0..asked.len()).filter(|index| asked[*index].0 > 0).collect();
     // Rounding leaves its units to the last, so among equals who has waited longest comes last.
     order.sort_by_key(|index| (asked[*index].0, Reverse(asked[*index].1)));
-    let (mut left, mut count) = (whole, order.len() as u64);
+    let (mut left, mut count) = (total, order.len() as u64);
     for index in &order {
         let part = asked[*index].0.min(left / count.max(1));
         parts[*index] = part;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! No I/O and no clock: a [`fleet::Fleet`] is handed datagrams and times, in seconds of any clock that never goes back.
 
-pub mod books;
-pub mod divide;
-pub mod fleet;
-pub mod members;
-pub mod purse;
-pub mod seal;
-pub mod terms;
-pub mod vote;
+pub mod allocation;
+pub mod authenticator;
+pub mod election;
+pub mod local_quota;
+pub mod membership;
+pub mod node;
+pub mod quota_ledger;
+pub mod settings;
--- a/crates/fleet/src/books.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -10,18 +10,18 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::divide::divide;
-use crate::terms::{Charter, Process};
-use crate::vote::Ballot;
+use crate::allocation::allocate;
+use crate::election::Ballot;
+use crate::settings::{FleetConfig, Process};
 
 /// Each budget is kept in two pots: what is divided by demand, and what is set aside for floors.
-pub const POTS: usize = 2;
-pub const BY_DEMAND: usize = 0;
-pub const FLOOR: usize = 1;
+pub const POOLS: usize = 2;
+pub const DEMAND_POOL: usize = 0;
+pub const FLOOR_POOL: usize = 1;
 
 /// What a holder says of a right of its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldQuota {
     /// Units, zero once its time is over.
     pub amount: u64,
     /// The newest grant that it goes by; zero where that came in an earlier tenure, or never.
@@ -30,16 +30,16 @@
 
 /// What a holder asks for, budget by budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct QuotaRequest {
     pub budget: u64,
     pub subject: u64,
     /// The whole by the holder's own file.
-    pub whole: u64,
+    pub total: u64,
     /// Units that it could spend.
     pub demand: u64,
     /// Units that it has in hand.
-    pub used: u64,
-    pub held: [Held; POTS],
+    pub in_use: u64,
+    pub held: [HeldQuota; POOLS],
 }
 
 /// What is granted, in place of all that was granted before.
@@ -47,18 +47,18 @@
 pub struct Grant {
     pub budget: u64,
     pub subject: u64,
-    pub whole: u64,
-    pub amounts: [u64; POTS],
+    pub total: u64,
+    pub amounts: [u64; POOLS],
     pub serial: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Right {
+struct Lease {
     amount: u64,
     until: f64,
 }
 
-impl Right {
+impl Lease {
     fn at(self, now: f64) -> u64 {
         if now < self.until { self.amount } else { 0 }
     }
@@ -66,191 +66,196 @@
 
 /// One holder's part of one pot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Part {
+struct PoolLease {
     /// What it goes by, as it said last.
-    said: Right,
+    reported: Lease,
     /// The most of what was granted since, which it may go by already.
-    sent: Right,
+    granted: Lease,
 }
 
-impl Part {
-    fn out(&self, now: f64) -> u64 {
-        self.said.at(now).max(self.sent.at(now))
+impl PoolLease {
+    fn outstanding(&self, now: f64) -> u64 {
+        self.reported.at(now).max(self.granted.at(now))
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Account {
-    parts: [Part; POTS],
+    pools: [PoolLease; POOLS],
     /// In hand beyond any right.
-    used: Right,
+    in_use: Lease,
     demand: u64,
-    whole: u64,
+    total: u64,
     /// The last grant, and the question that it answered.
     serial: u64,
-    nonce: u64,
+    request_id: u64,
     /// When it last had a unit that others wanted as well.
-    turn: u64,
+    last_served: u64,
     heard_at: f64,
 }
 
 impl Account {
     /// Units of that pot that this holder may have in use. What it has in hand beyond its floor counts with what is
     /// divided by demand, as a right that has run out leaves things in hand.
-    fn out(&self, now: f64, pot: usize) -> u64 {
-        let right = self.parts[pot].out(now);
-        match pot {
-            BY_DEMAND => right.max(self.used.at(now).saturating_sub(self.parts[FLOOR].out(now))),
+    fn outstanding(&self, now: f64, pool: usize) -> u64 {
+        let right = self.pools[pool].outstanding(now);
+        match pool {
+            DEMAND_POOL => {
+                right.max(self.in_use.at(now).saturating_sub(self.pools[FLOOR_POOL].outstanding(now)))
+            }
             _ => right,
         }
     }
 }
 
 /// A budget and its subject.
-pub type Key = (u64, u64);
+pub type BudgetKey = (u64, u64);
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Books {
-    epoch: Ballot,
+pub struct QuotaLedger {
+    term: Ballot,
     since: f64,
     /// By budget, subject and holder. An account goes once nothing of it is out and its holder is not heard of; no more
     /// than `ACCOUNTS` are kept.
-    accounts: BTreeMap<Key, BTreeMap<Process, Account>>,
+    accounts: BTreeMap<BudgetKey, BTreeMap<Process, Account>>,
     count: usize,
     serial: u64,
     swept_at: f64,
 }
 
 /// Accounts that are kept at most: some forty megabytes of them. Whoever is beyond gets nothing.
-const ACCOUNTS: usize = 200_000;
+const ACCOUNTS_AT_MOST: usize = 200_000;
 
 /// One line of what is out, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct LedgerLine {
     pub budget: u64,
     pub subject: u64,
     pub holder: Process,
     pub by_demand: u64,
     pub floor: u64,
-    pub used: u64,
+    pub in_use: u64,
     pub demand: u64,
 }
 
-impl Books {
-    pub fn open(now: f64, epoch: Ballot) -> Books {
-        Books { epoch, since: now, accounts: BTreeMap::new(), count: 0, serial: 0, swept_at: now }
+impl QuotaLedger {
+    pub fn new(now: f64, term: Ballot) -> QuotaLedger {
+        QuotaLedger { term, since: now, accounts: BTreeMap::new(), count: 0, serial: 0, swept_at: now }
     }
 
-    pub fn epoch(&self) -> Ballot {
-        self.epoch
+    pub fn term(&self) -> Ballot {
+        self.term
     }
 
     /// What an earlier keeper granted may still be out for so long at the most; until then rights are continued and
     /// none grows.
-    pub fn settles_at(&self, lease: f64, hold: f64) -> f64 {
+    pub fn settled_at(&self, lease: f64, hold: f64) -> f64 {
         self.since + lease + hold
     }
 
     /// Takes in what a holder says and grants what there is for it. The holder has to have spoken in answer to this tenure
-    /// (see [`Fleet`](crate::fleet::Fleet)): what it holds was then on the books when the tenure began, and what it
+    /// (see [`Fleet`](crate::node::Fleet)): what it holds was then on the books when the tenure began, and what it
     /// says is no older than that. `nonce` grows with each of its questions; one that comes late is not heard.
-    pub fn ask(
+    pub fn request(
         &mut self,
         now: f64,
-        charter: &Charter,
+        config: &FleetConfig,
         holder: &Process,
-        nonce: u64,
-        entry: &Entry,
+        request_id: u64,
+        entry: &QuotaRequest,
     ) -> Option<Grant> {
-        let budget = charter.budget(entry.budget)?;
+        let budget = config.budget(entry.budget)?;
         let (key, hold) = ((entry.budget, entry.subject), budget.kind.hold());
-        let leases = [charter.lease, charter.floor_lease];
-        self.sweep(now, charter);
+        let leases = [config.lease, config.floor_lease];
+        self.sweep(now, config);
         let known = self.accounts.get(&key).is_some_and(|holders| holders.contains_key(holder));
-        if !known && self.count >= ACCOUNTS {
+        if !known && self.count >= ACCOUNTS_AT_MOST {
             return None;
         }
         self.count += usize::from(!known);
-        let settles = leases.map(|lease| self.settles_at(lease, hold));
+        let settles = leases.map(|lease| self.settled_at(lease, hold));
         let holders = self.accounts.entry(key).or_default();
         let account = holders.entry(holder.clone()).or_default();
-        if nonce <= account.nonce {
+        if request_id <= account.request_id {
             return None;
         }
-        (account.nonce, account.heard_at) = (nonce, now);
-        (account.demand, account.whole) = (entry.demand, entry.whole);
-        for (part, held) in account.parts.iter_mut().zip(entry.held) {
+        (account.request_id, account.heard_at) = (request_id, now);
+        (account.demand, account.total) = (entry.demand, entry.total);
+        for (part, held) in account.pools.iter_mut().zip(entry.held) {
             if held.serial >= account.serial {
                 // It goes by the last grant: all others are over, as it never goes back.
-                let until = part.sent.until.max(part.said.until);
-                *part = Part { said: Right { amount: held.amount, until }, sent: Right::default() };
+                let until = part.granted.until.max(part.reported.until);
+                *part =
+                    PoolLease { reported: Lease { amount: held.amount, until }, granted: Lease::default() };
             }
         }
         // What is in hand now ends within the hold; what is begun from now on is within the right, which counts itself.
-        account.used = Right { amount: entry.used, until: now + hold };
-        let own = [account.out(now, BY_DEMAND), account.out(now, FLOOR)];
+        account.in_use = Lease { amount: entry.in_use, until: now + hold };
+        let own = [account.outstanding(now, DEMAND_POOL), account.outstanding(now, FLOOR_POOL)];
         // Members whose files differ go by the smaller one, as far as they are heard of.
-        let heard = holders.values().filter(|other| now < other.heard_at + charter.lease);
-        let whole = heard.fold(budget.whole, |whole, other| whole.min(other.whole));
-        let set_aside = charter.set_aside(budget).min(whole);
-        let out = |pot: usize| -> u64 {
+        let heard = holders.values().filter(|other| now < other.heard_at + config.lease);
+        let total = heard.fold(budget.total, |total, other| total.min(other.total));
+        let set_aside = config.set_aside(budget).min(total);
+        let outstanding = |pool: usize| -> u64 {
             let others = holders.iter().filter(|(other, _)| *other != holder);
-            others.map(|(_, account)| account.out(now, pot)).sum()
+            others.map(|(_, account)| account.outstanding(now, pool)).sum()
         };
-        let others = [out(BY_DEMAND), out(FLOOR)];
-        let free = whole.saturating_sub(others[BY_DEMAND] + others[FLOOR]);
-        let settling = |pot: usize| now < settles[pot];
-        let floor = if settling(FLOOR) { entry.held[FLOOR].amount } else { budget.floor };
-        let floor =
-            floor.min(set_aside.saturating_sub(others[FLOOR])).min(free.saturating_sub(own[BY_DEMAND]));
-        let by_demand = whole - set_aside;
-        let part = if settling(BY_DEMAND) {
-            entry.held[BY_DEMAND].amount
+        let others = [outstanding(DEMAND_POOL), outstanding(FLOOR_POOL)];
+        let free = total.saturating_sub(others[DEMAND_POOL] + others[FLOOR_POOL]);
+        let settling = |pool: usize| now < settles[pool];
+        let floor = if settling(FLOOR_POOL) { entry.held[FLOOR_POOL].amount } else { budget.floor };
+        let floor = floor
+            .min(set_aside.saturating_sub(others[FLOOR_POOL]))
+            .min(free.saturating_sub(own[DEMAND_POOL]));
+        let by_demand = total - set_aside;
+        let part = if settling(DEMAND_POOL) {
+            entry.held[DEMAND_POOL].amount
         } else {
-            target(now, charter, holders, holder, by_demand)
+            fair_share(now, config, holders, holder, by_demand)
         };
-        let part = part.min(by_demand.saturating_sub(others[BY_DEMAND]));
-        let amounts = [part.min(free.saturating_sub(own[FLOOR].max(floor))), floor];
+        let part = part.min(by_demand.saturating_sub(others[DEMAND_POOL]));
+        let amounts = [part.min(free.saturating_sub(own[FLOOR_POOL].max(floor))), floor];
         self.serial += 1;
         let account = holders.get_mut(holder)?;
-        for (pot, amount) in amounts.into_iter().enumerate() {
-            let sent = &mut account.parts[pot].sent;
-            *sent = Right { amount: sent.at(now).max(amount), until: now + leases[pot] + hold };
+        for (pool, amount) in amounts.into_iter().enumerate() {
+            let granted = &mut account.pools[pool].granted;
+            *granted = Lease { amount: granted.at(now).max(amount), until: now + leases[pool] + hold };
         }
         account.serial = self.serial;
-        if amounts[BY_DEMAND] > 0 {
-            account.turn = self.serial;
+        if amounts[DEMAND_POOL] > 0 {
+            account.last_served = self.serial;
         }
         let (budget, subject, serial) = (entry.budget, entry.subject, self.serial);
-        Some(Grant { budget, subject, whole, amounts, serial })
+        Some(Grant { budget, subject, total, amounts, serial })
     }
 
     /// The holder has left and spends nothing more; what it has in hand ends in its own time.
-    pub fn leave(&mut self, now: f64, holder: &Process, nonce: u64, charter: &Charter) {
+    pub fn holder_left(&mut self, now: f64, holder: &Process, request_id: u64, config: &FleetConfig) {
         for ((id, _), holders) in &mut self.accounts {
-            let hold = charter.budget(*id).map_or(0.0, |budget| budget.kind.hold());
+            let hold = config.budget(*id).map_or(0.0, |budget| budget.kind.hold());
             if let Some(account) = holders.get_mut(holder) {
                 // A question of before that comes later would count less than that.
-                account.nonce = account.nonce.max(nonce);
+                account.request_id = account.request_id.max(request_id);
                 // What it began since it last spoke was within its rights.
-                let amount = account.out(now, BY_DEMAND) + account.out(now, FLOOR);
-                account.parts = [Part::default(); POTS];
-                account.used = Right { amount, until: now + hold };
+                let amount = account.outstanding(now, DEMAND_POOL) + account.outstanding(now, FLOOR_POOL);
+                account.pools = [PoolLease::default(); POOLS];
+                account.in_use = Lease { amount, until: now + hold };
                 (account.demand, account.heard_at) = (0, f64::NEG_INFINITY);
             }
         }
     }
 
     /// Drops accounts of which nothing is out and whose holder is silent.
-    fn sweep(&mut self, now: f64, charter: &Charter) {
-        if now < self.swept_at + charter.lease {
+    fn sweep(&mut self, now: f64, config: &FleetConfig) {
+        if now < self.swept_at + config.lease {
             return;
         }
         self.swept_at = now;
         for holders in self.accounts.values_mut() {
             holders.retain(|_, account| {
-                let out = account.out(now, BY_DEMAND) + account.out(now, FLOOR);
-                out > 0 || now < account.heard_at + 2.0 * charter.lease
+                let outstanding =
+                    account.outstanding(now, DEMAND_POOL) + account.outstanding(now, FLOOR_POOL);
+                outstanding > 0 || now < account.heard_at + 2.0 * config.lease
             });
         }
         self.accounts.retain(|_, holders| !holders.is_empty());
@@ -258,24 +263,24 @@
     }
 
     /// Units that may be in use by all.
-    pub fn out(&self, now: f64, key: Key) -> u64 {
+    pub fn outstanding(&self, now: f64, key: BudgetKey) -> u64 {
         let holders = self.accounts.get(&key);
         holders
             .into_iter()
             .flat_map(BTreeMap::values)
-            .map(|a| a.out(now, BY_DEMAND) + a.out(now, FLOOR))
+            .map(|a| a.outstanding(now, DEMAND_POOL) + a.outstanding(now, FLOOR_POOL))
             .sum()
     }
 
-    pub fn lines(&self, now: f64) -> Vec<Line> {
+    pub fn lines(&self, now: f64) -> Vec<LedgerLine> {
         let holders = self.accounts.iter().flat_map(|(key, holders)| holders.iter().map(move |h| (key, h)));
-        let line = |((budget, subject), (holder, account)): (&Key, (&Process, &Account))| Line {
+        let line = |((budget, subject), (holder, account)): (&BudgetKey, (&Process, &Account))| LedgerLine {
             budget: *budget,
             subject: *subject,
             holder: holder.clone(),
-            by_demand: account.out(now, BY_DEMAND),
-            floor: account.out(now, FLOOR),
-            used: account.used.at(now),
+            by_demand: account.outstanding(now, DEMAND_POOL),
+            floor: account.outstanding(now, FLOOR_POOL),
+            in_use: account.in_use.at(now),
             demand: account.demand,
         };
         holders.map(line).collect()
@@ -283,16 +288,16 @@
 }
 
 /// The holder's fair part of what is divided by demand, among all that are heard of.
-fn target(
+fn fair_share(
     now: f64,
-    charter: &Charter,
+    config: &FleetConfig,
     holders: &BTreeMap<Process, Account>,
     holder: &Process,
-    whole: u64,
+    total: u64,
 ) -> u64 {
-    let live = |account: &Account| now < account.heard_at + charter.lease;
+    let live = |account: &Account| now < account.heard_at + config.lease;
     let asked: Vec<(u64, u64)> =
-        holders.values().map(|a| (if live(a) { a.demand } else { 0 }, a.turn)).collect();
+        holders.values().map(|a| (if live(a) { a.demand } else { 0 }, a.last_served)).collect();
     let index = holders.keys().position(|other| other == holder);
-    index.map_or(0, |index| divide(whole, &asked)[index])
+    index.map_or(0, |index| allocate(total, &asked)[index])
 }
--- a/crates/fleet/src/terms.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,5 +1,6 @@
 //! What a member of the fleet is told when it starts, and what all of them have to be told alike.
 
+use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
@@ -12,7 +13,7 @@
     Rate { every: f64 },
     /// A unit is one thing in hand, which ends at most `hold` seconds after it was begun, whatever becomes of its
     /// router.
-    InHand { hold: f64 },
+    Concurrency { hold: f64 },
 }
 
 impl Kind {
@@ -20,7 +21,7 @@
     pub fn hold(self) -> f64 {
         match self {
             Kind::Rate { .. } => 0.0,
-            Kind::InHand { hold } => hold,
+            Kind::Concurrency { hold } => hold,
         }
     }
 }
@@ -33,14 +34,14 @@
     pub name: String,
     pub kind: Kind,
     /// Units that all routers together may have.
-    pub whole: u64,
+    pub total: u64,
     /// Units of each router's floor, which it keeps for `floor_lease` though it hears nobody.
     pub floor: u64,
 }
 
 impl Budget {
-    pub fn named(name: &str, kind: Kind, whole: u64, floor: u64) -> Budget {
-        Budget { id: label(name), name: name.to_string(), kind, whole, floor }
+    pub fn named(name: &str, kind: Kind, total: u64, floor: u64) -> Budget {
+        Budget { id: label(name), name: name.to_string(), kind, total, floor }
     }
 }
 
@@ -53,12 +54,12 @@
 
 /// Times in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Charter {
+pub struct FleetConfig {
     pub name: String,
     /// Who elects the keeper, by name, in the same order at all members; one of these is the keeper.
     pub voters: Vec<String>,
     /// A keeper is one for so long after it was last elected.
-    pub keeper_lease: f64,
+    pub leader_lease: f64,
     /// What a keeper grants may be spent for so long after it was asked for.
     pub lease: f64,
     /// The same for floors.
@@ -71,18 +72,18 @@
     pub budgets: Vec<Budget>,
 }
 
-impl Charter {
+impl FleetConfig {
     /// The time that the one who spends counts for a lease, where the one who granted it counts `lease`: whoever's
     /// clock is slow, the spender's time is over first.
-    pub fn short(&self, lease: f64) -> f64 {
+    pub fn holder_lease(&self, lease: f64) -> f64 {
         lease * (1.0 - self.drift) / (1.0 + self.drift)
     }
 
     /// What has to be alike at all members, and changes only while none runs: whom the lease of the keeper goes by, and
     /// what a new keeper takes for granted of the one before. A voter answers only those who say the same.
     pub fn electorate(&self) -> u64 {
-        let floors: Vec<_> = self.budgets.iter().map(|b| (&b.name, b.kind, b.floor)).collect();
-        let leases = (self.keeper_lease, self.lease, self.floor_lease, self.drift);
+        let floors: Vec<_> = self.budgets.iter().map(|b| (&b.name, HashedKind(b.kind), b.floor)).collect();
+        let leases = (self.leader_lease, self.lease, self.floor_lease, self.drift);
         label(&format!("{:?} {leases:?} {} {floors:?}", self.voters, self.members_at_most))
     }
 
@@ -91,8 +92,8 @@
         budget.floor * self.members_at_most
     }
 
-    pub fn seat(&self) -> Option<u16> {
-        self.voters.iter().position(|voter| *voter == self.name).map(|seat| seat as u16)
+    pub fn voter_index(&self) -> Option<u16> {
+        self.voters.iter().position(|voter| *voter == self.name).map(|voter_index| voter_index as u16)
     }
 
     pub fn budget(&self, id: u64) -> Option<&Budget> {
@@ -100,6 +101,19 @@
     }
 }
 
+/// A kind as it is written in the text that [`FleetConfig::electorate`] hashes. Members of all releases hash this text,
+/// so its words stay even if the type's names change.
+struct HashedKind(Kind);
+
+impl fmt::Debug for HashedKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Kind::Rate { every } => write!(formatter, "Rate {{ every: {every:?} }}"),
+            Kind::Concurrency { hold } => write!(formatter, "InHand {{ hold: {hold:?} }}"),
+        }
+    }
+}
+
 /// A process of the program: its name, and which of those that bore it. A later start has a larger incarnation, if need
 /// be by learning of the earlier one's (`Fleet`).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/fleet/tests/divide.rs
+++ b/crates/fleet/tests/allocation.rs
@@ -1,6 +1,6 @@
 //! What a division promises, for any whole and any demands.
 
-use ottersill_fleet::divide::divide;
+use ottersill_fleet::allocation::allocate;
 use proptest::prelude::*;
 
 proptest! {
@@ -8,18 +8,18 @@
 
     #[test]
     fn parts_add_up_and_none_is_wasted_while_somebody_asks(
-        whole in 0u64..500,
+        total in 0u64..500,
         demands in prop::collection::vec(0u64..300, 1..40),
         first in 0u64..40,
     ) {
         let asked: Vec<(u64, u64)> =
             demands.iter().enumerate().map(|(index, demand)| (*demand, (index as u64 + first) % 40)).collect();
-        let parts = divide(whole, &asked);
+        let parts = allocate(total, &asked);
         let sum: u64 = parts.iter().sum();
-        prop_assert!(sum <= whole);
+        prop_assert!(sum <= total);
         let wanted: u64 = demands.iter().sum();
         // All of it goes out as soon as anybody asks for anything.
-        prop_assert_eq!(sum, if wanted > 0 { whole } else { 0 });
+        prop_assert_eq!(sum, if wanted > 0 { total } else { 0 });
         for (part, demand) in parts.iter().zip(&demands) {
             // Nobody is short of what it asks for while another has more than one unit beyond that one's part.
             if part < demand {
@@ -30,13 +30,13 @@
     }
 
     #[test]
-    fn a_whole_smaller_than_the_fleet_goes_round(whole in 1u64..5, members in 6usize..20) {
+    fn a_whole_smaller_than_the_fleet_goes_round(total in 1u64..5, members in 6usize..20) {
         let mut turns = vec![0u64; members];
         let (mut served, mut grants) = (vec![0u64; members], 0);
         for _ in 0..members * 4 {
             let asked: Vec<(u64, u64)> = turns.iter().map(|turn| (3, *turn)).collect();
-            let parts = divide(whole, &asked);
-            prop_assert_eq!(parts.iter().sum::<u64>(), whole);
+            let parts = allocate(total, &asked);
+            prop_assert_eq!(parts.iter().sum::<u64>(), total);
             let mut got: Vec<usize> = (0..members).filter(|index| parts[*index] > 0).collect();
             got.sort_by_key(|index| turns[*index]);
             for index in got {
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -5,29 +5,29 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use ottersill_fleet::books::POTS;
-use ottersill_fleet::fleet::{Berth, Fleet};
-use ottersill_fleet::terms::{Budget, Charter, Kind};
+use ottersill_fleet::node::{FleetNode, MemberIdentity};
+use ottersill_fleet::quota_ledger::POOLS;
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 pub const RATE: &str = "probes";
-pub const HAND: &str = "executions";
+pub const CONCURRENCY: &str = "executions";
 pub const HOLD: f64 = 0.5;
 pub const EVERY: f64 = 1.0;
 
-pub fn charter(name: &str, voters: usize, whole: u64, floor: u64, members_at_most: u64) -> Charter {
-    Charter {
+pub fn config(name: &str, voters: usize, total: u64, floor: u64, members_at_most: u64) -> FleetConfig {
+    FleetConfig {
         name: name.to_string(),
         voters: (0..voters).map(|voter| format!("r{voter}")).collect(),
-        keeper_lease: 0.8,
+        leader_lease: 0.8,
         lease: 2.0,
         floor_lease: 6.0,
         drift: 0.02,
         members_at_most,
         budgets: vec![
-            Budget::named(RATE, Kind::Rate { every: EVERY }, whole, floor),
-            Budget::named(HAND, Kind::InHand { hold: HOLD }, whole, floor),
+            Budget::named(RATE, Kind::Rate { every: EVERY }, total, floor),
+            Budget::named(CONCURRENCY, Kind::Concurrency { hold: HOLD }, total, floor),
         ],
     }
 }
@@ -37,8 +37,8 @@
 }
 
 pub struct Node {
-    pub fleet: Option<Fleet>,
-    pub charter: Charter,
+    pub fleet: Option<FleetNode>,
+    pub config: FleetConfig,
     starts: u64,
     /// Its clock is at `offset + rate * true time`.
     rate: f64,
@@ -100,24 +100,24 @@
     pub highest: f64,
     pub most_in_hand: u64,
     pub faults: Vec<String>,
-    pub whole: u64,
+    pub total: u64,
     pub taken: BTreeMap<usize, u64>,
     /// Incarnations come in any order, as from wall clocks that are stepped between two starts.
     pub wall_clocks_step: bool,
 }
 
 impl World {
-    pub fn new(seed: u64, nodes: usize, voters: usize, whole: u64, floor: u64) -> World {
+    pub fn new(seed: u64, nodes: usize, voters: usize, total: u64, floor: u64) -> World {
         let mut rng = SmallRng::seed_from_u64(seed);
         let members = 2 * nodes as u64;
         let nodes = (0..nodes).map(|index| {
-            let charter = charter(&format!("r{index}"), voters, whole, floor, members);
-            let rate = rng.random_range(1.0 - charter.drift..1.0 + charter.drift);
+            let config = config(&format!("r{index}"), voters, total, floor, members);
+            let rate = rng.random_range(1.0 - config.drift..1.0 + config.drift);
             let offset = rng.random_range(0.0..100.0);
-            let appetite = rng.random_range(0.0..whole as f64);
+            let appetite = rng.random_range(0.0..total as f64);
             Node {
                 fleet: None,
-                charter,
+                config,
                 starts: 0,
                 rate,
                 offset,
@@ -142,7 +142,7 @@
             highest: 0.0,
             most_in_hand: 0,
             faults: Vec::new(),
-            whole,
+            total,
             taken: BTreeMap::new(),
             wall_clocks_step: false,
         }
@@ -178,14 +178,15 @@
     /// The same with an incarnation of the test's choice: what a wall clock says that may have been stepped.
     pub fn start_as(&mut self, node: usize, incarnation: u64) {
         let now = self.clock(node);
-        let voters = self.nodes[node].charter.voters.len();
+        let voters = self.nodes[node].config.voters.len();
         self.nodes[node].starts += 1;
         let seeds = (0..voters).map(|voter| (format!("r{voter}"), address(voter))).collect();
         let seed = self.rng.random();
-        let berth = Berth { incarnation, at: address(node), seeds, secret: b"of this test", seed };
-        let charter = self.nodes[node].charter.clone();
+        let identity =
+            MemberIdentity { incarnation, at: address(node), seeds, secret: b"of this test", seed };
+        let config = self.nodes[node].config.clone();
         let new = &mut self.nodes[node];
-        new.fleet = Some(Fleet::start(now, charter, berth));
+        new.fleet = Some(FleetNode::start(now, config, identity));
         (new.stopped, new.waiting) = (false, Vec::new());
         self.after(node);
         self.when(self.time, What::Wakes(node));
@@ -225,7 +226,7 @@
     fn arrive(&mut self, node: usize, datagram: &[u8]) {
         let now = self.clock(node);
         if let Some(fleet) = self.nodes[node].fleet.as_mut() {
-            fleet.hear(now, datagram);
+            fleet.handle_datagram(now, datagram);
             self.after(node);
         }
     }
@@ -233,9 +234,9 @@
     /// Sends what it wants sent.
     fn after(&mut self, node: usize) {
         let Some(fleet) = self.nodes[node].fleet.as_mut() else { return };
-        fleet.events();
-        for parcel in fleet.parcels() {
-            let to: usize = parcel.to[1..].parse().expect("a number");
+        fleet.take_events();
+        for datagram in fleet.take_datagrams() {
+            let to: usize = datagram.to[1..].parse().expect("a number");
             let twice = self.rng.random_bool(self.weather.twice);
             for _ in 0..1 + usize::from(twice) {
                 if self.cut[node][to] || self.rng.random_bool(self.weather.lost) {
@@ -243,7 +244,7 @@
                 }
                 let slow = if self.rng.random_bool(0.05) { 30.0 } else { 1.0 };
                 let delay = self.weather.delay * slow * self.rng.random_range(0.1..2.0);
-                self.when(self.time + delay, What::Arrives(to, parcel.datagram.clone()));
+                self.when(self.time + delay, What::Arrives(to, datagram.bytes.clone()));
             }
         }
     }
@@ -275,10 +276,10 @@
                     self.in_hand -= 1;
                     // A stopped router learns of the end once it goes on; sooner does no harm to the sum.
                     let now = self.clock(node);
-                    let key = self.nodes[node].charter.budgets[1].id;
+                    let key = self.nodes[node].config.budgets[1].id;
                     if self.nodes[node].starts == starts {
                         if let Some(fleet) = self.nodes[node].fleet.as_mut() {
-                            fleet.put(now, (key, 0), true);
+                            fleet.release(now, (key, 0), true);
                         }
                     }
                 }
@@ -315,16 +316,16 @@
             }
             at.owed += at.appetite * span;
             let starts = at.starts;
-            let (rate, hand) = (at.charter.budgets[0].id, at.charter.budgets[1].id);
+            let (rate, hand) = (at.config.budgets[0].id, at.config.budgets[1].id);
             while self.nodes[node].owed >= 1.0 {
                 self.nodes[node].owed -= 1.0;
                 let Some(fleet) = self.nodes[node].fleet.as_mut() else { break };
-                if fleet.take(now, (rate, 0)) {
+                if fleet.acquire(now, (rate, 0)) {
                     self.spent.push(self.time);
                     *self.taken.entry(node).or_default() += 1;
                 }
                 let Some(fleet) = self.nodes[node].fleet.as_mut() else { break };
-                if fleet.take(now, (hand, 0)) {
+                if fleet.acquire(now, (hand, 0)) {
                     self.in_hand += 1;
                     let ends = self.time + self.rng.random_range(0.01..HOLD * 0.95);
                     self.when(ends, What::Ends(node, starts));
@@ -338,9 +339,9 @@
         let time = self.time;
         let alive = self.nodes.iter_mut().filter_map(|node| {
             let now = node.offset + node.rate * time;
-            let key = (node.charter.budgets[budget].id, 0);
+            let key = (node.config.budgets[budget].id, 0);
             let fleet = node.fleet.as_mut()?;
-            let (right, _) = fleet.right(now, key);
+            let (right, _) = fleet.lease(now, key);
             Some(if budget == 0 { right } else { right.max(fleet.in_use(now, key)) })
         });
         alive.sum()
@@ -349,41 +350,41 @@
     fn check(&mut self) {
         for budget in 0..2 {
             let sum = self.sum(budget);
-            self.highest = self.highest.max(sum as f64 / self.whole as f64);
-            if sum > self.whole {
-                self.faults.push(format!("at {:.3}: {sum} of {} of budget {budget}", self.time, self.whole));
+            self.highest = self.highest.max(sum as f64 / self.total as f64);
+            if sum > self.total {
+                self.faults.push(format!("at {:.3}: {sum} of {} of budget {budget}", self.time, self.total));
             }
         }
         self.most_in_hand = self.most_in_hand.max(self.in_hand);
-        if self.in_hand > self.whole {
-            self.faults.push(format!("at {:.3}: {} in hand of {}", self.time, self.in_hand, self.whole));
+        if self.in_hand > self.total {
+            self.faults.push(format!("at {:.3}: {} in hand of {}", self.time, self.in_hand, self.total));
         }
     }
 
     /// The most that was spent of the rate over what any window allows; at most 1 if the budget was kept.
     pub fn spent_at_most(&self) -> f64 {
-        let drift = self.nodes[0].charter.drift;
+        let drift = self.nodes[0].config.drift;
         let mut most: f64 = 0.0;
         for (first, from) in self.spent.iter().enumerate().step_by(7) {
             for (last, to) in self.spent.iter().enumerate().skip(first).step_by(5) {
-                let may = self.whole as f64 * (1.0 + (to - from) * (1.0 + drift) / EVERY);
+                let may = self.total as f64 * (1.0 + (to - from) * (1.0 + drift) / EVERY);
                 most = most.max((last - first + 1) as f64 / may);
             }
         }
         most
     }
 
-    pub fn pots(&self, node: usize, budget: usize) -> [u64; POTS] {
+    pub fn pools(&self, node: usize, budget: usize) -> [u64; POOLS] {
         let (now, at) = (self.clock(node), &self.nodes[node]);
-        let key = (at.charter.budgets[budget].id, 0);
+        let key = (at.config.budgets[budget].id, 0);
         let fleet = at.fleet.as_ref().expect("a running node");
-        fleet.purses().find(|(other, _)| **other == key).map_or([0; POTS], |(_, purse)| purse.amounts(now))
+        fleet.quotas().find(|(other, _)| **other == key).map_or([0; POOLS], |(_, quota)| quota.amounts(now))
     }
 }
 
 /// A schedule of faults from the world's seed, for `seconds`.
 pub fn storm(mut world: World, seconds: f64) -> World {
-    let whole = world.whole;
+    let total = world.total;
     world.weather = Weather {
         lost: world.rng.random_range(0.0..0.2),
         twice: world.rng.random_range(0.0..0.2),
@@ -415,13 +416,13 @@
             9 | 10 => world.cut.iter_mut().flatten().for_each(|cut| *cut = false),
             11 => {
                 // Whom the keeper is: stopped for longer than its lease, in the middle of dividing.
-                let keeper = (0..count).find(|node| {
+                let leader = (0..count).find(|node| {
                     let now = world.clock(*node);
-                    world.nodes[*node].fleet.as_ref().is_some_and(|fleet| fleet.keeps(now))
+                    world.nodes[*node].fleet.as_ref().is_some_and(|fleet| fleet.is_leader(now))
                 });
-                keeper.into_iter().for_each(|keeper| world.stop(keeper));
+                leader.into_iter().for_each(|leader| world.stop(leader));
             }
-            12 => world.nodes[node].appetite = world.rng.random_range(0.0..2.0 * whole as f64),
+            12 => world.nodes[node].appetite = world.rng.random_range(0.0..2.0 * total as f64),
             _ => {}
         }
     });
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use common::{World, storm};
-use ottersill_fleet::fleet::{Berth, Event, Fleet};
-use ottersill_fleet::terms::incarnation;
+use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
+use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
 
 /// Five members, of which three vote, with incarnations as of a clock that is right.
@@ -23,7 +23,7 @@
 }
 
 fn part(world: &World, node: usize) -> u64 {
-    world.pots(node, 0).iter().sum()
+    world.pools(node, 0).iter().sum()
 }
 
 /// Guards against: peers that go by the largest incarnation of a name drop all that its next process says, for as long
@@ -42,9 +42,9 @@
     let until = world.time + 0.2;
     world.run(until, |_| {});
     world.start_as(node, incarnation);
-    let lease = world.nodes[0].charter.lease;
+    let lease = world.nodes[0].config.lease;
     world.run(until + lease + 1.0, |_| {});
-    let refused: u64 = world.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counts.old).sum();
+    let refused: u64 = world.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters.old).sum();
     println!("{} units; {refused} datagrams refused as old", part(&world, node));
     assert!(part(&world, node) >= 5, "{} units; {refused} datagrams refused as old", part(&world, node));
     assert!(world.faults.is_empty(), "{:?}", world.faults.first());
@@ -64,7 +64,7 @@
     let mut world = settled(0);
     for change in 0..changes {
         let leader =
-            (0..3).find(|n| world.nodes[*n].fleet.as_ref().is_some_and(|f| f.keeps(world.clock(*n))));
+            (0..3).find(|n| world.nodes[*n].fleet.as_ref().is_some_and(|f| f.is_leader(world.clock(*n))));
         let leader = leader.expect("a leader");
         world.kill(leader);
         let until = world.time + 4.0;
@@ -127,24 +127,25 @@
 }
 
 /// One member and what it sends, by hand.
-fn member(name: &str, incarnation: u64) -> Fleet {
-    let charter = common::charter(name, 3, 30, 1, 6);
+fn member(name: &str, incarnation: u64) -> FleetNode {
+    let config = common::config(name, 3, 30, 1, 6);
     let seeds = (0..3).map(|voter| (format!("r{voter}"), common::address(voter))).collect();
-    let berth = Berth { incarnation, at: common::address(9), seeds, secret: b"ours", seed: incarnation };
-    Fleet::start(0.0, charter, berth)
+    let identity =
+        MemberIdentity { incarnation, at: common::address(9), seeds, secret: b"ours", seed: incarnation };
+    FleetNode::start(0.0, config, identity)
 }
 
 /// All that `from` sends to `to`, delivered.
-fn deliver(now: f64, from: &mut Fleet, to: &mut Fleet) -> usize {
+fn deliver(now: f64, from: &mut FleetNode, to: &mut FleetNode) -> usize {
     from.tick(now);
-    let mut parcels = from.parcels();
-    parcels.retain(|parcel| parcel.to == to.me().name);
-    parcels.iter().for_each(|parcel| to.hear(now, &parcel.datagram));
-    parcels.len()
+    let mut outgoing = from.take_datagrams();
+    outgoing.retain(|datagram| datagram.to == to.process().name);
+    outgoing.iter().for_each(|datagram| to.handle_datagram(now, &datagram.bytes));
+    outgoing.len()
 }
 
-fn raised(member: &mut Fleet) -> usize {
-    member.events().iter().filter(|event| matches!(event, Event::Raised { .. })).count()
+fn raised(member: &mut FleetNode) -> usize {
+    member.take_events().iter().filter(|event| matches!(event, Event::IncarnationRaised { .. })).count()
 }
 
 /// Guards against: two processes of one name that go on outbidding each other, or a process that has run for long and
@@ -163,7 +164,7 @@
     let duel = raised(&mut first) + raised(&mut second);
     assert!((1..=16).contains(&duel), "{duel} times");
     // A third is started two minutes later, on a clock that is behind; it has its way at once.
-    let last = first.me().incarnation.max(second.me().incarnation);
+    let last = first.process().incarnation.max(second.process().incarnation);
     let mut third = member("r9", 10);
     for step in 0..20 {
         let now = 120.0 + f64::from(step) * 0.1;
@@ -173,7 +174,7 @@
         }
     }
     assert_eq!(raised(&mut third), 1);
-    assert!(third.me().incarnation > last);
+    assert!(third.process().incarnation > last);
     let late = raised(&mut first) + raised(&mut second);
     assert_eq!(late, 0, "those that have run for long stand back");
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -7,7 +7,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use ottersill_fleet::vote::{Answer, Ballot, Call, Candidate, Voter};
+use ottersill_fleet::election::{Ballot, Candidate, CandidateCall, Voter, VoterReply};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LEASE: f64 = 2.0;
@@ -24,16 +24,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Body {
-    Call(Call),
-    Vote(Ballot, Answer),
+enum Message {
+    CandidateCall(CandidateCall),
+    VoterReply(Ballot, VoterReply),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Mail {
     from: usize,
     to: usize,
-    body: Body,
+    body: Message,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -59,11 +59,11 @@
 impl Mail {
     fn key(&self) -> (usize, usize, u8, Ballot) {
         let (kind, ballot) = match self.body {
-            Body::Call(Call::Ask(ballot)) => (0, ballot),
-            Body::Call(Call::Claim(ballot)) => (1, ballot),
-            Body::Vote(ballot, Answer::Granted) => (2, ballot),
-            Body::Vote(ballot, Answer::Promised { held }) => (3 + u8::from(held), ballot),
-            Body::Vote(ballot, Answer::Outbid(_)) => (5, ballot),
+            Message::CandidateCall(CandidateCall::Prepare(ballot)) => (0, ballot),
+            Message::CandidateCall(CandidateCall::Accept(ballot)) => (1, ballot),
+            Message::VoterReply(ballot, VoterReply::Granted) => (2, ballot),
+            Message::VoterReply(ballot, VoterReply::Promised { held }) => (3 + u8::from(held), ballot),
+            Message::VoterReply(ballot, VoterReply::Outbid(_)) => (5, ballot),
         };
         (self.from, self.to, kind, ballot)
     }
@@ -89,9 +89,9 @@
 }
 
 impl Election {
-    fn candidate(&self, time: u64, seat: usize, incarnation: u64) -> Candidate {
+    fn candidate(&self, time: u64, voter_index: usize, incarnation: u64) -> Candidate {
         let lease = if self.mutant == Mutant::LongCount { 2.0 * LEASE } else { LEASE };
-        Candidate::start(time as f64, seat as u16, incarnation, self.voters, lease, 0.0)
+        Candidate::start(time as f64, voter_index as u16, incarnation, self.voters, lease, 0.0)
     }
 
     fn voter(&self, time: u64) -> Voter {
@@ -102,32 +102,32 @@
 }
 
 impl State {
-    fn vote(&mut self, now: f64, voter: usize, call: Call) -> (Ballot, Option<Answer>) {
+    fn vote(&mut self, now: f64, voter: usize, call: CandidateCall) -> (Ballot, Option<VoterReply>) {
         let voter = &mut self.voters[voter];
         match call {
-            Call::Ask(ballot) => (ballot, voter.asked(now, ballot)),
-            Call::Claim(ballot) => (ballot, voter.claimed(now, ballot)),
+            CandidateCall::Prepare(ballot) => (ballot, voter.handle_prepare(now, ballot)),
+            CandidateCall::Accept(ballot) => (ballot, voter.handle_accept(now, ballot)),
         }
     }
 
-    fn answered(&mut self, now: f64, candidate: usize, voter: usize, ballot: Ballot, answer: Answer) {
-        let call = self.candidates[candidate].answered(now, voter as u16, ballot, answer);
+    fn answered(&mut self, now: f64, candidate: usize, voter: usize, ballot: Ballot, answer: VoterReply) {
+        let call = self.candidates[candidate].handle_reply(now, voter as u16, ballot, answer);
         self.call(now, candidate, call);
     }
 
     /// What a candidate says to itself is heard at once, as in the program.
-    fn call(&mut self, now: f64, from: usize, call: Option<Call>) {
+    fn call(&mut self, now: f64, from: usize, call: Option<CandidateCall>) {
         let Some(call) = call else { return };
         let others = (0..self.voters.len()).filter(|to| *to != from);
-        self.mail.extend(others.map(|to| Mail { from, to, body: Body::Call(call) }));
+        self.mail.extend(others.map(|to| Mail { from, to, body: Message::CandidateCall(call) }));
         if let (ballot, Some(answer)) = self.vote(now, from, call) {
             self.answered(now, from, from, ballot, answer);
         }
     }
 
-    fn keepers(&self) -> usize {
+    fn leaders(&self) -> usize {
         let now = self.time as f64;
-        self.candidates.iter().filter(|candidate| candidate.tenure(now).is_some()).count()
+        self.candidates.iter().filter(|candidate| candidate.term(now).is_some()).count()
     }
 }
 
@@ -140,7 +140,7 @@
             time: 0,
             // All that went before is over.
             voters: (0..self.voters).map(|_| Voter::start(-LEASE, LEASE)).collect(),
-            candidates: (0..self.candidates).map(|seat| self.candidate(0, seat, 1)).collect(),
+            candidates: (0..self.candidates).map(|voter_index| self.candidate(0, voter_index, 1)).collect(),
             incarnations: vec![1; self.voters],
             mail: Vec::new(),
             starts_left: 1,
@@ -154,10 +154,12 @@
         }
         let now = state.time as f64;
         let due = |candidate: &Candidate| now >= candidate.next_at();
-        actions.extend((0..self.candidates).filter(|seat| due(&state.candidates[*seat])).map(Action::Tick));
+        actions.extend(
+            (0..self.candidates).filter(|voter_index| due(&state.candidates[*voter_index])).map(Action::Tick),
+        );
         actions.extend((0..state.mail.len()).map(Action::Deliver));
         // Twice only where it can matter: what moves a voter.
-        let moves = |mail: &Mail| matches!(mail.body, Body::Call(Call::Claim(_)));
+        let moves = |mail: &Mail| matches!(mail.body, Message::CandidateCall(CandidateCall::Accept(_)));
         if state.repeats_left > 0 {
             actions
                 .extend((0..state.mail.len()).filter(|mail| moves(&state.mail[*mail])).map(Action::Repeat));
@@ -172,9 +174,9 @@
         let now = state.time as f64;
         match action {
             Action::Pass => state.time += 1,
-            Action::Tick(seat) => {
-                let call = state.candidates[seat].tick(now, false);
-                state.call(now, seat, call);
+            Action::Tick(voter_index) => {
+                let call = state.candidates[voter_index].tick(now, false);
+                state.call(now, voter_index, call);
             }
             Action::Deliver(index) | Action::Repeat(index) => {
                 let Mail { from, to, body } = state.mail[index].clone();
@@ -183,7 +185,7 @@
                     _ => state.repeats_left -= 1,
                 }
                 match body {
-                    Body::Call(call) => {
+                    Message::CandidateCall(call) => {
                         let (ballot, answer) = state.vote(now, to, call);
                         match answer {
                             Some(answer) if self.at_once => state.answered(now, from, to, ballot, answer),
@@ -191,13 +193,13 @@
                                 state.mail.push(Mail {
                                     from: to,
                                     to: from,
-                                    body: Body::Vote(ballot, answer),
+                                    body: Message::VoterReply(ballot, answer),
                                 });
                             }
                             None => {}
                         }
                     }
-                    Body::Vote(ballot, answer) => state.answered(now, to, from, ballot, answer),
+                    Message::VoterReply(ballot, answer) => state.answered(now, to, from, ballot, answer),
                 }
             }
             Action::Restart(node) => {
@@ -217,8 +219,8 @@
 
     fn properties(&self) -> Vec<Property<Election>> {
         vec![
-            Property::always("one keeper at most", |_, state: &State| state.keepers() <= 1),
-            Property::sometimes("a keeper", |_, state: &State| state.keepers() == 1),
+            Property::always("one keeper at most", |_, state: &State| state.leaders() <= 1),
+            Property::sometimes("a keeper", |_, state: &State| state.leaders() == 1),
         ]
     }
 
@@ -237,7 +239,7 @@
 }
 
 #[test]
-fn there_is_never_more_than_one_keeper_in_any_state() {
+fn there_is_never_more_than_one_leader_in_any_state() {
     let (found, kept, states, all) = check(Mutant::None, true, usize::MAX);
     println!("{states} states, which are all");
     assert!(!found && kept && all);
--- a/crates/fleet/tests/model_books.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -8,21 +8,21 @@
 
 use std::hash::{Hash, Hasher};
 
-use ottersill_fleet::books::{Books, Entry, Grant};
-use ottersill_fleet::purse::Purse;
-use ottersill_fleet::terms::{Budget, Charter, Kind, Process};
-use ottersill_fleet::vote::Ballot;
+use ottersill_fleet::election::Ballot;
+use ottersill_fleet::local_quota::LocalQuota;
+use ottersill_fleet::quota_ledger::{Grant, QuotaLedger, QuotaRequest};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const WHOLE: u64 = 2;
+const TOTAL: u64 = 2;
 const LEASE: f64 = 3.0;
 
 /// How large a model is: all states of it are looked at.
 #[derive(Clone, Copy, Debug)]
 struct Size {
     /// A keeper may grant for so long.
-    tenure: u64,
+    term: u64,
     steps: u64,
     questions: u64,
     restarts: u64,
@@ -44,16 +44,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Mail {
-    Question { holder: usize, incarnation: u64, nonce: u64, seen: Ballot, entry: Entry },
-    Answer { holder: usize, incarnation: u64, nonce: u64, epoch: Ballot, grant: Option<Grant> },
+    Question { holder: usize, incarnation: u64, request_id: u64, seen: Ballot, entry: QuotaRequest },
+    VoterReply { holder: usize, incarnation: u64, request_id: u64, term: Ballot, grant: Option<Grant> },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     incarnation: u64,
-    purse: Purse,
+    quota: LocalQuota,
     seen: Ballot,
-    nonce: u64,
+    request_id: u64,
     /// When each question left.
     asked: Vec<f64>,
 }
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     time: u64,
-    books: Books,
-    tenure_until: u64,
+    ledger: QuotaLedger,
+    term_until: u64,
     holders: Vec<Holder>,
     mail: Vec<Mail>,
     questions_left: u64,
     restarts_left: u64,
-    keepers_left: u64,
+    leaders_left: u64,
 }
 
 /// No time in it is ever not a number.
@@ -84,7 +84,7 @@
 enum Late {
     Nothing,
     Question,
-    Answer,
+    VoterReply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -93,7 +93,7 @@
     Ask(usize, Late),
     Deliver(usize),
     Restart(usize),
-    NewKeeper,
+    NewLeader,
 }
 
 struct Division {
@@ -103,59 +103,59 @@
 }
 
 impl Division {
-    fn charter(&self, lease: f64) -> Charter {
-        Charter {
+    fn config(&self, lease: f64) -> FleetConfig {
+        FleetConfig {
             name: "k".to_string(),
             voters: vec!["k".to_string()],
-            keeper_lease: self.size.tenure as f64,
+            leader_lease: self.size.term as f64,
             lease,
             floor_lease: lease,
             drift: 0.0,
             members_at_most: 2,
-            budgets: vec![Budget::named("units", self.kind, WHOLE, 0)],
+            budgets: vec![Budget::named("units", self.kind, TOTAL, 0)],
         }
     }
 
     fn holder(&self, time: u64, incarnation: u64) -> Holder {
-        let purse = Purse::new(time as f64, self.kind, WHOLE, 0);
-        Holder { incarnation, purse, seen: Ballot::default(), nonce: 0, asked: Vec::new() }
+        let quota = LocalQuota::new(time as f64, self.kind, TOTAL, 0);
+        Holder { incarnation, quota, seen: Ballot::default(), request_id: 0, asked: Vec::new() }
     }
 
-    fn books(&self, time: u64, round: u64) -> Books {
+    fn ledger(&self, time: u64, round: u64) -> QuotaLedger {
         let since = if self.mutant == Mutant::NoSettling { -100.0 } else { time as f64 };
-        Books::open(since, Ballot { round, seat: 0, incarnation: 1 })
+        QuotaLedger::new(since, Ballot { round, voter_index: 0, incarnation: 1 })
     }
 
     /// `on` says whether an answer that this makes is delivered as well.
     fn deliver(&self, state: &mut State, mail: Mail, on: bool) {
         let now = state.time as f64;
         match mail {
-            Mail::Question { holder, incarnation, nonce, seen, entry } => {
-                if state.time >= state.tenure_until {
+            Mail::Question { holder, incarnation, request_id, seen, entry } => {
+                if state.time >= state.term_until {
                     return;
                 }
-                let epoch = state.books.epoch();
+                let term = state.ledger.term();
                 let lease = if self.mutant == Mutant::LeaseNotWaitedOut { LEASE / 2.0 } else { LEASE };
                 let process = Process { name: format!("h{holder}"), incarnation };
-                let renewed = seen == epoch || self.mutant == Mutant::OldClaims;
+                let renewed = seen == term || self.mutant == Mutant::OldClaims;
                 let grant = if renewed {
-                    state.books.ask(now, &self.charter(lease), &process, nonce, &entry)
+                    state.ledger.request(now, &self.config(lease), &process, request_id, &entry)
                 } else {
                     None
                 };
-                let answer = Mail::Answer { holder, incarnation, nonce, epoch, grant };
+                let answer = Mail::VoterReply { holder, incarnation, request_id, term, grant };
                 if on { self.deliver(state, answer, on) } else { state.mail.push(answer) }
             }
-            Mail::Answer { holder, incarnation, nonce, epoch, grant } => {
+            Mail::VoterReply { holder, incarnation, request_id, term, grant } => {
                 let holder = &mut state.holders[holder];
-                if holder.incarnation != incarnation || epoch < holder.seen {
+                if holder.incarnation != incarnation || term < holder.seen {
                     return;
                 }
-                holder.seen = epoch;
-                let asked_at = holder.asked[nonce as usize - 1];
+                holder.seen = term;
+                let asked_at = holder.asked[request_id as usize - 1];
                 let from = if self.mutant == Mutant::CountedFromAnswer { now } else { asked_at };
                 if let Some(grant) = grant {
-                    holder.purse.granted(now, epoch, &grant, (nonce, from), [LEASE; 2]);
+                    holder.quota.apply_grant(now, term, &grant, (request_id, from), [LEASE; 2]);
                 }
             }
         }
@@ -164,7 +164,7 @@
 
 impl State {
     fn sum(&self) -> u64 {
-        self.holders.iter().map(|holder| holder.purse.right(self.time as f64).0).sum()
+        self.holders.iter().map(|holder| holder.quota.lease(self.time as f64).0).sum()
     }
 }
 
@@ -174,17 +174,17 @@
 
     fn init_states(&self) -> Vec<State> {
         // The first keeper has settled: what went before it is over.
-        let books = Books::open(-100.0, Ballot { round: 1, seat: 0, incarnation: 1 });
+        let ledger = QuotaLedger::new(-100.0, Ballot { round: 1, voter_index: 0, incarnation: 1 });
         vec![State {
             time: 0,
-            tenure_until: self.size.tenure,
+            term_until: self.size.term,
             // Both have heard of it.
-            holders: vec![Holder { seen: books.epoch(), ..self.holder(0, 1) }; 2],
-            books,
+            holders: vec![Holder { seen: ledger.term(), ..self.holder(0, 1) }; 2],
+            ledger,
             mail: Vec::new(),
             questions_left: self.size.questions,
             restarts_left: self.size.restarts,
-            keepers_left: 1,
+            leaders_left: 1,
         }]
     }
 
@@ -193,7 +193,7 @@
             actions.push(Action::Pass);
         }
         if state.questions_left > 0 {
-            for late in [Late::Nothing, Late::Question, Late::Answer] {
+            for late in [Late::Nothing, Late::Question, Late::VoterReply] {
                 actions.extend((0..2).map(|holder| Action::Ask(holder, late)));
             }
         }
@@ -201,8 +201,8 @@
         if state.restarts_left > 0 {
             actions.extend((0..2).map(Action::Restart));
         }
-        if state.keepers_left > 0 && state.time >= state.tenure_until {
-            actions.push(Action::NewKeeper);
+        if state.leaders_left > 0 && state.time >= state.term_until {
+            actions.push(Action::NewLeader);
         }
     }
 
@@ -214,19 +214,19 @@
             Action::Ask(index, late) => {
                 state.questions_left -= 1;
                 let holder = &mut state.holders[index];
-                holder.nonce += 1;
+                holder.request_id += 1;
                 holder.asked.push(now);
-                let budget = self.charter(LEASE).budgets[0].id;
-                let entry = Entry {
+                let budget = self.config(LEASE).budgets[0].id;
+                let entry = QuotaRequest {
                     budget,
                     subject: 0,
-                    whole: WHOLE,
-                    demand: WHOLE,
-                    used: 0,
-                    held: holder.purse.held(now, holder.seen),
+                    total: TOTAL,
+                    demand: TOTAL,
+                    in_use: 0,
+                    held: holder.quota.report(now, holder.seen),
                 };
-                let (incarnation, nonce, seen) = (holder.incarnation, holder.nonce, holder.seen);
-                let question = Mail::Question { holder: index, incarnation, nonce, seen, entry };
+                let (incarnation, request_id, seen) = (holder.incarnation, holder.request_id, holder.seen);
+                let question = Mail::Question { holder: index, incarnation, request_id, seen, entry };
                 match late {
                     Late::Question => state.mail.push(question),
                     _ => self.deliver(&mut state, question, late == Late::Nothing),
@@ -240,10 +240,10 @@
                 state.restarts_left -= 1;
                 state.holders[index] = self.holder(state.time, 2);
             }
-            Action::NewKeeper => {
-                state.keepers_left -= 1;
-                state.books = self.books(state.time, 2);
-                state.tenure_until = state.time + self.size.tenure;
+            Action::NewLeader => {
+                state.leaders_left -= 1;
+                state.ledger = self.ledger(state.time, 2);
+                state.term_until = state.time + self.size.term;
             }
         }
         Some(state)
@@ -251,10 +251,10 @@
 
     fn properties(&self) -> Vec<Property<Division>> {
         vec![
-            Property::always("the sum is within the whole", |_, state: &State| state.sum() <= WHOLE),
-            Property::sometimes("all is in use", |_, state: &State| state.sum() == WHOLE),
+            Property::always("the sum is within the whole", |_, state: &State| state.sum() <= TOTAL),
+            Property::sometimes("all is in use", |_, state: &State| state.sum() == TOTAL),
             Property::sometimes("a part outlives its keeper", |_, state: &State| {
-                state.books.epoch().round == 2 && state.sum() > 0
+                state.ledger.term().round == 2 && state.sum() > 0
             }),
         ]
     }
@@ -265,7 +265,7 @@
 }
 
 fn check(mutant: Mutant, size: Size) -> (bool, usize, usize) {
-    let model = Division { mutant, kind: Kind::InHand { hold: 0.0 }, size };
+    let model = Division { mutant, kind: Kind::Concurrency { hold: 0.0 }, size };
     let options = model.checker().finish_when(HasDiscoveries::AnyFailures).threads(2);
     let checker = options.spawn_bfs().join();
     let broken = checker.discovery("the sum is within the whole").is_some();
@@ -276,7 +276,7 @@
 
 #[test]
 fn in_no_state_is_the_sum_above_the_whole() {
-    let size = Size { tenure: 2, steps: 4, questions: 3, restarts: 1 };
+    let size = Size { term: 2, steps: 4, questions: 3, restarts: 1 };
     let (broken, seen, states) = check(Mutant::None, size);
     println!("{states} states, which are all");
     assert!(!broken && seen == 2, "{broken} {seen}");
@@ -287,8 +287,8 @@
 #[case(Mutant::OldClaims, 4, 5)]
 #[case(Mutant::LeaseNotWaitedOut, 4, 4)]
 #[case(Mutant::CountedFromAnswer, 4, 4)]
-fn a_rule_left_out_is_found(#[case] mutant: Mutant, #[case] tenure: u64, #[case] steps: u64) {
-    let size = Size { tenure, steps, questions: 3, restarts: 0 };
+fn a_rule_left_out_is_found(#[case] mutant: Mutant, #[case] term: u64, #[case] steps: u64) {
+    let size = Size { term, steps, questions: 3, restarts: 0 };
     let (broken, _, states) = check(mutant, size);
     println!("{mutant:?}: {states} states");
     assert!(broken, "{mutant:?} passes unseen");
--- /dev/null
+++ b/crates/fleet/tests/quota_ledger.rs
@@ -0,0 +1,40 @@
+//! What the keeper's books make of letters that come in another order than they were sent.
+
+use ottersill_fleet::election::Ballot;
+use ottersill_fleet::quota_ledger::{HeldQuota, QuotaLedger, QuotaRequest};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process};
+
+#[test]
+fn a_question_that_comes_after_its_holder_s_leaving_takes_nothing_off_the_books() {
+    let budget = Budget::named("units", Kind::Concurrency { hold: 1.0 }, 10, 0);
+    let entry = |in_use: u64, held: HeldQuota| QuotaRequest {
+        budget: budget.id,
+        subject: 0,
+        total: 10,
+        demand: 10,
+        in_use,
+        held: [held, HeldQuota::default()],
+    };
+    let config = FleetConfig {
+        name: "k".to_string(),
+        voters: vec!["k".to_string()],
+        leader_lease: 1.0,
+        lease: 2.0,
+        floor_lease: 2.0,
+        drift: 0.01,
+        members_at_most: 2,
+        budgets: vec![budget.clone()],
+    };
+    let [one, other] = ["one", "other"].map(|name| Process { name: name.to_string(), incarnation: 1 });
+    let mut ledger = QuotaLedger::new(-100.0, Ballot::default());
+    let grant = ledger.request(0.0, &config, &one, 1, &entry(0, HeldQuota::default())).expect("a grant");
+    assert_eq!(grant.amounts, [10, 0]);
+    // It asked (2) with two in hand, began eight more, and left (3); the leaving came first.
+    ledger.holder_left(0.2, &one, 3, &config);
+    let late = entry(2, HeldQuota { amount: 10, serial: grant.serial });
+    assert_eq!(ledger.request(0.3, &config, &one, 2, &late), None);
+    let next = ledger.request(0.4, &config, &other, 1, &entry(0, HeldQuota::default())).expect("an answer");
+    assert_eq!(next.amounts, [0, 0], "all ten may be in hand still");
+    let later = ledger.request(1.3, &config, &other, 2, &entry(0, HeldQuota::default())).expect("an answer");
+    assert_eq!(later.amounts, [10, 0]);
+}
--- a/crates/ottersill/src/memory/hosts.rs
+++ b/crates/ottersill/src/memory/hosts.rs
@@ -85,7 +85,7 @@
         if host == self.all.len() {
             self.by_name.insert(entry.host.clone(), host);
             let name = entry.host.clone();
-            let label = ottersill_fleet::terms::label(&name);
+            let label = ottersill_fleet::settings::label(&name);
             self.all.push(Host {
                 name,
                 label,
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -11,9 +11,9 @@
 use calloop::RegistrationToken;
 use ottersill_bylaws::fleet::{self as file, Bylaws, Of};
 use ottersill_core::interface::Parts;
-use ottersill_fleet::books::Key;
-use ottersill_fleet::fleet::{Berth, Event, Fleet};
-use ottersill_fleet::terms::{incarnation, label};
+use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
+use ottersill_fleet::quota_ledger::BudgetKey;
+use ottersill_fleet::settings::{incarnation, label};
 use serde::Serialize;
 use socket2::Socket;
 
@@ -27,7 +27,7 @@
         again_at: f64,
     },
     Joined {
-        fleet: Box<Fleet>,
+        fleet: Box<FleetNode>,
         socket: Rc<Socket>,
         token: RegistrationToken,
     },
@@ -105,18 +105,18 @@
         // The system's randomness: the wall clock may say twice the same.
         let random = RandomState::new().build_hasher().finish();
         let voters = &self.bylaws.charter.voters;
-        let berth = Berth {
+        let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
             at: self.bylaws.at,
             seeds: self.bylaws.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
         };
-        let fleet = Box::new(Fleet::start(now, self.bylaws.charter.clone(), berth));
+        let fleet = Box::new(FleetNode::start(now, self.bylaws.charter.clone(), identity));
         self.course = Course::Joined { fleet, socket, token };
     }
 
-    pub fn fleet(&mut self) -> Option<&mut Fleet> {
+    pub fn fleet(&mut self) -> Option<&mut FleetNode> {
         match &mut self.course {
             Course::Joined { fleet, .. } => Some(fleet),
             _ => None,
@@ -124,7 +124,7 @@
     }
 
     /// The budget for that, if there is one, and its subject: a host's name, or nothing.
-    pub fn key(&self, of: Of, subject: &str) -> Option<Key> {
+    pub fn key(&self, of: Of, subject: &str) -> Option<BudgetKey> {
         let index = self.bylaws.purposes.iter().position(|purpose| *purpose == of)?;
         let subject = if of.of_each_host() { label(subject) } else { 0 };
         Some((self.bylaws.charter.budgets[index].id, subject))
@@ -138,7 +138,7 @@
             self.refused += 1;
             return false;
         };
-        let taken = fleet.take(now, key);
+        let taken = fleet.acquire(now, key);
         self.refused += u64::from(!taken);
         if taken {
             self.write("take", now, key, None, None, None);
@@ -150,15 +150,15 @@
     pub fn put(&mut self, now: f64, of: Of, subject: &str, proved: bool) {
         let Some(key) = self.key(of, subject) else { return };
         if let Some(fleet) = self.fleet() {
-            fleet.put(now, key, proved);
+            fleet.release(now, key, proved);
             self.write(if proved { "put" } else { "put unproved" }, now, key, None, None, None);
         }
     }
 
     /// Writes down a right, before anything is spent of it.
     pub fn note(&mut self, now: f64, event: &Event) {
-        if let Event::Right { key, epoch, serial, amounts, until } = event {
-            let grant = format!("{}.{}.{}/{serial}", epoch.round, epoch.seat, epoch.incarnation);
+        if let Event::QuotaGranted { key, term, serial, amounts, until } = event {
+            let grant = format!("{}.{}.{}/{serial}", term.round, term.voter_index, term.incarnation);
             let rights = [(amounts[0], until[0]), (amounts[1], until[1])];
             self.write("right", now, *key, Some(grant), Some(amounts.iter().sum()), Some(rights));
         }
@@ -168,7 +168,7 @@
         &mut self,
         what: &str,
         now: f64,
-        key: Key,
+        key: BudgetKey,
         grant: Option<String>,
         units: Option<u64>,
         until: Option<[(u64, f64); 2]>,
@@ -177,9 +177,9 @@
             return;
         }
         let Course::Joined { fleet, .. } = &self.course else { return };
-        let charter = fleet.charter();
+        let charter = fleet.config();
         let budget = charter.budget(key.0).map_or("", |budget| budget.name.as_str());
-        let (process, incarnation) = (fleet.me().name.as_str(), fleet.me().incarnation);
+        let (process, incarnation) = (fleet.process().name.as_str(), fleet.process().incarnation);
         let entry =
             Entry { at: now, process, incarnation, what, budget, subject: key.1, grant, units, until };
         let line = serde_json::to_string(&entry).map(|line| line + "\n");
@@ -198,13 +198,13 @@
             ));
         }
         let (old, new) = (&self.bylaws.charter.budgets, new.charter.budgets);
-        let changed = old.iter().zip(&new).filter(|(old, new)| old.whole != new.whole);
+        let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
         let told =
-            changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.whole, new.whole)).collect();
-        let wholes: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.whole)).collect();
+            changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.total, new.total)).collect();
+        let wholes: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.total)).collect();
         self.bylaws.charter.budgets = new;
         if let Some(fleet) = self.fleet() {
-            fleet.set_wholes(now, &wholes);
+            fleet.set_totals(now, &wholes);
         }
         Ok(told)
     }
--- a/crates/ottersill/src/wire/control.rs
+++ b/crates/ottersill/src/wire/control.rs
@@ -109,11 +109,11 @@
         let now = self.clock.now();
         match self.link.as_ref().map(|link| &link.course) {
             Some(Course::Joined { fleet, .. }) => {
-                let (keeper, _) = fleet.keeper();
-                let line = |m: &ottersill_fleet::members::Member| {
-                    json!({"member": m.process.name, "incarnation": m.process.incarnation, "at": m.at,
+                let (keeper, _) = fleet.leader();
+                let line = |m: &ottersill_fleet::membership::Member| {
+                    json!({"member": m.process.name, "incarnation": m.process.incarnation, "at": m.address,
                         "presence": m.presence, "for_s": now - m.since, "keeper": keeper == Some(m.process.name.as_str()),
-                        "me": m.process == *fleet.me()})
+                        "me": m.process == *fleet.process()})
                 };
                 fleet.members().map(line).collect()
             }
@@ -129,14 +129,17 @@
         let Some(Course::Joined { fleet, .. }) = self.link.as_ref().map(|link| &link.course) else {
             return Vec::new();
         };
-        let line = |(key, purse): (&ottersill_fleet::books::Key, &ottersill_fleet::purse::Purse)| {
-            let ([part, floor], [part_until, floor_until]) = (purse.amounts(now), purse.until());
-            json!({"budget": self.budget_name(key.0), "subject": self.subject_name(key.1), "whole": purse.whole(),
+        let line = |(key, quota): (
+            &ottersill_fleet::quota_ledger::BudgetKey,
+            &ottersill_fleet::local_quota::LocalQuota,
+        )| {
+            let ([part, floor], [part_until, floor_until]) = (quota.amounts(now), quota.until());
+            json!({"budget": self.budget_name(key.0), "subject": self.subject_name(key.1), "whole": quota.total(),
                 "part": part, "part_for_s": (part_until - now).max(0.0), "floor": floor,
-                "floor_for_s": (floor_until - now).max(0.0), "in_use": purse.in_use(), "spent": purse.spent,
-                "turned_away": purse.turned_away, "standing": format!("{:?}", purse.standing())})
+                "floor_for_s": (floor_until - now).max(0.0), "in_use": quota.in_use(), "spent": quota.spent,
+                "turned_away": quota.denied, "standing": format!("{:?}", quota.standing())})
         };
-        fleet.purses().map(line).collect()
+        fleet.quotas().map(line).collect()
     }
 
     fn books_lines(&mut self) -> Vec<Value> {
@@ -144,27 +147,27 @@
         let Some(Course::Joined { fleet, .. }) = self.link.as_ref().map(|link| &link.course) else {
             return Vec::new();
         };
-        if !fleet.keeps(now) {
-            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.keeper().0})];
+        if !fleet.is_leader(now) {
+            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader().0})];
         }
-        let line = |line: ottersill_fleet::books::Line| {
+        let line = |line: ottersill_fleet::quota_ledger::LedgerLine| {
             let out = line.by_demand + line.floor;
             json!({"budget": self.budget_name(line.budget), "subject": self.subject_name(line.subject),
                 "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.by_demand,
-                "floor": line.floor, "in_use": line.used, "demand": line.demand,
-                "stranded": out.saturating_sub(line.demand.max(line.used))})
+                "floor": line.floor, "in_use": line.in_use, "demand": line.demand,
+                "stranded": out.saturating_sub(line.demand.max(line.in_use))})
         };
-        fleet.lines(now).into_iter().map(line).collect()
+        fleet.ledger_lines(now).into_iter().map(line).collect()
     }
 
     fn counts_lines(&mut self) -> Vec<Value> {
         let Some(link) = self.link.as_ref() else { return Vec::new() };
         let Course::Joined { fleet, .. } = &link.course else { return Vec::new() };
-        let counts = fleet.counts;
+        let counts = fleet.counters;
         vec![json!({"heard": counts.heard, "heard_bytes": counts.heard_bytes, "sent": counts.sent,
-            "sent_bytes": counts.sent_bytes, "unproved": counts.unproved, "astray": counts.astray, "old": counts.old,
-            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.strangers,
-            "namesakes": counts.namesakes, "elections": counts.elections, "refused": link.refused,
+            "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.old,
+            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.incompatible,
+            "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused,
             "unwritten": link.unwritten})]
     }
 }
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -6,9 +6,9 @@
 use ottersill_bylaws::fleet::Of;
 use ottersill_core::facade::News;
 use ottersill_core::interface::Part;
-use ottersill_fleet::fleet::{Event, Fleet};
-use ottersill_fleet::members::Presence;
-use ottersill_fleet::seal;
+use ottersill_fleet::authenticator;
+use ottersill_fleet::membership::Presence;
+use ottersill_fleet::node::{Event, FleetNode};
 use slog::{info, warn};
 use socket2::SockAddr;
 
@@ -45,14 +45,14 @@
     }
 
     pub fn fleet_is_ready(&mut self) {
-        let mut space = [0; seal::LONGEST];
+        let mut space = [0; authenticator::MAX_DATAGRAM_BYTES];
         for _ in 0..DATAGRAMS {
             let Some(Link { course: Course::Joined { fleet, socket, .. }, .. }) = &mut self.link else {
                 return;
             };
             match socket::datagram(socket, &mut space) {
                 // Each by the clock as it is when it is read: what is granted counts from then.
-                Ok(Some(length)) => fleet.hear(self.clock.now(), &space[..length]),
+                Ok(Some(length)) => fleet.handle_datagram(self.clock.now(), &space[..length]),
                 Ok(None) => return self.fleet_after(),
                 // An earlier datagram found nobody; the next may be in order.
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
@@ -80,16 +80,16 @@
     pub fn fleet_after(&mut self) {
         let now = self.clock.now();
         let Some(link) = &mut self.link else { return };
-        let (parcels, events) =
-            link.fleet().map_or_else(Default::default, |fleet| (fleet.parcels(), fleet.events()));
+        let (datagrams, events) =
+            link.fleet().map_or_else(Default::default, |fleet| (fleet.take_datagrams(), fleet.take_events()));
         for event in &events {
             link.note(now, event);
         }
-        for parcel in parcels {
-            let at = link.address(&parcel.to).or(parcel.told);
+        for datagram in datagrams {
+            let at = link.address(&datagram.to).or(datagram.advertised_address);
             if let (Some(at), Course::Joined { socket, .. }) = (at, &link.course) {
                 // One that is lost is asked for again.
-                let _ = socket.send_to(&parcel.datagram, &SockAddr::from(at));
+                let _ = socket.send_to(&datagram.bytes, &SockAddr::from(at));
             }
         }
         self.alarms.clear(link.alarm.take());
@@ -104,32 +104,32 @@
 
     fn fleet_logs(&self, event: Event) {
         match event {
-            Event::Turned(turned) => {
-                info!(self.log, "member"; "member" => turned.process.name.as_str(),
-                    "incarnation" => turned.process.incarnation, "presence" => format!("{:?}", turned.presence));
+            Event::MembershipChanged(change) => {
+                info!(self.log, "member"; "member" => change.process.name.as_str(),
+                    "incarnation" => change.process.incarnation, "presence" => format!("{:?}", change.presence));
             }
-            Event::Keeps(true) => info!(self.log, "keeps the books of the fleet"),
-            Event::Keeps(false) => info!(self.log, "no longer keeps the books of the fleet"),
-            Event::Keeper(name) => info!(self.log, "asks for its parts"; "keeper" => name),
-            Event::Stands { key, standing } => {
+            Event::LeadershipChanged(true) => info!(self.log, "keeps the books of the fleet"),
+            Event::LeadershipChanged(false) => info!(self.log, "no longer keeps the books of the fleet"),
+            Event::LeaderFound(name) => info!(self.log, "asks for its parts"; "keeper" => name),
+            Event::QuotaStateChanged { key, standing } => {
                 info!(self.log, "part of a budget"; "budget" => self.budget_name(key.0),
                     "subject" => self.subject_name(key.1), "standing" => format!("{standing:?}"));
             }
-            Event::Stranger(process) => {
+            Event::IncompatibleMember(process) => {
                 warn!(self.log, "a member whose file differs in what has to be alike"; "member" => process.name);
             }
-            Event::SmallerWhole { key, own, used } => {
+            Event::SmallerTotal { key, own, used } => {
                 warn!(self.log, "another member's file has a smaller whole, which is gone by";
                     "budget" => self.budget_name(key.0), "own" => own, "used" => used);
             }
-            Event::Raised { from, to } => {
+            Event::IncarnationRaised { from, to } => {
                 info!(self.log, "a larger incarnation of this name was known, taken a larger one still"; "from" => from, "to" => to);
             }
             Event::Superseded { by } => {
                 warn!(self.log, "no part of the fleet's budgets: a later process of this name is known"; "incarnation" => by);
             }
             // Each is in the audit; in the log they would bury all else.
-            Event::Right { .. } => {}
+            Event::QuotaGranted { .. } => {}
         }
     }
 
@@ -157,11 +157,11 @@
             let waiting = self.facade.waiting(host.listed.group) as u64;
             let units = link.key(Of::ExecutionsAtEachHost, &host.name).map(|key| {
                 link.fleet().map_or(0, |fleet| {
-                    fleet.expect(now, key);
-                    if waiting > 0 && !fleet.has(now, key) {
-                        fleet.want(now, key, waiting);
+                    fleet.track(now, key);
+                    if waiting > 0 && !fleet.is_available(now, key) {
+                        fleet.note_waiting(now, key, waiting);
                     }
-                    fleet.right(now, key).0.saturating_sub(fleet.lingering(key))
+                    fleet.lease(now, key).0.saturating_sub(fleet.lingering(key))
                 })
             });
             // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
@@ -172,7 +172,7 @@
                     let tokens = fleet.tokens(now, key);
                     // Nothing waits for a cold host as long as a warm one has room: who has traffic wants a part.
                     if in_hand > 0 && tokens < 1.0 {
-                        fleet.want(now, key, 1);
+                        fleet.note_waiting(now, key, 1);
                     }
                     tokens
                 })
@@ -182,7 +182,7 @@
                 link.parts.hosts.push(Part { host: index, units, tokens });
             }
         }
-        let here = |fleet: &mut Fleet| fleet.members().filter(|m| m.presence == Presence::Here).count();
+        let here = |fleet: &mut FleetNode| fleet.members().filter(|m| m.presence == Presence::Here).count();
         link.parts.routers = link.fleet().map(here);
         link.parts.second_tries =
             link.key(Of::SecondTries, "").map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
@@ -226,7 +226,7 @@
     pub fn fleet_leaves(&mut self) {
         let now = self.clock.now();
         if let Some(fleet) = self.link.as_mut().and_then(Link::fleet) {
-            Fleet::leave(fleet, now);
+            FleetNode::leave(fleet, now);
         }
         self.fleet_after();
     }
