--- a/crates/fleet/src/authenticator.rs
+++ b/crates/fleet/src/authenticator.rs
@@ -2,78 +2,17 @@
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
-
-use crate::election::{Ballot, VoterReply};
-use crate::quota_ledger::{Grant, QuotaRequest};
+use crate::datagram::MAX_DATAGRAM_BYTES;
+use crate::envelope::{Envelope, Message};
 use crate::settings::Process;
 
 /// The first byte of each datagram: the form of what follows.
 const FORMAT_VERSION: u8 = 1;
 /// Bytes of the proof: half of BLAKE3's, beyond any guess.
 const TAG_BYTES: usize = 16;
-/// Longer ones are not sent, and not read.
-pub const MAX_DATAGRAM_BYTES: usize = 8192;
 /// Names whose counters are remembered; a fleet has fewer, and only who knows the key gets here.
 const SENDERS_AT_MOST: usize = 4096;
 
-/// Questions are numbered from one.
-pub const NO_REQUEST: u64 = 0;
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
-    /// Of the membership protocol.
-    Swim(Vec<u8>),
-    Prepare {
-        ballot: Ballot,
-        electorate: u64,
-    },
-    Accept {
-        ballot: Ballot,
-        electorate: u64,
-    },
-    VoterReply {
-        ballot: Ballot,
-        answer: VoterReply,
-    },
-    /// `seen` is the newest tenure that the sender knows of.
-    QuotaRequest {
-        request_id: u64,
-        seen: Ballot,
-        electorate: u64,
-        leaving: bool,
-        entries: Vec<QuotaRequest>,
-    },
-    QuotaReply {
-        request_id: u64,
-        to: u64,
-        term: Ballot,
-        grants: Vec<Grant>,
-    },
-    /// Not the keeper; the name of who may be. With [`NO_QUESTION`] it answers a process that a later one of its name is
-    /// known to have followed: `to` is the incarnation of that one.
-    NotLeader {
-        request_id: u64,
-        to: u64,
-        leader: Option<String>,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Envelope {
-    pub from: Process,
-    pub to: String,
-    sequence: u64,
-    pub message: Message,
-}
-
-impl Envelope {
-    /// One that was never sealed, from a member to itself.
-    pub fn new(from: Process, to: String, message: Message) -> Envelope {
-        Envelope { from, to, sequence: 0, message }
-    }
-}
-
 /// Why a datagram was not taken in.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RejectReason {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,9 @@
 
 pub mod allocation;
 pub mod authenticator;
+pub mod datagram;
 pub mod election;
+pub mod envelope;
 pub mod local_quota;
 pub mod membership;
 pub mod node;
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -1,8 +1,9 @@
 //! The bytes of one datagram of each kind. Members of different releases talk to each other, so these stay as they are,
 //! whatever the types are called.
 
-use ottersill_fleet::authenticator::{Authenticator, Message};
+use ottersill_fleet::authenticator::Authenticator;
 use ottersill_fleet::election::{Ballot, VoterReply};
+use ottersill_fleet::envelope::Message;
 use ottersill_fleet::quota_ledger::{Grant, HeldQuota, QuotaRequest};
 use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process, label};
 use rstest::rstest;
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -6,7 +6,7 @@
 use ottersill_bylaws::fleet::Of;
 use ottersill_core::facade::News;
 use ottersill_core::interface::Part;
-use ottersill_fleet::authenticator;
+use ottersill_fleet::datagram::MAX_DATAGRAM_BYTES;
 use ottersill_fleet::membership::Presence;
 use ottersill_fleet::node::{Event, FleetNode};
 use slog::{info, warn};
@@ -45,7 +45,7 @@
     }
 
     pub fn fleet_is_ready(&mut self) {
-        let mut space = [0; authenticator::MAX_DATAGRAM_BYTES];
+        let mut space = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..DATAGRAMS {
             let Some(Link { course: Course::Joined { fleet, socket, .. }, .. }) = &mut self.link else {
                 return;
