--- a/crates/fleet/src/allocation.rs
+++ b/crates/fleet/src/allocation.rs
@@ -1,42 +1,85 @@
-//! How a whole is divided by what each asks for.
+//! How a total is divided by demand.
 
 use std::cmp::Reverse;
 
-/// Max-min fair parts: nobody gets less than another that asks for less, and none goes to waste while somebody asks.
-/// What is left beyond all that was asked for is spread in proportion, as room for what comes next. `asked` is
-/// each one's demand and its turn; units that can't be divided go by turn, the lowest first.
-pub fn allocate(total: u64, asked: &[(u64, u64)]) -> Vec<u64> {
-    let mut parts = vec![0; asked.len()];
-    let mut order: Vec<usize> = (0..asked.len()).filter(|index| asked[*index].0 > 0).collect();
-    // Rounding leaves its units to the last, so among equals who has waited longest comes last.
-    order.sort_by_key(|index| (asked[*index].0, Reverse(asked[*index].1)));
-    let (mut left, mut count) = (total, order.len() as u64);
-    for index in &order {
-        let part = asked[*index].0.min(left / count.max(1));
-        parts[*index] = part;
-        left -= part;
-        count -= 1;
+/// What one member asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Demand {
+    /// Units that it could use.
+    pub units: u64,
+    /// When it last got a unit, by a counter that only grows. Single units go first to the member with the lowest.
+    pub last_served: u64,
+}
+
+/// The share of each member: max-min fair, so that nobody gets less than a member that asks for less, and all of the
+/// total is given out as long as anybody asks for anything. What is left beyond all demands is spread in proportion to
+/// them.
+pub fn allocate(total: u64, demands: &[Demand]) -> Vec<u64> {
+    let mut shares = vec![0; demands.len()];
+    let by_demand = smallest_demand_first(demands);
+    let by_turn = longest_waiting_first(&by_demand, demands);
+    let left = fill_equally(total, &by_demand, demands, &mut shares);
+    let left = top_up(left, &by_turn, demands, &mut shares);
+    spread_in_proportion(left, &by_turn, &by_demand, demands, &mut shares);
+    shares
+}
+
+/// Indices of all that ask for something. Rounding leaves its units to the last, so among equals the one that waited
+/// longest comes last.
+fn smallest_demand_first(demands: &[Demand]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..demands.len()).filter(|index| demands[*index].units > 0).collect();
+    order.sort_by_key(|index| (demands[*index].units, Reverse(demands[*index].last_served)));
+    order
+}
+
+fn longest_waiting_first(order: &[usize], demands: &[Demand]) -> Vec<usize> {
+    let mut by_turn = order.to_vec();
+    by_turn.sort_by_key(|index| demands[*index].last_served);
+    by_turn
+}
+
+/// Gives each at most an equal part of what is left and at most what it asks for; returns the units left.
+fn fill_equally(total: u64, order: &[usize], demands: &[Demand], shares: &mut [u64]) -> u64 {
+    let (mut left, mut members) = (total, order.len() as u64);
+    for index in order {
+        let share = demands[*index].units.min(left / members.max(1));
+        shares[*index] = share;
+        left -= share;
+        members -= 1;
     }
-    // Units that were lost to rounding go to who asked for more than it has, by turn.
-    let mut by_turn = order.clone();
-    by_turn.sort_by_key(|index| asked[*index].1);
-    for index in &by_turn {
-        if left > 0 && parts[*index] < asked[*index].0 {
-            parts[*index] += 1;
+    left
+}
+
+/// Gives units that rounding left over to those that asked for more than they have, one each; returns the units left.
+fn top_up(mut left: u64, by_turn: &[usize], demands: &[Demand], shares: &mut [u64]) -> u64 {
+    for index in by_turn {
+        if left > 0 && shares[*index] < demands[*index].units {
+            shares[*index] += 1;
             left -= 1;
         }
     }
-    let all: u64 = order.iter().map(|index| asked[*index].0).sum();
-    if left > 0 && all > 0 {
-        let room = left;
-        for index in &order {
-            let more = (u128::from(room) * u128::from(asked[*index].0) / u128::from(all)) as u64;
-            parts[*index] += more;
-            left -= more;
-        }
-        for index in by_turn.iter().cycle().take(left as usize) {
-            parts[*index] += 1;
-        }
+    left
+}
+
+/// Spreads what is left beyond all demands, in proportion to them; the remainder goes by turn.
+fn spread_in_proportion(
+    mut left: u64,
+    by_turn: &[usize],
+    by_demand: &[usize],
+    demands: &[Demand],
+    shares: &mut [u64],
+) {
+    let all: u64 = by_demand.iter().map(|index| demands[*index].units).sum();
+    if left == 0 || all == 0 {
+        return;
+    }
+    let surplus = left;
+    for index in by_demand {
+        let more = (u128::from(surplus) * u128::from(demands[*index].units) / u128::from(all)) as u64;
+        shares[*index] += more;
+        left -= more;
+    }
+    for index in by_turn.iter().cycle().take(left as usize) {
+        shares[*index] += 1;
     }
-    parts
 }
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,31 +1,57 @@
-//! Who keeps the books: a lease that a majority of the voters grants to one of them, without a disk.
+//! Who is leader: a lease that a majority of the voters grants to one of them, without a disk.
 //!
-//! It is Paxos with a value that expires. A voter that has just started may have forgotten what it granted, so it
-//! rests for a whole lease. A candidate counts its lease from before it claimed, and counts it short
-//! ([`Charter::short`](crate::settings::Charter::short)); a voter counts it long, from when the claim came. So a keeper
-//! that was stopped for too long is none any more by its own clock before any voter grants the next lease, and it
-//! needs to hear of nobody for that.
+//! It is Paxos with a value that expires. A voter that has just started may have forgotten what it granted, so it grants
+//! nothing for a whole lease. A candidate counts its lease from before it asked for it, and counts it short
+//! ([`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease)); a voter counts it in full, from when it
+//! granted it. So a leader that was suspended knows by its own clock that its lease is over before any voter grants the
+//! next one, and it needs no message for that.
 
 use serde::{Deserialize, Serialize};
 
-/// Orders the attempts of all candidates. The incarnation keeps apart two processes that sit on one seat.
+/// Orders the attempts of all candidates, and names the terms of leaders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
+    /// Grows with each attempt.
     pub round: u64,
+    /// The candidate's index among the voters.
     pub voter_index: u16,
+    /// The candidate's incarnation: keeps apart two processes of one voter.
     pub incarnation: u64,
 }
 
 impl Ballot {
-    fn same_process(self, other: Ballot) -> bool {
+    fn is_of_same_process(self, other: Ballot) -> bool {
         (self.voter_index, self.incarnation) == (other.voter_index, other.incarnation)
     }
 }
 
+/// A voter's answer to a candidate.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub enum VoterReply {
+    /// No lower ballot will be accepted.
+    Promised {
+        /// Whether another candidate holds the lease now.
+        held: bool,
+    },
+    /// That higher ballot was promised before.
+    Outbid(Ballot),
+    /// The lease is granted.
+    Granted,
+}
+
+/// A message of a candidate to all voters.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CandidateCall {
+    /// Asks for a promise: phase one of Paxos.
+    Prepare(Ballot),
+    /// Asks for the lease: phase two.
+    Accept(Ballot),
+}
+
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VoterState {
-    /// What was granted before the start may still be in force.
-    Resting {
+    /// Just started: what was granted before may still be in force.
+    Recovering {
         until: f64,
     },
     Free,
@@ -35,17 +61,7 @@
     },
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum VoterReply {
-    /// No lower ballot will be granted; `held` while another holds the lease.
-    Promised {
-        held: bool,
-    },
-    /// That ballot was promised already.
-    Outbid(Ballot),
-    Granted,
-}
-
+/// The part of a member that grants the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Voter {
     state: VoterState,
@@ -54,21 +70,22 @@
 }
 
 impl Voter {
+    /// A voter that starts now with nothing in memory; `lease` in seconds.
     pub fn start(now: f64, lease: f64) -> Voter {
-        Voter { state: VoterState::Resting { until: now + lease }, promised: Ballot::default(), lease }
+        Voter { state: VoterState::Recovering { until: now + lease }, promised: Ballot::default(), lease }
     }
 
-    /// Every change of the vote by time.
-    fn transition(&mut self, now: f64) {
+    /// Every change of the state that time brings.
+    fn update_state(&mut self, now: f64) {
         self.state = match self.state {
-            VoterState::Resting { until } | VoterState::Granted { until, .. } if now >= until => {
+            VoterState::Recovering { until } | VoterState::Granted { until, .. } if now >= until => {
                 VoterState::Free
             }
             state => state,
         };
     }
 
-    /// To whom the lease is granted now, as far as this voter has a say.
+    /// The candidate that this voter has granted the lease to, while that is in force.
     pub fn holder(&self, now: f64) -> Option<Ballot> {
         match self.state {
             VoterState::Granted { to, until } if now < until => Some(to),
@@ -76,12 +93,12 @@
         }
     }
 
-    /// What to answer a candidate that asks; nothing while resting.
+    /// The answer to [`CandidateCall::Prepare`]; none while it recovers.
     pub fn handle_prepare(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
-        self.transition(now);
+        self.update_state(now);
         let held = match self.state {
-            VoterState::Resting { .. } => return None,
-            VoterState::Granted { to, .. } => !to.same_process(ballot),
+            VoterState::Recovering { .. } => return None,
+            VoterState::Granted { to, .. } => !to.is_of_same_process(ballot),
             VoterState::Free => false,
         };
         if ballot < self.promised {
@@ -91,12 +108,13 @@
         Some(VoterReply::Promised { held })
     }
 
+    /// The answer to [`CandidateCall::Accept`]; none while it recovers.
     pub fn handle_accept(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
-        self.transition(now);
+        self.update_state(now);
         match self.state {
-            VoterState::Resting { .. } => None,
+            VoterState::Recovering { .. } => None,
             _ if ballot < self.promised => Some(VoterReply::Outbid(self.promised)),
-            VoterState::Granted { to, .. } if !to.same_process(ballot) => {
+            VoterState::Granted { to, .. } if !to.is_of_same_process(ballot) => {
                 Some(VoterReply::Promised { held: true })
             }
             _ => {
@@ -108,48 +126,51 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum CandidateState {
-    Waiting {
-        again_at: f64,
-    },
-    /// Voters that have promised are bits of `yes`.
-    Preparing {
-        ballot: Ballot,
-        until: f64,
-        votes: u64,
-    },
-    Accepting {
-        ballot: Ballot,
-        sent_at: f64,
-        until: f64,
-        votes: u64,
-    },
+/// A set of voters, a bit for each index.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct VoterSet(u64);
+
+impl VoterSet {
+    fn with(self, voter_index: u16) -> VoterSet {
+        VoterSet(self.0 | 1u64.checked_shl(u32::from(voter_index)).unwrap_or(0))
+    }
+
+    fn is_majority_of(self, voters: usize) -> bool {
+        2 * self.0.count_ones() as usize > voters
+    }
 }
 
-/// What a candidate wants sent to all voters.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CandidateCall {
-    Prepare(Ballot),
-    Accept(Ballot),
+enum CandidateState {
+    Waiting { again_at: f64 },
+    Preparing { ballot: Ballot, until: f64, promised: VoterSet },
+    Accepting { ballot: Ballot, sent_at: f64, until: f64, granted: VoterSet },
 }
 
+/// A candidate waits for so much of its lease for the answers to one message.
+const ANSWER_WAIT: f64 = 0.25;
+/// A leader asks for its next lease so many times in one.
+const RENEWALS_PER_LEASE: f64 = 3.0;
+
+/// The part of a voter that stands for election.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     state: CandidateState,
-    me: Ballot,
+    /// Its ballots but for the round.
+    ballot: Ballot,
     voters: usize,
-    /// The candidate's own, shorter count of the lease.
+    /// Counted short.
     lease: f64,
-    /// It is the keeper until then.
-    until: f64,
-    /// The ballot with which it became keeper: names the tenure as long as it is not interrupted.
+    /// It is leader until then.
+    leader_until: f64,
+    /// The ballot that it became leader with: names the term as long as that is not interrupted.
     term: Ballot,
-    highest: u64,
+    highest_round: u64,
 }
 
 impl Candidate {
-    /// Starts to ask after `wait`, which is best unlike at all candidates.
+    /// A candidate that first stands for election after `wait` seconds; `wait` is best different at each. `lease` is
+    /// counted short.
     pub fn start(
         now: f64,
         voter_index: u16,
@@ -158,115 +179,137 @@
         lease: f64,
         wait: f64,
     ) -> Candidate {
-        let me = Ballot { round: 0, voter_index, incarnation };
-        let state = CandidateState::Waiting { again_at: now + wait };
-        Candidate { state, me, voters, lease, until: f64::NEG_INFINITY, term: me, highest: 0 }
+        let ballot = Ballot { round: 0, voter_index, incarnation };
+        Candidate {
+            state: CandidateState::Waiting { again_at: now + wait },
+            ballot,
+            voters,
+            lease,
+            leader_until: f64::NEG_INFINITY,
+            term: ballot,
+            highest_round: 0,
+        }
     }
 
-    /// The tenure, if it is the keeper at this instant.
+    /// The term, if it is leader at this instant.
     pub fn term(&self, now: f64) -> Option<Ballot> {
-        (now < self.until).then_some(self.term)
+        (now < self.leader_until).then_some(self.term)
     }
 
-    pub fn next_at(&self) -> f64 {
+    /// When [`tick`](Candidate::tick) is due.
+    pub fn next_timeout(&self) -> f64 {
         match self.state {
             CandidateState::Waiting { again_at } => again_at,
             CandidateState::Preparing { until, .. } | CandidateState::Accepting { until, .. } => until,
         }
     }
 
-    /// Every change of course.
+    /// Every change of the state.
     fn transition(&mut self, next: CandidateState) {
         self.state = next;
     }
 
-    /// How long answers are waited for, and how long to rest after a try that failed: a part of the lease that differs
-    /// by seat and round, so that two that met do not meet again for ever.
-    fn pause(&self) -> f64 {
-        let spread = (u64::from(self.me.voter_index) * 7 + self.highest * 3) % 11;
+    /// How long to wait after an attempt that failed. It differs by candidate and round, so that two that collided do not
+    /// collide for ever.
+    fn retry_wait(&self) -> f64 {
+        let spread = (u64::from(self.ballot.voter_index) * 7 + self.highest_round * 3) % 11;
         self.lease * (0.15 + 0.02 * spread as f64)
     }
 
-    /// Asks again where that is due. The keeper asks while a third of its time is over, not when all of it is.
+    /// Stands for election where that is due; a leader does so well before its lease is over. `other_leader` says that
+    /// another is known to be leader.
     pub fn tick(&mut self, now: f64, other_leader: bool) -> Option<CandidateCall> {
-        if now < self.next_at() {
+        if now < self.next_timeout() {
             return None;
         }
-        let starts = matches!(self.state, CandidateState::Waiting { .. });
-        if starts && (!other_leader || self.term(now).is_some()) {
-            self.highest += 1;
-            let ballot = Ballot { round: self.highest, ..self.me };
-            self.transition(CandidateState::Preparing { ballot, until: now + self.lease / 4.0, votes: 0 });
+        let waiting = matches!(self.state, CandidateState::Waiting { .. });
+        if waiting && (!other_leader || self.term(now).is_some()) {
+            self.highest_round += 1;
+            let ballot = Ballot { round: self.highest_round, ..self.ballot };
+            let until = now + self.lease * ANSWER_WAIT;
+            self.transition(CandidateState::Preparing { ballot, until, promised: VoterSet::default() });
             return Some(CandidateCall::Prepare(ballot));
         }
-        self.transition(CandidateState::Waiting { again_at: now + self.pause() });
+        self.transition(CandidateState::Waiting { again_at: now + self.retry_wait() });
         None
     }
 
-    /// A voter's answer to that ballot.
+    /// A voter's reply to that ballot. Returns what to send to all voters next.
     pub fn handle_reply(
         &mut self,
         now: f64,
-        voter: u16,
+        voter_index: u16,
         ballot: Ballot,
         reply: VoterReply,
     ) -> Option<CandidateCall> {
         if let VoterReply::Outbid(by) = reply {
-            self.highest = self.highest.max(by.round);
+            self.highest_round = self.highest_round.max(by.round);
         }
-        let vote_bit = 1u64.checked_shl(u32::from(voter)).unwrap_or(0);
-        let majority = |votes: u64| 2 * votes.count_ones() as usize > self.voters;
         match (self.state, reply) {
             (
-                CandidateState::Preparing { ballot: own, until, votes },
+                CandidateState::Preparing { ballot: own, until, promised },
                 VoterReply::Promised { held: false },
             ) if own == ballot && now < until => {
-                let votes = votes | vote_bit;
-                if majority(votes) {
-                    let until = now + self.lease / 4.0;
-                    self.transition(CandidateState::Accepting { ballot, sent_at: now, until, votes: 0 });
-                    return Some(CandidateCall::Accept(ballot));
-                }
-                self.transition(CandidateState::Preparing { ballot, until, votes });
+                self.handle_promise(now, ballot, until, promised.with(voter_index))
             }
-            (CandidateState::Accepting { ballot: own, sent_at, until, votes }, VoterReply::Granted)
+            (CandidateState::Accepting { ballot: own, sent_at, until, granted }, VoterReply::Granted)
                 if own == ballot =>
             {
-                let votes = votes | vote_bit;
-                if majority(votes) {
-                    // A tenure that lapsed is over, whatever follows: somebody else may have kept the books between.
-                    if self.term(now).is_none() {
-                        self.term = ballot;
-                    }
-                    self.until = self.until.max(sent_at + self.lease);
-                    self.transition(CandidateState::Waiting { again_at: now + self.lease / 3.0 });
-                } else {
-                    self.transition(CandidateState::Accepting { ballot, sent_at, until, votes });
-                }
+                self.handle_grant(now, ballot, (sent_at, until), granted.with(voter_index));
+                None
             }
-            _ => {}
+            _ => None,
         }
-        None
     }
 
-    /// A later tenure than any of this candidate's is known, as voters have been started again and rounds of theirs began
-    /// anew. Its own is over, so that the next is later than that one.
-    pub fn observe_newer_term(&mut self, now: f64, by: Ballot) {
-        self.highest = self.highest.max(by.round);
-        self.until = f64::NEG_INFINITY;
+    fn handle_promise(
+        &mut self,
+        now: f64,
+        ballot: Ballot,
+        until: f64,
+        promised: VoterSet,
+    ) -> Option<CandidateCall> {
+        if !promised.is_majority_of(self.voters) {
+            self.transition(CandidateState::Preparing { ballot, until, promised });
+            return None;
+        }
+        let until = now + self.lease * ANSWER_WAIT;
+        let granted = VoterSet::default();
+        self.transition(CandidateState::Accepting { ballot, sent_at: now, until, granted });
+        Some(CandidateCall::Accept(ballot))
+    }
+
+    fn handle_grant(&mut self, now: f64, ballot: Ballot, (sent_at, until): (f64, f64), granted: VoterSet) {
+        if !granted.is_majority_of(self.voters) {
+            self.transition(CandidateState::Accepting { ballot, sent_at, until, granted });
+            return;
+        }
+        // A term that lapsed is over, as another may have been leader since.
+        if self.term(now).is_none() {
+            self.term = ballot;
+        }
+        self.leader_until = self.leader_until.max(sent_at + self.lease);
+        self.transition(CandidateState::Waiting { again_at: now + self.lease / RENEWALS_PER_LEASE });
+    }
+
+    /// A member has seen a term later than any of this candidate's: voters that started again count rounds from one. Its
+    /// own term is over, so that its next one is later than the one seen.
+    pub fn observe_newer_term(&mut self, now: f64, seen: Ballot) {
+        self.highest_round = self.highest_round.max(seen.round);
+        self.leader_until = f64::NEG_INFINITY;
         self.transition(CandidateState::Waiting { again_at: now });
     }
 
-    /// Goes on as another process: its tenure is over, and answers to its earlier calls count for nothing.
+    /// Goes on as another process: its term is over, and replies to its earlier ballots count for nothing.
     pub fn restart_as(&mut self, incarnation: u64) {
-        self.me.incarnation = incarnation;
-        self.until = f64::NEG_INFINITY;
-        self.transition(CandidateState::Waiting { again_at: self.next_at() });
+        self.ballot.incarnation = incarnation;
+        self.leader_until = f64::NEG_INFINITY;
+        self.transition(CandidateState::Waiting { again_at: self.next_timeout() });
     }
 
-    /// Leaves of its own will: no grant goes out after this.
+    /// Is leader no longer, and stands for election never again.
     pub fn resign(&mut self) {
-        self.until = f64::NEG_INFINITY;
+        self.leader_until = f64::NEG_INFINITY;
         self.transition(CandidateState::Waiting { again_at: f64::INFINITY });
     }
 }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,26 +1,35 @@
-//! Who is there: SWIM as `foca` has it, without sockets or clock.
+//! Which routers are there: SWIM as the `foca` crate has it, without sockets or clock.
 //!
-//! Who is a member decides nothing about what may be spent, which goes by leases alone: that a member is taken for
-//! dead may be wrong. It tells operators who is there, and whom to ask.
+//! Membership decides nothing about what may be spent, which goes by leases alone, so a member that is wrongly taken for
+//! dead does no harm. It tells operators who is there, and other members where to send to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{Codec, Config, Foca, Identity, Notification, PostcardCodec, Runtime, Timer};
+use foca::{Codec, Config, Foca, Identity, NoCustomBroadcast, Notification, PostcardCodec, Runtime, Timer};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Process;
 
-/// A member as the others know it. Its name is who it is; of two processes of one name the later start counts.
+/// Seconds after which a member that is away is no longer listed.
+const FORGET_AFTER: f64 = 300.0;
+/// Seconds between two announcements to a voter while no member is known.
+const ANNOUNCE_INTERVAL_ALONE: f64 = 0.5;
+/// The same once some are known.
+const ANNOUNCE_INTERVAL: f64 = 10.0;
+
+/// A member as the others know it. Its name is its address for SWIM; of two processes of one name the later counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwimIdentity {
+    /// The process.
     pub process: Process,
-    /// Grows each time it was taken for dead and was not.
+    /// Grows each time the process was taken for dead and was not.
     renewals: u32,
+    /// Where it receives datagrams.
     pub address: SocketAddr,
 }
 
@@ -40,32 +49,41 @@
     }
 }
 
+/// Whether a member is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Presence {
+    /// It answers.
     Here,
-    /// Not heard of by anybody who tried; or it said that it leaves.
+    /// It answers nobody who tried, or it said that it leaves.
     Away,
 }
 
+/// A member as it is listed for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
+    /// The newest process of its name.
     pub process: Process,
+    /// Where it receives datagrams.
     pub address: SocketAddr,
+    /// Whether it is there.
     pub presence: Presence,
+    /// Since when.
     pub since: f64,
 }
 
-/// What changed, for the log.
+/// A member came or went.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipChange {
+    /// The process.
     pub process: Process,
+    /// What it is from now on.
     pub presence: Presence,
 }
 
-/// What `foca` wants done. Emptied after each call.
+/// What `foca` wants done; emptied after each call of it.
 #[derive(Default)]
 struct PendingActions {
-    sends: Vec<(SwimIdentity, Vec<u8>)>,
+    datagrams: Vec<(SwimIdentity, Vec<u8>)>,
     timers: Vec<(Duration, Timer<SwimIdentity>)>,
     changes: Vec<(SwimIdentity, Presence)>,
 }
@@ -73,15 +91,16 @@
 impl Runtime<SwimIdentity> for PendingActions {
     fn notify(&mut self, notification: Notification<'_, SwimIdentity>) {
         match notification {
-            Notification::MemberUp(identity) => self.changes.push((identity.clone(), Presence::Here)),
+            Notification::MemberUp(identity) | Notification::Rename(_, identity) => {
+                self.changes.push((identity.clone(), Presence::Here));
+            }
             Notification::MemberDown(identity) => self.changes.push((identity.clone(), Presence::Away)),
-            Notification::Rename(_, identity) => self.changes.push((identity.clone(), Presence::Here)),
             _ => {}
         }
     }
 
     fn send_to(&mut self, to: SwimIdentity, data: &[u8]) {
-        self.sends.push((to, data.to_vec()));
+        self.datagrams.push((to, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<SwimIdentity>, after: Duration) {
@@ -89,33 +108,16 @@
     }
 }
 
-/// Where the sender of that datagram of the membership protocol says that it is reached.
-pub fn sender_address(data: &[u8]) -> Option<SocketAddr> {
-    let header: foca::Header<SwimIdentity> = PostcardCodec.decode_header(data).ok()?;
-    Some(header.src.address)
-}
+type Swim = Foca<SwimIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
-pub struct Membership {
-    foca: Foca<SwimIdentity, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
-    pending: PendingActions,
-    /// By time, and a number that keeps apart those of one time.
-    timers: BTreeMap<(u64, u64), Timer<SwimIdentity>>,
-    numbered: u64,
-    /// By name; those that went are forgotten after `FORGET`.
-    known: BTreeMap<String, Member>,
-    seeds: Vec<(String, SocketAddr)>,
-    announce_at: f64,
-    changes: Vec<MembershipChange>,
+/// Joins as a process that knows nobody.
+fn join(process: Process, address: SocketAddr, seed: u64) -> Swim {
+    let identity = SwimIdentity { process, renewals: 0, address };
+    Foca::new(identity, config(), SmallRng::seed_from_u64(seed), PostcardCodec)
 }
 
-/// Seconds after which one that is away is no longer listed.
-const FORGET_AFTER: f64 = 300.0;
-/// Between two announcements to a voter while nobody is known, and after that; seconds.
-const ANNOUNCE_ALONE: f64 = 0.5;
-const ANNOUNCE_KNOWN: f64 = 10.0;
-
-/// A death is noticed within two seconds or so, with a probe each second and half a second of suspicion beyond it: what
-/// follows from it is cheap and safe, so it may be quick and sometimes wrong.
+/// A lost member is noticed within some two seconds. What follows from it is cheap and safe, so it may be quick and
+/// sometimes wrong.
 fn config() -> Config {
     let seconds = Duration::from_secs_f64;
     Config {
@@ -133,116 +135,152 @@
     }
 }
 
-fn join(
-    me: Process,
-    address: SocketAddr,
-    seed: u64,
-) -> Foca<SwimIdentity, PostcardCodec, SmallRng, foca::NoCustomBroadcast> {
-    let identity = SwimIdentity { process: me, renewals: 0, address };
-    Foca::new(identity, config(), SmallRng::seed_from_u64(seed), PostcardCodec)
+/// The address that the sender of a datagram of the membership protocol gives for itself.
+pub fn sender_address(data: &[u8]) -> Option<SocketAddr> {
+    let header: foca::Header<SwimIdentity> = PostcardCodec.decode_header(data).ok()?;
+    Some(header.src.address)
+}
+
+/// When a timer is due: the bits of its time, which order as the time does, and a number that orders timers of one time.
+type TimerKey = (u64, u64);
+
+/// The members as one of them knows them.
+pub struct Membership {
+    swim: Swim,
+    pending: PendingActions,
+    timers: BTreeMap<TimerKey, Timer<SwimIdentity>>,
+    timer_count: u64,
+    /// By name.
+    members: BTreeMap<String, Member>,
+    /// Voters other than this member, and their addresses.
+    seeds: Vec<(String, SocketAddr)>,
+    announce_at: f64,
+    changes: Vec<MembershipChange>,
 }
 
 impl Membership {
-    /// `seeds` are those whom a member that knows nobody asks.
+    /// Joins. `seeds` are asked for the others as long as none is known; `seed` is of the random choices.
     pub fn start(
         now: f64,
-        me: Process,
+        process: Process,
         address: SocketAddr,
         seeds: Vec<(String, SocketAddr)>,
         seed: u64,
     ) -> Membership {
-        let foca = join(me.clone(), address, seed);
-        let here = Member { process: me.clone(), address, presence: Presence::Here, since: now };
+        let own = Member { process: process.clone(), address, presence: Presence::Here, since: now };
         Membership {
-            foca,
+            swim: join(process.clone(), address, seed),
             pending: PendingActions::default(),
             timers: BTreeMap::new(),
-            numbered: 0,
-            known: BTreeMap::from([(me.name.clone(), here)]),
-            seeds: seeds.into_iter().filter(|(name, _)| *name != me.name).collect(),
+            timer_count: 0,
+            members: BTreeMap::from([(process.name.clone(), own)]),
+            seeds: seeds.into_iter().filter(|(name, _)| *name != process.name).collect(),
             announce_at: now,
             changes: Vec::new(),
         }
     }
 
-    /// Goes on as another process: announces itself anew. Whom it knew stays listed.
-    pub fn restart_as(&mut self, now: f64, me: Process, seed: u64) {
-        let address = self.foca.identity().address;
-        self.foca = join(me.clone(), address, seed);
+    /// Goes on as another process of the same name and joins anew. The members that it knew stay listed.
+    pub fn restart_as(&mut self, now: f64, process: Process, seed: u64) {
+        let address = self.swim.identity().address;
+        self.swim = join(process.clone(), address, seed);
         self.pending = PendingActions::default();
         self.timers.clear();
         self.announce_at = now;
-        let here = Member { process: me.clone(), address, presence: Presence::Here, since: now };
-        self.known.insert(me.name, here);
+        let own = Member { process: process.clone(), address, presence: Presence::Here, since: now };
+        self.members.insert(process.name, own);
     }
 
+    /// Takes in a datagram of the protocol. What can't be read changes nothing.
     pub fn handle_datagram(&mut self, now: f64, data: &[u8]) {
-        // What it can't read or doesn't want changes nothing; the proof was checked before.
-        let _ = self.foca.handle_data(data, &mut self.pending);
+        let _ = self.swim.handle_data(data, &mut self.pending);
         self.apply_pending(now);
     }
 
+    /// Does what is due.
     pub fn tick(&mut self, now: f64) {
-        while let Some(entry) = self.timers.first_entry().filter(|entry| f64::from_bits(entry.key().0) <= now)
-        {
-            let timer = entry.remove();
-            // A timer that came too late is told so, and set again by what follows.
-            let _ = self.foca.handle_timer(timer, &mut self.pending);
-            self.apply_pending(now);
-        }
+        self.fire_timers(now);
         if now >= self.announce_at && !self.seeds.is_empty() {
-            let alone = self.foca.num_members() == 0;
-            self.announce_at = now + if alone { ANNOUNCE_ALONE } else { ANNOUNCE_KNOWN };
-            let turn = self.numbered as usize % self.seeds.len();
-            self.numbered += 1;
-            let (name, address) = self.seeds[turn].clone();
-            let seed = SwimIdentity { process: Process { name, incarnation: 0 }, renewals: 0, address };
-            let _ = self.foca.announce(seed, &mut self.pending);
+            self.announce(now);
+        }
+        self.members
+            .retain(|_, member| member.presence == Presence::Here || now < member.since + FORGET_AFTER);
+    }
+
+    fn fire_timers(&mut self, now: f64) {
+        while let Some(entry) = self.timers.first_entry() {
+            if f64::from_bits(entry.key().0) > now {
+                return;
+            }
+            let timer = entry.remove();
+            // A timer of an earlier state is refused, and that state's successor has set its own.
+            let _ = self.swim.handle_timer(timer, &mut self.pending);
             self.apply_pending(now);
         }
-        self.known.retain(|_, member| member.presence == Presence::Here || now < member.since + FORGET_AFTER);
     }
 
+    /// Announces itself to one of the seeds, in turn.
+    fn announce(&mut self, now: f64) {
+        let alone = self.swim.num_members() == 0;
+        self.announce_at = now + if alone { ANNOUNCE_INTERVAL_ALONE } else { ANNOUNCE_INTERVAL };
+        let turn = self.timer_count as usize % self.seeds.len();
+        self.timer_count += 1;
+        let (name, address) = self.seeds[turn].clone();
+        let seed = SwimIdentity { process: Process { name, incarnation: 0 }, renewals: 0, address };
+        let _ = self.swim.announce(seed, &mut self.pending);
+        self.apply_pending(now);
+    }
+
+    /// Says that it leaves.
     pub fn leave(&mut self, now: f64) {
-        let _ = self.foca.leave_cluster(&mut self.pending);
+        let _ = self.swim.leave_cluster(&mut self.pending);
         self.apply_pending(now);
     }
 
-    pub fn next_at(&self) -> f64 {
+    /// When [`tick`](Membership::tick) is due.
+    pub fn next_timeout(&self) -> f64 {
         let timer = self.timers.first_key_value().map_or(f64::INFINITY, |((at, _), _)| f64::from_bits(*at));
         if self.seeds.is_empty() { timer } else { timer.min(self.announce_at) }
     }
 
     fn apply_pending(&mut self, now: f64) {
         for (after, timer) in self.pending.timers.drain(..) {
-            self.numbered += 1;
-            self.timers.insert(((now + after.as_secs_f64()).max(0.0).to_bits(), self.numbered), timer);
+            self.timer_count += 1;
+            let at = (now + after.as_secs_f64()).max(0.0);
+            self.timers.insert((at.to_bits(), self.timer_count), timer);
         }
-        for (identity, presence) in self.pending.changes.drain(..) {
-            let SwimIdentity { process, address, .. } = identity;
-            let new = Member { process: process.clone(), address, presence, since: now };
-            let old = self.known.insert(process.name.clone(), new);
-            let same = old.is_some_and(|old| old.process == process && old.presence == presence);
-            if !same {
-                self.changes.push(MembershipChange { process, presence });
-            }
+        for (identity, presence) in std::mem::take(&mut self.pending.changes) {
+            self.record_change(now, identity, presence);
+        }
+    }
+
+    fn record_change(&mut self, now: f64, identity: SwimIdentity, presence: Presence) {
+        let SwimIdentity { process, address, .. } = identity;
+        let member = Member { process: process.clone(), address, presence, since: now };
+        let before = self.members.insert(process.name.clone(), member);
+        let is_known = before.is_some_and(|before| before.process == process && before.presence == presence);
+        if !is_known {
+            self.changes.push(MembershipChange { process, presence });
         }
     }
 
-    /// What is to be sent, to whom; where a member's address was learnt it comes along.
+    /// Datagrams to send, and to whom.
     pub fn take_datagrams(&mut self) -> Vec<(SwimIdentity, Vec<u8>)> {
-        std::mem::take(&mut self.pending.sends)
+        std::mem::take(&mut self.pending.datagrams)
     }
 
+    /// What changed since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
+    /// All members that are listed, this one among them.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.known.values()
+        self.members.values()
     }
 
+    /// The address that a member gave for itself.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
-        self.known.get(name).map(|member| member.address)
+        self.members.get(name).map(|member| member.address)
     }
 }
--- /dev/null
+++ b/crates/fleet/src/node/elections.rs
@@ -0,0 +1,95 @@
+//! A node's part in elections: its voter and its candidate, if it is one of the voters.
+
+use crate::election::{Ballot, Candidate, CandidateCall, Voter, VoterReply};
+use crate::settings::FleetConfig;
+
+/// Candidates first stand for election one after the other, so much of a lease apart.
+const FIRST_ELECTION_STEP: f64 = 0.1;
+
+pub(super) struct Elections {
+    voter: Option<Voter>,
+    candidate: Option<Candidate>,
+    /// As of the last [`leadership_change`](Elections::leadership_change).
+    was_leader: bool,
+}
+
+impl Elections {
+    pub(super) fn start(now: f64, config: &FleetConfig, incarnation: u64) -> Elections {
+        let (lease, voters) = (config.leader_lease, config.voters.len());
+        let voter = config.voter_index().map(|_| Voter::start(now, lease));
+        let candidate = config.voter_index().map(|voter_index| {
+            // Before a whole lease no voter that has just started grants anything.
+            let wait = lease * (1.0 + FIRST_ELECTION_STEP * f64::from(voter_index));
+            Candidate::start(now, voter_index, incarnation, voters, config.holder_lease(lease), wait)
+        });
+        Elections { voter, candidate, was_leader: false }
+    }
+
+    /// The voter remembers what it granted; the candidate begins anew.
+    pub(super) fn restart_as(&mut self, incarnation: u64) {
+        if let Some(candidate) = &mut self.candidate {
+            candidate.restart_as(incarnation);
+        }
+    }
+
+    /// The term, if this process is leader at this instant.
+    pub(super) fn term(&self, now: f64) -> Option<Ballot> {
+        self.candidate.as_ref().and_then(|candidate| candidate.term(now))
+    }
+
+    pub(super) fn is_voter(&self) -> bool {
+        self.voter.is_some()
+    }
+
+    /// Whom this voter has granted the leader's lease to.
+    pub(super) fn known_leader(&self, now: f64) -> Option<Ballot> {
+        self.voter.as_ref().and_then(|voter| voter.holder(now))
+    }
+
+    pub(super) fn tick(&mut self, now: f64) -> Option<CandidateCall> {
+        let other_leader = self.term(now).is_none() && self.known_leader(now).is_some();
+        self.candidate.as_mut()?.tick(now, other_leader)
+    }
+
+    pub(super) fn handle_call(&mut self, now: f64, call: CandidateCall) -> Option<VoterReply> {
+        let voter = self.voter.as_mut()?;
+        match call {
+            CandidateCall::Prepare(ballot) => voter.handle_prepare(now, ballot),
+            CandidateCall::Accept(ballot) => voter.handle_accept(now, ballot),
+        }
+    }
+
+    pub(super) fn handle_reply(
+        &mut self,
+        now: f64,
+        voter_index: u16,
+        ballot: Ballot,
+        reply: VoterReply,
+    ) -> Option<CandidateCall> {
+        self.candidate.as_mut()?.handle_reply(now, voter_index, ballot, reply)
+    }
+
+    /// See [`Candidate::observe_newer_term`].
+    pub(super) fn observe_newer_term(&mut self, now: f64, seen: Ballot) {
+        if let Some(candidate) = &mut self.candidate {
+            candidate.observe_newer_term(now, seen);
+        }
+    }
+
+    pub(super) fn resign(&mut self) {
+        if let Some(candidate) = &mut self.candidate {
+            candidate.resign();
+        }
+    }
+
+    /// Whether this process is leader, if that changed since the last call.
+    pub(super) fn leadership_change(&mut self, now: f64) -> Option<bool> {
+        let is_leader = self.term(now).is_some();
+        let changed = std::mem::replace(&mut self.was_leader, is_leader) != is_leader;
+        changed.then_some(is_leader)
+    }
+
+    pub(super) fn next_timeout(&self) -> f64 {
+        self.candidate.as_ref().map_or(f64::INFINITY, Candidate::next_timeout)
+    }
+}
--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -1,303 +1,417 @@
-//! The keeper's books: what is out of each budget, and who may have how much of it.
+//! The leader's record of the units that every router may spend, and the grants that follow from it.
 //!
-//! What the sum rests on: a right is accounted for until the keeper's own count of its lease is over, or until its
-//! holder has said that it goes by a newer one. Units that a holder still has in hand are its own whatever its
-//! right. A keeper that is new knows nothing of what the one before granted; until all of that is over it only
-//! goes on with what each holder says that it holds *now*, in answer to the new tenure: as all of that is still on
-//! the old keeper's books, which nobody adds to, the old rights and what continues them never exceed the whole.
+//! Why the sum stays within the total: a lease is counted until the leader's own time for it is over, or until its holder
+//! has reported that it goes by a newer grant. Operations in flight are counted for their holder even when its lease is
+//! over. A new leader knows nothing of what its predecessor granted. Until all of that must be over it only renews what
+//! each holder reports that it holds *now*, in a request that names the new term: all of that is still in the
+//! predecessor's ledger, to which nothing is added any more, so the old leases and their renewals together stay within
+//! the total.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::allocation::allocate;
+use crate::allocation::{Demand, allocate};
 use crate::election::Ballot;
-use crate::settings::{FleetConfig, Process};
+use crate::settings::{Budget, FleetConfig, Process};
 
-/// Each budget is kept in two pots: what is divided by demand, and what is set aside for floors.
-pub const POOLS: usize = 2;
-pub const DEMAND_POOL: usize = 0;
-pub const FLOOR_POOL: usize = 1;
+/// Accounts that are kept at most, some forty megabytes. Requests beyond them are refused.
+const ACCOUNTS_AT_MOST: usize = 200_000;
+/// An account of which nothing is outstanding is kept so many leases after its holder was last heard.
+const IDLE_LEASES: f64 = 2.0;
+
+/// One value for each of the two pools that a budget is divided into.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Pools<T> {
+    /// Of the pool that is divided by demand.
+    pub demand: T,
+    /// Of the pool that is reserved for floors.
+    pub floor: T,
+}
+
+impl<T> Pools<T> {
+    /// The same function applied to both values.
+    pub fn map<U>(self, mut each: impl FnMut(T) -> U) -> Pools<U> {
+        Pools { demand: each(self.demand), floor: each(self.floor) }
+    }
+}
+
+impl Pools<u64> {
+    /// Units of both pools.
+    pub fn sum(self) -> u64 {
+        self.demand + self.floor
+    }
+}
 
-/// What a holder says of a right of its own.
+/// Names a budget, and its subject where there is one budget for each.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct BudgetKey {
+    /// The budget's id.
+    pub budget: u64,
+    /// The label of the subject; zero where there is none.
+    pub subject: u64,
+}
+
+/// What a holder reports of its lease of one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldQuota {
-    /// Units, zero once its time is over.
-    pub amount: u64,
-    /// The newest grant that it goes by; zero where that came in an earlier tenure, or never.
+    /// Units; zero once the lease is over.
+    pub units: u64,
+    /// The newest grant that it goes by; zero if that was made in an earlier term, or never.
     pub serial: u64,
 }
 
-/// What a holder asks for, budget by budget.
+/// What a holder asks for of one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaRequest {
-    pub budget: u64,
-    pub subject: u64,
-    /// The whole by the holder's own file.
+pub struct BudgetRequest {
+    /// The budget.
+    pub key: BudgetKey,
+    /// The total by the holder's own settings.
     pub total: u64,
-    /// Units that it could spend.
+    /// Units that it could use.
     pub demand: u64,
-    /// Units that it has in hand.
+    /// Units that it has in use.
     pub in_use: u64,
-    pub held: [HeldQuota; POOLS],
+    /// What it holds now.
+    pub held: Pools<HeldQuota>,
 }
 
-/// What is granted, in place of all that was granted before.
+/// Units that a holder may spend, in place of all that was granted to it before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    pub budget: u64,
-    pub subject: u64,
+    /// The budget.
+    pub key: BudgetKey,
+    /// The total that was divided.
     pub total: u64,
-    pub amounts: [u64; POOLS],
+    /// Units of each pool.
+    pub units: Pools<u64>,
+    /// Numbers the grants of a term.
     pub serial: u64,
 }
 
+/// Why nothing was granted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RequestError {
+    /// No budget of this id is in the leader's settings.
+    #[error("no budget has the id {0:016x}")]
+    UnknownBudget(u64),
+    /// The ledger is full.
+    #[error("the ledger holds {ACCOUNTS_AT_MOST} accounts, which is its limit")]
+    LedgerFull,
+    /// The request was overtaken by a later one of the same holder.
+    #[error("request {0} came after a later one")]
+    OutOfOrder(u64),
+}
+
+/// One holder's part of one budget, for operators.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct LedgerLine {
+    /// The budget.
+    pub key: BudgetKey,
+    /// Who holds it.
+    pub holder: Process,
+    /// Units that it may have in use, by pool.
+    pub outstanding: Pools<u64>,
+    /// Units that it reported to be in use.
+    pub in_use: u64,
+    /// Units that it could use.
+    pub demand: u64,
+}
+
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Lease {
-    amount: u64,
-    until: f64,
+    units: u64,
+    expires_at: f64,
 }
 
 impl Lease {
-    fn at(self, now: f64) -> u64 {
-        if now < self.until { self.amount } else { 0 }
+    fn units_at(self, now: f64) -> u64 {
+        if now < self.expires_at { self.units } else { 0 }
     }
 }
 
-/// One holder's part of one pot.
+/// What one holder may have of one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct PoolLease {
-    /// What it goes by, as it said last.
+struct PoolAccount {
+    /// What the holder goes by, as it last reported.
     reported: Lease,
-    /// The most of what was granted since, which it may go by already.
+    /// The most of what was granted since; the holder may go by it already.
     granted: Lease,
 }
 
-impl PoolLease {
+impl PoolAccount {
     fn outstanding(&self, now: f64) -> u64 {
-        self.reported.at(now).max(self.granted.at(now))
+        self.reported.units_at(now).max(self.granted.units_at(now))
+    }
+
+    /// A holder that goes by the newest grant goes by no older one again, so all of those are over.
+    fn confirm(&mut self, held: HeldQuota, newest_serial: u64) {
+        if held.serial >= newest_serial {
+            let expires_at = self.granted.expires_at.max(self.reported.expires_at);
+            self.reported = Lease { units: held.units, expires_at };
+            self.granted = Lease::default();
+        }
+    }
+
+    fn record_grant(&mut self, now: f64, units: u64, expires_at: f64) {
+        self.granted = Lease { units: self.granted.units_at(now).max(units), expires_at };
     }
 }
 
+/// One holder's part of one budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Account {
-    pools: [PoolLease; POOLS],
-    /// In hand beyond any right.
+    pools: Pools<PoolAccount>,
+    /// Units in use, which count even when no lease covers them.
     in_use: Lease,
     demand: u64,
     total: u64,
-    /// The last grant, and the question that it answered.
+    /// The last grant, and the request that it answered.
     serial: u64,
     request_id: u64,
-    /// When it last had a unit that others wanted as well.
+    /// The last grant with a unit of the demand pool.
     last_served: u64,
     heard_at: f64,
 }
 
 impl Account {
-    /// Units of that pot that this holder may have in use. What it has in hand beyond its floor counts with what is
-    /// divided by demand, as a right that has run out leaves things in hand.
-    fn outstanding(&self, now: f64, pool: usize) -> u64 {
-        let right = self.pools[pool].outstanding(now);
-        match pool {
-            DEMAND_POOL => {
-                right.max(self.in_use.at(now).saturating_sub(self.pools[FLOOR_POOL].outstanding(now)))
-            }
-            _ => right,
+    /// Units that this holder may have in use. Units in use beyond its floor count with the demand pool, as a lease that
+    /// is over leaves operations in flight.
+    fn outstanding(&self, now: f64) -> Pools<u64> {
+        let leased = self.pools.map(|pool| pool.outstanding(now));
+        let beyond_floor = self.in_use.units_at(now).saturating_sub(leased.floor);
+        Pools { demand: leased.demand.max(beyond_floor), floor: leased.floor }
+    }
+
+    fn record_request(
+        &mut self,
+        now: f64,
+        request_id: u64,
+        request: &BudgetRequest,
+        hold: f64,
+    ) -> Result<(), RequestError> {
+        if request_id <= self.request_id {
+            return Err(RequestError::OutOfOrder(request_id));
+        }
+        (self.request_id, self.heard_at) = (request_id, now);
+        (self.demand, self.total) = (request.demand, request.total);
+        self.pools.demand.confirm(request.held.demand, self.serial);
+        self.pools.floor.confirm(request.held.floor, self.serial);
+        // What is in use now ends within the hold; what begins from now on is within the lease, which counts itself.
+        self.in_use = Lease { units: request.in_use, expires_at: now + hold };
+        Ok(())
+    }
+
+    fn record_grant(&mut self, now: f64, serial: u64, units: Pools<u64>, expires_at: Pools<f64>) {
+        self.pools.demand.record_grant(now, units.demand, expires_at.demand);
+        self.pools.floor.record_grant(now, units.floor, expires_at.floor);
+        self.serial = serial;
+        if units.demand > 0 {
+            self.last_served = serial;
         }
     }
+
+    /// The holder spends nothing more; what it has in flight ends within the hold.
+    fn record_leaving(&mut self, now: f64, request_id: u64, hold: f64) {
+        // A request that was sent before and comes later would report fewer units in use.
+        self.request_id = self.request_id.max(request_id);
+        // What it began since its last report was within its leases.
+        let units = self.outstanding(now).sum();
+        self.pools = Pools::default();
+        self.in_use = Lease { units, expires_at: now + hold };
+        (self.demand, self.heard_at) = (0, f64::NEG_INFINITY);
+    }
 }
 
-/// A budget and its subject.
-pub type BudgetKey = (u64, u64);
+type Accounts = BTreeMap<Process, Account>;
 
+/// The ledger of one term of one leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaLedger {
     term: Ballot,
-    since: f64,
-    /// By budget, subject and holder. An account goes once nothing of it is out and its holder is not heard of; no more
-    /// than `ACCOUNTS` are kept.
-    accounts: BTreeMap<BudgetKey, BTreeMap<Process, Account>>,
-    count: usize,
-    serial: u64,
+    opened_at: f64,
+    /// By budget and holder.
+    accounts: BTreeMap<BudgetKey, Accounts>,
+    account_count: usize,
+    last_serial: u64,
     swept_at: f64,
 }
 
-/// Accounts that are kept at most: some forty megabytes of them. Whoever is beyond gets nothing.
-const ACCOUNTS_AT_MOST: usize = 200_000;
-
-/// One line of what is out, for operators.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LedgerLine {
-    pub budget: u64,
-    pub subject: u64,
-    pub holder: Process,
-    pub by_demand: u64,
-    pub floor: u64,
-    pub in_use: u64,
-    pub demand: u64,
-}
-
 impl QuotaLedger {
+    /// An empty ledger of a term that begins now.
     pub fn new(now: f64, term: Ballot) -> QuotaLedger {
-        QuotaLedger { term, since: now, accounts: BTreeMap::new(), count: 0, serial: 0, swept_at: now }
+        QuotaLedger {
+            term,
+            opened_at: now,
+            accounts: BTreeMap::new(),
+            account_count: 0,
+            last_serial: 0,
+            swept_at: now,
+        }
     }
 
+    /// The term that it belongs to.
     pub fn term(&self) -> Ballot {
         self.term
     }
 
-    /// What an earlier keeper granted may still be out for so long at the most; until then rights are continued and
-    /// none grows.
+    /// When everything that an earlier leader granted for `lease` seconds must be over. Until then leases are renewed
+    /// and none grows.
     pub fn settled_at(&self, lease: f64, hold: f64) -> f64 {
-        self.since + lease + hold
+        self.opened_at + lease + hold
     }
 
-    /// Takes in what a holder says and grants what there is for it. The holder has to have spoken in answer to this tenure
-    /// (see [`Fleet`](crate::node::Fleet)): what it holds was then on the books when the tenure began, and what it
-    /// says is no older than that. `nonce` grows with each of its questions; one that comes late is not heard.
+    /// Records what a holder reports and grants what there is for it.
+    ///
+    /// The holder has to name this ledger's term in its request: what it reports was then in the predecessor's ledger
+    /// when this term began, and is no older. `request_id` grows with each request of a holder.
+    ///
+    /// # Errors
+    /// [`RequestError`]; nothing is granted, and what was granted before stays.
     pub fn request(
         &mut self,
         now: f64,
         config: &FleetConfig,
         holder: &Process,
         request_id: u64,
-        entry: &QuotaRequest,
-    ) -> Option<Grant> {
-        let budget = config.budget(entry.budget)?;
-        let (key, hold) = ((entry.budget, entry.subject), budget.kind.hold());
-        let leases = [config.lease, config.floor_lease];
+        request: &BudgetRequest,
+    ) -> Result<Grant, RequestError> {
+        let id = request.key.budget;
+        let budget = config.budget(id).ok_or(RequestError::UnknownBudget(id))?;
         self.sweep(now, config);
-        let known = self.accounts.get(&key).is_some_and(|holders| holders.contains_key(holder));
-        if !known && self.count >= ACCOUNTS_AT_MOST {
-            return None;
-        }
-        self.count += usize::from(!known);
-        let settles = leases.map(|lease| self.settled_at(lease, hold));
-        let holders = self.accounts.entry(key).or_default();
-        let account = holders.entry(holder.clone()).or_default();
-        if request_id <= account.request_id {
-            return None;
-        }
-        (account.request_id, account.heard_at) = (request_id, now);
-        (account.demand, account.total) = (entry.demand, entry.total);
-        for (part, held) in account.pools.iter_mut().zip(entry.held) {
-            if held.serial >= account.serial {
-                // It goes by the last grant: all others are over, as it never goes back.
-                let until = part.granted.until.max(part.reported.until);
-                *part =
-                    PoolLease { reported: Lease { amount: held.amount, until }, granted: Lease::default() };
-            }
-        }
-        // What is in hand now ends within the hold; what is begun from now on is within the right, which counts itself.
-        account.in_use = Lease { amount: entry.in_use, until: now + hold };
-        let own = [account.outstanding(now, DEMAND_POOL), account.outstanding(now, FLOOR_POOL)];
-        // Members whose files differ go by the smaller one, as far as they are heard of.
-        let heard = holders.values().filter(|other| now < other.heard_at + config.lease);
-        let total = heard.fold(budget.total, |total, other| total.min(other.total));
-        let set_aside = config.set_aside(budget).min(total);
-        let outstanding = |pool: usize| -> u64 {
-            let others = holders.iter().filter(|(other, _)| *other != holder);
-            others.map(|(_, account)| account.outstanding(now, pool)).sum()
-        };
-        let others = [outstanding(DEMAND_POOL), outstanding(FLOOR_POOL)];
-        let free = total.saturating_sub(others[DEMAND_POOL] + others[FLOOR_POOL]);
-        let settling = |pool: usize| now < settles[pool];
-        let floor = if settling(FLOOR_POOL) { entry.held[FLOOR_POOL].amount } else { budget.floor };
-        let floor = floor
-            .min(set_aside.saturating_sub(others[FLOOR_POOL]))
-            .min(free.saturating_sub(own[DEMAND_POOL]));
-        let by_demand = total - set_aside;
-        let part = if settling(DEMAND_POOL) {
-            entry.held[DEMAND_POOL].amount
-        } else {
-            fair_share(now, config, holders, holder, by_demand)
-        };
-        let part = part.min(by_demand.saturating_sub(others[DEMAND_POOL]));
-        let amounts = [part.min(free.saturating_sub(own[FLOOR_POOL].max(floor))), floor];
-        self.serial += 1;
-        let account = holders.get_mut(holder)?;
-        for (pool, amount) in amounts.into_iter().enumerate() {
-            let granted = &mut account.pools[pool].granted;
-            *granted = Lease { amount: granted.at(now).max(amount), until: now + leases[pool] + hold };
+        self.open_account(request.key, holder)?;
+        let hold = budget.kind.hold();
+        let leases = Pools { demand: config.lease, floor: config.floor_lease };
+        let settled = leases.map(|lease| now >= self.settled_at(lease, hold));
+        let accounts = self.accounts.entry(request.key).or_default();
+        let account = accounts.entry(holder.clone()).or_default();
+        account.record_request(now, request_id, request, hold)?;
+        let division = Division { now, config, budget, accounts };
+        let total = division.total();
+        let units = division.grant(total, holder, request.held, settled);
+        self.last_serial += 1;
+        let serial = self.last_serial;
+        let account = accounts.entry(holder.clone()).or_default();
+        account.record_grant(now, serial, units, leases.map(|lease| now + lease + hold));
+        Ok(Grant { key: request.key, total, units, serial })
+    }
+
+    fn open_account(&mut self, key: BudgetKey, holder: &Process) -> Result<(), RequestError> {
+        if self.accounts.get(&key).is_some_and(|accounts| accounts.contains_key(holder)) {
+            return Ok(());
         }
-        account.serial = self.serial;
-        if amounts[DEMAND_POOL] > 0 {
-            account.last_served = self.serial;
+        if self.account_count >= ACCOUNTS_AT_MOST {
+            return Err(RequestError::LedgerFull);
         }
-        let (budget, subject, serial) = (entry.budget, entry.subject, self.serial);
-        Some(Grant { budget, subject, total, amounts, serial })
+        self.account_count += 1;
+        self.accounts.entry(key).or_default().insert(holder.clone(), Account::default());
+        Ok(())
     }
 
-    /// The holder has left and spends nothing more; what it has in hand ends in its own time.
+    /// Records that a holder has left.
     pub fn holder_left(&mut self, now: f64, holder: &Process, request_id: u64, config: &FleetConfig) {
-        for ((id, _), holders) in &mut self.accounts {
-            let hold = config.budget(*id).map_or(0.0, |budget| budget.kind.hold());
-            if let Some(account) = holders.get_mut(holder) {
-                // A question of before that comes later would count less than that.
-                account.request_id = account.request_id.max(request_id);
-                // What it began since it last spoke was within its rights.
-                let amount = account.outstanding(now, DEMAND_POOL) + account.outstanding(now, FLOOR_POOL);
-                account.pools = [PoolLease::default(); POOLS];
-                account.in_use = Lease { amount, until: now + hold };
-                (account.demand, account.heard_at) = (0, f64::NEG_INFINITY);
+        for (key, accounts) in &mut self.accounts {
+            let hold = config.budget(key.budget).map_or(0.0, |budget| budget.kind.hold());
+            if let Some(account) = accounts.get_mut(holder) {
+                account.record_leaving(now, request_id, hold);
             }
         }
     }
 
-    /// Drops accounts of which nothing is out and whose holder is silent.
+    /// Once in a lease, drops accounts of which nothing is outstanding and whose holder is silent.
     fn sweep(&mut self, now: f64, config: &FleetConfig) {
         if now < self.swept_at + config.lease {
             return;
         }
         self.swept_at = now;
-        for holders in self.accounts.values_mut() {
-            holders.retain(|_, account| {
-                let outstanding =
-                    account.outstanding(now, DEMAND_POOL) + account.outstanding(now, FLOOR_POOL);
-                outstanding > 0 || now < account.heard_at + 2.0 * config.lease
+        for accounts in self.accounts.values_mut() {
+            accounts.retain(|_, account| {
+                account.outstanding(now).sum() > 0 || now < account.heard_at + IDLE_LEASES * config.lease
             });
         }
-        self.accounts.retain(|_, holders| !holders.is_empty());
-        self.count = self.accounts.values().map(BTreeMap::len).sum();
+        self.accounts.retain(|_, accounts| !accounts.is_empty());
+        self.account_count = self.accounts.values().map(BTreeMap::len).sum();
     }
 
-    /// Units that may be in use by all.
+    /// Units of a budget that all holders together may have in use.
     pub fn outstanding(&self, now: f64, key: BudgetKey) -> u64 {
-        let holders = self.accounts.get(&key);
-        holders
-            .into_iter()
-            .flat_map(BTreeMap::values)
-            .map(|a| a.outstanding(now, DEMAND_POOL) + a.outstanding(now, FLOOR_POOL))
-            .sum()
+        let accounts = self.accounts.get(&key).into_iter().flat_map(BTreeMap::values);
+        accounts.map(|account| account.outstanding(now).sum()).sum()
     }
 
+    /// Every holder's part of every budget.
     pub fn lines(&self, now: f64) -> Vec<LedgerLine> {
-        let holders = self.accounts.iter().flat_map(|(key, holders)| holders.iter().map(move |h| (key, h)));
-        let line = |((budget, subject), (holder, account)): (&BudgetKey, (&Process, &Account))| LedgerLine {
-            budget: *budget,
-            subject: *subject,
-            holder: holder.clone(),
-            by_demand: account.outstanding(now, DEMAND_POOL),
-            floor: account.outstanding(now, FLOOR_POOL),
-            in_use: account.in_use.at(now),
-            demand: account.demand,
-        };
-        holders.map(line).collect()
+        let mut lines = Vec::with_capacity(self.account_count);
+        for (key, accounts) in &self.accounts {
+            lines.extend(accounts.iter().map(|(holder, account)| LedgerLine {
+                key: *key,
+                holder: holder.clone(),
+                outstanding: account.outstanding(now),
+                in_use: account.in_use.units_at(now),
+                demand: account.demand,
+            }));
+        }
+        lines
     }
 }
 
-/// The holder's fair part of what is divided by demand, among all that are heard of.
-fn fair_share(
+/// One division of one budget among its holders.
+struct Division<'a> {
     now: f64,
-    config: &FleetConfig,
-    holders: &BTreeMap<Process, Account>,
-    holder: &Process,
-    total: u64,
-) -> u64 {
-    let live = |account: &Account| now < account.heard_at + config.lease;
-    let asked: Vec<(u64, u64)> =
-        holders.values().map(|a| (if live(a) { a.demand } else { 0 }, a.last_served)).collect();
-    let index = holders.keys().position(|other| other == holder);
-    index.map_or(0, |index| allocate(total, &asked)[index])
+    config: &'a FleetConfig,
+    budget: &'a Budget,
+    accounts: &'a Accounts,
+}
+
+impl Division<'_> {
+    /// Members whose settings differ go by the smallest total of those that are heard.
+    fn total(&self) -> u64 {
+        let heard = self.accounts.values().filter(|account| self.is_heard(account));
+        heard.fold(self.budget.total, |total, account| total.min(account.total))
+    }
+
+    /// Units for that holder: its share, and no more than all others leave. Until a pool has settled, what it reports to
+    /// hold takes the place of its share.
+    fn grant(
+        &self,
+        total: u64,
+        holder: &Process,
+        held: Pools<HeldQuota>,
+        settled: Pools<bool>,
+    ) -> Pools<u64> {
+        let own = self.accounts.get(holder).map_or_else(Pools::default, |own| own.outstanding(self.now));
+        let others = self.outstanding_of_others(holder);
+        let free = total.saturating_sub(others.sum());
+        let reserved = self.config.reserved_for_floors(self.budget).min(total);
+        let shared = total - reserved;
+        let floor = if settled.floor { self.budget.floor } else { held.floor.units };
+        let floor = floor.min(reserved.saturating_sub(others.floor)).min(free.saturating_sub(own.demand));
+        let share = if settled.demand { self.fair_share(holder, shared) } else { held.demand.units };
+        let share = share.min(shared.saturating_sub(others.demand));
+        Pools { demand: share.min(free.saturating_sub(own.floor.max(floor))), floor }
+    }
+
+    fn outstanding_of_others(&self, holder: &Process) -> Pools<u64> {
+        let others = self.accounts.iter().filter(|(other, _)| *other != holder);
+        others.fold(Pools::default(), |sum, (_, account)| {
+            let outstanding = account.outstanding(self.now);
+            Pools { demand: sum.demand + outstanding.demand, floor: sum.floor + outstanding.floor }
+        })
+    }
+
+    /// The holder's share by demand, among all that are heard.
+    fn fair_share(&self, holder: &Process, shared: u64) -> u64 {
+        let demand = |account: &Account| Demand {
+            units: if self.is_heard(account) { account.demand } else { 0 },
+            last_served: account.last_served,
+        };
+        let demands: Vec<Demand> = self.accounts.values().map(demand).collect();
+        let index = self.accounts.keys().position(|other| other == holder);
+        index.map_or(0, |index| allocate(shared, &demands)[index])
+    }
+
+    fn is_heard(&self, account: &Account) -> bool {
+        self.now < account.heard_at + self.config.lease
+    }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,23 +1,28 @@
-//! What a member of the fleet is told when it starts, and what all of them have to be told alike.
+//! Settings of a member, and which of them have to be the same at all members.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How a budget is spent. Both kinds are counted in units, whole numbers, so that parts add up exactly.
+/// How units of a budget are spent. Units are whole numbers, so that shares add up exactly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A unit is one token of depth that comes back every `every` seconds: so many units spend at most
-    /// units x (1 + t / every) in any t seconds.
-    Rate { every: f64 },
-    /// A unit is one thing in hand, which ends at most `hold` seconds after it was begun, whatever becomes of its
-    /// router.
-    Concurrency { hold: f64 },
+    /// A token bucket. A unit is one token of depth that is refilled every `every` seconds: `n` units allow at most
+    /// `n x (1 + t / every)` operations in any `t` seconds.
+    Rate {
+        /// Seconds after which a spent token is back.
+        every: f64,
+    },
+    /// A limit of operations in flight. A unit is one operation.
+    Concurrency {
+        /// Seconds within which an operation ends, even if its router is lost.
+        hold: f64,
+    },
 }
 
 impl Kind {
-    /// Seconds for which what was begun under a right may outlive it.
+    /// Seconds by which an operation may outlive the lease that it was begun under.
     pub fn hold(self) -> f64 {
         match self {
             Kind::Rate { .. } => 0.0,
@@ -26,76 +31,84 @@
     }
 }
 
-/// One budget of the whole fleet. Those that are kept for each host, say, are one `Budget` with a subject a host.
+/// One budget of the whole fleet. A budget that exists once for each host is one `Budget`; the host is the subject of a
+/// [`BudgetKey`](crate::quota_ledger::BudgetKey).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Of its name, by [`label`].
+    /// The [`label`] of the name.
     pub id: u64,
+    /// The name, the same at all members.
     pub name: String,
+    /// How it is spent.
     pub kind: Kind,
     /// Units that all routers together may have.
     pub total: u64,
-    /// Units of each router's floor, which it keeps for `floor_lease` though it hears nobody.
+    /// Units that are reserved for each router, with a longer lease than the rest.
     pub floor: u64,
 }
 
 impl Budget {
+    /// A budget with the id that belongs to its name.
     pub fn named(name: &str, kind: Kind, total: u64, floor: u64) -> Budget {
         Budget { id: label(name), name: name.to_string(), kind, total, floor }
     }
 }
 
-/// A short name for a long one, the same at all members. 64 bits of BLAKE3, so that two names of one file, which is
-/// checked for it, do not meet by chance.
+/// A 64-bit hash of a name, the same at all members: the first eight bytes of its BLAKE3 hash.
 pub fn label(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
-    hash.as_bytes().iter().take(8).fold(0, |all, byte| all << 8 | u64::from(*byte))
+    hash.as_bytes().iter().take(8).fold(0, |label, byte| label << 8 | u64::from(*byte))
 }
 
-/// Times in seconds.
+/// Settings of one member. All times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
+    /// This member's name.
     pub name: String,
-    /// Who elects the keeper, by name, in the same order at all members; one of these is the keeper.
+    /// Names of the members that elect the leader, in the same order at all members. The leader is one of them.
     pub voters: Vec<String>,
-    /// A keeper is one for so long after it was last elected.
+    /// How long a leader stays leader after it was last elected.
     pub leader_lease: f64,
-    /// What a keeper grants may be spent for so long after it was asked for.
+    /// How long granted units may be spent, from when they were asked for.
     pub lease: f64,
     /// The same for floors.
     pub floor_lease: f64,
-    /// How far each clock may run faster or slower than true time, as a part.
+    /// The largest error of each clock's rate, as a fraction.
     pub drift: f64,
-    /// Routers that may be there at once, those counted that died within `floor_lease`: each floor of a budget times
-    /// this is set aside.
+    /// Routers that may exist at a time, with those that died within `floor_lease`. Each budget's floor is reserved so
+    /// many times.
     pub members_at_most: u64,
+    /// The budgets.
     pub budgets: Vec<Budget>,
 }
 
 impl FleetConfig {
-    /// The time that the one who spends counts for a lease, where the one who granted it counts `lease`: whoever's
-    /// clock is slow, the spender's time is over first.
+    /// How long the holder of a lease counts it, where the grantor counts `lease` seconds. It is shorter by twice the
+    /// drift, so that the holder's time is over first whichever clock is slow.
     pub fn holder_lease(&self, lease: f64) -> f64 {
         lease * (1.0 - self.drift) / (1.0 + self.drift)
     }
 
-    /// What has to be alike at all members, and changes only while none runs: whom the lease of the keeper goes by, and
-    /// what a new keeper takes for granted of the one before. A voter answers only those who say the same.
+    /// A hash of all settings that have to be the same at all members: voters, leases, drift, floors and kinds of
+    /// budgets. Totals are not among them, as they may be changed while the fleet runs.
     pub fn electorate(&self) -> u64 {
-        let floors: Vec<_> = self.budgets.iter().map(|b| (&b.name, HashedKind(b.kind), b.floor)).collect();
+        let budgets: Vec<_> =
+            self.budgets.iter().map(|budget| (&budget.name, HashedKind(budget.kind), budget.floor)).collect();
         let leases = (self.leader_lease, self.lease, self.floor_lease, self.drift);
-        label(&format!("{:?} {leases:?} {} {floors:?}", self.voters, self.members_at_most))
+        label(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.members_at_most))
     }
 
-    /// Units of a budget that are kept aside for floors.
-    pub fn set_aside(&self, budget: &Budget) -> u64 {
+    /// Units of a budget that are reserved for floors.
+    pub fn reserved_for_floors(&self, budget: &Budget) -> u64 {
         budget.floor * self.members_at_most
     }
 
+    /// This member's index among the voters, if it is one.
     pub fn voter_index(&self) -> Option<u16> {
-        self.voters.iter().position(|voter| *voter == self.name).map(|voter_index| voter_index as u16)
+        self.voters.iter().position(|voter| *voter == self.name).map(|index| index as u16)
     }
 
+    /// The budget of that id.
     pub fn budget(&self, id: u64) -> Option<&Budget> {
         self.budgets.iter().find(|budget| budget.id == id)
     }
@@ -114,19 +127,24 @@
     }
 }
 
-/// A process of the program: its name, and which of those that bore it. A later start has a larger incarnation, if need
-/// be by learning of the earlier one's (`Fleet`).
+/// One process of the program: a member's name, and which of the processes of that name it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
+    /// The member's name.
     pub name: String,
+    /// Larger for a process that started later; see [`incarnation`].
     pub incarnation: u64,
 }
 
-/// Bits of an incarnation that are random: 65 milliseconds of its microseconds.
+/// Low bits of an incarnation that are random: 65 milliseconds of its microseconds.
 const RANDOM_BITS: u64 = 0xffff;
 
-/// The incarnation of a process that starts at that Unix time: microseconds, the last bits random, so that two starts at
-/// one reading of a clock that was stepped are two processes. All random where the clock is before 1970.
+/// The incarnation of a process that starts at that Unix time: microseconds whose low bits are random, so that two starts
+/// at one reading of a clock that was stepped back are two processes. All bits are random where the clock is before
+/// 1970 (`None`).
+///
+/// After a step back of the clock it may be smaller than that of an earlier process of this name. The node learns this
+/// from its peers and takes a larger one; see [`node`](crate::node).
 pub fn incarnation(unix: Option<Duration>, random: u64) -> u64 {
     let started = unix.map_or(random >> 16, |unix| unix.as_micros() as u64);
     started & !RANDOM_BITS | random & RANDOM_BITS
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,29 +1,29 @@
 //! Members whose wall clock was stepped back between two starts: their incarnation is smaller than the one that their
-//! peers know. They get their parts again within a lease, and no leases of two lives of one name add up.
+//! peers know. They get their shares again within a lease, and no leases of two lives of one name add up.
 
 // Not every helper of it is needed here.
 #[allow(dead_code)]
-mod common;
+mod simulation;
 
 use std::time::Duration;
 
-use common::{World, storm};
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
+use simulation::{Simulation, storm};
 
 /// Five members, of which three vote, with incarnations as of a clock that is right.
-fn settled(floor: u64) -> World {
-    let mut world = World::new(11, 5, 3, 60, floor);
-    world.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
-    (0..5).for_each(|node| world.start_as(node, 1_000_000));
-    world.run(13.0, |_| {});
-    assert!(world.sum(0) >= 50, "{}", world.sum(0));
-    world
+fn settled(floor: u64) -> Simulation {
+    let mut simulation = Simulation::new(11, 5, 3, 60, floor);
+    simulation.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
+    (0..5).for_each(|node| simulation.start_as(node, 1_000_000));
+    simulation.run(13.0, |_| {});
+    assert!(simulation.sum(0) >= 50, "{}", simulation.sum(0));
+    simulation
 }
 
-fn part(world: &World, node: usize) -> u64 {
-    world.pools(node, 0).iter().sum()
+fn share(simulation: &Simulation, node: usize) -> u64 {
+    simulation.leased(node, 0).sum()
 }
 
 /// Guards against: peers that go by the largest incarnation of a name drop all that its next process says, for as long
@@ -33,21 +33,26 @@
 #[case::no_voter(4, 500_000)]
 #[case::a_clock_that_was_never_set(4, 1)]
 #[case::a_clock_that_is_right(4, 2_000_000)]
-fn a_member_started_again_after_its_clock_went_back_has_its_part_within_a_lease(
+fn a_member_started_again_after_its_clock_went_back_has_its_share_within_a_lease(
     #[case] node: usize,
     #[case] incarnation: u64,
 ) {
-    let mut world = settled(1);
-    world.kill(node);
-    let until = world.time + 0.2;
-    world.run(until, |_| {});
-    world.start_as(node, incarnation);
-    let lease = world.nodes[0].config.lease;
-    world.run(until + lease + 1.0, |_| {});
-    let refused: u64 = world.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters.old).sum();
-    println!("{} units; {refused} datagrams refused as old", part(&world, node));
-    assert!(part(&world, node) >= 5, "{} units; {refused} datagrams refused as old", part(&world, node));
-    assert!(world.faults.is_empty(), "{:?}", world.faults.first());
+    let mut simulation = settled(1);
+    simulation.kill(node);
+    let until = simulation.time + 0.2;
+    simulation.run(until, |_| {});
+    simulation.start_as(node, incarnation);
+    let lease = simulation.nodes[0].config.lease;
+    simulation.run(until + lease + 1.0, |_| {});
+    let refused: u64 =
+        simulation.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters().outdated).sum();
+    println!("{} units; {refused} datagrams refused as old", share(&simulation, node));
+    assert!(
+        share(&simulation, node) >= 5,
+        "{} units; {refused} datagrams refused as old",
+        share(&simulation, node)
+    );
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
 /// Guards against: routers that have seen a term of the voters' earlier lives take the new leader's for an older one, as
@@ -57,30 +62,28 @@
 #[case::clocks_that_went_back(false, 0)]
 #[case::after_some_changes_of_leader(true, 2)]
 #[case::after_some_changes_of_leader_and_clocks_went_back(false, 2)]
-fn when_all_voters_start_again_the_others_have_their_parts_again(
+fn when_all_voters_start_again_the_others_have_their_shares_again(
     #[case] forward: bool,
     #[case] changes: u64,
 ) {
-    let mut world = settled(0);
+    let mut simulation = settled(0);
     for change in 0..changes {
-        let leader =
-            (0..3).find(|n| world.nodes[*n].fleet.as_ref().is_some_and(|f| f.is_leader(world.clock(*n))));
-        let leader = leader.expect("a leader");
-        world.kill(leader);
-        let until = world.time + 4.0;
-        world.run(until, |_| {});
-        world.start_as(leader, 1_000_001 + change);
-        world.run(until + 3.0, |_| {});
+        let leader = simulation.leader().expect("a leader");
+        simulation.kill(leader);
+        let until = simulation.time + 4.0;
+        simulation.run(until, |_| {});
+        simulation.start_as(leader, 1_000_001 + change);
+        simulation.run(until + 3.0, |_| {});
     }
-    (0..3).for_each(|voter| world.kill(voter));
-    let until = world.time + 0.5;
-    world.run(until, |_| {});
-    (0..3).for_each(|voter| world.start_as(voter, if forward { 2_000_000 } else { 1_000 }));
-    world.run(until + 8.0, |_| {});
+    (0..3).for_each(|voter| simulation.kill(voter));
+    let until = simulation.time + 0.5;
+    simulation.run(until, |_| {});
+    (0..3).for_each(|voter| simulation.start_as(voter, if forward { 2_000_000 } else { 1_000 }));
+    simulation.run(until + 8.0, |_| {});
     for router in 0..5 {
-        assert!(part(&world, router) >= 5, "router {router} has {}", part(&world, router));
+        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
     }
-    assert!(world.faults.is_empty(), "{:?}", world.faults.first());
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
 /// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
@@ -90,27 +93,31 @@
 
 /// Guards against: leases of two lives of one name that add up, and names that are shut out for good.
 #[test]
-fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_whole_or_shuts_a_member_out() {
+fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_total_or_shuts_a_member_out() {
     for seed in 50_000..50_000 + seeds(60) {
-        let mut world = World::new(seed, 5, 3, 40, 1);
-        world.wall_clocks_step = true;
-        let mut world = storm(world, 30.0);
-        // Calm again: each that runs has its part.
-        world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
-        world.weather = common::Weather { lost: 0.0, twice: 0.0, delay: 0.002 };
+        let mut simulation = Simulation::new(seed, 5, 3, 40, 1);
+        simulation.wall_clocks_step = true;
+        let mut simulation = storm(simulation, 30.0);
+        // Calm again: each has its share.
+        simulation.cut.iter_mut().flatten().for_each(|cut| *cut = false);
+        simulation.link_faults = simulation::LinkFaults { lost: 0.0, twice: 0.0, delay: 0.002 };
         for node in 0..5 {
-            match world.nodes[node].fleet.is_some() {
-                true => world.go_on(node),
-                false => world.start(node),
+            match simulation.nodes[node].fleet.is_some() {
+                true => simulation.resume(node),
+                false => simulation.start(node),
             }
-            world.nodes[node].appetite = 60.0;
+            simulation.nodes[node].appetite = 60.0;
         }
-        world.run(45.0, |_| {});
-        assert!(world.faults.is_empty(), "seed {seed}: {:?}", &world.faults[..world.faults.len().min(5)]);
-        let most = world.spent_at_most();
+        simulation.run(45.0, |_| {});
+        assert!(
+            simulation.violations.is_empty(),
+            "seed {seed}: {:?}",
+            &simulation.violations[..simulation.violations.len().min(5)]
+        );
+        let most = simulation.spent_at_most();
         assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
-        let parts: Vec<u64> = (0..5).map(|node| part(&world, node)).collect();
-        assert!(parts.iter().all(|part| *part >= 3), "seed {seed}: {parts:?}");
+        let shares: Vec<u64> = (0..5).map(|node| share(&simulation, node)).collect();
+        assert!(shares.iter().all(|share| *share >= 3), "seed {seed}: {shares:?}");
     }
 }
 
@@ -128,10 +135,15 @@
 
 /// One member and what it sends, by hand.
 fn member(name: &str, incarnation: u64) -> FleetNode {
-    let config = common::config(name, 3, 30, 1, 6);
-    let seeds = (0..3).map(|voter| (format!("r{voter}"), common::address(voter))).collect();
-    let identity =
-        MemberIdentity { incarnation, at: common::address(9), seeds, secret: b"ours", seed: incarnation };
+    let config = simulation::config(name, 3, 30, 1, 6);
+    let seeds = (0..3).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
+    let identity = MemberIdentity {
+        incarnation,
+        address: simulation::address(9),
+        seeds,
+        secret: b"ours",
+        seed: incarnation,
+    };
     FleetNode::start(0.0, config, identity)
 }
 
--- a/crates/fleet/tests/model_quota.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -1,16 +1,16 @@
-//! The books and the purses, exhaustively at a small size: the code itself is the model's transition. One keeper after the
-//! other (that there is one at a time is `model.rs`'s matter), two holders that want all there is; questions and answers
-//! may come late, out of order or never, a holder may be started again with nothing in memory, the next keeper knows nothing.
-//! The sum of what both may spend never exceeds the whole. Each rule that this rests on is taken out once, and its
-//! lack is found.
+//! The ledger and the local quotas, exhaustively at a small size: the code itself is the model's transition. One leader
+//! after the other (that there is one at a time is `model_election.rs`), two holders that want all there is; requests and
+//! replies may come late, out of order or never, a holder may be started again with nothing in memory, the next leader
+//! knows nothing. The sum of what both may spend never exceeds the total. Each rule that this rests on is taken out once,
+//! and its lack is found.
 
-mod printed;
+mod state_hash;
 
 use std::hash::{Hash, Hasher};
 
 use ottersill_fleet::election::Ballot;
-use ottersill_fleet::local_quota::LocalQuota;
-use ottersill_fleet::quota_ledger::{Grant, QuotaLedger, QuotaRequest};
+use ottersill_fleet::local_quota::{LocalQuota, SentRequest};
+use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, Grant, Pools, QuotaLedger};
 use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -21,10 +21,10 @@
 /// How large a model is: all states of it are looked at.
 #[derive(Clone, Copy, Debug)]
 struct Size {
-    /// A keeper may grant for so long.
+    /// A leader may grant for so long.
     term: u64,
     steps: u64,
-    questions: u64,
+    requests: u64,
     restarts: u64,
 }
 
@@ -32,20 +32,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// A new keeper divides at once.
+    /// A new leader divides at once.
     NoSettling,
-    /// A new keeper goes on with what was said before its tenure.
-    OldClaims,
-    /// The keeper counts its grants for half as long as their holders do.
+    /// A new leader goes on with what was said before its term.
+    OldReports,
+    /// The leader counts its grants for half as long as their holders do.
     LeaseNotWaitedOut,
-    /// The holder counts from when the answer came, not from when it asked.
-    CountedFromAnswer,
+    /// The holder counts from when the reply came, not from when it sent the request.
+    CountedFromReply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Mail {
-    Question { holder: usize, incarnation: u64, request_id: u64, seen: Ballot, entry: QuotaRequest },
-    VoterReply { holder: usize, incarnation: u64, request_id: u64, term: Ballot, grant: Option<Grant> },
+enum InTransit {
+    Request { holder: usize, incarnation: u64, request_id: u64, seen: Ballot, entry: BudgetRequest },
+    Reply { holder: usize, incarnation: u64, request_id: u64, term: Ballot, grant: Option<Grant> },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -54,8 +54,8 @@
     quota: LocalQuota,
     seen: Ballot,
     request_id: u64,
-    /// When each question left.
-    asked: Vec<f64>,
+    /// When each request was sent.
+    sent_at: Vec<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -64,8 +64,8 @@
     ledger: QuotaLedger,
     term_until: u64,
     holders: Vec<Holder>,
-    mail: Vec<Mail>,
-    questions_left: u64,
+    in_transit: Vec<InTransit>,
+    requests_left: u64,
     restarts_left: u64,
     leaders_left: u64,
 }
@@ -75,16 +75,16 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        printed::hash(self, hasher);
+        state_hash::hash(self, hasher);
     }
 }
 
-/// What of a question and its answer comes later, or never. What comes at once comes in one step: far fewer states.
+/// Which of a request and its reply comes later, or never. What comes at once comes in one step: far fewer states.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Late {
     Nothing,
-    Question,
-    VoterReply,
+    Request,
+    Reply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -118,7 +118,7 @@
 
     fn holder(&self, time: u64, incarnation: u64) -> Holder {
         let quota = LocalQuota::new(time as f64, self.kind, TOTAL, 0);
-        Holder { incarnation, quota, seen: Ballot::default(), request_id: 0, asked: Vec::new() }
+        Holder { incarnation, quota, seen: Ballot::default(), request_id: 0, sent_at: Vec::new() }
     }
 
     fn ledger(&self, time: u64, round: u64) -> QuotaLedger {
@@ -126,36 +126,38 @@
         QuotaLedger::new(since, Ballot { round, voter_index: 0, incarnation: 1 })
     }
 
-    /// `on` says whether an answer that this makes is delivered as well.
-    fn deliver(&self, state: &mut State, mail: Mail, on: bool) {
+    /// `on` says whether a reply that this makes is delivered as well.
+    fn deliver(&self, state: &mut State, in_transit: InTransit, on: bool) {
         let now = state.time as f64;
-        match mail {
-            Mail::Question { holder, incarnation, request_id, seen, entry } => {
+        match in_transit {
+            InTransit::Request { holder, incarnation, request_id, seen, entry } => {
                 if state.time >= state.term_until {
                     return;
                 }
                 let term = state.ledger.term();
                 let lease = if self.mutant == Mutant::LeaseNotWaitedOut { LEASE / 2.0 } else { LEASE };
                 let process = Process { name: format!("h{holder}"), incarnation };
-                let renewed = seen == term || self.mutant == Mutant::OldClaims;
+                let renewed = seen == term || self.mutant == Mutant::OldReports;
                 let grant = if renewed {
-                    state.ledger.request(now, &self.config(lease), &process, request_id, &entry)
+                    state.ledger.request(now, &self.config(lease), &process, request_id, &entry).ok()
                 } else {
                     None
                 };
-                let answer = Mail::VoterReply { holder, incarnation, request_id, term, grant };
-                if on { self.deliver(state, answer, on) } else { state.mail.push(answer) }
+                let reply = InTransit::Reply { holder, incarnation, request_id, term, grant };
+                if on { self.deliver(state, reply, on) } else { state.in_transit.push(reply) }
             }
-            Mail::VoterReply { holder, incarnation, request_id, term, grant } => {
+            InTransit::Reply { holder, incarnation, request_id, term, grant } => {
                 let holder = &mut state.holders[holder];
                 if holder.incarnation != incarnation || term < holder.seen {
                     return;
                 }
                 holder.seen = term;
-                let asked_at = holder.asked[request_id as usize - 1];
-                let from = if self.mutant == Mutant::CountedFromAnswer { now } else { asked_at };
+                let sent_at = holder.sent_at[request_id as usize - 1];
+                let sent_at = if self.mutant == Mutant::CountedFromReply { now } else { sent_at };
                 if let Some(grant) = grant {
-                    holder.quota.apply_grant(now, term, &grant, (request_id, from), [LEASE; 2]);
+                    let request = SentRequest { id: request_id, sent_at };
+                    let durations = Pools { demand: LEASE, floor: LEASE };
+                    let _ = holder.quota.apply_grant(now, term, &grant, request, durations);
                 }
             }
         }
@@ -164,7 +166,7 @@
 
 impl State {
     fn sum(&self) -> u64 {
-        self.holders.iter().map(|holder| holder.quota.lease(self.time as f64).0).sum()
+        self.holders.iter().map(|holder| holder.quota.spendable(self.time as f64)).sum()
     }
 }
 
@@ -173,7 +175,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // The first keeper has settled: what went before it is over.
+        // The first leader has settled: what went before it is over.
         let ledger = QuotaLedger::new(-100.0, Ballot { round: 1, voter_index: 0, incarnation: 1 });
         vec![State {
             time: 0,
@@ -181,8 +183,8 @@
             // Both have heard of it.
             holders: vec![Holder { seen: ledger.term(), ..self.holder(0, 1) }; 2],
             ledger,
-            mail: Vec::new(),
-            questions_left: self.size.questions,
+            in_transit: Vec::new(),
+            requests_left: self.size.requests,
             restarts_left: self.size.restarts,
             leaders_left: 1,
         }]
@@ -192,12 +194,12 @@
         if state.time < self.size.steps {
             actions.push(Action::Pass);
         }
-        if state.questions_left > 0 {
-            for late in [Late::Nothing, Late::Question, Late::VoterReply] {
+        if state.requests_left > 0 {
+            for late in [Late::Nothing, Late::Request, Late::Reply] {
                 actions.extend((0..2).map(|holder| Action::Ask(holder, late)));
             }
         }
-        actions.extend((0..state.mail.len()).map(Action::Deliver));
+        actions.extend((0..state.in_transit.len()).map(Action::Deliver));
         if state.restarts_left > 0 {
             actions.extend((0..2).map(Action::Restart));
         }
@@ -212,29 +214,28 @@
         match action {
             Action::Pass => state.time += 1,
             Action::Ask(index, late) => {
-                state.questions_left -= 1;
+                state.requests_left -= 1;
                 let holder = &mut state.holders[index];
                 holder.request_id += 1;
-                holder.asked.push(now);
+                holder.sent_at.push(now);
                 let budget = self.config(LEASE).budgets[0].id;
-                let entry = QuotaRequest {
-                    budget,
-                    subject: 0,
+                let entry = BudgetRequest {
+                    key: BudgetKey { budget, subject: 0 },
                     total: TOTAL,
                     demand: TOTAL,
                     in_use: 0,
-                    held: holder.quota.report(now, holder.seen),
+                    held: holder.quota.held(now, holder.seen),
                 };
                 let (incarnation, request_id, seen) = (holder.incarnation, holder.request_id, holder.seen);
-                let question = Mail::Question { holder: index, incarnation, request_id, seen, entry };
+                let in_transit = InTransit::Request { holder: index, incarnation, request_id, seen, entry };
                 match late {
-                    Late::Question => state.mail.push(question),
-                    _ => self.deliver(&mut state, question, late == Late::Nothing),
+                    Late::Request => state.in_transit.push(in_transit),
+                    _ => self.deliver(&mut state, in_transit, late == Late::Nothing),
                 }
             }
             Action::Deliver(index) => {
-                let mail = state.mail.remove(index);
-                self.deliver(&mut state, mail, true);
+                let in_transit = state.in_transit.remove(index);
+                self.deliver(&mut state, in_transit, true);
             }
             Action::Restart(index) => {
                 state.restarts_left -= 1;
@@ -251,16 +252,16 @@
 
     fn properties(&self) -> Vec<Property<Division>> {
         vec![
-            Property::always("the sum is within the whole", |_, state: &State| state.sum() <= TOTAL),
+            Property::always("the sum is within the total", |_, state: &State| state.sum() <= TOTAL),
             Property::sometimes("all is in use", |_, state: &State| state.sum() == TOTAL),
-            Property::sometimes("a part outlives its keeper", |_, state: &State| {
+            Property::sometimes("a lease outlives its leader", |_, state: &State| {
                 state.ledger.term().round == 2 && state.sum() > 0
             }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.mail.len() <= 2
+        state.in_transit.len() <= 2
     }
 }
 
@@ -268,15 +269,15 @@
     let model = Division { mutant, kind: Kind::Concurrency { hold: 0.0 }, size };
     let options = model.checker().finish_when(HasDiscoveries::AnyFailures).threads(2);
     let checker = options.spawn_bfs().join();
-    let broken = checker.discovery("the sum is within the whole").is_some();
-    let shown = ["all is in use", "a part outlives its keeper"];
+    let broken = checker.discovery("the sum is within the total").is_some();
+    let shown = ["all is in use", "a lease outlives its leader"];
     let seen = shown.iter().filter(|name| checker.discovery(name).is_some()).count();
     (broken, seen, checker.unique_state_count())
 }
 
 #[test]
-fn in_no_state_is_the_sum_above_the_whole() {
-    let size = Size { term: 2, steps: 4, questions: 3, restarts: 1 };
+fn in_no_state_is_the_sum_above_the_total() {
+    let size = Size { term: 2, steps: 4, requests: 3, restarts: 1 };
     let (broken, seen, states) = check(Mutant::None, size);
     println!("{states} states, which are all");
     assert!(!broken && seen == 2, "{broken} {seen}");
@@ -284,11 +285,11 @@
 
 #[rstest]
 #[case(Mutant::NoSettling, 2, 3)]
-#[case(Mutant::OldClaims, 4, 5)]
+#[case(Mutant::OldReports, 4, 5)]
 #[case(Mutant::LeaseNotWaitedOut, 4, 4)]
-#[case(Mutant::CountedFromAnswer, 4, 4)]
+#[case(Mutant::CountedFromReply, 4, 4)]
 fn a_rule_left_out_is_found(#[case] mutant: Mutant, #[case] term: u64, #[case] steps: u64) {
-    let size = Size { term, steps, questions: 3, restarts: 0 };
+    let size = Size { term, steps, requests: 3, restarts: 0 };
     let (broken, _, states) = check(mutant, size);
     println!("{mutant:?}: {states} states");
     assert!(broken, "{mutant:?} passes unseen");
--- a/crates/fleet/tests/printed/mod.rs
+++ b/crates/fleet/tests/state_hash/mod.rs
@@ -1,4 +1,4 @@
-//! Hashing the states of a model by what they print: they are plain data all through, so that says all of them.
+//! Hashes the states of a model by their `Debug` text: they are plain data throughout, so the text says all of them.
 
 use std::fmt::{Debug, Result, Write};
 use std::hash::Hasher;
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -3,8 +3,8 @@
 
 use ottersill_fleet::authenticator::Authenticator;
 use ottersill_fleet::election::{Ballot, VoterReply};
-use ottersill_fleet::envelope::Message;
-use ottersill_fleet::quota_ledger::{Grant, HeldQuota, QuotaRequest};
+use ottersill_fleet::envelope::{Message, NotLeader, QuotaReply, QuotaRequest};
+use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, Grant, HeldQuota, Pools};
 use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process, label};
 use rstest::rstest;
 
@@ -19,31 +19,37 @@
     Ballot { round: 300, voter_index: 2, incarnation: INCARNATION }
 }
 
-fn entry() -> QuotaRequest {
-    let held = [HeldQuota { amount: 40, serial: 1_000 }, HeldQuota { amount: 1, serial: 1_000 }];
-    QuotaRequest {
-        budget: label("probes"),
-        subject: label("host-1"),
-        total: 400,
-        demand: 60,
-        in_use: 7,
-        held,
-    }
+fn key() -> BudgetKey {
+    BudgetKey { budget: label("probes"), subject: label("host-1") }
+}
+
+fn budget_request() -> BudgetRequest {
+    let held = |units: u64| HeldQuota { units, serial: 1_000 };
+    let held = Pools { demand: held(40), floor: held(1) };
+    BudgetRequest { key: key(), total: 400, demand: 60, in_use: 7, held }
 }
 
 fn grant() -> Grant {
-    let (budget, subject) = (label("probes"), label("host-1"));
-    Grant { budget, subject, total: 400, amounts: [52, 1], serial: 1_001 }
+    Grant { key: key(), total: 400, units: Pools { demand: 52, floor: 1 }, serial: 1_001 }
+}
+
+fn request(leaving: bool, budgets: Vec<BudgetRequest>) -> Message {
+    let electorate = 0x0123_4567_89ab_cdef;
+    Message::QuotaRequest(QuotaRequest { request_id: 77, seen: ballot(), electorate, leaving, budgets })
 }
 
-fn request(leaving: bool, entries: Vec<QuotaRequest>) -> Message {
-    Message::QuotaRequest {
-        request_id: 77,
-        seen: ballot(),
-        electorate: 0x0123_4567_89ab_cdef,
-        leaving,
-        entries,
-    }
+fn reply() -> Message {
+    let (to, term, grants) = (INCARNATION, ballot(), vec![grant()]);
+    Message::QuotaReply(QuotaReply { request_id: 77, to, term, grants })
+}
+
+fn not_leader(leader: Option<&str>) -> Message {
+    let leader = leader.map(str::to_string);
+    Message::NotLeader(NotLeader { request_id: 77, to: INCARNATION, leader })
+}
+
+fn voter_reply(reply: VoterReply) -> Message {
+    Message::VoterReply { ballot: ballot(), reply }
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
@@ -52,20 +58,35 @@
 
 /// Guards against: a change of names or of the order of fields that changes what goes over the wire.
 #[rstest]
-#[case::swim(Message::Swim(vec![1, 2, 3, 255]), "01926728c6f73909a8a59b66b061172495027231c0c4d9bddb9e9103027230010004010203ff")]
-#[case::ask(Message::Prepare { ballot: ballot(), electorate: 9 }, "01bca5685aba6a14b036047b99bd9e8bd3027231c0c4d9bddb9e91030272300101ac0202c0c4d9bddb9e910309")]
-#[case::claim(Message::Accept { ballot: ballot(), electorate: 9 }, "010646d109c329394770b5e11a222e2525027231c0c4d9bddb9e91030272300102ac0202c0c4d9bddb9e910309")]
-#[case::promised(Message::VoterReply { ballot: ballot(), answer: VoterReply::Promised { held: true } }, "015703ba5465c9c43c07c542245a09e5e9027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e91030001")]
-#[case::outbid(Message::VoterReply { ballot: ballot(), answer: VoterReply::Outbid(ballot()) }, "013e88c630c2f6955c07d483a8f9be4e15027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910301ac0202c0c4d9bddb9e9103")]
-#[case::granted(Message::VoterReply { ballot: ballot(), answer: VoterReply::Granted }, "0170ddd1b6cd1c253e3d770393b05ce80f027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910302")]
-#[case::request(request(false, vec![entry()]), "01ffe2f708e564db7f4aec8ff76cfe2dae027231c0c4d9bddb9e910302723001044dac0202c0c4d9bddb9e9103ef9bafcdf8acd19101000198fafa97aba9d5c41fdab2d396abbeae923290033c0728e80701e807")]
+#[case::membership(Message::Membership(vec![1, 2, 3, 255]), "01926728c6f73909a8a59b66b061172495027231c0c4d9bddb9e9103027230010004010203ff")]
+#[case::prepare(Message::Prepare { ballot: ballot(), electorate: 9 }, "01bca5685aba6a14b036047b99bd9e8bd3027231c0c4d9bddb9e91030272300101ac0202c0c4d9bddb9e910309")]
+#[case::accept(Message::Accept { ballot: ballot(), electorate: 9 }, "010646d109c329394770b5e11a222e2525027231c0c4d9bddb9e91030272300102ac0202c0c4d9bddb9e910309")]
+#[case::promised(voter_reply(VoterReply::Promised { held: true }), "015703ba5465c9c43c07c542245a09e5e9027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e91030001")]
+#[case::outbid(
+    voter_reply(VoterReply::Outbid(ballot())),
+    "013e88c630c2f6955c07d483a8f9be4e15027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910301ac0202c0c4d9bddb9e9103"
+)]
+#[case::granted(
+    voter_reply(VoterReply::Granted),
+    "0170ddd1b6cd1c253e3d770393b05ce80f027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910302"
+)]
+#[case::request(request(false, vec![budget_request()]), "01ffe2f708e564db7f4aec8ff76cfe2dae027231c0c4d9bddb9e910302723001044dac0202c0c4d9bddb9e9103ef9bafcdf8acd19101000198fafa97aba9d5c41fdab2d396abbeae923290033c0728e80701e807")]
 #[case::leaving(
     request(true, Vec::new()),
     "01c74183f2366354951ddd15a0b13bb009027231c0c4d9bddb9e910302723001044dac0202c0c4d9bddb9e9103ef9bafcdf8acd191010100"
 )]
-#[case::reply(Message::QuotaReply { request_id: 77, to: INCARNATION, term: ballot(), grants: vec![grant()] }, "0175f18c93b1e41b7b9cdb4b54039447a3027231c0c4d9bddb9e910302723001054dc0c4d9bddb9e9103ac0202c0c4d9bddb9e91030198fafa97aba9d5c41fdab2d396abbeae923290033401e907")]
-#[case::elsewhere(Message::NotLeader { request_id: 77, to: INCARNATION, leader: Some("r2".to_string()) }, "015b124e9cf362a0e6435a6c45c75a3c64027231c0c4d9bddb9e910302723001064dc0c4d9bddb9e910301027232")]
-#[case::nowhere(Message::NotLeader { request_id: 77, to: INCARNATION, leader: None }, "012dbb0fcabeb6777da90860be7f3aedd2027231c0c4d9bddb9e910302723001064dc0c4d9bddb9e910300")]
+#[case::reply(
+    reply(),
+    "0175f18c93b1e41b7b9cdb4b54039447a3027231c0c4d9bddb9e910302723001054dc0c4d9bddb9e9103ac0202c0c4d9bddb9e91030198fafa97aba9d5c41fdab2d396abbeae923290033401e907"
+)]
+#[case::not_leader(
+    not_leader(Some("r2")),
+    "015b124e9cf362a0e6435a6c45c75a3c64027231c0c4d9bddb9e910302723001064dc0c4d9bddb9e910301027232"
+)]
+#[case::no_leader_known(
+    not_leader(None),
+    "012dbb0fcabeb6777da90860be7f3aedd2027231c0c4d9bddb9e910302723001064dc0c4d9bddb9e910300"
+)]
 fn a_datagram_has_these_bytes(#[case] message: Message, #[case] expected: &str) {
     let datagram = Authenticator::new(SECRET, process("r1")).seal("r0", message.clone()).expect("a datagram");
     assert_eq!(hexadecimal(&datagram), expected);
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -107,7 +107,7 @@
         let voters = &self.bylaws.charter.voters;
         let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
-            at: self.bylaws.at,
+            address: self.bylaws.at,
             seeds: self.bylaws.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
@@ -127,7 +127,7 @@
     pub fn key(&self, of: Of, subject: &str) -> Option<BudgetKey> {
         let index = self.bylaws.purposes.iter().position(|purpose| *purpose == of)?;
         let subject = if of.of_each_host() { label(subject) } else { 0 };
-        Some((self.bylaws.charter.budgets[index].id, subject))
+        Some(BudgetKey { budget: self.bylaws.charter.budgets[index].id, subject })
     }
 
     /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
@@ -157,10 +157,10 @@
 
     /// Writes down a right, before anything is spent of it.
     pub fn note(&mut self, now: f64, event: &Event) {
-        if let Event::QuotaGranted { key, term, serial, amounts, until } = event {
+        if let Event::QuotaGranted { key, term, serial, units, expires_at } = event {
             let grant = format!("{}.{}.{}/{serial}", term.round, term.voter_index, term.incarnation);
-            let rights = [(amounts[0], until[0]), (amounts[1], until[1])];
-            self.write("right", now, *key, Some(grant), Some(amounts.iter().sum()), Some(rights));
+            let rights = [(units.demand, expires_at.demand), (units.floor, expires_at.floor)];
+            self.write("right", now, *key, Some(grant), Some(units.sum()), Some(rights));
         }
     }
 
@@ -178,10 +178,10 @@
         }
         let Course::Joined { fleet, .. } = &self.course else { return };
         let charter = fleet.config();
-        let budget = charter.budget(key.0).map_or("", |budget| budget.name.as_str());
+        let budget = charter.budget(key.budget).map_or("", |budget| budget.name.as_str());
         let (process, incarnation) = (fleet.process().name.as_str(), fleet.process().incarnation);
         let entry =
-            Entry { at: now, process, incarnation, what, budget, subject: key.1, grant, units, until };
+            Entry { at: now, process, incarnation, what, budget, subject: key.subject, grant, units, until };
         let line = serde_json::to_string(&entry).map(|line| line + "\n");
         let file = self.audit.as_mut();
         let wrote = file.zip(line.ok()).is_some_and(|(file, line)| file.write_all(line.as_bytes()).is_ok());
@@ -216,7 +216,7 @@
     pub fn next_at(&self) -> f64 {
         match &self.course {
             Course::Barred { again_at } => *again_at,
-            Course::Joined { fleet, .. } => fleet.next_at(),
+            Course::Joined { fleet, .. } => fleet.next_timeout(),
             Course::Left => f64::INFINITY,
         }
     }
--- a/crates/ottersill/src/wire/control.rs
+++ b/crates/ottersill/src/wire/control.rs
@@ -109,7 +109,7 @@
         let now = self.clock.now();
         match self.link.as_ref().map(|link| &link.course) {
             Some(Course::Joined { fleet, .. }) => {
-                let (keeper, _) = fleet.leader();
+                let keeper = fleet.leader();
                 let line = |m: &ottersill_fleet::membership::Member| {
                     json!({"member": m.process.name, "incarnation": m.process.incarnation, "at": m.address,
                         "presence": m.presence, "for_s": now - m.since, "keeper": keeper == Some(m.process.name.as_str()),
@@ -133,11 +133,11 @@
             &ottersill_fleet::quota_ledger::BudgetKey,
             &ottersill_fleet::local_quota::LocalQuota,
         )| {
-            let ([part, floor], [part_until, floor_until]) = (quota.amounts(now), quota.until());
-            json!({"budget": self.budget_name(key.0), "subject": self.subject_name(key.1), "whole": quota.total(),
-                "part": part, "part_for_s": (part_until - now).max(0.0), "floor": floor,
-                "floor_for_s": (floor_until - now).max(0.0), "in_use": quota.in_use(), "spent": quota.spent,
-                "turned_away": quota.denied, "standing": format!("{:?}", quota.standing())})
+            let (leased, expires_at) = (quota.leased(now), quota.expires_at());
+            json!({"budget": self.budget_name(key.budget), "subject": self.subject_name(key.subject), "whole": quota.total(),
+                "part": leased.demand, "part_for_s": (expires_at.demand - now).max(0.0), "floor": leased.floor,
+                "floor_for_s": (expires_at.floor - now).max(0.0), "in_use": quota.in_use(), "spent": quota.acquired(),
+                "turned_away": quota.denied(), "standing": format!("{:?}", quota.state())})
         };
         fleet.quotas().map(line).collect()
     }
@@ -148,13 +148,13 @@
             return Vec::new();
         };
         if !fleet.is_leader(now) {
-            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader().0})];
+            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader()})];
         }
         let line = |line: ottersill_fleet::quota_ledger::LedgerLine| {
-            let out = line.by_demand + line.floor;
-            json!({"budget": self.budget_name(line.budget), "subject": self.subject_name(line.subject),
-                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.by_demand,
-                "floor": line.floor, "in_use": line.in_use, "demand": line.demand,
+            let out = line.outstanding.sum();
+            json!({"budget": self.budget_name(line.key.budget), "subject": self.subject_name(line.key.subject),
+                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.outstanding.demand,
+                "floor": line.outstanding.floor, "in_use": line.in_use, "demand": line.demand,
                 "stranded": out.saturating_sub(line.demand.max(line.in_use))})
         };
         fleet.ledger_lines(now).into_iter().map(line).collect()
@@ -163,9 +163,9 @@
     fn counts_lines(&mut self) -> Vec<Value> {
         let Some(link) = self.link.as_ref() else { return Vec::new() };
         let Course::Joined { fleet, .. } = &link.course else { return Vec::new() };
-        let counts = fleet.counters;
-        vec![json!({"heard": counts.heard, "heard_bytes": counts.heard_bytes, "sent": counts.sent,
-            "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.old,
+        let counts = fleet.counters();
+        vec![json!({"heard": counts.received, "heard_bytes": counts.received_bytes, "sent": counts.sent,
+            "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.outdated,
             "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.incompatible,
             "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused,
             "unwritten": link.unwritten})]
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -111,16 +111,16 @@
             Event::LeadershipChanged(true) => info!(self.log, "keeps the books of the fleet"),
             Event::LeadershipChanged(false) => info!(self.log, "no longer keeps the books of the fleet"),
             Event::LeaderFound(name) => info!(self.log, "asks for its parts"; "keeper" => name),
-            Event::QuotaStateChanged { key, standing } => {
-                info!(self.log, "part of a budget"; "budget" => self.budget_name(key.0),
-                    "subject" => self.subject_name(key.1), "standing" => format!("{standing:?}"));
+            Event::QuotaStateChanged { key, state } => {
+                info!(self.log, "part of a budget"; "budget" => self.budget_name(key.budget),
+                    "subject" => self.subject_name(key.subject), "standing" => format!("{state:?}"));
             }
             Event::IncompatibleMember(process) => {
                 warn!(self.log, "a member whose file differs in what has to be alike"; "member" => process.name);
             }
             Event::SmallerTotal { key, own, used } => {
                 warn!(self.log, "another member's file has a smaller whole, which is gone by";
-                    "budget" => self.budget_name(key.0), "own" => own, "used" => used);
+                    "budget" => self.budget_name(key.budget), "own" => own, "used" => used);
             }
             Event::IncarnationRaised { from, to } => {
                 info!(self.log, "a larger incarnation of this name was known, taken a larger one still"; "from" => from, "to" => to);
@@ -161,7 +161,7 @@
                     if waiting > 0 && !fleet.is_available(now, key) {
                         fleet.note_waiting(now, key, waiting);
                     }
-                    fleet.lease(now, key).0.saturating_sub(fleet.lingering(key))
+                    fleet.spendable(now, key).saturating_sub(fleet.lingering(key))
                 })
             });
             // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
