--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -262,7 +262,7 @@
             Err(RejectReason::Replayed) => self.counters.outdated += 1,
             Err(RejectReason::Superseded { envelope, known }) => {
                 self.counters.outdated += 1;
-                self.tell_known_incarnation(&envelope, known);
+                self.handle_superseded(now, &envelope, known);
             }
         }
     }
@@ -456,12 +456,20 @@
 
     // Incarnations.
 
-    /// Tells a process that a larger incarnation of its name is known here.
+    /// Handles what a process sent whose name has a larger incarnation here: tells it that one.
+    fn handle_superseded(&mut self, now: f64, envelope: &Envelope, known: u64) {
+        if let Message::NotLeader(NotLeader { request_id: NO_REQUEST, to, .. }) = envelope.message {
+            // Each of the two knows a larger incarnation of the other. This one learns of its own, or neither ever would;
+            // it does not answer, or both would answer for ever.
+            self.handle_known_incarnation(now, to);
+            return self.finish(now);
+        }
+        self.tell_known_incarnation(envelope, known);
+    }
+
     fn tell_known_incarnation(&mut self, envelope: &Envelope, known: u64) {
         let to = &envelope.from.name;
         let address = match &envelope.message {
-            // Two members that each know a larger incarnation of the other would answer each other for ever.
-            Message::NotLeader(NotLeader { request_id: NO_REQUEST, .. }) => return,
             // It may have another address than the process that is known.
             Message::Membership(data) => sender_address(data),
             _ => None,
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -7,6 +7,7 @@
 
 use std::time::Duration;
 
+use ottersill_fleet::election::{Candidate, CandidateCall, VoterReply};
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
@@ -135,8 +136,12 @@
 
 /// One member and what it sends, by hand.
 fn member(name: &str, incarnation: u64) -> FleetNode {
-    let config = simulation::config(name, 3, 30, 1, 6);
-    let seeds = (0..3).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
+    member_of(name, incarnation, 3)
+}
+
+fn member_of(name: &str, incarnation: u64, voters: usize) -> FleetNode {
+    let config = simulation::config(name, voters, 30, 1, 6);
+    let seeds = (0..voters).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
     let identity = MemberIdentity {
         incarnation,
         address: simulation::address(9),
@@ -160,6 +165,138 @@
     member.take_events().iter().filter(|event| matches!(event, Event::IncarnationRaised { .. })).count()
 }
 
+/// What `from` wants sent to `to` now, without a tick.
+fn pending(from: &mut FleetNode, to: &FleetNode) -> Vec<Vec<u8>> {
+    let to = &to.process().name;
+    from.take_datagrams().into_iter().filter(|sent| sent.to == *to).map(|sent| sent.bytes).collect()
+}
+
+/// Guards against: two processes that learn of the same earlier one and take the same incarnation.
+#[test]
+fn two_processes_that_learn_of_the_same_earlier_one_take_different_incarnations() {
+    let raised_to = |incarnation: u64| {
+        let (mut peer, mut earlier, mut later) =
+            (member("r0", 5), member("r9", 2_000), member("r9", incarnation));
+        deliver(0.0, &mut earlier, &mut peer);
+        deliver(0.0, &mut later, &mut peer);
+        deliver(0.0, &mut peer, &mut later);
+        later.process().incarnation
+    };
+    let (one, other) = (raised_to(1_000), raised_to(1_001));
+    assert!(one > 2_000 && other > 2_000 && one != other, "{one} and {other}");
+}
+
+/// Guards against: two members of which each knows a later process of the other's name. Neither would hear the other's
+/// answer, or both would answer answers for ever.
+#[test]
+fn members_that_each_know_a_later_process_of_the_other_learn_and_end_it() {
+    let (mut earlier_one, mut earlier_other) = (member("r0", 5_000), member("r1", 5_000));
+    let (mut one, mut other) = (member("r0", 4_000), member("r1", 4_000));
+    // Datagrams of the earlier processes come late.
+    deliver(0.0, &mut earlier_one, &mut other);
+    deliver(0.0, &mut earlier_other, &mut one);
+    // What they send to the earlier processes is lost.
+    let _ = (one.take_datagrams(), other.take_datagrams());
+    // Only one of them ticks, so all that the other sends is answers.
+    for step in 0..20 {
+        if one.process().incarnation > 5_000 {
+            break;
+        }
+        deliver(0.1 * f64::from(step), &mut one, &mut other);
+        for answer in pending(&mut other, &one) {
+            one.handle_datagram(0.1 * f64::from(step), &answer);
+            assert!(pending(&mut one, &other).is_empty(), "an answer to an answer");
+        }
+    }
+    assert!(one.process().incarnation > 5_000);
+    for step in 20..40 {
+        deliver(0.1 * f64::from(step), &mut other, &mut one);
+        deliver(0.1 * f64::from(step), &mut one, &mut other);
+    }
+    assert!(other.process().incarnation > 5_000);
+}
+
+/// Guards against: a process that has long been in use and shuts out the one that was started after it, which peers
+/// would then hear in turns.
+#[test]
+fn a_process_that_has_run_for_long_stands_back_for_one_that_started_later() {
+    let mut leader = member_of("r0", 5, 1);
+    let mut first = member_of("r9", 2_000, 1);
+    let mut time = 0.0;
+    let run = |until: f64, time: &mut f64, leader: &mut FleetNode, others: &mut [&mut FleetNode]| {
+        while *time < until {
+            for other in others.iter_mut() {
+                deliver(*time, other, leader);
+                deliver(*time, leader, other);
+            }
+            *time += 0.05;
+        }
+    };
+    run(3.0, &mut time, &mut leader, &mut [&mut first]);
+    assert!(leader.is_leader(time) && first.leader() == Some("r0"), "it was answered");
+    time = 70.0;
+    run(73.0, &mut time, &mut leader, &mut [&mut first]);
+    // On a clock that is behind the first one's.
+    let mut second = member_of("r9", 10, 1);
+    run(76.0, &mut time, &mut leader, &mut [&mut first, &mut second]);
+    assert!(second.process().incarnation > 2_000);
+    assert_eq!(first.process().incarnation, 2_000);
+    let stood_back = first.take_events().iter().filter(|e| matches!(e, Event::Superseded { .. })).count();
+    assert_eq!(stood_back, 1, "and says so once");
+}
+
+/// Guards against: a leader that goes on in its term as another process, with an empty ledger.
+#[test]
+fn a_candidate_that_goes_on_as_another_process_is_not_leader() {
+    let mut candidate = Candidate::start(0.0, 0, 1_000, 3, 1.0, 0.0);
+    let Some(CandidateCall::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
+    let promise = VoterReply::Promised { held: false };
+    (0..2).for_each(|voter| drop(candidate.handle_reply(0.0, voter, ballot, promise)));
+    (0..2).for_each(|voter| drop(candidate.handle_reply(0.0, voter, ballot, VoterReply::Granted)));
+    assert_eq!(candidate.term(0.1), Some(ballot));
+    candidate.restart_as(2_000);
+    assert_eq!(candidate.term(0.1), None);
+    let late = candidate.handle_reply(0.1, 2, ballot, VoterReply::Granted);
+    assert_eq!((late, candidate.term(0.1)), (None, None), "a late reply to the earlier process");
+    let again = candidate.tick(1.0, false);
+    assert!(
+        matches!(again, Some(CandidateCall::Prepare(next)) if next > ballot && next.incarnation == 2_000)
+    );
+}
+
+/// Guards against: grants of two ledgers in one term. The leader learns of a larger incarnation of its name from a voter
+/// that was cut off, long after it was elected by others that knew of none.
+#[test]
+fn a_leader_that_learns_of_its_earlier_process_ends_its_term_and_all_have_their_shares_again() {
+    let mut simulation = settled(0);
+    let cut = |simulation: &mut Simulation, cut: bool| {
+        for other in [0, 1, 3, 4] {
+            (simulation.cut[2][other], simulation.cut[other][2]) = (cut, cut);
+        }
+    };
+    cut(&mut simulation, true);
+    [0, 1, 3, 4].into_iter().for_each(|node| simulation.kill(node));
+    let until = simulation.time + 1.0;
+    simulation.run(until, |_| {});
+    [0, 1].into_iter().for_each(|node| simulation.start_as(node, 1_000));
+    [3, 4].into_iter().for_each(|node| simulation.start_as(node, 2_000_000));
+    simulation.run(until + 8.0, |_| {});
+    let leader = simulation.leader().expect("a leader");
+    let incarnation = |simulation: &Simulation| {
+        let fleet = simulation.nodes[leader].fleet.as_ref().expect("a node");
+        fleet.process().incarnation
+    };
+    assert_eq!(incarnation(&simulation), 1_000);
+    assert!(share(&simulation, 4) >= 5);
+    cut(&mut simulation, false);
+    simulation.run(until + 16.0, |_| {});
+    assert!(incarnation(&simulation) > 1_000_000);
+    for router in 0..5 {
+        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
+    }
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
+}
+
 /// Guards against: two processes of one name that go on outbidding each other, or a process that has run for long and
 /// shuts out the one that followed it.
 #[test]
