--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -251,8 +251,11 @@
     let mut candidate = Candidate::start(0.0, 0, 1_000, 3, 1.0, 0.0);
     let Some(CandidateCall::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
     let promise = VoterReply::Promised { held: false };
-    (0..2).for_each(|voter| drop(candidate.handle_reply(0.0, voter, ballot, promise)));
-    (0..2).for_each(|voter| drop(candidate.handle_reply(0.0, voter, ballot, VoterReply::Granted)));
+    assert_eq!(candidate.handle_reply(0.0, 0, ballot, promise), None);
+    assert_eq!(candidate.handle_reply(0.0, 1, ballot, promise), Some(CandidateCall::Accept(ballot)));
+    for voter in 0..2 {
+        assert_eq!(candidate.handle_reply(0.0, voter, ballot, VoterReply::Granted), None);
+    }
     assert_eq!(candidate.term(0.1), Some(ballot));
     candidate.restart_as(2_000);
     assert_eq!(candidate.term(0.1), None);
