--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use ottersill_fleet::terms::{Budget, Charter, Kind};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind};
 
 use super::error::{FleetConfigError, Reason};
 use super::locate::FieldMap;
-use super::schema::{BudgetEntry, FleetFile};
-use super::{BudgetKind, FleetConfig};
+use super::schema::{BudgetEntry, FleetMessage};
+use super::{BudgetKind, FleetFile};
 
 const MAX_VOTERS: usize = 15;
 /// Seconds of a lease.
@@ -26,21 +26,21 @@
 
 type Result<T, E = FleetConfigError> = std::result::Result<T, E>;
 
-impl FleetConfig {
+impl FleetFile {
     /// Reads the fleet file `text` as the member of the name `member`, in a deployment whose longest statement timeout
     /// is `longest_timeout` seconds.
     ///
     /// # Errors
     ///
     /// [`FleetConfigError`] for the first field that is wrong. Nothing of such a file may be used.
-    pub fn from_textproto(text: &str, member: &str, longest_timeout: f64) -> Result<FleetConfig> {
-        let file = FleetFile::parse(text)?;
-        Checker { file: &file, fields: FieldMap::of(text), member, longest_timeout }.fleet_config()
+    pub fn from_textproto(text: &str, member: &str, longest_timeout: f64) -> Result<FleetFile> {
+        let file = FleetMessage::parse(text)?;
+        Checker { file: &file, fields: FieldMap::of(text), member, longest_timeout }.fleet_file()
     }
 }
 
 struct Checker<'a> {
-    file: &'a FleetFile,
+    file: &'a FleetMessage,
     fields: FieldMap<'a>,
     /// The name of this member.
     member: &'a str,
@@ -57,7 +57,7 @@
 }
 
 impl Checker<'_> {
-    fn fleet_config(&self) -> Result<FleetConfig> {
+    fn fleet_file(&self) -> Result<FleetFile> {
         let file = self.file;
         let peers = self.peers()?;
         self.check_voters(&peers)?;
@@ -66,18 +66,18 @@
         self.check_leases()?;
         self.check_member_limit(peers.len())?;
         let (budgets, budget_kinds) = self.budgets()?;
-        let charter = Charter {
+        let fleet = FleetConfig {
             name: self.member.to_string(),
             voters: file.voter.clone(),
-            keeper_lease: file.keeper_lease_s,
+            leader_lease: file.keeper_lease_s,
             lease: file.lease_s,
             floor_lease: file.floor_lease_s,
             drift: file.drift,
             members_at_most: u64::from(file.members_at_most),
             budgets,
         };
-        Ok(FleetConfig {
-            charter,
+        Ok(FleetFile {
+            fleet,
             peers,
             at: own.at,
             listen: own.listen,
@@ -214,7 +214,7 @@
         let long_enough = entry.hold_s >= longest && entry.hold_s <= MAX_HOLD_S;
         self.require(long_enough, &field("hold_s"), || Reason::HoldTooShort { longest })?;
         self.require(entry.every_s == 0.0, &field("every_s"), || Reason::NotARate)?;
-        Ok(Kind::InHand { hold: entry.hold_s })
+        Ok(Kind::Concurrency { hold: entry.hold_s })
     }
 
     fn rate(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<Kind> {
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! The fleet file (`fleet.textproto`): the members of the fleet, and the budgets that all of them share.
 //!
-//! The file is protobuf text format by the schema `proto/fleet.proto`. [`FleetConfig::from_textproto`] reads and
+//! The file is protobuf text format by the schema `proto/fleet.proto`. [`FleetFile::from_textproto`] reads and
 //! checks it; [`FleetConfigError`] says where the file is wrong and why.
 //!
 //! Modules in reading order: `schema` (the file as parsed), `check` (what has to hold), `error`, `locate` (line and
@@ -13,7 +13,7 @@
 
 use std::net::SocketAddr;
 
-use ottersill_fleet::terms::Charter;
+use ottersill_fleet::settings::FleetConfig;
 use serde::Deserialize;
 
 pub use error::{FleetConfigError, Reason};
@@ -63,9 +63,9 @@
 
 /// A fleet file that passed all checks, as one member of the fleet sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetConfig {
+pub struct FleetFile {
     /// Voters, leases and budgets, which all members have alike.
-    pub charter: Charter,
+    pub fleet: FleetConfig,
     /// Name and address of each member that the file lists.
     pub peers: Vec<(String, SocketAddr)>,
     /// The address at which the others reach this member.
@@ -78,15 +78,15 @@
     pub key_file: String,
     /// Path of the file to which grants and spent units are written, if they are.
     pub audit_file: Option<String>,
-    /// What each budget of `charter` limits, in the same order.
+    /// What each budget of `fleet` limits, in the same order.
     pub budget_kinds: Vec<BudgetKind>,
 }
 
-impl FleetConfig {
+impl FleetFile {
     /// The fields in which `other` differs that can't be changed by a reload; `None` if a reload can take over all
     /// changes. Members have to agree on leases at any time, so these change only while no member runs.
-    pub fn restart_required(&self, other: &FleetConfig) -> Option<&'static str> {
-        let (ours, theirs) = (&self.charter, &other.charter);
+    pub fn restart_required(&self, other: &FleetFile) -> Option<&'static str> {
+        let (ours, theirs) = (&self.fleet, &other.fleet);
         let fields = [
             (
                 "voter, leases, drift, members_at_most or a budget's floor, every_s or hold_s",
--- a/crates/config/src/fleet/schema.rs
+++ b/crates/config/src/fleet/schema.rs
@@ -14,7 +14,7 @@
 
 /// The message `Fleet`.
 #[derive(Deserialize)]
-pub(super) struct FleetFile {
+pub(super) struct FleetMessage {
     pub(super) peer: Vec<Peer>,
     pub(super) voter: Vec<String>,
     pub(super) listen: String,
@@ -47,9 +47,9 @@
     pub(super) hold_s: f64,
 }
 
-impl FleetFile {
+impl FleetMessage {
     /// Parses `text`. A field that it leaves out has the default of its type.
-    pub(super) fn parse(text: &str) -> Result<FleetFile, FleetConfigError> {
+    pub(super) fn parse(text: &str) -> Result<FleetMessage, FleetConfigError> {
         let pool = DescriptorPool::decode(SCHEMA).map_err(|error| outside_text(error.into()))?;
         let schema = pool.get_message_by_name(MESSAGE).ok_or_else(|| outside_text(Reason::NoSuchMessage))?;
         let message = DynamicMessage::parse_text_format(schema, text).map_err(|error| {
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! Fleet files that are rejected, each with its line, its field and the reason.
 
-use ottersill_config::fleet::FleetConfig;
-use ottersill_fleet::terms::Kind;
+use ottersill_config::fleet::FleetFile;
+use ottersill_fleet::settings::Kind;
 use rstest::rstest;
 
 const GOOD: &str = r#"# Three routers.
@@ -29,15 +29,15 @@
 
 #[test]
 fn a_valid_file_is_accepted() {
-    let config = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a valid file");
+    let config = FleetFile::from_textproto(GOOD, "b", 2.0).expect("a valid file");
     assert_eq!(config.listen, "127.0.0.1:7412".parse().expect("an address"));
-    assert_eq!(config.charter.voters, ["a", "b", "c"]);
-    assert_eq!((config.charter.budgets[0].whole, config.charter.budgets[0].floor), (64, 2));
+    assert_eq!(config.fleet.voters, ["a", "b", "c"]);
+    assert_eq!((config.fleet.budgets[0].total, config.fleet.budgets[0].floor), (64, 2));
     let shrunk =
-        FleetConfig::from_textproto(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a valid file");
+        FleetFile::from_textproto(&GOOD.replace("whole: 64", "whole: 32"), "b", 2.0).expect("a valid file");
     assert_eq!(config.restart_required(&shrunk), None);
-    let other = FleetConfig::from_textproto(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0)
-        .expect("a valid file");
+    let other =
+        FleetFile::from_textproto(&GOOD.replace("lease_s: 2", "lease_s: 3"), "b", 2.0).expect("a valid file");
     assert!(config.restart_required(&other).is_some_and(|field| field.contains("leases")));
 }
 
@@ -215,7 +215,7 @@
         GOOD.to_string()
     };
     let error =
-        FleetConfig::from_textproto(&text.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
+        FleetFile::from_textproto(&text.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
     assert_eq!((error.line, error.field.as_str()), (line, field), "{error}");
     assert_eq!(error.reason.to_string(), reason);
     assert_eq!(error.to_string(), format!("line {line}: {field}: {reason}"));
@@ -223,27 +223,27 @@
 
 #[test]
 fn a_member_that_is_no_peer_needs_a_listen_address() {
-    let error = FleetConfig::from_textproto(GOOD, "x", 2.0).expect_err("a stranger");
+    let error = FleetFile::from_textproto(GOOD, "x", 2.0).expect_err("a stranger");
     assert_eq!(error.to_string(), "line 1: listen: \"x\" is no peer, so it needs its own address");
-    assert!(FleetConfig::from_textproto(&format!("{GOOD}listen: \"127.0.0.1:7419\""), "x", 2.0).is_ok());
+    assert!(FleetFile::from_textproto(&format!("{GOOD}listen: \"127.0.0.1:7419\""), "x", 2.0).is_ok());
 }
 
 /// Guards against a new version that reads other values from the same file.
 #[test]
 fn the_deployed_file_has_these_values() {
     let text = include_str!("../../../deploy/fleet.textproto");
-    let config = FleetConfig::from_textproto(text, "b", 2.0).expect("the deployed file");
-    let charter = &config.charter;
-    assert_eq!((charter.name.as_str(), charter.voters.join(" ")), ("b", "a b c".to_string()));
-    assert_eq!((charter.keeper_lease, charter.lease, charter.floor_lease), (0.8, 2.0, 30.0));
-    assert_eq!((charter.drift, charter.members_at_most), (0.01, 6));
-    let budgets = charter.budgets.iter().zip(&config.budget_kinds).map(|(budget, limits)| {
+    let config = FleetFile::from_textproto(text, "b", 2.0).expect("the deployed file");
+    let fleet = &config.fleet;
+    assert_eq!((fleet.name.as_str(), fleet.voters.join(" ")), ("b", "a b c".to_string()));
+    assert_eq!((fleet.leader_lease, fleet.lease, fleet.floor_lease), (0.8, 2.0, 30.0));
+    assert_eq!((fleet.drift, fleet.members_at_most), (0.01, 6));
+    let budgets = fleet.budgets.iter().zip(&config.budget_kinds).map(|(budget, limits)| {
         let kind = match budget.kind {
             Kind::Rate { every } => format!("every {every} s"),
-            Kind::InHand { hold } => format!("held {hold} s"),
+            Kind::Concurrency { hold } => format!("held {hold} s"),
         };
         let each = if limits.is_per_endpoint() { ", each host" } else { "" };
-        format!("{}: {} of floor {}, {kind}{each}", budget.name, budget.whole, budget.floor)
+        format!("{}: {} of floor {}, {kind}{each}", budget.name, budget.total, budget.floor)
     });
     assert_eq!(
         budgets.collect::<Vec<_>>(),
@@ -268,7 +268,7 @@
 fn fields_of_a_single_member() {
     let own = "listen: \"0.0.0.0:7419\" audit_file: \"audit.jsonl\"\n";
     let text = GOOD.replace("at: \"127.0.0.1:7412\"", "at: \"127.0.0.1:7412\" control: \"127.0.0.1:7422\"");
-    let config = FleetConfig::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a valid file");
+    let config = FleetFile::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a valid file");
     assert_eq!(
         (config.at.to_string(), config.listen.to_string()),
         ("127.0.0.1:7412".into(), "0.0.0.0:7419".into())
@@ -296,8 +296,8 @@
     #[case] to: &str,
     #[case] expected: Option<&str>,
 ) {
-    let now = FleetConfig::from_textproto(GOOD, "b", 2.0).expect("a valid file");
-    let next = FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a valid file");
+    let now = FleetFile::from_textproto(GOOD, "b", 2.0).expect("a valid file");
+    let next = FleetFile::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect("a valid file");
     assert_eq!(now.restart_required(&next), expected);
 }
 
@@ -312,6 +312,6 @@
 #[case::not_parsed("drift: 0.01", "drift: 0.01 drift: 0.02", (13, 20))]
 fn errors_have_line_and_column(#[case] from: &str, #[case] to: &str, #[case] place: (usize, usize)) {
     let error =
-        FleetConfig::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
+        FleetFile::from_textproto(&GOOD.replacen(from, to, 1), "b", 2.0).expect_err("an invalid file");
     assert_eq!((error.line, error.column), place, "{error}");
 }
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,29 +1,30 @@
 //! Members whose wall clock was stepped back between two starts: their incarnation is smaller than the one that their
-//! peers know. They get their parts again within a lease, and no leases of two lives of one name add up.
+//! peers know. They get their shares again within a lease, and no leases of two lives of one name add up.
 
 // Not every helper of it is needed here.
 #[allow(dead_code)]
-mod common;
+mod simulation;
 
 use std::time::Duration;
 
-use common::{World, storm};
-use ottersill_fleet::fleet::{Berth, Event, Fleet};
-use ottersill_fleet::terms::incarnation;
+use ottersill_fleet::election::{Candidate, CandidateCall, VoterReply};
+use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
+use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
+use simulation::{Simulation, storm};
 
 /// Five members, of which three vote, with incarnations as of a clock that is right.
-fn settled(floor: u64) -> World {
-    let mut world = World::new(11, 5, 3, 60, floor);
-    world.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
-    (0..5).for_each(|node| world.start_as(node, 1_000_000));
-    world.run(13.0, |_| {});
-    assert!(world.sum(0) >= 50, "{}", world.sum(0));
-    world
+fn settled(floor: u64) -> Simulation {
+    let mut simulation = Simulation::new(11, 5, 3, 60, floor);
+    simulation.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
+    (0..5).for_each(|node| simulation.start_as(node, 1_000_000));
+    simulation.run(13.0, |_| {});
+    assert!(simulation.sum(0) >= 50, "{}", simulation.sum(0));
+    simulation
 }
 
-fn part(world: &World, node: usize) -> u64 {
-    world.pots(node, 0).iter().sum()
+fn share(simulation: &Simulation, node: usize) -> u64 {
+    simulation.leased(node, 0).sum()
 }
 
 /// Guards against: peers that go by the largest incarnation of a name drop all that its next process says, for as long
@@ -33,21 +34,26 @@
 #[case::no_voter(4, 500_000)]
 #[case::a_clock_that_was_never_set(4, 1)]
 #[case::a_clock_that_is_right(4, 2_000_000)]
-fn a_member_started_again_after_its_clock_went_back_has_its_part_within_a_lease(
+fn a_member_started_again_after_its_clock_went_back_has_its_share_within_a_lease(
     #[case] node: usize,
     #[case] incarnation: u64,
 ) {
-    let mut world = settled(1);
-    world.kill(node);
-    let until = world.time + 0.2;
-    world.run(until, |_| {});
-    world.start_as(node, incarnation);
-    let lease = world.nodes[0].charter.lease;
-    world.run(until + lease + 1.0, |_| {});
-    let refused: u64 = world.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counts.old).sum();
-    println!("{} units; {refused} datagrams refused as old", part(&world, node));
-    assert!(part(&world, node) >= 5, "{} units; {refused} datagrams refused as old", part(&world, node));
-    assert!(world.faults.is_empty(), "{:?}", world.faults.first());
+    let mut simulation = settled(1);
+    simulation.kill(node);
+    let until = simulation.time + 0.2;
+    simulation.run(until, |_| {});
+    simulation.start_as(node, incarnation);
+    let lease = simulation.nodes[0].config.lease;
+    simulation.run(until + lease + 1.0, |_| {});
+    let refused: u64 =
+        simulation.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters().outdated).sum();
+    println!("{} units; {refused} datagrams refused as old", share(&simulation, node));
+    assert!(
+        share(&simulation, node) >= 5,
+        "{} units; {refused} datagrams refused as old",
+        share(&simulation, node)
+    );
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
 /// Guards against: routers that have seen a term of the voters' earlier lives take the new leader's for an older one, as
@@ -57,30 +63,28 @@
 #[case::clocks_that_went_back(false, 0)]
 #[case::after_some_changes_of_leader(true, 2)]
 #[case::after_some_changes_of_leader_and_clocks_went_back(false, 2)]
-fn when_all_voters_start_again_the_others_have_their_parts_again(
+fn when_all_voters_start_again_the_others_have_their_shares_again(
     #[case] forward: bool,
     #[case] changes: u64,
 ) {
-    let mut world = settled(0);
+    let mut simulation = settled(0);
     for change in 0..changes {
-        let leader =
-            (0..3).find(|n| world.nodes[*n].fleet.as_ref().is_some_and(|f| f.keeps(world.clock(*n))));
-        let leader = leader.expect("a leader");
-        world.kill(leader);
-        let until = world.time + 4.0;
-        world.run(until, |_| {});
-        world.start_as(leader, 1_000_001 + change);
-        world.run(until + 3.0, |_| {});
+        let leader = simulation.leader().expect("a leader");
+        simulation.kill(leader);
+        let until = simulation.time + 4.0;
+        simulation.run(until, |_| {});
+        simulation.start_as(leader, 1_000_001 + change);
+        simulation.run(until + 3.0, |_| {});
     }
-    (0..3).for_each(|voter| world.kill(voter));
-    let until = world.time + 0.5;
-    world.run(until, |_| {});
-    (0..3).for_each(|voter| world.start_as(voter, if forward { 2_000_000 } else { 1_000 }));
-    world.run(until + 8.0, |_| {});
+    (0..3).for_each(|voter| simulation.kill(voter));
+    let until = simulation.time + 0.5;
+    simulation.run(until, |_| {});
+    (0..3).for_each(|voter| simulation.start_as(voter, if forward { 2_000_000 } else { 1_000 }));
+    simulation.run(until + 8.0, |_| {});
     for router in 0..5 {
-        assert!(part(&world, router) >= 5, "router {router} has {}", part(&world, router));
+        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
     }
-    assert!(world.faults.is_empty(), "{:?}", world.faults.first());
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
 /// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
@@ -90,27 +94,31 @@
 
 /// Guards against: leases of two lives of one name that add up, and names that are shut out for good.
 #[test]
-fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_whole_or_shuts_a_member_out() {
+fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_total_or_shuts_a_member_out() {
     for seed in 50_000..50_000 + seeds(60) {
-        let mut world = World::new(seed, 5, 3, 40, 1);
-        world.wall_clocks_step = true;
-        let mut world = storm(world, 30.0);
-        // Calm again: each that runs has its part.
-        world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
-        world.weather = common::Weather { lost: 0.0, twice: 0.0, delay: 0.002 };
+        let mut simulation = Simulation::new(seed, 5, 3, 40, 1);
+        simulation.wall_clocks_step = true;
+        let mut simulation = storm(simulation, 30.0);
+        // Calm again: each has its share.
+        simulation.cut.iter_mut().flatten().for_each(|cut| *cut = false);
+        simulation.link_faults = simulation::LinkFaults { lost: 0.0, twice: 0.0, delay: 0.002 };
         for node in 0..5 {
-            match world.nodes[node].fleet.is_some() {
-                true => world.go_on(node),
-                false => world.start(node),
+            match simulation.nodes[node].fleet.is_some() {
+                true => simulation.resume(node),
+                false => simulation.start(node),
             }
-            world.nodes[node].appetite = 60.0;
+            simulation.nodes[node].appetite = 60.0;
         }
-        world.run(45.0, |_| {});
-        assert!(world.faults.is_empty(), "seed {seed}: {:?}", &world.faults[..world.faults.len().min(5)]);
-        let most = world.spent_at_most();
+        simulation.run(45.0, |_| {});
+        assert!(
+            simulation.violations.is_empty(),
+            "seed {seed}: {:?}",
+            &simulation.violations[..simulation.violations.len().min(5)]
+        );
+        let most = simulation.spent_at_most();
         assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
-        let parts: Vec<u64> = (0..5).map(|node| part(&world, node)).collect();
-        assert!(parts.iter().all(|part| *part >= 3), "seed {seed}: {parts:?}");
+        let shares: Vec<u64> = (0..5).map(|node| share(&simulation, node)).collect();
+        assert!(shares.iter().all(|share| *share >= 3), "seed {seed}: {shares:?}");
     }
 }
 
@@ -127,24 +135,169 @@
 }
 
 /// One member and what it sends, by hand.
-fn member(name: &str, incarnation: u64) -> Fleet {
-    let charter = common::charter(name, 3, 30, 1, 6);
-    let seeds = (0..3).map(|voter| (format!("r{voter}"), common::address(voter))).collect();
-    let berth = Berth { incarnation, at: common::address(9), seeds, secret: b"ours", seed: incarnation };
-    Fleet::start(0.0, charter, berth)
+fn member(name: &str, incarnation: u64) -> FleetNode {
+    member_of(name, incarnation, 3)
+}
+
+fn member_of(name: &str, incarnation: u64, voters: usize) -> FleetNode {
+    let config = simulation::config(name, voters, 30, 1, 6);
+    let seeds = (0..voters).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
+    let identity = MemberIdentity {
+        incarnation,
+        address: simulation::address(9),
+        seeds,
+        secret: b"ours",
+        seed: incarnation,
+    };
+    FleetNode::start(0.0, config, identity)
 }
 
 /// All that `from` sends to `to`, delivered.
-fn deliver(now: f64, from: &mut Fleet, to: &mut Fleet) -> usize {
+fn deliver(now: f64, from: &mut FleetNode, to: &mut FleetNode) -> usize {
     from.tick(now);
-    let mut parcels = from.parcels();
-    parcels.retain(|parcel| parcel.to == to.me().name);
-    parcels.iter().for_each(|parcel| to.hear(now, &parcel.datagram));
-    parcels.len()
+    let mut outgoing = from.take_datagrams();
+    outgoing.retain(|datagram| datagram.to == to.process().name);
+    outgoing.iter().for_each(|datagram| to.handle_datagram(now, &datagram.bytes));
+    outgoing.len()
+}
+
+fn raised(member: &mut FleetNode) -> usize {
+    member.take_events().iter().filter(|event| matches!(event, Event::IncarnationRaised { .. })).count()
+}
+
+/// What `from` wants sent to `to` now, without a tick.
+fn pending(from: &mut FleetNode, to: &FleetNode) -> Vec<Vec<u8>> {
+    let to = &to.process().name;
+    from.take_datagrams().into_iter().filter(|sent| sent.to == *to).map(|sent| sent.bytes).collect()
+}
+
+/// Guards against: two processes that learn of the same earlier one and take the same incarnation.
+#[test]
+fn two_processes_that_learn_of_the_same_earlier_one_take_different_incarnations() {
+    let raised_to = |incarnation: u64| {
+        let (mut peer, mut earlier, mut later) =
+            (member("r0", 5), member("r9", 2_000), member("r9", incarnation));
+        deliver(0.0, &mut earlier, &mut peer);
+        deliver(0.0, &mut later, &mut peer);
+        deliver(0.0, &mut peer, &mut later);
+        later.process().incarnation
+    };
+    let (one, other) = (raised_to(1_000), raised_to(1_001));
+    assert!(one > 2_000 && other > 2_000 && one != other, "{one} and {other}");
+}
+
+/// Guards against: two members of which each knows a later process of the other's name. Neither would hear the other's
+/// answer, or both would answer answers for ever.
+#[test]
+fn members_that_each_know_a_later_process_of_the_other_learn_and_end_it() {
+    let (mut earlier_one, mut earlier_other) = (member("r0", 5_000), member("r1", 5_000));
+    let (mut one, mut other) = (member("r0", 4_000), member("r1", 4_000));
+    // Datagrams of the earlier processes come late.
+    deliver(0.0, &mut earlier_one, &mut other);
+    deliver(0.0, &mut earlier_other, &mut one);
+    // What they send to the earlier processes is lost.
+    let _ = (one.take_datagrams(), other.take_datagrams());
+    // Only one of them ticks, so all that the other sends is answers.
+    for step in 0..20 {
+        if one.process().incarnation > 5_000 {
+            break;
+        }
+        deliver(0.1 * f64::from(step), &mut one, &mut other);
+        for answer in pending(&mut other, &one) {
+            one.handle_datagram(0.1 * f64::from(step), &answer);
+            assert!(pending(&mut one, &other).is_empty(), "an answer to an answer");
+        }
+    }
+    assert!(one.process().incarnation > 5_000);
+    for step in 20..40 {
+        deliver(0.1 * f64::from(step), &mut other, &mut one);
+        deliver(0.1 * f64::from(step), &mut one, &mut other);
+    }
+    assert!(other.process().incarnation > 5_000);
+}
+
+/// Guards against: a process that has long been in use and shuts out the one that was started after it, which peers
+/// would then hear in turns.
+#[test]
+fn a_process_that_has_run_for_long_stands_back_for_one_that_started_later() {
+    let mut leader = member_of("r0", 5, 1);
+    let mut first = member_of("r9", 2_000, 1);
+    let mut time = 0.0;
+    let run = |until: f64, time: &mut f64, leader: &mut FleetNode, others: &mut [&mut FleetNode]| {
+        while *time < until {
+            for other in others.iter_mut() {
+                deliver(*time, other, leader);
+                deliver(*time, leader, other);
+            }
+            *time += 0.05;
+        }
+    };
+    run(3.0, &mut time, &mut leader, &mut [&mut first]);
+    assert!(leader.is_leader(time) && first.leader() == Some("r0"), "it was answered");
+    time = 70.0;
+    run(73.0, &mut time, &mut leader, &mut [&mut first]);
+    // On a clock that is behind the first one's.
+    let mut second = member_of("r9", 10, 1);
+    run(76.0, &mut time, &mut leader, &mut [&mut first, &mut second]);
+    assert!(second.process().incarnation > 2_000);
+    assert_eq!(first.process().incarnation, 2_000);
+    let stood_back = first.take_events().iter().filter(|e| matches!(e, Event::Superseded { .. })).count();
+    assert_eq!(stood_back, 1, "and says so once");
 }
 
-fn raised(member: &mut Fleet) -> usize {
-    member.events().iter().filter(|event| matches!(event, Event::Raised { .. })).count()
+/// Guards against: a leader that goes on in its term as another process, with an empty ledger.
+#[test]
+fn a_candidate_that_goes_on_as_another_process_is_not_leader() {
+    let mut candidate = Candidate::start(0.0, 0, 1_000, 3, 1.0, 0.0);
+    let Some(CandidateCall::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
+    let promise = VoterReply::Promised { held: false };
+    assert_eq!(candidate.handle_reply(0.0, 0, ballot, promise), None);
+    assert_eq!(candidate.handle_reply(0.0, 1, ballot, promise), Some(CandidateCall::Accept(ballot)));
+    for voter in 0..2 {
+        assert_eq!(candidate.handle_reply(0.0, voter, ballot, VoterReply::Granted), None);
+    }
+    assert_eq!(candidate.term(0.1), Some(ballot));
+    candidate.restart_as(2_000);
+    assert_eq!(candidate.term(0.1), None);
+    let late = candidate.handle_reply(0.1, 2, ballot, VoterReply::Granted);
+    assert_eq!((late, candidate.term(0.1)), (None, None), "a late reply to the earlier process");
+    let again = candidate.tick(1.0, false);
+    assert!(
+        matches!(again, Some(CandidateCall::Prepare(next)) if next > ballot && next.incarnation == 2_000)
+    );
+}
+
+/// Guards against: grants of two ledgers in one term. The leader learns of a larger incarnation of its name from a voter
+/// that was cut off, long after it was elected by others that knew of none.
+#[test]
+fn a_leader_that_learns_of_its_earlier_process_ends_its_term_and_all_have_their_shares_again() {
+    let mut simulation = settled(0);
+    let cut = |simulation: &mut Simulation, cut: bool| {
+        for other in [0, 1, 3, 4] {
+            (simulation.cut[2][other], simulation.cut[other][2]) = (cut, cut);
+        }
+    };
+    cut(&mut simulation, true);
+    [0, 1, 3, 4].into_iter().for_each(|node| simulation.kill(node));
+    let until = simulation.time + 1.0;
+    simulation.run(until, |_| {});
+    [0, 1].into_iter().for_each(|node| simulation.start_as(node, 1_000));
+    [3, 4].into_iter().for_each(|node| simulation.start_as(node, 2_000_000));
+    simulation.run(until + 8.0, |_| {});
+    let leader = simulation.leader().expect("a leader");
+    let incarnation = |simulation: &Simulation| {
+        let fleet = simulation.nodes[leader].fleet.as_ref().expect("a node");
+        fleet.process().incarnation
+    };
+    assert_eq!(incarnation(&simulation), 1_000);
+    assert!(share(&simulation, 4) >= 5);
+    cut(&mut simulation, false);
+    simulation.run(until + 16.0, |_| {});
+    assert!(incarnation(&simulation) > 1_000_000);
+    for router in 0..5 {
+        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
+    }
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
 /// Guards against: two processes of one name that go on outbidding each other, or a process that has run for long and
@@ -163,7 +316,7 @@
     let duel = raised(&mut first) + raised(&mut second);
     assert!((1..=16).contains(&duel), "{duel} times");
     // A third is started two minutes later, on a clock that is behind; it has its way at once.
-    let last = first.me().incarnation.max(second.me().incarnation);
+    let last = first.process().incarnation.max(second.process().incarnation);
     let mut third = member("r9", 10);
     for step in 0..20 {
         let now = 120.0 + f64::from(step) * 0.1;
@@ -173,7 +326,7 @@
         }
     }
     assert_eq!(raised(&mut third), 1);
-    assert!(third.me().incarnation > last);
+    assert!(third.process().incarnation > last);
     let late = raised(&mut first) + raised(&mut second);
     assert_eq!(late, 0, "those that have run for long stand back");
 }
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -1,9 +1,9 @@
 //! What operators are told about the fleet, in JSON objects.
 
-use ottersill_fleet::books::{Key, Line};
-use ottersill_fleet::fleet::Fleet;
-use ottersill_fleet::members::Member;
-use ottersill_fleet::purse::Purse;
+use ottersill_fleet::local_quota::LocalQuota;
+use ottersill_fleet::membership::Member;
+use ottersill_fleet::node::FleetNode;
+use ottersill_fleet::quota_ledger::{BudgetKey, LedgerLine};
 use serde_json::{Value, json};
 
 use crate::discovery::registry::EndpointRegistry;
@@ -33,7 +33,7 @@
         objects.into_iter().map(|object| object.to_string() + "\n").collect()
     }
 
-    fn fleet(&self) -> Option<&Fleet> {
+    fn fleet(&self) -> Option<&FleetNode> {
         match &self.link?.course {
             Course::Joined { fleet, .. } => Some(fleet),
             Course::Barred { .. } | Course::Left => None,
@@ -47,12 +47,12 @@
             Some(Course::Barred { .. }) => return vec![fault("another process holds this member's address")],
             Some(Course::Left) | None => return vec![fault("this router is in no fleet")],
         };
-        let (leader, _) = fleet.keeper();
+        let leader = fleet.leader();
         let object = |member: &Member| {
             let name = member.process.name.as_str();
-            json!({"member": name, "incarnation": member.process.incarnation, "at": member.at,
+            json!({"member": name, "incarnation": member.process.incarnation, "at": member.address,
                 "presence": member.presence, "for_s": self.now - member.since, "keeper": leader == Some(name),
-                "me": member.process == *fleet.me()})
+                "me": member.process == *fleet.process()})
         };
         fleet.members().map(object).collect()
     }
@@ -60,46 +60,46 @@
     /// What this router may spend, and until when.
     fn budgets(&self) -> Vec<Value> {
         let Some(fleet) = self.fleet() else { return Vec::new() };
-        let object = |(key, quota): (&Key, &Purse)| {
-            let ([part, floor], [part_until, floor_until]) = (quota.amounts(self.now), quota.until());
-            json!({"budget": self.budget_name(key.0), "subject": self.subject_name(key.1), "whole": quota.whole(),
-                "part": part, "part_for_s": (part_until - self.now).max(0.0), "floor": floor,
-                "floor_for_s": (floor_until - self.now).max(0.0), "in_use": quota.in_use(), "spent": quota.spent,
-                "turned_away": quota.turned_away, "standing": format!("{:?}", quota.standing())})
+        let object = |(key, quota): (&BudgetKey, &LocalQuota)| {
+            let (leased, expires_at) = (quota.leased(self.now), quota.expires_at());
+            json!({"budget": self.budget_name(key.budget), "subject": self.subject_name(key.subject), "whole": quota.total(),
+                "part": leased.demand, "part_for_s": (expires_at.demand - self.now).max(0.0), "floor": leased.floor,
+                "floor_for_s": (expires_at.floor - self.now).max(0.0), "in_use": quota.in_use(), "spent": quota.acquired(),
+                "turned_away": quota.denied(), "standing": format!("{:?}", quota.state())})
         };
-        fleet.purses().map(object).collect()
+        fleet.quotas().map(object).collect()
     }
 
     /// Who holds what of each budget, which the leader alone knows.
     fn ledger(&self) -> Vec<Value> {
         let Some(fleet) = self.fleet() else { return Vec::new() };
-        if !fleet.keeps(self.now) {
-            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.keeper().0})];
+        if !fleet.is_leader(self.now) {
+            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader()})];
         }
-        let object = |line: Line| {
-            let granted = line.by_demand + line.floor;
-            json!({"budget": self.budget_name(line.budget), "subject": self.subject_name(line.subject),
-                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.by_demand,
-                "floor": line.floor, "in_use": line.used, "demand": line.demand,
-                "stranded": granted.saturating_sub(line.demand.max(line.used))})
+        let object = |line: LedgerLine| {
+            let granted = line.outstanding.sum();
+            json!({"budget": self.budget_name(line.key.budget), "subject": self.subject_name(line.key.subject),
+                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.outstanding.demand,
+                "floor": line.outstanding.floor, "in_use": line.in_use, "demand": line.demand,
+                "stranded": granted.saturating_sub(line.demand.max(line.in_use))})
         };
-        fleet.lines(self.now).into_iter().map(object).collect()
+        fleet.ledger_lines(self.now).into_iter().map(object).collect()
     }
 
     /// Datagrams, elections, refusals.
     fn counters(&self) -> Vec<Value> {
         let (Some(link), Some(fleet)) = (self.link, self.fleet()) else { return Vec::new() };
-        let counts = fleet.counts;
-        vec![json!({"heard": counts.heard, "heard_bytes": counts.heard_bytes, "sent": counts.sent,
-            "sent_bytes": counts.sent_bytes, "unproved": counts.unproved, "astray": counts.astray, "old": counts.old,
-            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.strangers,
-            "namesakes": counts.namesakes, "elections": counts.elections, "refused": link.refused,
+        let counts = fleet.counters();
+        vec![json!({"heard": counts.received, "heard_bytes": counts.received_bytes, "sent": counts.sent,
+            "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.outdated,
+            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.incompatible,
+            "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused,
             "unwritten": link.unwritten})]
     }
 
     /// The name of a budget, or its identifier where the configuration names none.
     fn budget_name(&self, id: u64) -> String {
-        let budget = self.link.and_then(|link| link.bylaws.charter.budget(id));
+        let budget = self.link.and_then(|link| link.file.fleet.budget(id));
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -29,7 +29,7 @@
 
 impl Endpoint {
     fn new(name: &str, listed: Listed) -> Endpoint {
-        let label = ottersill_fleet::terms::label(name);
+        let label = ottersill_fleet::settings::label(name);
         Endpoint {
             name: name.to_string(),
             label,
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -9,11 +9,11 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use calloop::RegistrationToken;
-use ottersill_config::fleet::{BudgetKind, FleetConfig};
+use ottersill_config::fleet::{BudgetKind, FleetFile};
 use ottersill_core::interface::Parts;
-use ottersill_fleet::books::Key;
-use ottersill_fleet::fleet::{Berth, Event, Fleet};
-use ottersill_fleet::terms::{incarnation, label};
+use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
+use ottersill_fleet::quota_ledger::BudgetKey;
+use ottersill_fleet::settings::{incarnation, label};
 use serde::Serialize;
 use socket2::Socket;
 
@@ -27,7 +27,7 @@
         again_at: f64,
     },
     Joined {
-        fleet: Box<Fleet>,
+        fleet: Box<FleetNode>,
         socket: Rc<Socket>,
         token: RegistrationToken,
     },
@@ -39,7 +39,7 @@
     path: String,
     name: String,
     longest: f64,
-    pub bylaws: FleetConfig,
+    pub file: FleetFile,
     secret: Vec<u8>,
     seed: u64,
     pub course: Course,
@@ -74,9 +74,9 @@
 impl Link {
     /// Reads the file at `path`; the error is one line for the operator.
     pub fn open(path: &str, name: &str, longest: f64, seed: u64) -> Result<Link, String> {
-        let bylaws = read(path, name, longest)?;
-        let secret = secret(&bylaws.key_file)?;
-        let audit = match &bylaws.audit_file {
+        let file = read(path, name, longest)?;
+        let secret = secret(&file.key_file)?;
+        let audit = match &file.audit_file {
             None => None,
             Some(file) => {
                 let opened = OpenOptions::new().create(true).append(true).open(file);
@@ -87,7 +87,7 @@
             path: path.to_string(),
             name: name.to_string(),
             longest,
-            bylaws,
+            file,
             secret,
             seed,
             course: Course::Barred { again_at: 0.0 },
@@ -104,19 +104,19 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).ok();
         // The system's randomness: the wall clock may say twice the same.
         let random = RandomState::new().build_hasher().finish();
-        let voters = &self.bylaws.charter.voters;
-        let berth = Berth {
+        let voters = &self.file.fleet.voters;
+        let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
-            at: self.bylaws.at,
-            seeds: self.bylaws.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
+            address: self.file.at,
+            seeds: self.file.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
         };
-        let fleet = Box::new(Fleet::start(now, self.bylaws.charter.clone(), berth));
+        let fleet = Box::new(FleetNode::start(now, self.file.fleet.clone(), identity));
         self.course = Course::Joined { fleet, socket, token };
     }
 
-    pub fn fleet(&mut self) -> Option<&mut Fleet> {
+    pub fn fleet(&mut self) -> Option<&mut FleetNode> {
         match &mut self.course {
             Course::Joined { fleet, .. } => Some(fleet),
             _ => None,
@@ -124,10 +124,10 @@
     }
 
     /// The budget for that, if there is one, and its subject: a host's name, or nothing.
-    pub fn key(&self, of: BudgetKind, subject: &str) -> Option<Key> {
-        let index = self.bylaws.budget_kinds.iter().position(|kind| *kind == of)?;
+    pub fn key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
+        let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
         let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
-        Some((self.bylaws.charter.budgets[index].id, subject))
+        Some(BudgetKey { budget: self.file.fleet.budgets[index].id, subject })
     }
 
     /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
@@ -138,7 +138,7 @@
             self.refused += 1;
             return false;
         };
-        let taken = fleet.take(now, key);
+        let taken = fleet.acquire(now, key);
         self.refused += u64::from(!taken);
         if taken {
             self.write("take", now, key, None, None, None);
@@ -150,17 +150,17 @@
     pub fn put(&mut self, now: f64, of: BudgetKind, subject: &str, proved: bool) {
         let Some(key) = self.key(of, subject) else { return };
         if let Some(fleet) = self.fleet() {
-            fleet.put(now, key, proved);
+            fleet.release(now, key, proved);
             self.write(if proved { "put" } else { "put unproved" }, now, key, None, None, None);
         }
     }
 
     /// Writes down a right, before anything is spent of it.
     pub fn note(&mut self, now: f64, event: &Event) {
-        if let Event::Right { key, epoch, serial, amounts, until } = event {
-            let grant = format!("{}.{}.{}/{serial}", epoch.round, epoch.seat, epoch.incarnation);
-            let rights = [(amounts[0], until[0]), (amounts[1], until[1])];
-            self.write("right", now, *key, Some(grant), Some(amounts.iter().sum()), Some(rights));
+        if let Event::QuotaGranted { key, term, serial, units, expires_at } = event {
+            let grant = format!("{}.{}.{}/{serial}", term.round, term.voter_index, term.incarnation);
+            let rights = [(units.demand, expires_at.demand), (units.floor, expires_at.floor)];
+            self.write("right", now, *key, Some(grant), Some(units.sum()), Some(rights));
         }
     }
 
@@ -168,7 +168,7 @@
         &mut self,
         what: &str,
         now: f64,
-        key: Key,
+        key: BudgetKey,
         grant: Option<String>,
         units: Option<u64>,
         until: Option<[(u64, f64); 2]>,
@@ -177,11 +177,11 @@
             return;
         }
         let Course::Joined { fleet, .. } = &self.course else { return };
-        let charter = fleet.charter();
-        let budget = charter.budget(key.0).map_or("", |budget| budget.name.as_str());
-        let (process, incarnation) = (fleet.me().name.as_str(), fleet.me().incarnation);
+        let charter = fleet.config();
+        let budget = charter.budget(key.budget).map_or("", |budget| budget.name.as_str());
+        let (process, incarnation) = (fleet.process().name.as_str(), fleet.process().incarnation);
         let entry =
-            Entry { at: now, process, incarnation, what, budget, subject: key.1, grant, units, until };
+            Entry { at: now, process, incarnation, what, budget, subject: key.subject, grant, units, until };
         let line = serde_json::to_string(&entry).map(|line| line + "\n");
         let file = self.audit.as_mut();
         let wrote = file.zip(line.ok()).is_some_and(|(file, line)| file.write_all(line.as_bytes()).is_ok());
@@ -191,40 +191,40 @@
     /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
     pub fn reload(&mut self, now: f64) -> Result<Vec<String>, String> {
         let new = read(&self.path, &self.name, self.longest)?;
-        if let Some(field) = self.bylaws.restart_required(&new) {
+        if let Some(field) = self.file.restart_required(&new) {
             return Err(format!(
                 "{}: {field}: differs, and is alike at all members as long as any runs",
                 self.path
             ));
         }
-        let (old, new) = (&self.bylaws.charter.budgets, new.charter.budgets);
-        let changed = old.iter().zip(&new).filter(|(old, new)| old.whole != new.whole);
+        let (old, new) = (&self.file.fleet.budgets, new.fleet.budgets);
+        let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
         let told =
-            changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.whole, new.whole)).collect();
-        let wholes: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.whole)).collect();
-        self.bylaws.charter.budgets = new;
+            changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.total, new.total)).collect();
+        let wholes: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.total)).collect();
+        self.file.fleet.budgets = new;
         if let Some(fleet) = self.fleet() {
-            fleet.set_wholes(now, &wholes);
+            fleet.set_totals(now, &wholes);
         }
         Ok(told)
     }
 
     pub fn address(&self, to: &str) -> Option<SocketAddr> {
-        self.bylaws.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
+        self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
     }
 
     pub fn next_at(&self) -> f64 {
         match &self.course {
             Course::Barred { again_at } => *again_at,
-            Course::Joined { fleet, .. } => fleet.next_at(),
+            Course::Joined { fleet, .. } => fleet.next_timeout(),
             Course::Left => f64::INFINITY,
         }
     }
 }
 
-fn read(path: &str, name: &str, longest: f64) -> Result<FleetConfig, String> {
+fn read(path: &str, name: &str, longest: f64) -> Result<FleetFile, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    FleetConfig::from_textproto(&text, name, longest).map_err(|fault| format!("{path}: {fault}"))
+    FleetFile::from_textproto(&text, name, longest).map_err(|fault| format!("{path}: {fault}"))
 }
 
 /// Who has read the key is a member, so a file that others may read is refused.
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -328,7 +328,7 @@
 
     /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
     pub fn open_control(&mut self) -> Result<(), String> {
-        let Some(address) = self.link.as_ref().and_then(|link| link.bylaws.control) else { return Ok(()) };
+        let Some(address) = self.link.as_ref().and_then(|link| link.file.control) else { return Ok(()) };
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
         opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
