--- a/crates/ottersill/tests/scene/mod.rs
+++ b/crates/ottersill/tests/scene/mod.rs
@@ -1,10 +1,12 @@
 //! A router between scripted peers: a primary, a replica and a discovery that do only what a test tells them.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
-use std::io::{BufRead, BufReader};
+pub mod faults;
+
+use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, ChildStdout, Command, Stdio};
+use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -44,6 +46,11 @@
 impl Router {
     /// Starts it; `descriptors` is the limit that the system sets it, where that is less than it believes.
     pub fn spawn(text: &str, descriptors: Option<usize>) -> Router {
+        Router::spawn_in(text, descriptors, &[])
+    }
+
+    /// The same with further variables in its environment.
+    pub fn spawn_in(text: &str, descriptors: Option<usize>, environment: &[(&str, String)]) -> Router {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("scene-{}-{number}.json", std::process::id()));
@@ -57,12 +64,20 @@
                 shell
             }
         };
+        command.envs(environment.iter().map(|(name, value)| (name, value)));
         let process = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn();
         let mut process = process.expect("a router");
         let log = BufReader::new(process.stdout.take().expect("a log"));
         Router { process, at: SocketAddr::from(([127, 0, 0, 1], 0)), log, charter: path }
     }
 
+    /// What is left of its log and how it ended, once it has.
+    pub fn end(mut self) -> (String, ExitStatus) {
+        let mut log = String::new();
+        self.log.read_to_string(&mut log).expect("the log");
+        (log, self.process.wait().expect("a status"))
+    }
+
     pub fn until_ready(mut self) -> Router {
         let mut line = String::new();
         while !line.contains(" ready ") {
@@ -113,9 +128,14 @@
 
 impl Scene {
     pub fn set(replaced: &[(&str, &str)]) -> Scene {
+        Scene::set_with(replaced, |text, _, _| Router::spawn(text, None))
+    }
+
+    /// The same with a router that `spawn` starts, given its charter, the primary and the replica.
+    pub fn set_with(replaced: &[(&str, &str)], spawn: impl FnOnce(&str, &Host, &Host) -> Router) -> Scene {
         let discovery = Discovery::start().expect("discovery");
         let (primary, replica) = (Host::start(true).expect("a host"), Host::start(false).expect("a host"));
-        let router = Router::spawn(&charter(discovery.at, replaced), None);
+        let router = spawn(&charter(discovery.at, replaced), &primary, &replica);
         let scene = Scene { primary, replica, discovery, router };
         scene.discovery.next().answer(&scene.list(1, "active", "active"));
         let scene = Scene { router: scene.router.until_ready(), ..scene };
