--- a/crates/ottersill/src/lifecycle/log.rs
+++ b/crates/ottersill/src/lifecycle/log.rs
@@ -3,15 +3,18 @@
 
 use std::collections::VecDeque;
 use std::fmt::{self, Write as _};
-use std::io::Write as _;
+use std::io::Stdout;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use rustix::io::{Errno, retry_on_intr};
 use slog::{Drain, Key, Logger, Never, OwnedKVList, Record, Serializer, o};
 
 /// Lines that may wait; at a hundred bytes or two each they take no room to speak of.
 const WAITING: usize = 2000;
+/// Written at once: a pipe that is ready takes a page without blocking.
+const PIPE_PAGE: usize = 4096;
 
 /// How a line is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
@@ -33,9 +36,32 @@
 #[derive(Default)]
 struct Waiting {
     lines: VecDeque<String>,
+    /// Bytes of the first line that are written.
+    written: usize,
     dropped: u64,
 }
 
+impl Waiting {
+    fn next_line(&mut self) {
+        self.lines.pop_front();
+        self.written = 0;
+    }
+
+    fn drop_all(&mut self) {
+        self.dropped += self.lines.len() as u64;
+        self.lines.clear();
+        self.written = 0;
+    }
+}
+
+/// Whether a write to it would not block now.
+fn is_writable(out: &Stdout) -> bool {
+    let mut ready = [PollFd::new(out, PollFlags::OUT)];
+    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let asked = retry_on_intr(|| poll(&mut ready, Some(&now)));
+    matches!(asked, Ok(1)) && ready[0].revents().contains(PollFlags::OUT)
+}
+
 struct Pairs<'a>(&'a mut String);
 
 impl Serializer for Pairs<'_> {
@@ -94,21 +120,23 @@
         Logger::root(self.clone().fuse(), o!("router" => name.to_string()))
     }
 
-    /// Writes what standard output takes without blocking, a line at a time: a pipe that is ready takes a page.
+    /// Writes what standard output takes without blocking. Where that fails, for want of room on a disk as an example, the
+    /// lines wait for the next call; where nobody reads any more they are dropped.
     pub fn flush(&self) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         let out = std::io::stdout();
         while let Some(line) = waiting.lines.front() {
-            let mut ready = [PollFd::new(&out, PollFlags::OUT)];
-            let asked = poll(&mut ready, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
-            if !matches!(asked, Ok(1)) || !ready[0].revents().contains(PollFlags::OUT) {
+            if !is_writable(&out) {
                 return;
             }
-            let mut out = out.lock();
-            let wrote = out.write_all(line.as_bytes()).and_then(|()| out.flush());
-            waiting.lines.pop_front();
-            if wrote.is_err() {
-                return;
+            let rest = &line.as_bytes()[waiting.written..];
+            match rustix::io::write(&out, &rest[..rest.len().min(PIPE_PAGE)]) {
+                Ok(0) => return,
+                Ok(count) if count < rest.len() => waiting.written += count,
+                Ok(_) => waiting.next_line(),
+                Err(Errno::INTR) => {}
+                Err(Errno::PIPE) => return waiting.drop_all(),
+                Err(_) => return,
             }
         }
     }
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -286,3 +286,37 @@
     assert!(!faults.disarm().is_empty());
     end(scene);
 }
+
+/// A log that can't be written holds up nothing. Its lines wait until there is room, and go on where they were cut; they used
+/// to be lost, uncounted. Where nobody reads any more they are dropped and counted.
+#[rstest]
+#[case::disk_full("stdout:1:SHORT;stdout:2-:ENOSPC", 2)]
+#[case::disk_fails("stdout:1:SHORT;stdout:2-:EIO", 2)]
+#[case::nobody_reads("stdout:1-:EPIPE", 1)]
+fn log_lines_wait_for_room(#[case] rules: &str, #[case] written: usize) {
+    let (scene, faults) = faulty_scene(rules);
+    faults.arm();
+    scene.router.signal("-USR1");
+    until("a line is tried", || {
+        faults.occurred().len() > 1 || (written == 1 && !faults.occurred().is_empty())
+    });
+    is_served_by_the_replica(&scene, 7);
+    faults.disarm();
+    let log = end(scene);
+    assert_eq!(log.matches("counters: ").count(), written, "{log}");
+    let torn = log.lines().find(|line| !line.starts_with(|first: char| first.is_ascii_digit()));
+    assert!(torn.is_none(), "{torn:?}");
+    assert_eq!(counter(&log, "log_dropped") > 0, written == 1);
+}
+
+/// A log that nobody empties blocks no statement. Right already.
+#[test]
+fn a_log_that_blocks_holds_up_nothing() {
+    let (scene, _) = faulty_scene("");
+    // More than a pipe holds.
+    for _ in 0..100 {
+        scene.router.signal("-USR1");
+    }
+    let took = is_served_by_the_replica(&scene, 7);
+    assert!(took < Duration::from_secs(2), "{took:?}");
+}
