--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -51,12 +51,32 @@
     pub spent: u64,
     pub grants: u64,
     pub processes: usize,
+    /// Lines that were passed over as they are torn.
+    pub torn: usize,
 }
 
-/// Reads audit files; a last line that a killed process left half written is no line.
-pub fn read(text: &str) -> Result<Vec<Entry>, String> {
-    let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
-    whole.lines().map(|line| serde_json::from_str(line).map_err(|e| format!("{e}: {line}"))).collect()
+/// What an audit file holds.
+#[derive(Clone, Debug, Default)]
+pub struct Records {
+    pub entries: Vec<Entry>,
+    /// Lines that end too early: the process was killed as it wrote them, or the disk was full. They are passed over.
+    pub torn: usize,
+}
+
+/// Reads an audit file. A line that ends before its object does is torn, and so is a last one without its end; any other line
+/// that is no entry is an error.
+pub fn read(text: &str) -> Result<Records, String> {
+    let mut records = Records::default();
+    let (whole, last) = text.rsplit_once('\n').unwrap_or(("", text));
+    records.torn += usize::from(!last.is_empty());
+    for line in whole.lines() {
+        match serde_json::from_str(line) {
+            Ok(entry) => records.entries.push(entry),
+            Err(fault) if fault.is_eof() => records.torn += 1,
+            Err(fault) => return Err(format!("{fault}: {line}")),
+        }
+    }
+    Ok(records)
 }
 
 /// What one process has of a budget.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -178,6 +178,7 @@
     grants: u64,
     spent: u64,
     processes: usize,
+    torn: usize,
     answers: Answers,
     /// Schedules that were not played, as a router did not come up within the rig's patience.
     not_up: u64,
@@ -226,6 +227,7 @@
         }
         (sum.grants, sum.spent) = (sum.grants + verdict.grants, sum.spent + verdict.spent);
         sum.processes += verdict.processes;
+        sum.torn += verdict.torn;
         for one in answers {
             let all = &mut sum.answers;
             (all.completed, all.rejected) = (all.completed + one.completed, all.rejected + one.rejected);
@@ -253,6 +255,7 @@
     let played = fleet.schedules - sum.not_up;
     println!("{played} schedules of {}, {} processes of the program", fleet.schedules, sum.processes);
     println!("{} grants, {} units spent, answers {:?}", sum.grants, sum.spent, sum.answers);
+    println!("{} torn lines of audit files passed over", sum.torn);
     for (budget, highest) in &sum.highest {
         println!("{budget}: highest sum {highest:.3} of the whole");
     }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, SeedableRng};
 use rustix::process::{Pid, Signal, kill_process};
 
-use crate::audit::{self, Entry, Verdict, Whole};
+use crate::audit::{self, Records, Verdict, Whole};
 use crate::relay::{Flow, Relay, Weather, Wire};
 use crate::store::{Client, Toy, unix_ms};
 
@@ -439,12 +439,15 @@
     }
 
     /// All that the routers wrote down.
-    pub fn entries(&self) -> Result<Vec<Entry>, String> {
-        let mut all = Vec::new();
+    pub fn entries(&self) -> Result<Records, String> {
+        let mut all = Records::default();
         for router in &self.routers {
             let path = self.folder.join(format!("{}.audit", router.name));
-            let text = fs::read_to_string(&path).unwrap_or_default();
-            all.extend(audit::read(&text)?);
+            // A torn line may end within a character.
+            let bytes = fs::read(&path).unwrap_or_default();
+            let records = audit::read(&String::from_utf8_lossy(&bytes))?;
+            all.entries.extend(records.entries);
+            all.torn += records.torn;
         }
         Ok(all)
     }
@@ -466,9 +469,10 @@
     pub fn audit(&self) -> Result<Verdict, String> {
         // The files are read one after the other while routers go on writing: what came after the first counts not.
         let cut = unix_ms() as f64 / 1000.0 - 0.05;
-        let mut entries = self.entries()?;
+        let Records { mut entries, torn } = self.entries()?;
         entries.retain(|entry| entry.at < cut);
         let mut verdict = audit::audit(&entries, &self.wholes());
+        verdict.torn = torn;
         let executed: Vec<_> = (0..self.toy.hosts()).flat_map(|host| self.toy.executed(host)).collect();
         verdict.faults.extend(audit::effects(&executed));
         for host in 0..self.toy.hosts() {
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/memory/link.rs
@@ -1,7 +1,5 @@
 //! What ties this router to the others of its fleet, where there is talk: the member, its socket, what it writes down.
 
-use std::fs::{File, OpenOptions};
-use std::io::Write;
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::rc::Rc;
@@ -17,6 +15,7 @@
 use socket2::Socket;
 
 use crate::memory::alarms::Set;
+use crate::memory::audit_file::AuditFile;
 
 /// Where the link stands.
 pub enum Course {
@@ -43,10 +42,13 @@
     seed: u64,
     pub course: Course,
     /// What is written for whoever adds up; each line is written before what it tells of is done.
-    audit: Option<File>,
+    audit: Option<AuditFile>,
     /// Lines of it that could not be written.
     pub unwritten: u64,
     pub alarm: Option<Set>,
+    /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
+    /// come already.
+    pub read_again: bool,
     pub parts: Parts,
     /// Spent and turned away, by what for.
     pub refused: u64,
@@ -78,7 +80,7 @@
         let audit = match &bylaws.audit_file {
             None => None,
             Some(file) => {
-                let opened = OpenOptions::new().create(true).append(true).open(file);
+                let opened = AuditFile::open(file);
                 Some(opened.map_err(|e| format!("{path}: audit_file: {file}: {e}"))?)
             }
         };
@@ -93,6 +95,7 @@
             audit,
             unwritten: 0,
             alarm: None,
+            read_again: false,
             parts: Parts::default(),
             refused: 0,
         })
@@ -179,9 +182,9 @@
         let (process, incarnation) = (fleet.me().name.as_str(), fleet.me().incarnation);
         let entry =
             Entry { at: now, process, incarnation, what, budget, subject: key.1, grant, units, until };
-        let line = serde_json::to_string(&entry).map(|line| line + "\n");
+        let line = serde_json::to_string(&entry);
         let file = self.audit.as_mut();
-        let wrote = file.zip(line.ok()).is_some_and(|(file, line)| file.write_all(line.as_bytes()).is_ok());
+        let wrote = file.zip(line.ok()).is_some_and(|(file, line)| file.write_line(&line).is_ok());
         self.unwritten += u64::from(!wrote);
     }
 
--- a/crates/ottersill/src/memory/mod.rs
+++ b/crates/ottersill/src/memory/mod.rs
@@ -1,6 +1,7 @@
 //! What is kept in memory: statements, hosts with the connections to them, clients, alarms, counters, the tie to the fleet.
 
 pub mod alarms;
+pub mod audit_file;
 pub mod clients;
 pub mod counters;
 pub mod hosts;
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/wire/fleet_side.rs
@@ -54,10 +54,13 @@
                 // Each by the clock as it is when it is read: what is granted counts from then.
                 Ok(Some(length)) => fleet.hear(self.clock.now(), &space[..length]),
                 Ok(None) => return self.fleet_after(),
-                // An earlier datagram found nobody; the next may be in order.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
+                // An earlier datagram found nobody, or no way; the next may be in order.
+                Err(e) if is_of_one_datagram(e.kind()) => {}
                 Err(e) => {
                     warn!(self.log, "fleet datagrams"; "fault" => %e);
+                    if let Some(link) = &mut self.link {
+                        link.read_again = true;
+                    }
                     return self.fleet_after();
                 }
             }
@@ -73,6 +76,9 @@
             Some(Course::Joined { fleet, .. }) => fleet.tick(now),
             _ => {}
         }
+        if self.link.as_mut().is_some_and(|link| std::mem::take(&mut link.read_again)) {
+            self.again(Party::Fleet);
+        }
         self.fleet_after();
     }
 
@@ -239,6 +245,12 @@
     }
 }
 
+/// Whether a failed read of a datagram tells about that one alone, or one sent before, so that the next can be read at once.
+fn is_of_one_datagram(kind: ErrorKind) -> bool {
+    use ErrorKind::{ConnectionRefused, HostUnreachable, Interrupted, NetworkUnreachable};
+    matches!(kind, ConnectionRefused | HostUnreachable | Interrupted | NetworkUnreachable)
+}
+
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
 pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
     exchange.link = Some(link);
--- /dev/null
+++ b/crates/ottersill/tests/durable_files.rs
@@ -0,0 +1,96 @@
+//! The fleet's audit file is all that a router writes beside its log: a disk that takes nothing for a while, or a kill in the
+//! middle of a line, costs lines that are counted, and no decision.
+
+mod scene;
+
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::Duration;
+
+use ottersill_lab::audit;
+use ottersill_lab::rig::{Plan, Rig};
+use scene::faults::Faults;
+
+/// Three routers, of which `r1` runs with these faults.
+fn rig_with(faults: &Faults) -> (Rig, PathBuf) {
+    let variables: String =
+        faults.environment().iter().map(|(name, value)| format!("export {name}='{value}'; ")).collect();
+    let program = faults.armed.with_extension("sh");
+    let run = format!(
+        "#!/bin/sh\ncase \"$NODE_CONFIG\" in */r1.json) {variables};; esac\nexec {} \"$@\"\n",
+        env!("CARGO_BIN_EXE_ottersill")
+    );
+    std::fs::write(&program, run).expect("a program");
+    std::fs::set_permissions(&program, PermissionsExt::from_mode(0o700)).expect("a program");
+    let plan = Plan { routers: 3, ..Plan::default() };
+    let charter = include_str!("../../../example/router.json");
+    let mut rig = Rig::new(plan, Path::new(&program), charter).expect("a rig");
+    rig.start_all().expect("routers");
+    assert!(rig.until(|rig| (0..3).all(|index| rig.is_ready(index))), "all ready");
+    (rig, program)
+}
+
+fn unwritten(rig: &Rig) -> u64 {
+    rig.ask(1, "counts").first().and_then(|counts| counts["unwritten"].as_u64()).unwrap_or(0)
+}
+
+fn sleep(seconds: f64) {
+    thread::sleep(Duration::from_secs_f64(seconds));
+}
+
+/// The reader used to give up at a line that a full disk had cut, as the next one was written behind it.
+#[test]
+fn a_full_disk_costs_lines_of_the_audit_and_no_decision() {
+    let faults = Faults::new("file:1:SHORT;file:2-20:ENOSPC;file:21-40:EIO".to_string());
+    let (mut rig, program) = rig_with(&faults);
+    rig.load(6, 8);
+    sleep(3.5);
+    faults.arm();
+    assert!(rig.until(|_| faults.occurred().len() >= 40), "{:?}", faults.occurred().len());
+    faults.disarm();
+    let before = rig.answers()[1];
+    sleep(1.0);
+    assert!(rig.answers()[1].completed > before.completed, "{before:?}");
+    assert_eq!(unwritten(&rig), 39);
+    let answers = rig.rest();
+    assert!(answers.iter().all(|answered| answered.wrong == 0 && answered.broken == 0), "{answers:?}");
+    // What was done meanwhile is in no line; that no more was done than may be is seen at the hosts.
+    assert!((0..rig.toy.hosts()).all(|host| rig.toy.most_at_once(host) as u64 <= rig.plan.executions));
+    let records = rig.entries().expect("audit files");
+    assert_eq!(records.torn, 1);
+    let _ = std::fs::remove_file(program);
+}
+
+/// The process that follows goes on in the same file: its first line used to be written behind the torn one.
+#[test]
+fn a_kill_within_a_line_costs_that_line() {
+    let faults = Faults::new("file:30:KILL".to_string());
+    let (mut rig, program) = rig_with(&faults);
+    rig.load(6, 8);
+    sleep(3.0);
+    faults.arm();
+    assert!(rig.until(|_| !faults.occurred().is_empty()));
+    faults.disarm();
+    rig.kill(1);
+    rig.start(1).expect("a router");
+    assert!(rig.until(|rig| rig.is_ready(1)));
+    sleep(4.5);
+    rig.rest();
+    let verdict = rig.audit().expect("audit files");
+    assert_eq!(verdict.torn, 1);
+    assert!(verdict.faults.is_empty(), "{:?}", &verdict.faults[..verdict.faults.len().min(5)]);
+    let _ = std::fs::remove_file(program);
+}
+
+/// Lines that end too early are passed over and counted; anything else that is no entry is an error as before.
+#[test]
+fn the_reader_tells_torn_lines_from_nonsense() {
+    let whole =
+        "{\"at\":1.5,\"process\":\"r\",\"incarnation\":1,\"what\":\"take\",\"budget\":\"b\",\"subject\":0}";
+    let cut = &whole[..40];
+    let records = audit::read(&format!("{whole}\n{cut}\n{whole}\n{cut}")).expect("records");
+    assert_eq!((records.entries.len(), records.torn), (2, 2));
+    assert!(audit::read(&format!("{cut}{whole}\n")).is_err());
+    assert!(audit::read("no entry\n").is_err());
+}
