--- a/crates/ottersill/tests/fleet_faults.rs
+++ b/crates/ottersill/tests/fleet_faults.rs
@@ -1,5 +1,5 @@
-//! The fleet's audit file is all that a router writes beside its log: a disk that takes nothing for a while, or a kill in the
-//! middle of a line, costs lines that are counted, and no decision.
+//! Members of a fleet whose files or datagrams fail. The audit file is all that a router writes beside its log: a disk that takes
+//! nothing for a while, or a kill in the middle of a line, costs lines that are counted, and no decision.
 
 mod scene;
 
@@ -83,6 +83,30 @@
     let _ = std::fs::remove_file(program);
 }
 
+/// Every other datagram fails at one of three members, in the ways that Linux documents: what is lost is asked for again, and no
+/// more is spent than there is. Right already.
+#[test]
+fn datagrams_that_fail_cost_a_member_nothing_for_good() {
+    let reads = "recvdatagram:1-/5:ENOMEM;recvdatagram:2-/5:EHOSTUNREACH;recvdatagram:3-/5:EINTR";
+    let writes = "sendto:1-/8:EPERM;sendto:2-/8:ENOBUFS;sendto:3-/8:EINTR;sendto:4-/8:ENETUNREACH";
+    let faults = Faults::new(format!("{reads};{writes}"));
+    let (mut rig, program) = rig_with(&faults);
+    rig.load(6, 8);
+    sleep(3.5);
+    faults.arm();
+    sleep(4.0);
+    assert!(rig.holds(1, "executions at each host") > 0);
+    let before = rig.answers()[1];
+    sleep(1.0);
+    assert!(rig.answers()[1].completed > before.completed, "{before:?}");
+    assert!(faults.disarm().len() > 50);
+    let answers = rig.rest();
+    assert!(answers.iter().all(|answered| answered.wrong == 0 && answered.broken == 0), "{answers:?}");
+    let verdict = rig.audit().expect("audit files");
+    assert!(verdict.faults.is_empty(), "{:?}", &verdict.faults[..verdict.faults.len().min(5)]);
+    let _ = std::fs::remove_file(program);
+}
+
 /// Lines that end too early are passed over and counted; anything else that is no entry is an error as before.
 #[test]
 fn the_reader_tells_torn_lines_from_nonsense() {
