--- /dev/null
+++ b/crates/ottersill/tests/reload_in_succession.rs
@@ -0,0 +1,58 @@
+//! New configurations in quick succession, to discoveries that are slow.
+
+mod scene;
+
+use std::thread;
+use std::time::{Duration, Instant};
+
+use ottersill_lab::script::Discovery;
+use scene::*;
+
+/// What the last one tells counts as told so long after SIGHUP.
+const TOLD: Duration = Duration::from_secs(4);
+
+fn descriptors(router: &Router) -> usize {
+    let open = std::fs::read_dir(format!("/proc/{}/fd", router.process.id())).expect("descriptors");
+    open.count()
+}
+
+/// Ten SIGHUPs in a second, each naming the other one of two discoveries, both of which take calls and say nothing at first: the
+/// last one named is heard in time, nothing of the other one counts, and no connection is left over. Right already.
+#[test]
+fn ten_configurations_in_a_second_end_with_the_last() {
+    let scene = Scene::set(&[]);
+    let discoveries = [Discovery::start().expect("discovery"), Discovery::start().expect("discovery")];
+    let text = std::fs::read_to_string(&scene.router.charter).expect("a charter");
+    let before = descriptors(&scene.router);
+    for round in 0..10 {
+        let at = discoveries[round % 2].at.to_string();
+        std::fs::write(&scene.router.charter, text.replace(&scene.discovery.at.to_string(), &at))
+            .expect("a charter");
+        scene.router.signal("-HUP");
+        thread::sleep(Duration::from_millis(100));
+    }
+    let [other, last] = &discoveries;
+    let asked = Instant::now();
+    // Calls made before the last signal are closed by now, or answered for nothing.
+    let stale: Vec<_> = std::iter::from_fn(|| other.next_within(Duration::from_millis(1))).collect();
+    for call in stale {
+        call.answer(&scene.list(7, "leaving", "active"));
+    }
+    thread::sleep(Duration::from_millis(1500));
+    let calls: Vec<_> = std::iter::from_fn(|| last.next_within(Duration::from_millis(1))).collect();
+    assert!(!calls.is_empty());
+    // All of them: those given up are closed.
+    calls.into_iter().for_each(|call| call.answer(&scene.list(1, "active", "leaving")));
+    let next = last.next_within(TOLD).expect("it asks for what is newer");
+    assert!(next.path.contains("since=1"), "{}", next.path);
+    assert!(asked.elapsed() < TOLD, "{:?}", asked.elapsed());
+    let mut client = scene.router.client();
+    client.send(&read(7, 2000)).expect("a query");
+    let arrival = scene.primary.next();
+    assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
+    arrival.answer("elsewhere");
+    assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+    // The client's, and those to hosts that were opened meanwhile.
+    let after = descriptors(&scene.router);
+    assert!(after <= before + 4, "{before}, {after}");
+}
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -184,6 +184,44 @@
     assert!(counter(&end(scene), "ended_connect_failed") > 0);
 }
 
+/// Every further try fails at once, at every host: the statement is rejected in its time, after as many tries as the settings
+/// allow (8), and between statements nothing is dialled but for probes. Right already.
+#[rstest]
+#[case::refused("connect:1-:ECONNREFUSED")]
+#[case::broken("sendmsg@backend:1-:EPIPE")]
+fn tries_that_fail_at_once_come_to_an_end(#[case] rule: &str) {
+    let (scene, faults) = faulty_scene(rule);
+    faults.arm();
+    for host in [&scene.primary, &scene.replica] {
+        host.greets_no_more();
+        host.greets();
+    }
+    let mut client = scene.router.client();
+    let started = Instant::now();
+    for number in 7..9 {
+        let answer = client.ask(&read(number, 800)).expect("an answer");
+        assert!(answer.starts_with("C53300"), "{answer}");
+    }
+    assert!(started.elapsed() < 2 * Duration::from_millis(800 + 500), "{:?}", started.elapsed());
+    let occurred = faults.disarm().len();
+    assert!(occurred <= 2 * 8 + 30, "{occurred}");
+}
+
+/// A connection that stands idle and is reset or timed out shows that in the last look before its use: another one is opened, and
+/// nothing is lost. Right already.
+#[rstest]
+#[case::reset("recv@REPLICA:1:ECONNRESET")]
+#[case::timed_out("recv@REPLICA:1:ETIMEDOUT")]
+#[case::no_way("recv@REPLICA:1:EHOSTUNREACH")]
+fn an_idle_connection_that_broke_is_not_used(#[case] rule: &str) {
+    let (scene, faults) = faulty_scene(rule);
+    faults.arm();
+    is_served_by_the_replica(&scene, 7);
+    assert_eq!(faults.disarm().len(), 1);
+    let log = end(scene);
+    assert_eq!((counter(&log, "ended_reset"), counter(&log, "ended_connect_failed")), (0, 0));
+}
+
 /// The system may lack the memory to say whether a connection is up; that used to count as a failed connection.
 #[rstest]
 #[case::error("getsockopt@backend:1-:ENOBUFS")]
