--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -7,15 +7,21 @@
 use bytes::{Bytes, BytesMut};
 use calloop::RegistrationToken;
 use slab::Slab;
+use slog::warn;
 use socket2::Socket;
 
 use crate::control::fleet_report::FleetReport;
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
 use crate::wire::socket::{self, Got, Outbox};
+use crate::wire::socket_failure::AcceptFailure;
 
 /// Connections at a time; the next waits in the accept backlog.
 const MAX_CLIENTS: usize = 4;
+/// Failures of accept in a row after which it is called again only after [`RETRY_DELAY`].
+const MAX_FAILURES: usize = 32;
+/// Seconds between two calls of accept where it fails.
+const RETRY_DELAY: f64 = 0.25;
 /// A connection is closed after so many seconds, whatever is left to read or write.
 const CLIENT_LIFETIME: f64 = 2.0;
 /// The longest question, in bytes.
@@ -37,6 +43,8 @@
     listener: Option<Rc<Socket>>,
     /// Each is closed with its answer, or after its lifetime.
     clients: Slab<ControlClient>,
+    /// When accepting is tried again after a failure.
+    retry: Option<TimerHandle>,
 }
 
 impl ControlServer {
@@ -54,10 +62,24 @@
     /// The listener became ready: accepts as many as there is room for.
     pub fn on_ready(&mut self, report: &FleetReport, context: &mut Context) {
         let Some(listener) = self.listener.clone() else { return };
+        let mut failures = 0;
         while self.clients.len() < MAX_CLIENTS {
-            let Ok(Some(socket)) = socket::accept(&listener) else { return };
+            let socket = match socket::accept(&listener) {
+                Ok(Some(socket)) => socket,
+                Ok(None) => return,
+                Err(error)
+                    if AcceptFailure::of(&error) == AcceptFailure::TakeNext && failures < MAX_FAILURES =>
+                {
+                    failures += 1;
+                    continue;
+                }
+                Err(error) => return self.retry_later(&error, context),
+            };
             let id = self.clients.vacant_key();
-            let Ok((socket, token)) = context.register(socket, Source::ControlClient(id)) else { return };
+            let Ok((socket, token)) = context.register(socket, Source::ControlClient(id)) else {
+                // The socket is closed by this; the operator can ask again.
+                continue;
+            };
             self.clients.insert(ControlClient {
                 socket,
                 token,
@@ -70,6 +92,14 @@
         }
     }
 
+    /// Has accepting tried again: no readiness tells anew of connections that wait already.
+    fn retry_later(&mut self, error: &io::Error, context: &mut Context) {
+        warn!(context.log, "accept on the control listener"; "error" => %error);
+        let retry = context.timers.set(context.now + RETRY_DELAY, Timer::Control);
+        let previous = self.retry.replace(retry);
+        context.timers.clear(previous.filter(|previous| *previous != retry));
+    }
+
     /// A connection became ready: reads the question, and writes what `report` answers.
     pub fn on_client_ready(&mut self, id: usize, report: &FleetReport, context: &mut Context) {
         let Some(client) = self.clients.get_mut(id) else { return };
--- a/crates/ottersill/src/counters.rs
+++ b/crates/ottersill/src/counters.rs
@@ -29,6 +29,8 @@
 counters! {
     clients => client_connections: "Client connections accepted.",
     clients_turned_away => client_connections_rejected: "Client connections told that there is no descriptor or memory left.",
+    clients_unwatched => client_connections_unwatched: "Client connections closed as the event loop could not be told to watch them.",
+    accepts_failed => accepts_failed: "Calls of accept that failed.",
     clients_closed_idle => client_connections_closed_idle: "Client connections closed between statements, for idling or to make room.",
     client_nonsense => client_protocol_errors: "Client connections that broke the protocol.",
     empty_queries => empty_queries: "Empty queries.",
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -102,7 +102,8 @@
     /// # Errors
     /// If this machine can't open or watch one more connection, or knows no way to the address.
     pub fn dial(address: SocketAddr, context: &Context) -> io::Result<Call> {
-        let (socket, token) = context.register(socket::dial(address)?, Source::Discovery)?;
+        let (socket, token) =
+            context.register(socket::dial(address).map_err(io::Error::from)?, Source::Discovery)?;
         Ok(Call {
             state: CallState::Connecting,
             socket,
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -8,6 +8,7 @@
 use ottersill_core::interface::{Listed, Standing};
 
 use crate::discovery::endpoint_list::{EndpointEntry, EndpointList};
+use crate::wire::socket_failure::{ConnectFailure, LocalFailures};
 
 /// What is known of one endpoint, with the idle connections to it.
 pub struct Endpoint {
@@ -25,6 +26,7 @@
     pub broken: u64,
     /// When that line was written, in Unix seconds.
     pub logged_at: f64,
+    local_failures: LocalFailures,
 }
 
 impl Endpoint {
@@ -38,6 +40,7 @@
             idle: Vec::new(),
             broken: 0,
             logged_at: 0.0,
+            local_failures: LocalFailures::default(),
         }
     }
 }
@@ -60,6 +63,8 @@
     by_name: HashMap<String, usize>,
     groups: HashMap<u64, usize>,
     sites: Vec<String>,
+    /// When a connection to any endpoint was last begun without a failure, in Unix seconds.
+    connect_begun_at: f64,
 }
 
 impl EndpointRegistry {
@@ -78,6 +83,29 @@
         self.all.iter().find(|endpoint| endpoint.label == label)
     }
 
+    /// A connection to that endpoint was begun at `now`, in Unix seconds.
+    pub fn connect_begun(&mut self, endpoint: usize, now: f64) {
+        self.connect_begun_at = now;
+        self.all[endpoint].local_failures = LocalFailures::default();
+    }
+
+    /// Whether a connection that could not be begun counts against its endpoint. A lack of this machine does so only where it
+    /// stays for this endpoint alone, for `at_least` seconds.
+    pub fn connect_failed(
+        &mut self,
+        endpoint: usize,
+        now: f64,
+        at_least: f64,
+        failure: &ConnectFailure,
+    ) -> bool {
+        match failure {
+            ConnectFailure::Remote(_) => true,
+            ConnectFailure::Local(_) => {
+                self.all[endpoint].local_failures.note(now, at_least, self.connect_begun_at)
+            }
+        }
+    }
+
     /// Takes over what a list says.
     pub fn apply(&mut self, list: &EndpointList) -> RegistryChange {
         let mut seen = vec![false; self.all.len()];
@@ -134,6 +162,7 @@
         }
         let had_address = endpoint.dial.is_some();
         endpoint.dial = address;
+        endpoint.local_failures = LocalFailures::default();
         had_address
     }
 }
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -88,12 +88,25 @@
     source: Source,
 ) -> io::Result<(Rc<Socket>, RegistrationToken)> {
     let socket = Rc::new(socket);
-    let events = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
+    let token = register_shared(handle, &socket, source)?;
+    Ok((socket, token))
+}
+
+/// As [`register`], for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
+///
+/// # Errors
+/// If the system can't watch one more descriptor.
+pub fn register_shared(
+    handle: &ReactorHandle,
+    socket: &Rc<Socket>,
+    source: Source,
+) -> io::Result<RegistrationToken> {
+    let events = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
     let registered = handle.insert_source(events, move |_, _, readiness: &mut Readiness| {
         readiness.wake(source);
         Ok(PostAction::Continue)
     });
-    Ok((socket, registered.map_err(|e| io::Error::other(e.error))?))
+    registered.map_err(|e| io::Error::other(e.error))
 }
 
 /// What a part of the program may use of the event loop while it handles an event.
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -17,6 +17,8 @@
     Fleet,
     /// The connection of an operator at the control listener ends.
     ControlClient(usize),
+    /// Operators wait in the accept backlog of the control listener: accepting is tried again.
+    Control,
     /// Clients wait in the accept backlog: accepting is tried again.
     Listener,
 }
--- a/crates/ottersill/src/wire/exchange.rs
+++ b/crates/ottersill/src/wire/exchange.rs
@@ -22,7 +22,7 @@
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
-use crate::memory::clients::Client;
+use crate::memory::clients::{Client, UnwatchedClient};
 use crate::memory::lines::Line;
 use crate::memory::link::Link;
 use crate::memory::statements::Statements;
@@ -113,6 +113,8 @@
     /// Bytes of statements, whole or not; falls with each answer and each client that leaves.
     pub stored: usize,
     pub listener: Option<(Rc<Socket>, RegistrationToken)>,
+    /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
+    pub unwatched_client: Option<UnwatchedClient>,
     /// Set while clients wait at the door for one to leave.
     pub crowd: Option<TimerHandle>,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
@@ -164,6 +166,7 @@
             come_again,
             stored: 0,
             listener: None,
+            unwatched_client: None,
             crowd: None,
             retiring: false,
             stops_at: f64::INFINITY,
@@ -177,6 +180,11 @@
         reactor::register(&self.handle, socket, party)
     }
 
+    /// The same for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
+    pub fn attend_shared(&self, socket: &Rc<Socket>, party: Party) -> io::Result<RegistrationToken> {
+        reactor::register_shared(&self.handle, socket, party)
+    }
+
     /// Sees to that party in the next turn.
     pub fn again(&mut self, party: Party) {
         self.readiness.wake(party);
@@ -217,6 +225,7 @@
                 Timer::ControlClient(id) => {
                     self.with_control(|control, _, context| control.close_client(id, context));
                 }
+                Timer::Control => self.again(Party::Control),
                 Timer::Listener => {
                     self.crowd = None;
                     self.again(Party::Listener);
--- a/crates/ottersill/src/wire/mod.rs
+++ b/crates/ottersill/src/wire/mod.rs
@@ -8,4 +8,5 @@
 pub mod host_side;
 pub mod reply;
 pub mod socket;
+pub mod socket_failure;
 pub mod statement;
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -401,7 +401,7 @@
     sleep(cluster.plan.lease + cluster.plan.hold + 1.0);
     cluster.stop_load();
     clean(&cluster);
-    let mut entries = cluster.audit_entries().expect("audit files");
+    let mut entries = cluster.audit_records().expect("audit files").entries;
     for entry in entries.iter_mut().filter(|entry| entry.process == format!("r{dead}")) {
         entry.until = entry.until.map(|until| until.map(|(units, until)| (units, until + 5.0)));
     }
@@ -410,7 +410,9 @@
         Whole::InHand { units, hold } => (name, Whole::InHand { units: units / 2, hold }),
         rate => (name, rate),
     });
-    assert!(!audit(&cluster.audit_entries().expect("audit files"), &halved.collect()).faults.is_empty());
+    assert!(
+        !audit(&cluster.audit_records().expect("audit files").entries, &halved.collect()).faults.is_empty()
+    );
 }
 
 #[test]
--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -1,10 +1,12 @@
 //! A router between scripted peers: a primary, a replica and a discovery that do only what a test tells them.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
-use std::io::{BufRead, BufReader};
+pub mod faults;
+
+use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, ChildStdout, Command, Stdio};
+use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -44,6 +46,11 @@
 impl Router {
     /// Starts it; `descriptors` is the limit that the system sets it, where that is less than it believes.
     pub fn spawn(text: &str, descriptors: Option<usize>) -> Router {
+        Router::spawn_in(text, descriptors, &[])
+    }
+
+    /// The same with further variables in its environment.
+    pub fn spawn_in(text: &str, descriptors: Option<usize>, environment: &[(&str, String)]) -> Router {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path =
@@ -58,12 +65,20 @@
                 shell
             }
         };
+        command.envs(environment.iter().map(|(name, value)| (name, value)));
         let process = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn();
         let mut process = process.expect("a router");
         let log = BufReader::new(process.stdout.take().expect("a log"));
         Router { process, at: SocketAddr::from(([127, 0, 0, 1], 0)), log, config: path }
     }
 
+    /// What is left of its log and how it ended, once it has.
+    pub fn end(mut self) -> (String, ExitStatus) {
+        let mut log = String::new();
+        self.log.read_to_string(&mut log).expect("the log");
+        (log, self.process.wait().expect("a status"))
+    }
+
     pub fn until_ready(mut self) -> Router {
         let mut line = String::new();
         while !line.contains(" INFO ready ") {
@@ -114,10 +129,18 @@
 
 impl Fixture {
     pub fn start(replaced: &[(&str, &str)]) -> Fixture {
+        Fixture::start_with(replaced, |text, _, _| Router::spawn(text, None))
+    }
+
+    /// The same with a router that `spawn` starts, given its configuration, the primary and the replica.
+    pub fn start_with(
+        replaced: &[(&str, &str)],
+        spawn: impl FnOnce(&str, &ScriptedEndpoint, &ScriptedEndpoint) -> Router,
+    ) -> Fixture {
         let discovery = ScriptedDiscovery::start().expect("discovery");
         let (primary, replica) =
             (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
-        let router = Router::spawn(&config_text(discovery.at, replaced), None);
+        let router = spawn(&config_text(discovery.at, replaced), &primary, &replica);
         let fixture = Fixture { primary, replica, discovery, router };
         fixture.discovery.next().answer(&fixture.endpoint_list(1, "active", "active"));
         let fixture = Fixture { router: fixture.router.until_ready(), ..fixture };
--- a/crates/testkit/src/cluster/observation.rs
+++ b/crates/testkit/src/cluster/observation.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::audit::{self, Entry, Verdict, Whole};
+use crate::audit::{self, Records, Verdict, Whole};
 use crate::clock::unix_seconds;
 use crate::stand_in::Client;
 
@@ -55,15 +55,18 @@
     }
 
     /// All lines of the routers' audit files.
-    pub fn audit_entries(&self) -> Result<Vec<Entry>, ClusterError> {
-        let mut entries = Vec::new();
+    pub fn audit_records(&self) -> Result<Records, ClusterError> {
+        let mut all = Records::default();
         for router in &self.routers {
             let path = self.folder.join(format!("{}.audit", router.name));
-            let text = fs::read_to_string(&path).unwrap_or_default();
-            let read = audit::read(&text);
-            entries.extend(read.map_err(|reason| ClusterError::AuditFile { path, reason })?);
+            // A torn line may end within a character.
+            let bytes = fs::read(&path).unwrap_or_default();
+            let read = audit::read(&String::from_utf8_lossy(&bytes));
+            let records = read.map_err(|reason| ClusterError::AuditFile { path, reason })?;
+            all.entries.extend(records.entries);
+            all.torn += records.torn;
         }
-        Ok(entries)
+        Ok(all)
     }
 
     /// The budgets that the routers' files set, by name.
@@ -82,9 +85,10 @@
     /// What the routers wrote down and what the endpoints saw, checked against the budgets and the rules.
     pub fn audit(&self) -> Result<Verdict, ClusterError> {
         let newest = unix_seconds() - AUDIT_MARGIN;
-        let mut entries = self.audit_entries()?;
+        let Records { mut entries, torn } = self.audit_records()?;
         entries.retain(|entry| entry.at < newest);
         let mut verdict = audit::audit(&entries, &self.budgets());
+        verdict.torn = torn;
         let endpoints = 0..self.store.endpoint_count();
         let executions: Vec<_> = endpoints.clone().flat_map(|at| self.store.executions(at)).collect();
         verdict.faults.extend(audit::effects(&executions));
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -67,6 +67,8 @@
     grants: u64,
     spent: u64,
     processes: usize,
+    /// Torn lines of audit files.
+    torn: usize,
     answers: Answers,
     /// Schedules that were not played, as a router did not come up in time.
     not_played: u64,
@@ -82,6 +84,7 @@
         self.grants += verdict.grants;
         self.spent += verdict.spent;
         self.processes += verdict.processes;
+        self.torn += verdict.torn;
         answers.iter().for_each(|one| self.answers.add(one));
     }
 
@@ -89,6 +92,7 @@
         let played = schedules - self.not_played;
         println!("{played} schedules of {schedules}, {} processes of the program", self.processes);
         println!("{} grants, {} units spent, answers {:?}", self.grants, self.spent, self.answers);
+        println!("{} torn lines of audit files passed over", self.torn);
         for (budget, highest) in &self.highest {
             println!("{budget}: highest sum {highest:.3} of the whole");
         }
--- a/crates/testkit/tests/stored_audit.rs
+++ b/crates/testkit/tests/stored_audit.rs
@@ -19,7 +19,7 @@
 }
 
 fn stored_entries() -> Vec<Entry> {
-    read(STORED).expect("the stored form is read")
+    read(STORED).expect("the stored form is read").entries
 }
 
 #[test]
