--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -152,7 +152,7 @@
     assert!(!faults.disarm().is_empty());
     let took = is_served_by_the_replica(&fixture, 10);
     assert!(took < Duration::from_secs(1), "{took:?}");
-    assert_eq!(counter(&end(fixture), "ended_connect_failed"), 0);
+    assert_eq!(counter(&end(fixture), "attempts_connect_failed"), 0);
 }
 
 /// What stays for one host alone while others are reached makes that host unreachable: reads go elsewhere. Right already but
@@ -181,7 +181,7 @@
         number += 1;
     }
     assert!(!faults.disarm().is_empty());
-    assert!(counter(&end(fixture), "ended_connect_failed") > 0);
+    assert!(counter(&end(fixture), "attempts_connect_failed") > 0);
 }
 
 /// Every further try fails at once, at every host: the statement is rejected in its time, after as many tries as the settings
@@ -219,7 +219,7 @@
     is_served_by_the_replica(&fixture, 7);
     assert_eq!(faults.disarm().len(), 1);
     let log = end(fixture);
-    assert_eq!((counter(&log, "ended_reset"), counter(&log, "ended_connect_failed")), (0, 0));
+    assert_eq!((counter(&log, "attempts_connection_reset"), counter(&log, "attempts_connect_failed")), (0, 0));
 }
 
 /// The system may lack the memory to say whether a connection is up; that used to count as a failed connection.
@@ -233,7 +233,7 @@
     fixture.replica.resume_greeting();
     is_served_by_the_replica(&fixture, 7);
     assert!(!faults.disarm().is_empty());
-    assert_eq!(counter(&end(fixture), "ended_connect_failed"), 0);
+    assert_eq!(counter(&end(fixture), "attempts_connect_failed"), 0);
 }
 
 /// Interrupted calls are made again, and what is transferred byte by byte arrives whole. Right already but for `connect`, of
@@ -263,7 +263,7 @@
     assert_eq!(client.ask("").expect("an answer"), "empty");
     assert!(faults.occurred().len() > 50);
     let log = end(fixture);
-    assert_eq!((counter(&log, "executions"), counter(&log, "ended_completed")), (12, 12));
+    assert_eq!((counter(&log, "attempts"), counter(&log, "attempts_completed")), (12, 12));
 }
 
 /// A connection that broke shows in one of several ways. A read goes elsewhere and gets one answer; a write whose connection
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -123,7 +123,7 @@
     let (count, answers) = (occurred.len(), &tally.answers);
     let summary = format!("seed {seed}: {count} faults, {answers:?}, {} of {breaks} broken", tally.broken);
     let (log, status) = router.end();
-    if !status.success() || !log.contains("breaches_in_all=0") {
+    if !status.success() || !log.contains("invariant_violations_total=0") {
         tally.faults.push(format!("{status:?}: {}", log.lines().last().unwrap_or_default()));
     }
     if tally.faults.is_empty() { Ok(summary) } else { Err(format!("{summary}: {:?}", tally.faults)) }
