--- a/crates/core/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use ottersill_core::interface::*;
+use ottersill_routing::interface::*;
 use rstest::rstest;
 
 /// One of 300 routers whose group has host 0 as its primary.
 fn rarely_heard(seed: u64, lags: [f64; 3]) -> World {
-    let mut world = World::new(Terms { seed, routers: 300, ..terms(true) });
+    let mut world = World::new(RoutingConfig { seed, routers: 300, ..terms(true) });
     tell(&mut world, lags);
     world
 }
@@ -22,17 +22,17 @@
 }
 
 /// Ends all that is out of a statement, at once and for good.
-fn end(world: &mut World, stmt: usize, ending: Ending, took: f64) -> Option<usize> {
+fn end(world: &mut World, stmt: usize, ending: AttemptOutcome, took: f64) -> Option<usize> {
     let host = world.sent_to(stmt).last().copied()?;
-    let (note, report) = (Report::default(), None);
-    let outcome = Outcome { stmt, host, ending, took, closed: true, note, report };
-    world.router.outcome(world.now, &outcome, &mut world.book);
+    let (note, report) = (LoadReport::default(), None);
+    let outcome = AttemptResult { stmt, host, ending, took, closed: true, note, report };
+    world.router.on_attempt_result(world.now, &outcome, &mut world.book);
     Some(host)
 }
 
 fn word(world: &mut World, host: usize, busy: f64) {
-    let report = Report { role: Some(Role::Replica), lsn: Some(world.now), busy: Some(busy) };
-    world.router.probed(world.now, host, Ending::Completed, report, &mut world.book);
+    let report = LoadReport { role: Some(Role::Replica), lsn: Some(world.now), busy: Some(busy) };
+    world.router.on_health_check(world.now, host, AttemptOutcome::Completed, report, &mut world.book);
 }
 
 /// One statement tried the same full host eight times within 12 ms.
@@ -50,7 +50,7 @@
         if world.sent_to(read).len() > world.count(Done::Execute(read, host)) + 3 {
             break;
         }
-        world.end(read, host, Ending::Full, None);
+        world.end(read, host, AttemptOutcome::Full, None);
     }
     let sent = world.sent_to(read);
     let hosts: BTreeSet<usize> = sent.iter().copied().collect();
@@ -58,7 +58,7 @@
     assert!(hosts.len() >= least, "{sent:?}");
 }
 
-/// Reports went to all replicas, as each router had room at each; all logs stopped, and bounded reads had nowhere to go.
+/// ReportSource went to all replicas, as each router had room at each; all logs stopped, and bounded reads had nowhere to go.
 /// And on days on which hosts are replaced, those that left counted as if they could take a part.
 #[rstest]
 #[case::a_third_of_the_work(0.5, None, &[2])]
@@ -74,14 +74,14 @@
     let mut found = BTreeSet::new();
     for seed in 0..20 {
         let mut world = rarely_heard(seed, [0.0; 3]);
-        left.into_iter().for_each(|host| world.list(host, Standing::Gone, None));
+        left.into_iter().for_each(|host| world.list(host, EndpointState::Removed, None));
         for round in 0..30 {
             let reads: Vec<usize> = (0..20).map(|_| world.ask(READ)).collect();
             reads.into_iter().for_each(|read| {
-                end(&mut world, read, Ending::Completed, 0.05);
+                end(&mut world, read, AttemptOutcome::Completed, 0.05);
             });
             let report = world.ask(REPORT);
-            let host = end(&mut world, report, Ending::Completed, took);
+            let host = end(&mut world, report, AttemptOutcome::Completed, took);
             // What the work is has to be learnt first.
             found.extend(host.filter(|_| round >= 10));
             world.pass(1.0);
@@ -97,10 +97,10 @@
     let mut world = rarely_heard(7, [0.0; 3]);
     for _ in 0..12 {
         let report = world.ask(REPORT);
-        end(&mut world, report, Ending::Completed, 0.5);
+        end(&mut world, report, AttemptOutcome::Completed, 0.5);
         let reads: Vec<usize> = (0..20).map(|_| world.ask(READ)).collect();
         reads.into_iter().for_each(|read| {
-            end(&mut world, read, Ending::Completed, 0.05);
+            end(&mut world, read, AttemptOutcome::Completed, 0.05);
         });
     }
     world.pass(1.5);
@@ -123,7 +123,7 @@
     let mut busy = 0;
     for _ in 0..60 {
         let read = world.ask(READ);
-        busy += usize::from(end(&mut world, read, Ending::Completed, 0.05) == Some(1));
+        busy += usize::from(end(&mut world, read, AttemptOutcome::Completed, 0.05) == Some(1));
     }
     assert!(expected.contains(&busy), "{busy}");
 }
@@ -138,7 +138,7 @@
     let mut hosts = BTreeSet::new();
     for _ in 0..30 {
         let read = world.ask(READ);
-        hosts.extend(end(&mut world, read, Ending::Completed, 0.05));
+        hosts.extend(end(&mut world, read, AttemptOutcome::Completed, 0.05));
     }
     assert_eq!(hosts.contains(&2) && hosts.contains(&3), tried, "{hosts:?}");
 }
@@ -150,17 +150,17 @@
 #[case::as_slow_as_it_may_be(0.49, 0..12)]
 fn a_primary_that_answers_late_gets_few_reads(#[case] share: f64, #[case] expected: std::ops::Range<usize>) {
     let mut world = rarely_heard(7, [0.0; 3]);
-    (1..4).for_each(|host| world.list(host, Standing::Gone, None));
+    (1..4).for_each(|host| world.list(host, EndpointState::Removed, None));
     for _ in 0..20 {
         world.pass(0.3);
         let write = world.ask(WRITE);
-        assert_eq!(end(&mut world, write, Ending::Completed, share * 0.6), Some(0));
+        assert_eq!(end(&mut world, write, AttemptOutcome::Completed, share * 0.6), Some(0));
     }
     let mut sent = 0;
     for _ in 0..40 {
         world.pass(0.3);
         let read = world.ask(READ);
-        sent += usize::from(end(&mut world, read, Ending::Completed, share * 0.3) == Some(0));
+        sent += usize::from(end(&mut world, read, AttemptOutcome::Completed, share * 0.3) == Some(0));
     }
     assert!(expected.contains(&sent), "{sent}");
 }
@@ -177,10 +177,10 @@
     let mut at_primary = 0;
     for round in 0..40 {
         let read = world.ask(READ);
-        let host = end(&mut world, read, Ending::Completed, 0.05);
+        let host = end(&mut world, read, AttemptOutcome::Completed, 0.05);
         at_primary += usize::from(round >= 10 && host == Some(0));
         let stmt = world.ask(WRITE);
-        end(&mut world, stmt, Ending::Completed, write);
+        end(&mut world, stmt, AttemptOutcome::Completed, write);
         world.pass(0.5);
         tell(&mut world, [0.0, 9.0, 9.0]);
     }
@@ -199,7 +199,7 @@
         let read = world.ask(READ);
         let at_once = world.count(Done::Reject(read));
         let (ending, took) =
-            if round % 2 == 0 { (Ending::TimedOut, 0.39) } else { (Ending::Completed, took) };
+            if round % 2 == 0 { (AttemptOutcome::TimedOut, 0.39) } else { (AttemptOutcome::Completed, took) };
         end(&mut world, read, ending, took);
         if round >= 40 {
             (rejected, asked) = (rejected + at_once, asked + 1);
@@ -220,7 +220,7 @@
         });
         let write = world.ask(WRITE);
         assert_eq!(world.count(Done::Reject(write)), 0, "round {round}");
-        end(&mut world, write, Ending::Completed, 0.05);
+        end(&mut world, write, AttemptOutcome::Completed, 0.05);
         world.pass(0.5);
         tell(&mut world, [3.0; 3]);
     }
@@ -230,15 +230,15 @@
 /// over hundreds of routers it was pushed over (fleet days, a version between).
 #[test]
 fn a_cold_host_gets_no_more_for_those_that_left() {
-    let mut world = World::new(Terms { routers: 300, ..terms(true) });
-    [2, 3].into_iter().for_each(|host| world.list(host, Standing::Gone, None));
-    world.list(1, Standing::Ready, Some(world.now));
+    let mut world = World::new(RoutingConfig { routers: 300, ..terms(true) });
+    [2, 3].into_iter().for_each(|host| world.list(host, EndpointState::Removed, None));
+    world.list(1, EndpointState::Ready, Some(world.now));
     let mut sent = 0;
     for _ in 0..400 {
         world.report(1, Role::Replica, 0.0);
         let read = world.ask(READ);
-        sent += usize::from(end(&mut world, read, Ending::Completed, 0.05) == Some(1));
-        world.router.hangup(read);
+        sent += usize::from(end(&mut world, read, AttemptOutcome::Completed, 0.05) == Some(1));
+        world.router.on_client_gone(read);
     }
     // A fifth of its capacity at the start, times its half of the group: a tenth.
     assert!((20..60).contains(&sent), "{sent}");
@@ -255,9 +255,9 @@
         let each = |seed: u64| {
             let mut late_too = terms(true);
             late_too.workloads[MARKED].late_share = 0.3;
-            let mut world = World::new(Terms { seed, routers: 40, ..late_too });
+            let mut world = World::new(RoutingConfig { seed, routers: 40, ..late_too });
             (0..4).for_each(|host| world.report(host, Role::Replica, 0.0));
-            world.list(0, Standing::Ready, Some(world.now + waited + 0.1 - age));
+            world.list(0, EndpointState::Ready, Some(world.now + waited + 0.1 - age));
             let mut sent = 0;
             let mut ask = |world: &mut World| {
                 world.ask_with(MARKED, 4.0);
@@ -266,7 +266,7 @@
                 for done in out {
                     if let Done::Execute(stmt, host) = done {
                         sent += usize::from(host == 0);
-                        world.end(stmt, host, Ending::Completed, None);
+                        world.end(stmt, host, AttemptOutcome::Completed, None);
                     }
                 }
             };
@@ -287,10 +287,10 @@
 /// Three hundred fresh routers that each ask all hosts at once ask more than all statements of their first seconds together.
 #[test]
 fn a_fresh_router_asks_only_where_it_is_asked() {
-    let mut world = World::new(Terms { routers: 300, ..terms(true) });
+    let mut world = World::new(RoutingConfig { routers: 300, ..terms(true) });
     for _ in 0..200 {
         world.now += 0.02;
-        world.router.timer(world.now, &mut world.book);
+        world.router.on_tick(world.now, &mut world.book);
     }
     let probes = |world: &World| world.book.0.iter().filter(|done| matches!(done, Done::Probe(_))).count();
     assert_eq!(probes(&world), 0, "nobody has asked for anything");
@@ -300,16 +300,18 @@
 
 /// A host that refuses at once was asked again with each refusal while a statement waited: 0.21 of G on a herd day.
 #[rstest]
-#[case::refused(Ending::ConnectFailed)]
-#[case::turned_away(Ending::Full)]
-fn a_refused_probe_is_not_sent_again_at_once(#[case] ending: Ending) {
-    let mut world = World::new(Terms { routers: 300, ..terms(true) });
+#[case::refused(AttemptOutcome::ConnectFailed)]
+#[case::turned_away(AttemptOutcome::Full)]
+fn a_refused_probe_is_not_sent_again_at_once(#[case] ending: AttemptOutcome) {
+    let mut world = World::new(RoutingConfig { routers: 300, ..terms(true) });
     world.ask(READ);
     let probes = |world: &World| (0..4).map(|host| world.count(Done::Probe(host))).sum::<usize>();
     let asked = probes(&world);
     assert!(asked > 0);
     for _ in 0..20 {
-        (0..4).for_each(|h| world.router.probed(world.now, h, ending, Report::default(), &mut world.book));
+        (0..4).for_each(|h| {
+            world.router.on_health_check(world.now, h, ending, LoadReport::default(), &mut world.book)
+        });
     }
     assert_eq!(probes(&world), asked, "no time has passed");
 }
@@ -318,15 +320,17 @@
 #[test]
 fn a_part_of_the_fleet_s_budget_bounds_what_is_out() {
     let mut world = World::settled(true, [0.0; 3]);
-    let part = |host: usize, units: f64| Part { host, units: Some(units), tokens: None };
-    let parts =
-        |units: f64| Parts { hosts: (0..4).map(|host| part(host, units)).collect(), ..Parts::default() };
-    world.router.parts(world.now, &parts(1.0), &mut world.book);
+    let part = |host: usize, units: f64| EndpointQuota { host, units: Some(units), tokens: None };
+    let parts = |units: f64| FleetQuota {
+        hosts: (0..4).map(|host| part(host, units)).collect(),
+        ..FleetQuota::default()
+    };
+    world.router.on_quota(world.now, &parts(1.0), &mut world.book);
     let asked: Vec<usize> = (0..9).map(|_| world.ask(READ)).collect();
     let out = asked.iter().filter(|stmt| !world.sent_to(**stmt).is_empty()).count();
     assert!((3..=4).contains(&out), "{out}");
     assert_eq!(world.router.waiting(0), 9 - out);
-    world.router.parts(world.now, &parts(3.0), &mut world.book);
+    world.router.on_quota(world.now, &parts(3.0), &mut world.book);
     assert!(world.router.waiting(0) < 9 - out, "what waits goes out once there is more");
 }
 
@@ -334,18 +338,18 @@
 #[test]
 fn a_cold_host_gets_what_the_fleet_has_for_it() {
     let mut world = World::settled(true, [0.0; 3]);
-    world.list(1, Standing::Ready, Some(world.now - 1.0));
+    world.list(1, EndpointState::Ready, Some(world.now - 1.0));
     assert!(world.router.is_cold(world.now, 1) && !world.router.is_cold(world.now, 2));
     let hand_over = |world: &mut World, tokens: f64| {
-        let hosts = vec![Part { host: 1, units: None, tokens: Some(tokens) }];
-        let parts = Parts { hosts, routers: Some(4), second_tries: None };
-        world.router.parts(world.now, &parts, &mut world.book);
+        let hosts = vec![EndpointQuota { host: 1, units: None, tokens: Some(tokens) }];
+        let parts = FleetQuota { hosts, routers: Some(4), second_tries: None };
+        world.router.on_quota(world.now, &parts, &mut world.book);
     };
     hand_over(&mut world, 0.0);
     for _ in 0..40 {
         let read = world.ask(READ);
         assert_ne!(world.sent_to(read).last(), Some(&1));
-        end(&mut world, read, Ending::Completed, 0.01);
+        end(&mut world, read, AttemptOutcome::Completed, 0.01);
     }
     hand_over(&mut world, 1.0);
     let read = world.ask(READ);
--- a/crates/sim-adapter/src/instance/endpoints.rs
+++ b/crates/sim-adapter/src/instance/endpoints.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use ottersill_core::interface::{Listed, Standing};
+use ottersill_routing::interface::{EndpointState, EndpointUpdate};
 
 use crate::error::EventError;
 use crate::wire::event::Entry;
@@ -19,7 +19,7 @@
 struct Endpoint {
     name: String,
     /// The last entry that named it.
-    listed: Listed,
+    listed: EndpointUpdate,
 }
 
 impl EndpointTable {
@@ -41,10 +41,10 @@
         entry: &Entry,
         sites: &[String],
         group_index: impl FnOnce(u64) -> usize,
-    ) -> Result<Listed, EventError> {
+    ) -> Result<EndpointUpdate, EventError> {
         let standing = standing(entry.state)?;
         let known = self.index_of(&entry.host);
-        let listed = Listed {
+        let listed = EndpointUpdate {
             host: known.unwrap_or(self.endpoints.len()),
             order: name_hash(&entry.host),
             group: group_index(entry.set),
@@ -63,7 +63,7 @@
     }
 
     /// The first `known` endpoints without those in `list`, each as gone.
-    pub(super) fn absent_from(&self, list: &[Listed], known: usize) -> Vec<Listed> {
+    pub(super) fn absent_from(&self, list: &[EndpointUpdate], known: usize) -> Vec<EndpointUpdate> {
         let mut present = vec![false; known];
         for listed in list {
             if let Some(present) = present.get_mut(listed.host) {
@@ -71,15 +71,17 @@
             }
         }
         let absent = self.endpoints.iter().zip(present).filter(|(_, present)| !present);
-        absent.map(|(endpoint, _)| Listed { standing: Standing::Gone, ..endpoint.listed }).collect()
+        absent
+            .map(|(endpoint, _)| EndpointUpdate { standing: EndpointState::Removed, ..endpoint.listed })
+            .collect()
     }
 }
 
-fn standing(state: u8) -> Result<Standing, EventError> {
+fn standing(state: u8) -> Result<EndpointState, EventError> {
     match state {
-        0 => Ok(Standing::Ready),
-        2 => Ok(Standing::Gone),
-        3 => Ok(Standing::Draining),
+        0 => Ok(EndpointState::Ready),
+        2 => Ok(EndpointState::Removed),
+        3 => Ok(EndpointState::Draining),
         unknown => Err(EventError::UnknownState(unknown)),
     }
 }
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -1,18 +1,18 @@
 //! One router of the simulation, with the names that the wire has for the indices of routing.
 //!
 //! Routing knows endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] turns the names of
-//! events into indices and hands the events to its [`Router`]; the module `front` turns the router's decisions back into
+//! events into indices and hands the events to its [`Router`]; the module `transport` turns the router's decisions back into
 //! actions of the wire.
 
 mod endpoints;
-mod front;
 mod requests;
+mod transport;
 
 use std::collections::HashMap;
 
 use ottersill_config::deployment::Catalog;
-use ottersill_core::Router;
-use ottersill_core::interface::{Ending, Outcome, Report, Role, Statement};
+use ottersill_routing::Router;
+use ottersill_routing::interface::{AttemptOutcome, AttemptResult, LoadReport, Request, Role};
 
 use crate::error::EventError;
 use crate::wire::RequestId;
@@ -21,8 +21,8 @@
 };
 use crate::wire::reply::Reply;
 use endpoints::EndpointTable;
-use front::ReplyFront;
 use requests::RequestTable;
+use transport::ReplyFront;
 
 /// What a list of endpoints covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,13 +100,13 @@
             let missing = endpoints.absent_from(&changes, known_before);
             changes.extend(missing);
         }
-        self.router.hosts(now, &changes, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_endpoint_list(now, &changes, &mut ReplyFront { names: &mut self.names, reply });
         Ok(())
     }
 
     /// A call to discovery failed, or the subscription to its list broke.
     pub fn list_failed(&mut self) {
-        self.router.list_failed();
+        self.router.on_endpoint_list_failed();
     }
 
     /// A client's request arrived.
@@ -125,7 +125,7 @@
             }
             Some(Tenant::Nobody(_)) | None => None,
         };
-        let statement = Statement {
+        let statement = Request {
             workload,
             group: names.groups.index(demand.partition_no),
             tenant,
@@ -137,7 +137,7 @@
             work: None,
         };
         let index = names.requests.insert(demand.tid);
-        self.router.statement(now, index, statement, &mut ReplyFront { names, reply });
+        self.router.on_request(now, index, statement, &mut ReplyFront { names, reply });
         Ok(())
     }
 
@@ -160,7 +160,7 @@
             return Ok(());
         };
         names.requests.attempt_ended(stmt, resolved.done_flag);
-        let outcome = Outcome {
+        let outcome = AttemptResult {
             stmt,
             host,
             ending,
@@ -169,7 +169,7 @@
             note: names.answer_report(resolved.progress),
             report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
         };
-        self.router.outcome(now, &outcome, &mut ReplyFront { names, reply });
+        self.router.on_attempt_result(now, &outcome, &mut ReplyFront { names, reply });
         self.names.requests.release_if_finished(stmt);
         Ok(())
     }
@@ -188,15 +188,15 @@
         let names = &mut self.names;
         let host = names.endpoint(&result.host)?;
         let report =
-            result.pressure.as_ref().map_or(Report::default(), |pressure| names.load_report(pressure));
+            result.pressure.as_ref().map_or(LoadReport::default(), |pressure| names.load_report(pressure));
         let ending = ending(&result.result)?;
-        self.router.probed(now, host, ending, report, &mut ReplyFront { names, reply });
+        self.router.on_health_check(now, host, ending, report, &mut ReplyFront { names, reply });
         Ok(())
     }
 
     /// The timer of the router has expired.
     pub fn timer_expired(&mut self, now: f64, reply: &mut Reply) {
-        self.router.timer(now, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_tick(now, &mut ReplyFront { names: &mut self.names, reply });
     }
 
     /// A client went away. The batch may name a request that was answered a moment ago.
@@ -205,7 +205,7 @@
         let Some(index) = requests.index_of(request) else { return };
         let was_open = requests.finish(index);
         if was_open {
-            self.router.hangup(index);
+            self.router.on_client_gone(index);
         }
         requests.release_if_finished(index);
     }
@@ -217,17 +217,17 @@
     }
 
     /// What an answer itself told of its endpoint.
-    fn answer_report(&self, progress: Progress) -> Report {
+    fn answer_report(&self, progress: Progress) -> LoadReport {
         let role = progress.role().map(|role| match role {
             ProgressRole::Primary => Role::Primary,
             ProgressRole::Replica => Role::Replica,
         });
         let position = progress.position_ms();
-        Report { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), busy: None }
+        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), busy: None }
     }
 
-    fn load_report(&self, pressure: &Pressure) -> Report {
-        Report {
+    fn load_report(&self, pressure: &Pressure) -> LoadReport {
+        LoadReport {
             role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
             lsn: pressure.x0.map(|x0| self.catalog.zero + x0),
             busy: pressure.utilization,
@@ -240,17 +240,17 @@
 }
 
 /// The outcome of an attempt or of a health check by its name on the wire.
-fn ending(result: &str) -> Result<Ending, EventError> {
+fn ending(result: &str) -> Result<AttemptOutcome, EventError> {
     Ok(match result {
-        "ok" => Ending::Completed,
-        "error" => Ending::Error,
-        "full" => Ending::Full,
-        "timeout" => Ending::TimedOut,
-        "connect_failed" => Ending::ConnectFailed,
-        "reset" => Ending::Reset,
-        "cancelled" => Ending::Cancelled,
-        "moot" => Ending::NeverSent,
-        "miss" => Ending::Miss,
+        "ok" => AttemptOutcome::Completed,
+        "error" => AttemptOutcome::Error,
+        "full" => AttemptOutcome::Full,
+        "timeout" => AttemptOutcome::TimedOut,
+        "connect_failed" => AttemptOutcome::ConnectFailed,
+        "reset" => AttemptOutcome::Reset,
+        "cancelled" => AttemptOutcome::Cancelled,
+        "moot" => AttemptOutcome::NeverSent,
+        "miss" => AttemptOutcome::Miss,
         unknown => return Err(EventError::UnknownOutcome(unknown.to_string())),
     })
 }
--- a/crates/sim-adapter/src/instance/front.rs
+++ b/crates/sim-adapter/src/instance/transport.rs
@@ -1,6 +1,6 @@
 //! The router's decisions as actions of the wire.
 
-use ottersill_core::interface::Front;
+use ottersill_routing::interface::Transport;
 
 use super::Names;
 use crate::wire::reply::Reply;
@@ -18,8 +18,8 @@
     }
 }
 
-impl Front for ReplyFront<'_> {
-    fn execute(&mut self, stmt: usize, host: usize, time_out: f64) {
+impl Transport for ReplyFront<'_> {
+    fn start_attempt(&mut self, stmt: usize, host: usize, time_out: f64) {
         let Names { requests, endpoints, .. } = self.names;
         requests.attempt_started(stmt);
         self.reply.forward(requests.id(stmt), endpoints.name(host), time_out);
@@ -35,20 +35,20 @@
         self.finish(stmt);
     }
 
-    fn cancel(&mut self, stmt: usize, execution: u32) {
+    fn cancel_attempt(&mut self, stmt: usize, execution: u32) {
         self.reply.call_off(self.names.requests.id(stmt), execution);
     }
 
-    fn probe(&mut self, host: usize) {
+    fn start_health_check(&mut self, host: usize) {
         self.reply.sound_out(self.names.endpoints.name(host));
     }
 
-    fn wake(&mut self, after: f64) {
+    fn schedule_tick(&mut self, after: f64) {
         self.reply.notify_me(after);
     }
 
-    fn follow(&mut self) {
-        self.reply.follow();
+    fn request_endpoint_list(&mut self) {
+        self.reply.request_endpoint_list();
     }
 
     fn log(&mut self, text: &str) {
--- a/crates/sim-adapter/src/wire/batch.rs
+++ b/crates/sim-adapter/src/wire/batch.rs
@@ -67,8 +67,8 @@
 }
 
 struct Batch<'h, H>(&'h mut H);
-struct Parts<'h, H>(&'h mut H);
-struct Part<'h, H>(&'h mut H);
+struct FleetQuota<'h, H>(&'h mut H);
+struct EndpointQuota<'h, H>(&'h mut H);
 struct Events<'h, H>(&'h mut H, InstanceNumber);
 struct OneEvent<'h, H>(&'h mut H, InstanceNumber);
 
@@ -85,8 +85,8 @@
 }
 
 deserialize_seed!(Batch, deserialize_map);
-deserialize_seed!(Parts, deserialize_seq);
-deserialize_seed!(Part, deserialize_map);
+deserialize_seed!(FleetQuota, deserialize_seq);
+deserialize_seed!(EndpointQuota, deserialize_map);
 deserialize_seed!(Events, deserialize_seq);
 deserialize_seed!(OneEvent, deserialize_map);
 
@@ -118,7 +118,7 @@
                     has_clock = true;
                 }
                 "parts" if has_clock => {
-                    map.next_value_seed(Parts(handler))?;
+                    map.next_value_seed(FleetQuota(handler))?;
                     has_parts = true;
                 }
                 "parts" => early_parts = Some(map.next_value::<&RawValue>()?),
@@ -129,14 +129,14 @@
         }
         match early_parts {
             _ if !has_clock => Err(A::Error::missing_field("ts_ms")),
-            Some(raw) => read_raw(Parts(handler), raw),
+            Some(raw) => read_raw(FleetQuota(handler), raw),
             None if has_parts => Ok(()),
             None => Err(A::Error::missing_field("parts")),
         }
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for Parts<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for FleetQuota<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -144,12 +144,12 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        while seq.next_element_seed(Part(&mut *self.0))?.is_some() {}
+        while seq.next_element_seed(EndpointQuota(&mut *self.0))?.is_some() {}
         Ok(())
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for Part<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for EndpointQuota<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -96,7 +96,7 @@
     }
 
     /// Subscribes to changes of the endpoint list.
-    pub fn follow(&mut self) {
+    pub fn request_endpoint_list(&mut self) {
         self.write(format_args!("{{\"follow\":{{\"want\":true"));
         self.end_action();
     }
