--- a/crates/ottersill/src/memory/audit_file.rs
+++ b/crates/ottersill/src/memory/audit_file.rs
@@ -14,7 +14,7 @@
 impl AuditFile {
     pub fn open(path: &str) -> io::Result<AuditFile> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        // Where it can't be read, an empty line does no harm.
+        // Where it can't be read an empty line comes first, which counts as a torn one.
         let ends_within_line = last_byte(path).map_or(true, |last| last.is_some_and(|last| last != b'\n'));
         Ok(AuditFile { file, ends_within_line })
     }
@@ -39,8 +39,11 @@
     }
 }
 
-/// None for an empty file.
+/// None for an empty file, and for what is no regular file, as a pipe.
 fn last_byte(path: &str) -> io::Result<Option<u8>> {
+    if !std::fs::metadata(path)?.is_file() {
+        return Ok(None);
+    }
     let mut file = File::open(path)?;
     if file.seek(SeekFrom::End(0))? == 0 {
         return Ok(None);
