--- a/crates/core/tests/digests/main.rs
+++ b/crates/core/tests/digests/main.rs
@@ -39,6 +39,10 @@
 #[case::repeats_and_late_answers(repeats_and_late_answers, 0x5E53_80B5_4CDB_60C5)]
 #[case::scarce_retries(scarce_retries, 0xA1FF_5673_BFE2_4503)]
 #[case::reads_that_may_be_long(reads_that_may_be_long, 0x76B7_36D5_E2F3_B9BC)]
+#[case::slow_answers_at_many_routers(slow_answers_at_many_routers, 0xAF61_B9C1_EC40_8237)]
+#[case::reads_near_their_bound(reads_near_their_bound, 0x1DDB_F02B_387D_C522)]
+#[case::warming_in_many_groups(warming_in_many_groups, 0xF350_8122_D969_97A5)]
+#[case::frequent_stalls(frequent_stalls, 0xC2AE_D78C_895D_9F11)]
 fn same_events_same_actions(#[case] scenario: fn() -> Scenario, #[case] expected: u64) {
     let recorder = Simulation::new(scenario()).run();
     let name = std::thread::current().name().unwrap_or("scenario").replace("::", "-");
--- a/crates/core/tests/digests/scenarios.rs
+++ b/crates/core/tests/digests/scenarios.rs
@@ -284,3 +284,43 @@
         ..calm(24)
     }
 }
+
+/// Few requests for each of many groups, most of them late.
+pub fn slow_answers_at_many_routers() -> Scenario {
+    let terms = Terms { routers: 40, reports: Reports::WithProbes, ..terms(25) };
+    Scenario {
+        terms,
+        weights: weights(&[(SHORT_READ, 8), (ANY_READ, 2), (WRITE, 2)]),
+        groups: 8,
+        requests_per_second: 50.0,
+        seconds: 80.0,
+        service_time: 0.8,
+        failures: 150,
+        tells_utilization: true,
+        changes: vec![Change::Slow, Change::Slow, Change::Recover, Change::Restart, Change::Crowd],
+        ..calm(25)
+    }
+}
+
+/// Endpoints check reads, lag by about the bound, and are heard of rarely.
+pub fn reads_near_their_bound() -> Scenario {
+    let terms = Terms { routers: 40, members_check_reads: true, reports: Reports::WithProbes, ..terms(26) };
+    Scenario { terms, lag: 1.1, groups: 4, requests_per_second: 80.0, ..calm(26) }
+}
+
+/// As many groups as are asked for very differently, with endpoints that restart all the time.
+pub fn warming_in_many_groups() -> Scenario {
+    let terms = Terms { routers: 2, ..terms(27) };
+    Scenario {
+        terms,
+        groups: 10,
+        requests_per_second: 150.0,
+        changes: vec![Change::Restart, Change::Restart, Change::Join, Change::Failover],
+        ..calm(27)
+    }
+}
+
+/// A router that stalls at nearly every third timer call.
+pub fn frequent_stalls() -> Scenario {
+    Scenario { stalls: 300, ..hung_endpoints() }
+}
