--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -3,7 +3,6 @@
 
 #![warn(missing_docs)]
 
-use crate::wire::client_close::CLOSING;
 use crate::wire::exchange::LEEWAY;
 
 /// A router serves after this time even if no endpoint list has come, so that one without a list can be told from one
@@ -13,6 +12,8 @@
 const MIN_LAME_DUCK: f64 = 0.5;
 /// The process may be killed this long after the longest statement timeout.
 const KILL_DELAY: f64 = 0.7;
+/// After the longest statement timeout clients have this long to take in their last answer and end their connections.
+const CLOSE_MARGIN: f64 = 1.0;
 /// The most that the longest statement timeout counts for in that.
 const MAX_COUNTED_TIMEOUT: f64 = 3.0;
 
@@ -70,7 +71,7 @@
                 Phase::lame_duck(now, observed.longest_statement_timeout)
             }
             Phase::LameDuck { until, .. } if now >= until => {
-                Phase::Draining { until: now + observed.longest_statement_timeout + CLOSING }
+                Phase::Draining { until: now + observed.longest_statement_timeout + CLOSE_MARGIN }
             }
             Phase::Draining { .. } if observed.has_no_clients => Phase::Stopped,
             Phase::Draining { until } if now >= until => Phase::Stopped,
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -15,7 +15,7 @@
 pub(crate) const LOW_LATENCY: f64 = 0.35;
 /// The same above which it shrinks.
 const HIGH_LATENCY: f64 = 0.5;
-/// EndpointQuota of the primary's limit that reads may fill; the rest is kept for writes.
+/// Part of the primary's limit that reads may fill; the rest is kept for writes.
 pub(crate) const PRIMARY_READ_FRACTION: f64 = 0.5;
 /// Least weight of one answer in what is learnt of an endpoint.
 const MIN_ANSWER_WEIGHT: f64 = 0.1;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -15,9 +15,9 @@
 const RETURNS_AFTER_FIRST_TRY: f64 = 1.0;
 /// The same for a later try.
 const RETURNS_AFTER_RETRY: f64 = 0.5;
-/// EndpointQuota of its SLO time that a trial of an ejected endpoint gets, so that another attempt elsewhere may be in time.
+/// Part of its SLO time that a trial of an ejected endpoint gets, so that another attempt elsewhere may be in time.
 const TRIAL_TIME: f64 = 0.5;
-/// EndpointQuota of its time after which a request that was never sent is rejected: later, it costs its client more than it may
+/// Part of its time after which a request that was never sent is rejected: later, it costs its client more than it may
 /// still earn (departure 2 of docs/design.md).
 const UNSENT_TIME: f64 = 0.5;
 
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -11,7 +11,7 @@
 use crate::selection;
 use crate::state::RouterState;
 
-/// EndpointQuota of the tightest staleness bound from which on a replica counts as lagging.
+/// Part of the tightest staleness bound from which on a replica counts as lagging.
 const LAGGING: f64 = 0.5;
 
 impl RouterState {
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -5,11 +5,7 @@
 use crate::interface::{Consistency, Effect, RequestClass, RoutingConfig};
 use crate::retry::ClientRetryDetector;
 
-<<<<<<< ours
-/// EndpointQuota of the SLO time that an answer is taken to need before any came.
-=======
 /// Before any answer came one is expected to take the SLO time divided by this.
->>>>>>> theirs
 const INITIAL_LATENCY_DIVISOR: f64 = 6.0;
 /// Weight of the newest answer in a class's expected latency.
 const LATENCY_LEARNING_RATE: f64 = 0.02;
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -305,7 +305,12 @@
 
 /// Endpoints check reads, lag by about the bound, and are heard of rarely.
 pub fn reads_near_their_bound() -> Scenario {
-    let terms = RoutingConfig { routers: 40, members_check_reads: true, reports: ReportSource::WithProbes, ..terms(26) };
+    let terms = RoutingConfig {
+        routers: 40,
+        members_check_reads: true,
+        reports: ReportSource::WithProbes,
+        ..terms(26)
+    };
     Scenario { terms, lag: 1.1, groups: 4, requests_per_second: 80.0, ..calm(26) }
 }
 
