--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -119,7 +119,7 @@
     assert!(took > Duration::from_secs(2) && took < Duration::from_millis(3500), "{took:?}");
     faults.disarm();
     is_served_by_the_replica(&fixture, 7);
-    assert_eq!(counter(&end(fixture), "clients_unwatched"), 1);
+    assert_eq!(counter(&end(fixture), "client_connections_unwatched"), 1);
 }
 
 /// Whatever this machine lacks for a connection: the statement is rejected, as it had no effect, and no host is blamed. Once
@@ -348,7 +348,7 @@
     assert_eq!(log.matches("counters: ").count(), written, "{log}");
     let torn = log.lines().find(|line| !line.starts_with(|first: char| first.is_ascii_digit()));
     assert!(torn.is_none(), "{torn:?}");
-    assert_eq!(counter(&log, "log_dropped") > 0, written == 1);
+    assert_eq!(counter(&log, "log_lines_dropped") > 0, written == 1);
 }
 
 /// A log that nobody empties blocks no statement. Right already.
