--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -92,11 +92,6 @@
         self.rejected_reads += weight;
     }
 
-    /// Priority weight of all requests of late.
-    pub(crate) fn total(&self) -> f64 {
-        self.reads + self.writes
-    }
-
     /// Lets all sums decay by one tick.
     pub(crate) fn tick(&mut self) {
         self.reads = decayed(self.reads, DEMAND_MEMORY);
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::clock::TICK;
 use crate::eligibility::View;
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
-use crate::interface::{Effect, Transport};
+use crate::interface::{Consistency, Effect, Transport};
 use crate::request::{RequestState, TrackedRequest};
 use crate::retry;
 use crate::selection;
@@ -89,6 +89,8 @@
             transport.abort(id.index());
             return;
         }
+        let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
+        self.replica_sets[request.group].throughput.record_rejection(needs_primary);
         // A client that comes back after its SLO time only adds load; until then the sooner the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
         let max_retry_after = self.terms.max_retry_after;
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -3,13 +3,14 @@
 //! [`View::can_accept`] is the one gate before an attempt is sent.
 
 use crate::endpoint::Endpoint;
-use crate::ids::{EndpointId, Id};
+use crate::ids::{EndpointId, GroupId, Id};
 use crate::interface::{Consistency, Effect};
 use crate::request::TrackedRequest;
 use crate::retry;
 use crate::slow_start::Candidate;
 use crate::state::RouterState;
 use crate::stats::ClassStats;
+use crate::throughput;
 
 /// A read-only view of a router's state at one time.
 #[derive(Clone, Copy)]
@@ -41,9 +42,13 @@
 
     /// Whether the endpoint may be sent anything at all: it was heard of, does not drain, and is not ejected.
     pub(crate) fn is_usable(&self, endpoint: EndpointId) -> bool {
-        let target = self.endpoint(endpoint);
-        let was_heard = !target.role.is_unknown() || !self.state.terms.may_probe;
-        was_heard && !self.state.is_excluded(endpoint) && target.outlier.is_available(self.now)
+        let is_available = self.endpoint(endpoint).outlier.is_available(self.now);
+        self.was_heard(endpoint) && !self.state.is_excluded(endpoint) && is_available
+    }
+
+    /// Whether the endpoint has told its role, where it can be asked for that.
+    fn was_heard(&self, endpoint: EndpointId) -> bool {
+        !self.endpoint(endpoint).role.is_unknown() || !self.state.terms.may_probe
     }
 
     /// The position that an endpoint needs to serve the request from its own data; infinite where only the primary will do.
@@ -107,6 +112,18 @@
         self.endpoint(endpoint).slow_start.capacity_fraction(self.now, &self.state.terms)
     }
 
+    /// What the endpoint can do now, in sizes of warm ones.
+    pub(crate) fn capacity(&self, endpoint: EndpointId) -> f64 {
+        throughput::capacity(self.endpoint(endpoint).size(), self.capacity_fraction(endpoint))
+    }
+
+    /// What those members of a group can do together that were heard of and are not excluded.
+    pub(crate) fn group_capacity(&self, group: GroupId) -> f64 {
+        let members = self.state.replica_sets[group].members().iter().copied();
+        let present = members.filter(|member| !self.state.is_excluded(*member) && self.was_heard(*member));
+        present.map(|member| self.capacity(member)).sum()
+    }
+
     /// Whether the endpoint was started so recently that it has not all of its capacity.
     pub(crate) fn is_warming(&self, endpoint: EndpointId) -> bool {
         self.capacity_fraction(endpoint) < 1.0
@@ -123,8 +140,7 @@
             waited: self.now - request.arrived_at,
             size: target.size(),
             members: members.map(|member| (self.endpoint(*member).size(), self.is_usable(*member))),
-            demand: group.demand.total(),
-            demands: self.state.replica_sets.iter().map(|group| group.demand.total()),
+            throughput: &group.throughput,
         };
         // Each attempt of a request has a sample of its own.
         let counter = request.sample_counter + u64::from(request.attempts);
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -1,6 +1,7 @@
 //! What is learnt from the result of an attempt about its group, its endpoint and its class.
 
 use crate::concurrency_limit::{Observation, PRIMARY_READ_FRACTION};
+use crate::eligibility::View;
 use crate::ids::{EndpointId, Id, RequestId};
 use crate::interface::{AttemptOutcome, AttemptResult, Consistency, Role};
 use crate::outlier;
@@ -70,6 +71,7 @@
     pub(crate) fn record_result(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult) {
         // A request that is long itself is no sign of overload; one that is short could hide it.
         let latency = (outcome.took - request.extra_work).max(0.0);
+        self.update_throughput(now, request, outcome);
         self.update_admission(now, request, outcome, latency);
         self.update_endpoint(now, request, outcome, latency);
         self.update_class(request, outcome, latency);
@@ -79,6 +81,21 @@
         }
     }
 
+    /// Counts an answer by what its endpoint and its group can do now (departure 30 of docs/design.md).
+    fn update_throughput(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult) {
+        if outcome.ending != AttemptOutcome::Completed {
+            return;
+        }
+        let id = EndpointId::new(outcome.host);
+        let needs = self.classes.get(request.class).needs();
+        let needs_primary = matches!(needs, Consistency::Primary | Consistency::Fresh);
+        let view = View::new(now, self);
+        let endpoint_capacity = view.capacity(id);
+        let group_capacity = view.group_capacity(request.group).max(endpoint_capacity);
+        let throughput = &mut self.replica_sets[request.group].throughput;
+        throughput.record_answer(needs_primary, endpoint_capacity, group_capacity);
+    }
+
     /// Guards against overload that no router sees by itself: adjusts the group's admission ratio (departure 18 of
     /// docs/design.md).
     fn update_admission(
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,7 +14,7 @@
 //! 5. `eligibility`, `selection`: which endpoints may take it, and which of them does.
 //! 6. `feedback`, `monitoring`: what is learnt from results, reports and health checks.
 //! 7. One concern each, with its own state: `primary`, `consistency`, `retry`, `admission`, `concurrency_limit`,
-//!    `slow_start`, `outlier`, `health_check`, `stats`.
+//!    `slow_start`, `throughput`, `outlier`, `health_check`, `stats`.
 //! 8. What holds these: `endpoint`, `replica_set`, `state`; and `ids`, `clock`, `sampling` below all.
 //!
 //! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling` and
@@ -47,5 +47,6 @@
 mod slow_start;
 mod state;
 mod stats;
+mod throughput;
 
 pub use router::Router;
--- a/crates/routing/src/replica_set.rs
+++ b/crates/routing/src/replica_set.rs
@@ -3,6 +3,7 @@
 use crate::admission::{AdmitRatio, Demand, WriteThrottle};
 use crate::ids::EndpointId;
 use crate::primary::PrimaryTracker;
+use crate::throughput::Throughput;
 
 /// Seconds since the last answer within which a group counts as heard of often. Its endpoints are then known by their
 /// concurrency limits; where routers are many no group is.
@@ -18,6 +19,7 @@
     pub(crate) admit_ratio: AdmitRatio,
     pub(crate) write_throttle: WriteThrottle,
     pub(crate) demand: Demand,
+    pub(crate) throughput: Throughput,
 }
 
 impl ReplicaSet {
@@ -30,6 +32,7 @@
             admit_ratio: AdmitRatio::new(),
             write_throttle: WriteThrottle::default(),
             demand: Demand::default(),
+            throughput: Throughput::default(),
         }
     }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -146,6 +146,7 @@
         }
         self.state.stalls.record_call(now);
         self.state.classes.tick();
+        self.state.replica_sets.iter_mut().for_each(|group| group.throughput.tick());
         self.state.eject_silent(now);
         self.state.cancel_stuck_reads(now, transport);
         self.state.adjust_write_throttles(now);
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -2,9 +2,11 @@
 //!
 //! A warming endpoint that is sent a multiple of what it can do falls over. All routers together have to stay below that
 //! without communication: of the requests that fall to the endpoint by its size, a sample drawn once for each request
-//! lets through its capacity fraction, with a margin. Where the fleet has a budget for it, that goes before any sample.
+//! lets through its capacity fraction, with a margin; where rejected clients come back, no more than a part of what the
+//! group answers. Where the fleet has a budget for it, that goes before any sample.
 
 use crate::interface::RoutingConfig;
+use crate::throughput::Throughput;
 
 /// Margin for chance in what a warming endpoint is sent.
 const SLOW_START_MARGIN: f64 = 0.8;
@@ -21,7 +23,7 @@
 }
 
 /// A request that may go to a warming endpoint, and what else falls to that endpoint.
-pub(crate) struct Candidate<Members, Demands> {
+pub(crate) struct Candidate<'a, Members> {
     /// The request's last attempt was sent to the same endpoint.
     pub(crate) is_second_in_a_row: bool,
     /// The request can go to the primary alone.
@@ -32,10 +34,8 @@
     pub(crate) size: f64,
     /// Size of each member of the group, and whether it is usable now.
     pub(crate) members: Members,
-    /// What the endpoint's group is asked for.
-    pub(crate) demand: f64,
-    /// The same of all groups, to tell whether it is more than usual.
-    pub(crate) demands: Demands,
+    /// What its group answers and rejects.
+    pub(crate) throughput: &'a Throughput,
 }
 
 impl SlowStart {
@@ -62,7 +62,7 @@
         &self,
         now: f64,
         terms: &RoutingConfig,
-        candidate: Candidate<impl Iterator<Item = (f64, bool)>, impl ExactSizeIterator<Item = f64>>,
+        candidate: Candidate<impl Iterator<Item = (f64, bool)>>,
         sample: impl FnOnce() -> f64,
     ) -> bool {
         let capacity = self.capacity_fraction(now, terms);
@@ -83,9 +83,9 @@
         } else {
             share_by_size(candidate.size, candidate.members)
         };
-        let excess = excess_demand(candidate.demand, candidate.demands);
-        let safe_multiple = SLOW_START_MARGIN * terms.fall_multiple / 2.0;
-        sample() < safe_multiple * capacity * share * prompt / excess
+        let of_offered = SLOW_START_MARGIN / 2.0 * share * prompt;
+        let of_answered = candidate.throughput.share(candidate.to_primary, candidate.size);
+        sample() < terms.fall_multiple * capacity * of_offered.min(of_answered)
     }
 }
 
@@ -102,10 +102,3 @@
     }
     size / f64::max(usable, all / 2.0)
 }
-
-/// How much more a group is asked for than the mean of all groups, `1.0` at least: more of that falls to each member.
-fn excess_demand(demand: f64, demands: impl ExactSizeIterator<Item = f64>) -> f64 {
-    let groups = demands.len() as f64;
-    let mean = demands.sum::<f64>() / groups;
-    (demand / mean).max(1.0)
-}
