--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -32,6 +32,13 @@
 const TRIAL: f64 = 1.0;
 /// Margin for the chance in what a cold host is sent.
 const COLD: f64 = 0.8;
+/// The part of what a cold host is allowed that it may be sent where more is offered than its group answers.
+const COLD_CROWDED: f64 = 0.4;
+/// Seconds over which what a group has answered and rejected fades: what it could do before some of it went cold
+/// must not count for long.
+const COLD_MEMORY: f64 = 2.0;
+/// What any member is taken to be able to do, in sizes of warm ones: a list may name a size of nothing.
+const LEAST_CAPACITY: f64 = 0.01;
 /// Typical answer times that an execution needs to be likely in time, and that are worth a try at once.
 const ENOUGH: f64 = 1.4;
 const HASTE: f64 = 0.7;
@@ -356,6 +363,13 @@
             row.may_return -= row.may_return * BEAT / WORTH;
             row.work -= row.work * BEAT / (4.0 * FORGET);
         }
+        for group in &mut self.groups {
+            let fade = |count: &mut f64| *count -= *count * BEAT / COLD_MEMORY;
+            fade(&mut group.rejected_reads);
+            fade(&mut group.rejected_writes);
+            fade(&mut group.answers);
+            fade(&mut group.answered_writes);
+        }
         self.notice_silence(now, front);
         self.set_flow(now);
         self.turn = (self.turn + 1) % self.groups.len().max(1);
@@ -447,6 +461,11 @@
         let bounded = self.terms_of(&held).bound().is_some();
         self.groups[held.stmt.group].reads_lost += if bounded { held.worth } else { 0.0 };
         if harmless {
+            let group = &mut self.groups[held.stmt.group];
+            match self.rows[held.stmt.workload].terms.needs {
+                Needs::Primary | Needs::Fresh => group.rejected_writes += 1.0,
+                _ => group.rejected_reads += 1.0,
+            }
             // A client that comes back after its SLO time only adds load; until then the sooner the better.
             let late = now >= held.arrived + self.terms_of(&held).slo_time;
             let soonest = if late { f64::INFINITY } else { RETRY };
@@ -680,14 +699,38 @@
             Needs::Primary | Needs::Fresh => 1.6,
             _ => size(&host) / there.max(all / 2.0),
         };
-        // A group that is asked for more than others would have more fall to each of its members.
-        let asked = |group: &Group| group.reads + group.writes;
-        let mean = self.groups.iter().map(asked).sum::<f64>() / self.groups.len() as f64;
-        let hot = (asked(group) / mean).max(1.0);
         // What waited for it, as for a new primary, would come from all routers at once: few of that.
         let prompt = (1.0 - (now - held.arrived) / (self.terms.fall_span / 2.0)).max(0.0);
         let lot = self.odds(held.lot + u64::from(held.executions), host);
-        lot < COLD * self.terms.fall_multiple / 2.0 * part * share * prompt / hot
+        let offered = COLD / 2.0 * share * prompt;
+        lot < self.terms.fall_multiple * part * offered.min(self.cold_crowded(host, held))
+    }
+
+    /// Guards against crowds at a cold host. Its part of what is offered is more than it can take where clients come
+    /// back until they are answered; what its group answers can't be more than its members can do. Summed over all
+    /// routers, this sends it so much of what a member with as much of its capacity answers.
+    fn cold_crowded(&self, host: usize, held: &Held) -> f64 {
+        let group = &self.groups[self.members[host].listed.group];
+        let (rejected, answers) = match self.terms_of(held).needs {
+            Needs::Primary | Needs::Fresh => {
+                (group.rejected_writes, group.answers.max(group.answered_writes))
+            }
+            _ => (group.rejected_reads, group.answers),
+        };
+        // Where nothing was rejected of late nothing comes back: what is asked for stands for itself.
+        let offered = 1.0 + rejected;
+        COLD_CROWDED * self.members[host].listed.size * (answers + offered.powi(-2)) / offered
+    }
+
+    /// What the members of a group that were heard of can do now, in sizes of warm ones.
+    fn capacity(&self, now: f64, group: usize) -> f64 {
+        let heard = |m: &&Member| m.role.is_some() || !self.terms.may_probe;
+        let there = self.groups[group].members.iter().filter(|host| !self.barred(**host));
+        there.map(|host| &self.members[*host]).filter(heard).map(|m| self.capacity_of(now, m)).sum()
+    }
+
+    fn capacity_of(&self, now: f64, m: &Member) -> f64 {
+        (m.listed.size * self.part(now, m)).max(LEAST_CAPACITY)
     }
 
     /// The part of its capacity that a member has at least.
@@ -757,6 +800,9 @@
 
     /// What an execution's end tells of its member and its workload.
     fn learn(&mut self, now: f64, held: &Held, outcome: &Outcome) {
+        let own = self.capacity_of(now, &self.members[outcome.host]);
+        let capacity = self.capacity(now, held.stmt.group).max(own);
+        let writes = matches!(self.terms_of(held).needs, Needs::Primary | Needs::Fresh);
         let row = &mut self.rows[held.stmt.workload];
         let m = &mut self.members[outcome.host];
         let weight = m.weight(now);
@@ -775,6 +821,8 @@
             group.open = (group.open + since * step).clamp(REOPEN / 2.0, 1.0);
         }
         group.answered_at = now;
+        group.answers += f64::from(done) / capacity;
+        group.answered_writes += f64::from(done && writes) / own;
         // A second try that paid is not counted.
         self.second_tries += f64::from(done && held.ran.is_some());
         let share = if stalled { m.load } else { took / row.terms.slo_time };
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -104,6 +104,13 @@
     /// The part of reads let through, by how many come late, and when an answer last came.
     pub open: f64,
     pub answered_at: f64,
+    /// Statements that were rejected of late: those that replicas may answer, and those that need the primary.
+    pub rejected_reads: f64,
+    pub rejected_writes: f64,
+    /// Statements that were answered of late, each by what the group could do then, in sizes of warm members.
+    pub answers: f64,
+    /// Of these, those that need the primary, each by what the member that answered could do then.
+    pub answered_writes: f64,
     /// All marks up to here were forgotten, as all members had them.
     pub floor: f64,
     /// The part of writes that is held back.
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -560,8 +560,15 @@
             self.answered += usize::from(request.group == 0 && self.now >= self.scenario.cold_start());
         }
         let report = self.report(host);
-        let outcome =
-            Outcome { stmt: slot, host, ending, took, closed, note: report, report: closed.then_some(report) };
+        let outcome = Outcome {
+            stmt: slot,
+            host,
+            ending,
+            took,
+            closed,
+            note: report,
+            report: closed.then_some(report),
+        };
         let now = self.now;
         self.call(router, |module, front| module.outcome(now, &outcome, front));
     }
