--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -183,3 +183,13 @@
         self.book.0.iter().filter(|other| **other == done).count()
     }
 }
+
+/// How many of so many statements, asked at once, go to that host before they wait.
+pub fn held_at(world: &mut World, workload: usize, host: usize) -> usize {
+    let asked: Vec<usize> = (0..60).map(|_| world.ask(workload)).collect();
+    asked.iter().filter(|stmt| world.sent_to(**stmt) == [host]).count()
+}
+
+pub fn work(own: f64, usual: f64, spread: f64) -> Option<WorkEstimate> {
+    Some(WorkEstimate { own, usual, spread })
+}
