--- /dev/null
+++ b/crates/routing/tests/scale.rs
@@ -0,0 +1,299 @@
+//! What a router needs in fleets of different size, with the same traffic: 20 requests a second, one change of the endpoint
+//! list a second, groups of five.
+//!
+//! CI counts work, not seconds. The table of CPU seconds is printed by
+//! `SCALE_SECONDS=60 cargo test --release -p ottersill-routing --test scale -- --nocapture`.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use ottersill_routing::Router;
+use ottersill_routing::interface::*;
+use rustix::time::{ClockId, clock_gettime};
+
+const GROUP_SIZE: usize = 5;
+/// Steps of the simulation in a second.
+const STEPS_PER_SECOND: usize = 100;
+const STEPS_PER_TICK: usize = 2;
+const STEPS_PER_REQUEST: usize = 5;
+/// Steps until an attempt and a health check are answered.
+const ANSWER_STEPS: usize = 4;
+const CHECK_STEPS: usize = 1;
+/// One request of so many is a write.
+const REQUESTS_PER_WRITE: usize = 5;
+const READ: usize = 0;
+const WRITE: usize = 1;
+/// Seconds on the router's clock when it starts.
+const START: f64 = 1000.0;
+
+fn config(routers: usize) -> RoutingConfig {
+    let class = |needs, effect| RequestClass {
+        needs,
+        effect,
+        importance: 3.0,
+        late_share: 0.0,
+        slo_time: 0.3,
+        statement_timeout: 1.0,
+    };
+    RoutingConfig {
+        seed: 7,
+        routers,
+        site: None,
+        workloads: vec![
+            class(Consistency::Bounded(10.0), Effect::Idempotent),
+            class(Consistency::Primary, Effect::NonIdempotent),
+        ],
+        tenant_rates: Vec::new(),
+        over_share: 0.1,
+        reports: ReportSource::WithAnswers,
+        members_check_reads: false,
+        remembers_writes: true,
+        list_on_request: false,
+        may_probe: true,
+        may_cancel: true,
+        max_executions: 8,
+        max_retry_after: 1.0,
+        only_draining_bars: false,
+        cold_part: 0.2,
+        warm_after: 10.0,
+        fall_multiple: 2.5,
+        fall_span: 1.0,
+    }
+}
+
+fn listed(host: usize, group: usize, standing: EndpointState, started_at: Option<f64>) -> EndpointUpdate {
+    EndpointUpdate { host, order: host as u64 * 7919, group, site: None, size: 1.0, standing, started_at }
+}
+
+/// CPU time of this thread.
+fn cpu_time() -> Duration {
+    clock_gettime(ClockId::ThreadCPUTime).try_into().expect("CPU time is positive")
+}
+
+/// Calls and adds the CPU time that it took.
+fn timed(spent: &mut Duration, call: impl FnOnce()) {
+    let before = cpu_time();
+    call();
+    *spent += cpu_time() - before;
+}
+
+/// What the router asked for in one step.
+#[derive(Default)]
+struct Asked {
+    attempts: Vec<(usize, usize)>,
+    health_checks: Vec<usize>,
+    refused: Vec<usize>,
+}
+
+impl Transport for Asked {
+    fn start_attempt(&mut self, stmt: usize, host: usize, _time_out: f64) {
+        self.attempts.push((stmt, host));
+    }
+    fn reject(&mut self, stmt: usize, _retry_after: f64) {
+        self.refused.push(stmt);
+    }
+    fn abort(&mut self, stmt: usize) {
+        self.refused.push(stmt);
+    }
+    fn cancel_attempt(&mut self, _stmt: usize, _execution: u32) {}
+    fn start_health_check(&mut self, host: usize) {
+        self.health_checks.push(host);
+    }
+    fn schedule_tick(&mut self, _after: f64) {}
+    fn request_endpoint_list(&mut self) {}
+    fn log(&mut self, _text: &str) {}
+}
+
+enum Event {
+    Answer { stmt: usize, host: usize },
+    CheckAnswer { host: usize },
+}
+
+/// What one run took.
+#[derive(Default)]
+struct Figures {
+    ticks: Duration,
+    requests: Duration,
+    results: Duration,
+    first_list: Duration,
+    changes: Duration,
+    health_checks: usize,
+    asked: usize,
+    answered: usize,
+    refused: usize,
+}
+
+/// One router in a fleet of that size.
+struct Fleet {
+    router: Router,
+    asked: Asked,
+    endpoints: Vec<EndpointUpdate>,
+    groups: usize,
+    step: usize,
+    events: BTreeMap<usize, Vec<Event>>,
+    /// Of each index whether a request holds it.
+    in_use: Vec<bool>,
+    figures: Figures,
+}
+
+impl Fleet {
+    fn new(endpoints: usize, routers: usize) -> Fleet {
+        let mut asked = Asked::default();
+        let router = Router::start(START, config(routers), &mut asked);
+        let listed = |host: usize| listed(host, host / GROUP_SIZE, EndpointState::Ready, None);
+        let endpoints: Vec<EndpointUpdate> = (0..endpoints).map(listed).collect();
+        let groups = endpoints.len() / GROUP_SIZE;
+        let mut fleet = Fleet {
+            router,
+            asked,
+            endpoints,
+            groups,
+            step: 0,
+            events: BTreeMap::new(),
+            in_use: Vec::new(),
+            figures: Figures::default(),
+        };
+        let Fleet { router, asked, endpoints, figures, .. } = &mut fleet;
+        timed(&mut figures.first_list, || router.on_endpoint_list(START, endpoints, asked));
+        fleet
+    }
+
+    fn now(&self) -> f64 {
+        START + self.step as f64 / STEPS_PER_SECOND as f64
+    }
+
+    /// What an endpoint says of itself.
+    fn report(&self, host: usize) -> LoadReport {
+        let role = if host < self.groups * GROUP_SIZE && host % GROUP_SIZE == 0 {
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        LoadReport { role: Some(role), lsn: Some(self.now() - 0.01), busy: Some(0.3) }
+    }
+
+    /// Runs for so many simulated seconds, and some more without new requests.
+    fn run(mut self, seconds: usize) -> (Figures, Router) {
+        let last = seconds * STEPS_PER_SECOND;
+        while self.step < last + 2 * STEPS_PER_SECOND {
+            self.step += 1;
+            for event in self.events.remove(&self.step).unwrap_or_default() {
+                self.take(&event);
+            }
+            if self.step <= last && self.step % STEPS_PER_REQUEST == 0 {
+                self.ask();
+            }
+            if self.step % STEPS_PER_SECOND == 0 {
+                self.replace_endpoint();
+            }
+            if self.step % STEPS_PER_TICK == 0 {
+                let now = self.now();
+                let Fleet { router, asked, figures, .. } = &mut self;
+                timed(&mut figures.ticks, || router.on_tick(now, asked));
+            }
+            self.carry_out();
+        }
+        (self.figures, self.router)
+    }
+
+    fn ask(&mut self) {
+        let now = self.now();
+        self.figures.asked += 1;
+        let workload = if self.figures.asked % REQUESTS_PER_WRITE == 0 { WRITE } else { READ };
+        let index = self.in_use.iter().position(|in_use| !in_use).unwrap_or(self.in_use.len());
+        self.in_use.resize(self.in_use.len().max(index + 1), true);
+        self.in_use[index] = true;
+        let request = Request {
+            workload,
+            // Spread over all groups in an order that repeats none soon.
+            group: self.figures.asked * 7919 % self.groups,
+            tenant: None,
+            session: Some(self.figures.asked as u64 % 50),
+            time_left: 1.0,
+            since_write: None,
+            repeat: false,
+            writes: false,
+            work: None,
+        };
+        let Fleet { router, asked, figures, .. } = self;
+        timed(&mut figures.requests, || router.on_request(now, index, request, asked));
+    }
+
+    fn take(&mut self, event: &Event) {
+        let now = self.now();
+        match *event {
+            Event::Answer { stmt, host } => {
+                let note = self.report(host);
+                let ending = AttemptOutcome::Completed;
+                let outcome =
+                    AttemptResult { stmt, host, ending, took: 0.04, closed: true, note, report: Some(note) };
+                let Fleet { router, asked, figures, .. } = self;
+                timed(&mut figures.results, || router.on_attempt_result(now, &outcome, asked));
+                self.figures.answered += 1;
+                self.in_use[stmt] = false;
+            }
+            Event::CheckAnswer { host } => {
+                let report = self.report(host);
+                let Fleet { router, asked, figures, .. } = self;
+                let ending = AttemptOutcome::Completed;
+                timed(&mut figures.results, || {
+                    router.on_health_check(now, host, ending, report, asked);
+                });
+            }
+        }
+    }
+
+    /// A replica leaves in one second, another one takes its place, cold, in the next.
+    fn replace_endpoint(&mut self) {
+        let now = self.now();
+        let second = self.step / STEPS_PER_SECOND;
+        let group = second / 2 * 31 % self.groups;
+        let leaves = group * GROUP_SIZE + 1 + second / 2 % (GROUP_SIZE - 1);
+        let change = if second % 2 == 0 {
+            listed(leaves, group, EndpointState::Removed, None)
+        } else {
+            listed(self.endpoints.len(), group, EndpointState::Ready, Some(now))
+        };
+        if change.host == self.endpoints.len() {
+            self.endpoints.push(change);
+        }
+        let Fleet { router, asked, figures, .. } = self;
+        timed(&mut figures.changes, || router.on_endpoint_list(now, &[change], asked));
+    }
+
+    fn carry_out(&mut self) {
+        let Asked { attempts, health_checks, refused } = std::mem::take(&mut self.asked);
+        self.figures.health_checks += health_checks.len();
+        self.figures.refused += refused.len();
+        refused.into_iter().for_each(|stmt| self.in_use[stmt] = false);
+        let answers = attempts.into_iter().map(|(stmt, host)| Event::Answer { stmt, host });
+        self.events.entry(self.step + ANSWER_STEPS).or_default().extend(answers);
+        let checked = health_checks.into_iter().map(|host| Event::CheckAnswer { host });
+        self.events.entry(self.step + CHECK_STEPS).or_default().extend(checked);
+    }
+}
+
+/// Simulated seconds of each run: few in CI, more for the table.
+fn seconds() -> usize {
+    std::env::var("SCALE_SECONDS").map_or(4, |seconds| seconds.parse().expect("a number of seconds"))
+}
+
+/// The same traffic is answered in full whatever the size of the fleet. Prints the table.
+#[test]
+fn each_request_is_answered_once_in_fleets_of_each_size() {
+    println!(
+        "endpoints routers | ticks s  requests s  results s  first list s  changes s | health checks refused"
+    );
+    for (endpoints, routers) in [(200, 300), (1600, 300), (3200, 900)] {
+        let (figures, _) = Fleet::new(endpoints, routers).run(seconds());
+        let Figures { ticks, requests, results, first_list, changes, health_checks, refused, .. } = figures;
+        let [ticks, requests, results, first_list, changes] =
+            [ticks, requests, results, first_list, changes].map(|spent| spent.as_secs_f64());
+        println!(
+            "{endpoints:9} {routers:7} | {ticks:.4}   {requests:.4}      {results:.4}     {first_list:.4}        \
+             {changes:.4}    | {health_checks:13} {refused:7}"
+        );
+        assert_eq!(figures.answered + figures.refused, figures.asked, "one final answer each");
+        assert!(figures.refused * 20 <= figures.asked, "{refused} of {} refused", figures.asked);
+    }
+}
