--- a/crates/routing/src/consistency.rs
+++ b/crates/routing/src/consistency.rs
@@ -107,6 +107,11 @@
         }
     }
 
+    /// How many sessions are remembered.
+    pub(crate) fn len(&self) -> usize {
+        self.sessions.len()
+    }
+
     /// Forgets the watermarks that no endpoint of the group lacks, or all that may be forgotten if they are too many.
     pub(crate) fn forget(&mut self, is_lacking: impl Fn(GroupId, f64) -> bool) {
         let is_full = self.sessions.len() > MAX_WATERMARKS;
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -31,7 +31,9 @@
 
     /// The same for all groups, as what is known of endpoints has changed.
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
-        for group in self.replica_sets.ids() {
+        let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
+        for group in waiting {
+            self.work.groups += 1;
             self.dispatch_waiting(now, group, transport);
         }
     }
@@ -109,7 +111,9 @@
     /// Cancels reads at ejected endpoints that have fallen silent, at the last moment for another endpoint to answer in
     /// time (departure 6 of docs/design.md).
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
-        for id in self.requests.ids() {
+        let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
+        for id in in_flight {
+            self.work.requests += 1;
             let request = self.requests.get(id);
             if let RequestState::Executing(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -299,6 +299,18 @@
     pub second_tries: Option<f64>,
 }
 
+/// What a router has looked at since it started, beside what each call names. It goes by the traffic and by what changes,
+/// not by the size of the fleet: a figure that grows with the number of endpoints is a fault.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Work {
+    /// Groups visited by timer calls, and by endpoint lists and quotas for what waits there.
+    pub groups: u64,
+    /// Requests looked at by timer calls.
+    pub requests: u64,
+    /// Watermarks of sessions looked at by timer calls.
+    pub watermarks: u64,
+}
+
 /// Carries out what a [`Router`](crate::Router) decides.
 pub trait Transport {
     /// Sends an attempt; after `time_out` seconds it counts as not answered, 0 means when its client gives up.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -53,6 +53,7 @@
 
     /// Ejects the endpoints that take attempts and answer none (departure 5 of docs/design.md).
     pub(crate) fn eject_silent(&mut self, now: f64) {
+        self.work.requests += self.requests.in_flight_ids().len() as u64;
         let mut detector = SilenceDetector::default();
         for (request, id) in self.requests.in_flight() {
             let endpoint = &self.endpoints[id];
@@ -179,6 +180,7 @@
     pub(crate) fn adjust_write_throttles(&mut self, now: f64) {
         let Some(bound) = self.tightest_bound else { return };
         for group in self.replica_sets.ids() {
+            self.work.groups += 1;
             let lagging = self.lagging_share(now, group, bound * LAGGING);
             let group = &mut self.replica_sets[group];
             let is_current = group.is_heard_often(now);
@@ -204,6 +206,7 @@
     /// Forgets the watermarks of sessions that every endpoint of their group has come up to.
     pub(crate) fn forget_watermarks(&mut self) {
         let mut watermarks = std::mem::take(&mut self.watermarks);
+        self.work.watermarks += watermarks.len() as u64;
         watermarks.forget(|group, position| {
             let is_behind = |member: &EndpointId| {
                 !self.is_excluded(*member) && self.endpoints[*member].position.known() < position
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -9,6 +9,8 @@
 //!
 //! Every change passes through [`Requests::transition`]. A request has at most one attempt in flight.
 
+use std::collections::BTreeSet;
+
 use crate::ids::{ClassId, EndpointId, GroupId, RequestId, Table};
 use crate::retry::PossibleEffect;
 
@@ -100,6 +102,10 @@
     /// As many as were ever held at once.
     table: Table<RequestId, Entry>,
     queues: Table<GroupId, Vec<RequestId>>,
+    /// The groups whose queue is not empty.
+    groups_waiting: BTreeSet<GroupId>,
+    /// The requests that have an attempt in flight.
+    in_flight: BTreeSet<RequestId>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -125,17 +131,22 @@
         self.table[id].state
     }
 
-    /// All identifiers that were ever used, free ones too.
-    pub(crate) fn ids(&self) -> impl Iterator<Item = RequestId> + use<> {
-        self.table.ids()
+    /// The identifiers of the requests that have an attempt in flight, in order.
+    pub(crate) fn in_flight_ids(&self) -> impl ExactSizeIterator<Item = RequestId> {
+        self.in_flight.iter().copied()
     }
 
-    /// The requests that have an attempt in flight, and at which endpoint.
+    /// The requests that have an attempt in flight, and at which endpoint, in the order of their identifiers.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = (&TrackedRequest, EndpointId)> {
-        let entries = self.table.iter();
+        let entries = self.in_flight_ids().map(|id| &self.table[id]);
         entries.filter_map(|entry| Some((&entry.request, entry.state.endpoint()?)))
     }
 
+    /// The groups in which a request waits, in order.
+    pub(crate) fn groups_waiting(&self) -> impl Iterator<Item = GroupId> {
+        self.groups_waiting.iter().copied()
+    }
+
     /// Takes a request in under an identifier that is free; it stays in state [`RequestState::Free`] for now.
     pub(crate) fn insert(&mut self, id: RequestId, request: TrackedRequest) {
         let entry = Entry { request, state: RequestState::Free };
@@ -162,6 +173,16 @@
             let position = queue.partition_point(is_ahead);
             queue.insert(position, id);
         }
+        if queue.is_empty() {
+            self.groups_waiting.remove(&request.group);
+        } else {
+            self.groups_waiting.insert(request.group);
+        }
+        if to.endpoint().is_some() {
+            self.in_flight.insert(id);
+        } else {
+            self.in_flight.remove(&id);
+        }
         self.table[id].state = to;
         from
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,11 +1,13 @@
 //! The entry points of the crate: what happens is handed to the concerns in a fixed order.
 
+use std::collections::BTreeSet;
+
 use crate::clock::TICK;
 use crate::eligibility::View;
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{
     AttemptOutcome, AttemptResult, EndpointUpdate, FleetQuota, LoadReport, ReportSource, Request,
-    RequestClass, RoutingConfig, Transport,
+    RequestClass, RoutingConfig, Transport, Work,
 };
 use crate::request::RequestState;
 use crate::state::RouterState;
@@ -157,12 +159,16 @@
     /// Looks at the groups in which something waits, and at one more in turn.
     fn visit_groups(&mut self, now: f64, transport: &mut impl Transport) {
         let state = &mut self.state;
-        self.idle_group = (self.idle_group + 1) % state.replica_sets.len().max(1);
-        for group in state.replica_sets.ids() {
-            if group.index() == self.idle_group || !state.requests.waiting(group).is_empty() {
-                state.dispatch_waiting(now, group, transport);
-                state.poll(now, group, transport);
-            }
+        let groups = state.replica_sets.len();
+        self.idle_group = (self.idle_group + 1) % groups.max(1);
+        let mut visited: BTreeSet<GroupId> = state.requests.groups_waiting().collect();
+        if self.idle_group < groups {
+            visited.insert(GroupId::new(self.idle_group));
+        }
+        for group in visited {
+            state.work.groups += 1;
+            state.dispatch_waiting(now, group, transport);
+            state.poll(now, group, transport);
         }
     }
 
@@ -178,6 +184,12 @@
         self.state.requests.waiting(GroupId::new(group)).len()
     }
 
+    /// What the router has looked at since it started.
+    #[must_use]
+    pub fn work(&self) -> Work {
+        self.state.work
+    }
+
     /// Whether an attempt that was decided on may still be sent, as the list, a role or the time may have changed
     /// meanwhile.
     #[must_use]
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -9,7 +9,7 @@
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
 use crate::ids::{EndpointId, GroupId, RequestId, Table};
-use crate::interface::RoutingConfig;
+use crate::interface::{RoutingConfig, Work};
 use crate::replica_set::ReplicaSet;
 use crate::request::{RequestState, Requests};
 use crate::retry::RetryBudget;
@@ -32,6 +32,7 @@
     pub(crate) latency_pressure: LatencyPressure,
     pub(crate) stalls: StallDetector,
     pub(crate) sampler: Sampler,
+    pub(crate) work: Work,
 }
 
 impl RouterState {
@@ -51,6 +52,7 @@
             latency_pressure: LatencyPressure::default(),
             stalls: StallDetector::new(now),
             sampler: Sampler::new(terms.seed),
+            work: Work::default(),
             terms,
         }
     }
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -297,3 +297,28 @@
         assert!(figures.refused * 20 <= figures.asked, "{refused} of {} refused", figures.asked);
     }
 }
+
+/// Guards against a walk over all groups with each change of the endpoint list: at 3,200 endpoints one a second is usual.
+#[test]
+fn a_change_of_the_list_visits_only_groups_in_which_a_request_waits() {
+    let mut fleet = Fleet::new(3200, 900);
+    let groups_visited = |fleet: &mut Fleet| {
+        let before = fleet.router.work().groups;
+        fleet.replace_endpoint();
+        fleet.router.work().groups - before
+    };
+    assert_eq!(groups_visited(&mut fleet), 0, "nothing waits");
+    (0..3).for_each(|_| fleet.ask());
+    assert_eq!(groups_visited(&mut fleet), 3, "no endpoint was heard of, so the three requests wait");
+}
+
+/// Guards against timer calls that go through all requests that were ever held at once.
+#[test]
+fn a_tick_looks_only_at_requests_in_flight() {
+    let mut fleet = Fleet::new(64, 300);
+    (0..200).for_each(|_| fleet.ask());
+    (0..200).for_each(|index| fleet.router.on_client_gone(index));
+    let before = fleet.router.work().requests;
+    fleet.router.on_tick(fleet.now() + 0.02, &mut fleet.asked);
+    assert_eq!(fleet.router.work().requests, before, "the clients of all have left");
+}
