--- a/crates/routing/src/consistency.rs
+++ b/crates/routing/src/consistency.rs
@@ -3,7 +3,8 @@
 //! Positions in the replication log are times in seconds on the router's clock: an endpoint at position `p` has every
 //! commit up to `p`.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::RangeBounds;
 
 use crate::ids::{GroupId, Table};
 
@@ -81,6 +82,8 @@
     /// For each group the position that all forgotten watermarks lie within. Who joins later, from an older copy, must come
     /// up to it.
     floors: Table<GroupId, f64>,
+    /// The groups in which a position, the members or a watermark have changed since watermarks were last forgotten.
+    changed_groups: BTreeSet<GroupId>,
 }
 
 impl SessionWatermarks {
@@ -94,6 +97,7 @@
         let watermark = self.sessions.entry((group, session)).or_default();
         watermark.position = watermark.position.max(commit.unwrap_or(0.0));
         watermark.writes_in_flight = watermark.writes_in_flight.saturating_sub(1);
+        self.changed_groups.insert(group);
     }
 
     /// The position that the session's reads need; infinite while a write is in flight, as its answer may be on its way
@@ -107,23 +111,41 @@
         }
     }
 
-    /// How many sessions are remembered.
-    pub(crate) fn len(&self) -> usize {
-        self.sessions.len()
+    /// A position in the group has moved, or a member has come, gone or returned.
+    pub(crate) fn record_change_of(&mut self, group: GroupId) {
+        self.changed_groups.insert(group);
     }
 
     /// Forgets the watermarks that no endpoint of the group lacks, or all that may be forgotten if they are too many.
-    pub(crate) fn forget(&mut self, is_lacking: impl Fn(GroupId, f64) -> bool) {
-        let is_full = self.sessions.len() > MAX_WATERMARKS;
-        let floors = &mut self.floors;
-        self.sessions.retain(|(group, _), watermark| {
-            let is_kept =
-                watermark.writes_in_flight > 0 || !is_full && is_lacking(*group, watermark.position);
-            if !is_kept {
-                floors.grow_to(*group, || 0.0);
-                floors[*group] = floors[*group].max(watermark.position);
-            }
-            is_kept
-        });
+    /// Looks only at groups in which that may have changed; returns how many watermarks it looked at.
+    pub(crate) fn forget(&mut self, is_lacking: impl Fn(GroupId, f64) -> bool) -> u64 {
+        let changed = std::mem::take(&mut self.changed_groups);
+        if self.sessions.len() > MAX_WATERMARKS {
+            return self.forget_among(.., |_, watermark| watermark.writes_in_flight > 0);
+        }
+        let is_kept = |group, watermark: &Watermark| {
+            watermark.writes_in_flight > 0 || is_lacking(group, watermark.position)
+        };
+        changed.into_iter().map(|group| self.forget_among((group, 0)..=(group, u64::MAX), is_kept)).sum()
+    }
+
+    /// Forgets those of the sessions that are not to be kept; returns how many there were.
+    fn forget_among(
+        &mut self,
+        among: impl RangeBounds<(GroupId, u64)>,
+        is_kept: impl Fn(GroupId, &Watermark) -> bool,
+    ) -> u64 {
+        let mut looked_at = 0;
+        let among = self.sessions.range(among).inspect(|_| looked_at += 1);
+        let forgotten = among.filter(|((group, _), watermark)| !is_kept(*group, watermark));
+        let forgotten: Vec<((GroupId, u64), f64)> =
+            forgotten.map(|(session, watermark)| (*session, watermark.position)).collect();
+        for (session, position) in forgotten {
+            self.sessions.remove(&session);
+            let (group, _) = session;
+            self.floors.grow_to(group, || 0.0);
+            self.floors[group] = self.floors[group].max(position);
+        }
+        looked_at
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -25,6 +25,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     listing: EndpointUpdate,
+    /// The group that it was first listed in.
+    member_of: GroupId,
     /// It was listed as draining, and not as ready since.
     is_drained: bool,
     utilization: Option<ReportedUtilization>,
@@ -43,6 +45,7 @@
     /// An endpoint that nothing is known of but its entry in the list, as if health-checked last at `checked_at`.
     pub(crate) fn new(listing: EndpointUpdate, limit: f64, checked_at: f64) -> Endpoint {
         Endpoint {
+            member_of: GroupId::new(listing.group),
             listing: EndpointUpdate { started_at: None, ..listing },
             is_drained: false,
             utilization: None,
@@ -84,6 +87,11 @@
         GroupId::new(self.listing.group)
     }
 
+    /// The group that it is a member of since it was first listed.
+    pub(crate) fn member_of(&self) -> GroupId {
+        self.member_of
+    }
+
     /// Its site, where sites are told.
     pub(crate) fn site(&self) -> Option<usize> {
         self.listing.site
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -25,6 +25,7 @@
         let position = report.lsn.filter(|position| *position <= now);
         if let Some(position) = position {
             endpoint.position.record(now, position, in_answer);
+            self.watermarks.record_change_of(endpoint.member_of());
         }
         if let Some(role) = report.role {
             let at = if in_answer { now } else { position.unwrap_or(0.0) };
@@ -160,7 +161,9 @@
         if id.index() == self.endpoints.len() {
             self.add_endpoint(now, listing, initial_limit);
         }
-        self.endpoints[id].apply_update(listing, initial_limit);
+        let endpoint = &mut self.endpoints[id];
+        endpoint.apply_update(listing, initial_limit);
+        self.watermarks.record_change_of(endpoint.member_of());
         if self.is_excluded(id) {
             self.unseat(id);
         }
@@ -214,13 +217,13 @@
     /// Forgets the watermarks of sessions that every endpoint of their group has come up to.
     pub(crate) fn forget_watermarks(&mut self) {
         let mut watermarks = std::mem::take(&mut self.watermarks);
-        self.work.watermarks += watermarks.len() as u64;
-        watermarks.forget(|group, position| {
+        let looked_at = watermarks.forget(|group, position| {
             let is_behind = |member: &EndpointId| {
                 !self.is_excluded(*member) && self.endpoints[*member].position.known() < position
             };
             self.replica_sets[group].members().iter().any(is_behind)
         });
         self.watermarks = watermarks;
+        self.work.watermarks += looked_at;
     }
 }
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -332,3 +332,16 @@
     let new_groups = (3200 - 200) / GROUP_SIZE as u64;
     assert!(2 * (large - new_groups) <= 3 * small, "{large} for {small}");
 }
+
+/// Guards against timer calls that go through the watermarks of all sessions: in a large fleet most members of a group are
+/// heard of rarely, so watermarks are kept long.
+#[test]
+fn a_watermark_is_looked_at_when_its_group_has_changed() {
+    let (figures, router) = Fleet::new(3200, 300).run(seconds());
+    let writes = figures.asked / REQUESTS_PER_WRITE;
+    // Each write's own end, each answer and check of its group, each change of the list.
+    let changes = writes + figures.answered + figures.health_checks + seconds();
+    let looked_at = router.work().watermarks;
+    assert!(looked_at >= writes as u64, "{looked_at} for {writes} writes");
+    assert!(looked_at <= 2 * changes as u64, "{looked_at} for {changes} changes");
+}
