--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -31,7 +31,9 @@
 
     /// The same for all groups, as what is known of endpoints has changed.
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
-        for group in self.replica_sets.ids() {
+        let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
+        for group in waiting {
+            self.work.groups += 1;
             self.dispatch_waiting(now, group, transport);
         }
     }
@@ -83,14 +85,15 @@
         class.client_retries().expect(returns);
         let settings = class.settings();
         if settings.bound().is_some() {
-            self.replica_sets[request.group].demand.record_rejected_read(request.weight);
+            let demand = &mut self.replica_sets[request.group].demand;
+            demand.record_rejected_read(self.demand_ticks, request.weight);
         }
         if !retry::client_may_repeat(settings.effect, request.possible_effect) {
             transport.abort(id.index());
             return;
         }
         let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
-        self.replica_sets[request.group].throughput.record_rejection(needs_primary);
+        self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
         // A client that comes back after its SLO time only adds load; until then the sooner the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
         let max_retry_after = self.terms.max_retry_after;
@@ -111,7 +114,9 @@
     /// Cancels reads at ejected endpoints that have fallen silent, at the last moment for another endpoint to answer in
     /// time (departure 6 of docs/design.md).
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
-        for id in self.requests.ids() {
+        let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
+        for id in in_flight {
+            self.work.requests += 1;
             let request = self.requests.get(id);
             if let RequestState::Executing(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -141,6 +141,7 @@
             size: target.size(),
             members: members.map(|member| (self.endpoint(*member).size(), self.is_usable(*member))),
             throughput: &group.throughput,
+            ticks: self.state.throughput_ticks,
         };
         // Each attempt of a request has a sample of its own.
         let counter = request.sample_counter + u64::from(request.attempts);
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -3,13 +3,15 @@
 //! [`crate::eligibility`] and [`crate::selection`] read it; [`crate::dispatch`], [`crate::feedback`] and
 //! [`crate::monitoring`] change it; [`crate::router`] calls these in a fixed order.
 
+use std::collections::BTreeSet;
+
 use crate::admission::{LatencyPressure, TenantQuotas};
-use crate::clock::StallDetector;
+use crate::clock::{StallDetector, TickCount};
 use crate::consistency::SessionWatermarks;
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
 use crate::ids::{EndpointId, GroupId, RequestId, Table};
-use crate::interface::RoutingConfig;
+use crate::interface::{RoutingConfig, Work};
 use crate::replica_set::ReplicaSet;
 use crate::request::{RequestState, Requests};
 use crate::retry::RetryBudget;
@@ -24,6 +26,13 @@
     pub(crate) classes: Classes,
     pub(crate) endpoints: Table<EndpointId, Endpoint>,
     pub(crate) replica_sets: Table<GroupId, ReplicaSet>,
+    /// The groups of which an attempt ended a moment ago, that reject some writes, or that are new: the write throttle of
+    /// all others stays as it is.
+    pub(crate) throttled_or_heard: BTreeSet<GroupId>,
+    /// Ticks by which the demand of all groups decays.
+    pub(crate) demand_ticks: TickCount,
+    /// Ticks by which the groups' counts of answers and rejections decay.
+    pub(crate) throughput_ticks: TickCount,
     pub(crate) requests: Requests,
     pub(crate) watermarks: SessionWatermarks,
     pub(crate) tenants: TenantQuotas,
@@ -32,6 +41,7 @@
     pub(crate) latency_pressure: LatencyPressure,
     pub(crate) stalls: StallDetector,
     pub(crate) sampler: Sampler,
+    pub(crate) work: Work,
 }
 
 impl RouterState {
@@ -43,6 +53,9 @@
             classes: Classes::new(&terms),
             endpoints: Table::default(),
             replica_sets: Table::default(),
+            throttled_or_heard: BTreeSet::new(),
+            demand_ticks: TickCount::default(),
+            throughput_ticks: TickCount::default(),
             requests: Requests::default(),
             watermarks: SessionWatermarks::default(),
             tenants: TenantQuotas::new(now, terms.tenant_rates.len()),
@@ -51,13 +64,16 @@
             latency_pressure: LatencyPressure::default(),
             stalls: StallDetector::new(now),
             sampler: Sampler::new(terms.seed),
+            work: Work::default(),
             terms,
         }
     }
 
     /// The group with that identifier; it is new if nothing named it before.
     pub(crate) fn replica_set_mut(&mut self, group: GroupId) -> &mut ReplicaSet {
+        let known = self.replica_sets.len();
         self.replica_sets.grow_to(group, ReplicaSet::new);
+        self.throttled_or_heard.extend(self.replica_sets.ids().skip(known));
         &mut self.replica_sets[group]
     }
 
