--- a/crates/ottersill/src/wire/host_side.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -6,15 +6,15 @@
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 use slog::info;
 
-use crate::memory::lines::{Course, Line, Load};
-use crate::memory::statements::Stage;
+use crate::backend::connection::{Course, Line, Load};
+use crate::backend::reply::Reply;
+use crate::event_loop::{Exchange, Party};
+use crate::in_flight::Stage;
+use crate::protocol::frame;
+use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket_failure::ConnectFailure;
+use crate::protocol::statement_text::{DEADLINE_MARGIN, time_left_to_tell};
 use crate::timers::Timer as Alarm;
-use crate::wire::exchange::{Exchange, Party};
-use crate::wire::frame;
-use crate::wire::reply::Reply;
-use crate::wire::socket::{self, Got, Outbox};
-use crate::wire::socket_failure::ConnectFailure;
-use crate::wire::statement::{DEADLINE_MARGIN, time_left_to_tell};
 
 impl Exchange {
     /// Every change of a line's course, with the time by which it has to change again.
--- a/crates/ottersill/src/memory/lines.rs
+++ b/crates/ottersill/src/backend/connection.rs
@@ -7,9 +7,9 @@
 use ottersill_routing::interface::AttemptOutcome;
 use socket2::Socket;
 
+use crate::backend::reply::Reply;
+use crate::protocol::socket::Outbox;
 use crate::timers::TimerHandle as Set;
-use crate::wire::reply::Reply;
-use crate::wire::socket::Outbox;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Course {
--- a/crates/ottersill/src/wire/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 
-use crate::wire::frame::{Message, Nonsense};
+use crate::protocol::frame::{Message, Nonsense};
 
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
--- a/crates/ottersill/src/wire/client_close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -7,9 +7,9 @@
 
 use std::net::Shutdown;
 
-use crate::memory::clients::{Client, Session};
-use crate::wire::exchange::{Exchange, LEEWAY};
-use crate::wire::socket;
+use crate::client::connection::{Client, Session};
+use crate::event_loop::{Exchange, LEEWAY};
+use crate::protocol::socket;
 
 /// A connection that is shut is closed after so many seconds, though its client has not ended: a slow one may still be reading
 /// its last answer, which a reset would discard, and whatever it sends after the close is answered by one.
@@ -19,7 +19,7 @@
 
 impl Exchange {
     /// Ends a connection on which nothing is in hand and all is written.
-    pub(super) fn shut_client(&mut self, id: usize) {
+    pub(crate) fn shut_client(&mut self, id: usize) {
         self.session_passes(id, Session::Closing);
         self.set_client_alarm(id, self.now + CLOSING);
         let client = &mut self.clients[id];
@@ -31,7 +31,7 @@
     }
 
     /// A client that was dismissed is heard no more; only its last answer has to go out.
-    pub(super) fn dismissed_is_ready(&mut self, id: usize) {
+    pub(crate) fn dismissed_is_ready(&mut self, id: usize) {
         let client = &mut self.clients[id];
         match client.outbox.flush(&client.socket) {
             Ok(true) => self.shut_client(id),
@@ -41,7 +41,7 @@
     }
 
     /// Closes a connection that was shut once its client has ended too.
-    pub(super) fn closing_is_ready(&mut self, id: usize) {
+    pub(crate) fn closing_is_ready(&mut self, id: usize) {
         let socket = &self.clients[id].socket;
         if socket::has_ended(socket) && !socket::close_would_reset(socket) {
             self.close_client(id);
--- a/crates/ottersill/src/memory/clients.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -7,8 +7,8 @@
 use calloop::RegistrationToken;
 use socket2::Socket;
 
+use crate::protocol::socket::Outbox;
 use crate::timers::TimerHandle as Set;
-use crate::wire::socket::Outbox;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Session {
@@ -70,7 +70,7 @@
     pub unread: bool,
     /// It has sent a statement before.
     pub used: bool,
-    /// Bytes counted for it in [`Exchange::stored`](crate::wire::exchange::Exchange).
+    /// Bytes counted for it in [`Exchange::stored`](crate::event_loop::Exchange).
     pub stored: usize,
 }
 
--- a/crates/ottersill/src/wire/client_side.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -12,14 +12,14 @@
 use slog::{info, warn};
 use socket2::Socket;
 
-use crate::memory::clients::{Client, Session, UnwatchedClient};
-use crate::memory::statements::{Held, Stage};
+use crate::client::connection::{Client, Session, UnwatchedClient};
+use crate::event_loop::{Exchange, LEEWAY, Party};
+use crate::in_flight::{Held, Stage};
+use crate::protocol::frame::{self, Code, Startup};
+use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket_failure::AcceptFailure;
+use crate::protocol::statement_text::{Text, glance_at_time_left};
 use crate::timers::Timer as Alarm;
-use crate::wire::exchange::{Exchange, LEEWAY, Party};
-use crate::wire::frame::{self, Code, Startup};
-use crate::wire::socket::{self, Got, Outbox};
-use crate::wire::socket_failure::AcceptFailure;
-use crate::wire::statement::{Text, glance_at_time_left};
 
 /// Accepted in one turn, so that a crowd of new connections holds up no answer.
 const ACCEPTS: usize = 64;
@@ -172,7 +172,7 @@
     }
 
     /// Every change of a client connection's session.
-    pub(super) fn session_passes(&mut self, id: usize, next: Session) {
+    pub(crate) fn session_passes(&mut self, id: usize, next: Session) {
         let client = &mut self.clients[id];
         self.counters.must(client.session.may_become(next), "a client connection goes its ways only");
         client.session = next;
@@ -203,7 +203,7 @@
     }
 
     /// Has the client looked at then, and not before.
-    pub(super) fn set_client_alarm(&mut self, id: usize, at: f64) {
+    pub(crate) fn set_client_alarm(&mut self, id: usize, at: f64) {
         let alarm = self.alarms.set(at, Alarm::Client(id));
         let before = self.clients[id].alarm.replace(alarm);
         self.alarms.clear(before.filter(|before| *before != alarm));
@@ -280,7 +280,7 @@
     }
 
     /// Ends the connection; a statement of it that is in hand has lost its client.
-    pub(super) fn close_client(&mut self, id: usize) {
+    pub(crate) fn close_client(&mut self, id: usize) {
         let client = self.clients.remove(id);
         self.stored -= client.stored;
         self.alarms.clear(client.alarm);
@@ -305,7 +305,7 @@
     }
 
     /// Counts what is stored for a client: what was read ahead, and its statement. Buffers grow by doubling.
-    pub(super) fn weigh(&mut self, id: usize) {
+    pub(crate) fn weigh(&mut self, id: usize) {
         let Some(client) = self.clients.get_mut(id) else { return };
         let text = match client.session {
             Session::Busy(stmt) => self.statements.get(stmt).map_or(0, |held| held.text.len()),
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::discovery::registry::EndpointRegistry;
-use crate::memory::link::{Course, Link};
+use crate::fleet_link::link::{Course, Link};
 
 /// The state that answers are made of.
 pub struct FleetReport<'a> {
--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -11,10 +11,10 @@
 use socket2::Socket;
 
 use crate::control::fleet_report::FleetReport;
+use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket_failure::AcceptFailure;
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
-use crate::wire::socket::{self, Got, Outbox};
-use crate::wire::socket_failure::AcceptFailure;
 
 /// Connections at a time; the next waits in the accept backlog.
 const MAX_CLIENTS: usize = 4;
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -12,8 +12,8 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http::{self, HttpError, Response};
 use crate::discovery::watch::{self, CallState, Request};
+use crate::protocol::socket::{self, Got, Outbox};
 use crate::reactor::{Context, Source};
-use crate::wire::socket::{self, Got, Outbox};
 
 /// The only status of a response that counts.
 const STATUS_OK: u16 = 200;
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -8,7 +8,7 @@
 use ottersill_routing::interface::{EndpointState, EndpointUpdate};
 
 use crate::discovery::endpoint_list::{EndpointEntry, EndpointList};
-use crate::wire::socket_failure::{ConnectFailure, LocalFailures};
+use crate::protocol::socket_failure::{ConnectFailure, LocalFailures};
 
 /// What is known of one endpoint, with the idle connections to it.
 pub struct Endpoint {
--- a/crates/ottersill/src/wire/fleet_side.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -12,10 +12,10 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::memory::link::{Course, Link};
+use crate::event_loop::{Exchange, Party};
+use crate::fleet_link::link::{Course, Link};
+use crate::protocol::socket;
 use crate::timers::Timer as Alarm;
-use crate::wire::exchange::{Exchange, Party};
-use crate::wire::socket;
 
 /// Datagrams read in one turn, so that a flood of them holds up no statement.
 const DATAGRAMS: usize = 64;
--- a/crates/ottersill/src/memory/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use socket2::Socket;
 
-use crate::memory::audit_file::AuditFile;
+use crate::fleet_link::audit_file::AuditFile;
 use crate::timers::TimerHandle as Set;
 
 /// Where the link stands.
--- a/crates/ottersill/src/memory/statements.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -5,7 +5,7 @@
 use ottersill_statement::fingerprint_cache::CacheKey;
 
 use crate::counters::Counters;
-use crate::wire::statement::Text;
+use crate::protocol::statement_text::Text;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -2,16 +2,22 @@
 //! which alone decides where a request goes.
 //!
 //! In reading order: [`command`] (the command line), [`lifecycle`] (configuration, start, main loop, reload, shutdown),
-//! [`reactor`] and [`timers`] (what the parts see of the event loop), [`wire`] (the loop itself, client and backend
-//! connections, PostgreSQL's protocol), [`memory`] (what those keep), [`discovery`] (endpoint lists), [`control`] (answers
-//! to operators), [`counters`]. `docs/architecture.md` says who owns which state.
+//! [`event_loop`] (hands each event to the part that owns it), [`reactor`] and [`timers`] (what the parts see of
+//! the loop), [`client`] (client connections), [`in_flight`] (the requests between them and the endpoints), [`backend`]
+//! (connections to endpoints), [`protocol`] (PostgreSQL's wire protocol, sockets), [`discovery`] (endpoint lists),
+//! [`fleet_link`] (the other routers), [`control`] (answers to operators), [`counters`]. `docs/architecture.md` says who
+//! owns which state.
 
+pub mod backend;
+pub mod client;
 pub mod command;
 pub mod control;
 pub mod counters;
 pub mod discovery;
+pub mod event_loop;
+pub mod fleet_link;
+pub mod in_flight;
 pub mod lifecycle;
-pub mod memory;
+pub mod protocol;
 pub mod reactor;
 pub mod timers;
-pub mod wire;
--- a/crates/ottersill/src/lifecycle/config.rs
+++ b/crates/ottersill/src/lifecycle/config.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::discovery::endpoint_list::EndpointList;
-use crate::wire::exchange::Berths;
+use crate::event_loop::Berths;
 
 /// The environment variable with the path of the file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -4,8 +4,8 @@
 
 use slog::{info, warn};
 
+use crate::event_loop::Exchange;
 use crate::lifecycle::config::Config;
-use crate::wire::exchange::Exchange;
 
 /// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
 /// configuration that can't be read is tried again, as it may be half written.
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -10,13 +10,13 @@
 use calloop::EventLoop;
 use slog::info;
 
+use crate::event_loop::{Exchange, Party};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::Log;
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::shutdown::{Observation, Phase};
+use crate::protocol::socket;
 use crate::reactor::Readiness;
-use crate::wire::exchange::{Exchange, Party};
-use crate::wire::socket;
 
 /// The loop waits no longer than this, in seconds.
 const MAX_WAIT: f64 = 1.0;
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -3,7 +3,7 @@
 
 #![warn(missing_docs)]
 
-use crate::wire::exchange::LEEWAY;
+use crate::event_loop::LEEWAY;
 
 /// A router serves after this time even if no endpoint list has come, so that one without a list can be told from one
 /// that does not start.
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -7,15 +7,15 @@
 use slog::info;
 
 use crate::discovery::client::DiscoveryClient;
+use crate::event_loop::Exchange;
+use crate::fleet_link::handlers;
+use crate::fleet_link::link::Link;
 use crate::lifecycle::config::{Config, ConfigError};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::run::{ListenAddress, Program};
-use crate::memory::link::Link;
 use crate::reactor::{ReactorHandle, Readiness};
-use crate::wire::exchange::Exchange;
-use crate::wire::fleet_side;
 
 /// Runs a router until it is told to stop. `fleet_file` names the configuration of the fleet, where routers talk to each
 /// other.
@@ -44,7 +44,7 @@
     }
     exchange.with_discovery(DiscoveryClient::start);
     if let Some(link) = link {
-        fleet_side::begin(&mut exchange, link).map_err(RunError::Fleet)?;
+        handlers::begin(&mut exchange, link).map_err(RunError::Fleet)?;
     }
     info!(exchange.log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
     let listen = ListenAddress { address: config.listen, backlog: config.limits.sockets };
--- a/crates/ottersill/src/wire/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -8,7 +8,7 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::wire::socket_failure::ConnectFailure;
+use crate::protocol::socket_failure::ConnectFailure;
 
 /// Read at once, a page: a statement and its answer are shorter.
 const CHUNK: usize = 4096;
--- a/crates/ottersill/src/wire/statement.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use ottersill_statement::fingerprint::Scan;
 
-use crate::wire::frame;
-use crate::wire::socket::Outbox;
+use crate::protocol::frame;
+use crate::protocol::socket::Outbox;
 
 /// Subtracted from the time left that a host is told; seconds. What is told may exceed what the client has left by 0.15 s when
 /// it arrives, and that much is used up by a router that is held up between reading its clock and writing.
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -1,16 +1,16 @@
 //! What is read off the wire, whatever pieces it comes in.
 
 use bytes::{Bytes, BytesMut};
+use ottersill::backend::connection::Course;
+use ottersill::backend::reply::Reply;
+use ottersill::client::connection::Session;
 use ottersill::discovery::endpoint_list::EndpointList;
 use ottersill::discovery::http;
 use ottersill::discovery::registry::{EndpointRegistry, RegistryChange};
-use ottersill::memory::clients::Session;
-use ottersill::memory::lines::Course;
-use ottersill::memory::statements::Stage;
-use ottersill::wire::frame::{self, Message, Startup};
-use ottersill::wire::reply::Reply;
-use ottersill::wire::socket::Outbox;
-use ottersill::wire::statement::Text;
+use ottersill::in_flight::Stage;
+use ottersill::protocol::frame::{self, Message, Startup};
+use ottersill::protocol::socket::Outbox;
+use ottersill::protocol::statement_text::Text;
 use ottersill_routing::interface::{AttemptOutcome, EndpointState, Role};
 use ottersill_statement::fingerprint::{Key, scan};
 use ottersill_testkit::stand_in::message;
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
+use ottersill::backend::connection::Load;
+use ottersill::client::connection::Session;
+use ottersill::event_loop::Exchange;
 use ottersill::lifecycle::config::Config;
-use ottersill::memory::clients::Session;
-use ottersill::memory::lines::Load;
+use ottersill::protocol::socket;
 use ottersill::reactor::{Readiness, Source as Party};
-use ottersill::wire::exchange::Exchange;
-use ottersill::wire::socket;
 use ottersill_testkit::scripted_peer::{ReceivedStatement, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 use slog::{Discard, Logger, o};
