--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -6,130 +6,151 @@
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 use slog::info;
 
-use crate::backend::connection::{Course, Line, Load};
+use crate::backend::connection::{Assignment, BackendConnection, ConnectionState};
 use crate::backend::reply::Reply;
-use crate::event_loop::{Exchange, Party};
-use crate::in_flight::Stage;
+use crate::event_loop::EventLoop;
+use crate::in_flight::RequestPhase;
 use crate::protocol::frame;
-use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket::{self, Outbox, ReadOutcome};
 use crate::protocol::socket_failure::ConnectFailure;
-use crate::protocol::statement_text::{DEADLINE_MARGIN, time_left_to_tell};
-use crate::timers::Timer as Alarm;
+use crate::protocol::statement_text::{DEADLINE_MARGIN, advertised_time_left};
+use crate::reactor::Source;
+use crate::timers::Timer;
 
-impl Exchange {
+impl EventLoop {
     /// Every change of a line's course, with the time by which it has to change again.
-    fn line_passes(&mut self, id: usize, next: Course, until: f64) {
-        let line = &mut self.lines[id];
-        self.counters.must(line.course.may_become(next), "a line goes its ways only");
-        line.course = next;
-        self.alarms.clear(line.alarm.take());
-        if next != Course::Closed {
-            line.alarm = Some(self.alarms.set(until, Alarm::Line(id)));
+    fn set_backend_state(&mut self, id: usize, next: ConnectionState, until: f64) {
+        let line = &mut self.backends[id];
+        self.counters.check_invariant(line.state.may_become(next), "a line goes its ways only");
+        line.state = next;
+        self.timers.clear(line.timer.take());
+        if next != ConnectionState::Closed {
+            line.timer = Some(self.timers.set(until, Timer::Backend(id)));
         }
     }
 
-    pub fn execute(&mut self, stmt: usize, host: usize, time_out: f64) {
-        let Some(held) = self.statements.get(stmt) else { return };
-        self.counters.must(held.stage == Stage::Waiting, "a statement has one execution out at a time");
-        let until = if time_out > 0.0 { held.gives_up_at.min(self.now + time_out) } else { held.gives_up_at };
-        let client = held.client;
+    pub fn start_attempt(&mut self, request_id: usize, host: usize, time_out: f64) {
+        let Some(request) = self.requests.get(request_id) else { return };
+        self.counters.check_invariant(
+            request.phase == RequestPhase::Waiting,
+            "a statement has one execution out at a time",
+        );
+        let until = if time_out > 0.0 { request.deadline.min(self.now + time_out) } else { request.deadline };
+        let client = request.client;
         // Seen in this turn, it is looked at again as the bytes go (`send`).
-        let looked_at = self.clients.get(client).map_or(0.0, |client| client.looked_at);
-        if looked_at < self.now && !self.waits_still(stmt, client) {
-            return self.tell_execution(stmt, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
+        let last_read_at = self.clients.get(client).map_or(0.0, |client| client.last_read_at);
+        if last_read_at < self.now && !self.client_still_waits(request_id, client) {
+            return self.report_attempt(request_id, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
         }
-        if !self.fleet_lets(stmt, host) {
+        if !self.acquire_attempt_quota(request_id, host) {
             self.counters.fleet_refused += 1;
-            return self.tell_execution(stmt, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
+            return self.report_attempt(request_id, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
         }
         self.counters.executions += 1;
-        match self.give(host, Load::Statement(stmt), until) {
-            Ok(line) => self.statements.pass(stmt, Stage::Executing(line), &mut self.counters),
+        match self.assign_to_endpoint(host, Assignment::Request(request_id), until) {
+            Ok(line) => {
+                self.requests.transition(request_id, RequestPhase::Executing(line), &mut self.counters)
+            }
             Err(ending) => {
-                self.fleet_ends(host, true);
-                self.tell_execution(stmt, host, ending, 0.0, &Reply::default());
+                self.release_attempt_quota(host, true);
+                self.report_attempt(request_id, host, ending, 0.0, &Reply::default());
             }
         }
     }
 
-    pub fn probe(&mut self, host: usize) {
-        if !self.fleet_has(BudgetKind::HealthChecks) {
+    pub fn start_health_check(&mut self, host: usize) {
+        if !self.acquire_quota(BudgetKind::HealthChecks) {
             self.counters.fleet_refused += 1;
-            return self.tell_probe(host, AttemptOutcome::NeverSent, LoadReport::default());
+            return self.report_health_check(host, AttemptOutcome::NeverSent, LoadReport::default());
         }
         self.counters.probes += 1;
         // The settings name no other time after which a host counts as not there.
-        if let Err(ending) = self.give(host, Load::Probe, self.now + self.upkeep.connect) {
-            self.tell_probe(host, ending, LoadReport::default());
+        if let Err(ending) =
+            self.assign_to_endpoint(host, Assignment::HealthCheck, self.now + self.timeouts.connect)
+        {
+            self.report_health_check(host, ending, LoadReport::default());
         }
     }
 
     /// Finds a line for the load, the last used first, or opens one.
-    fn give(&mut self, host: usize, load: Load, until: f64) -> Result<usize, AttemptOutcome> {
-        while let Some(id) = self.hosts.all[host].idle.pop() {
+    fn assign_to_endpoint(
+        &mut self,
+        host: usize,
+        load: Assignment,
+        until: f64,
+    ) -> Result<usize, AttemptOutcome> {
+        while let Some(id) = self.endpoints.all[host].idle.pop() {
             // A last look: what the host has ended must not be taken for a connection.
-            let line = &mut self.lines[id];
-            let dry = matches!(socket::read(&line.socket, &mut line.inbox, frame::LONGEST), Ok(Got::All));
+            let line = &mut self.backends[id];
+            let dry = matches!(
+                socket::read(&line.socket, &mut line.inbox, frame::MAX_MESSAGE_BYTES),
+                Ok(ReadOutcome::Drained)
+            );
             if !dry || !line.inbox.is_empty() {
                 self.counters.lines_ended += 1;
-                self.close_line(id);
+                self.close_backend(id);
                 continue;
             }
-            self.load(id, load, until);
-            self.send(id);
+            self.set_assignment(id, load, until);
+            self.send_assignment(id);
             return Ok(id);
         }
-        let dial = self.hosts.all[host].dial.ok_or(AttemptOutcome::ConnectFailed)?;
+        let dial = self.endpoints.all[host].dial.ok_or(AttemptOutcome::ConnectFailed)?;
         // One for a probe of each host is kept back, as what can't be probed can't be judged.
-        let kept_back = if load == Load::Probe { 0 } else { self.hosts.all.len().min(self.berths.all / 4) };
-        let taken = self.clients.len().min(self.berths.clients) + self.lines.len();
-        if taken + kept_back >= self.berths.all && !self.drop_closing() && !self.close_idle_line() {
+        let kept_back = if load == Assignment::HealthCheck {
+            0
+        } else {
+            self.endpoints.all.len().min(self.limits.total / 4)
+        };
+        let taken = self.clients.len().min(self.limits.clients) + self.backends.len();
+        if taken + kept_back >= self.limits.total
+            && !self.close_one_lingering()
+            && !self.close_longest_idle_backend()
+        {
             self.counters.lines_wanting += 1;
             return Err(AttemptOutcome::NeverSent);
         }
-        if !self.fleet_has(BudgetKind::NewConnections) {
+        if !self.acquire_quota(BudgetKind::NewConnections) {
             self.counters.fleet_refused += 1;
             return Err(AttemptOutcome::NeverSent);
         }
-        let id = self.lines.vacant_key();
-        let opened = socket::dial(dial)
-            .and_then(|socket| self.attend(socket, Party::Line(id)).map_err(ConnectFailure::Local));
+        let id = self.backends.vacant_key();
+        let opened = socket::connect(dial)
+            .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
         let (socket, token) = opened.map_err(|failure| {
             self.counters.lines_failed += 1;
-            self.log_broken(host, Course::Dialing, &failure.to_string());
-            let blamed = self.hosts.connect_failed(host, self.now, self.upkeep.connect, &failure);
+            self.log_connection_failure(host, ConnectionState::Dialing, &failure.to_string());
+            let blamed = self.endpoints.connect_failed(host, self.now, self.timeouts.connect, &failure);
             if blamed { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
         })?;
-        self.hosts.connect_begun(host, self.now);
+        self.endpoints.connect_begun(host, self.now);
         self.counters.lines_opened += 1;
-        let up_by = self.now + self.upkeep.connect;
-        let alarm = Some(self.alarms.set(until.min(up_by), Alarm::Line(id)));
+        let up_by = self.now + self.timeouts.connect;
+        let timer = Some(self.timers.set(until.min(up_by), Timer::Backend(id)));
         let (inbox, outbox, reply) = (BytesMut::new(), Outbox::default(), Reply::default());
-        let course = Course::Dialing;
-        let since = self.now;
-        let load = Some(load);
-        let line = Line {
-            host,
-            course,
-            load,
-            since,
-            until,
-            deadline_told_at: since,
-            idle_since: since,
+        let state = ConnectionState::Dialing;
+        let line = BackendConnection {
+            endpoint: host,
+            state,
+            assignment: Some(load),
+            assigned_at: self.now,
+            deadline: until,
+            time_left_sent_at: self.now,
+            idle_since: self.now,
             socket,
             token,
-            alarm,
+            timer,
             inbox,
             outbox,
             reply,
         };
-        self.lines.insert(line);
+        self.backends.insert(line);
         Ok(id)
     }
 
     /// A host that is down refuses hundreds of connections a second: one line a second tells as much.
-    fn log_broken(&mut self, host: usize, course: Course, why: &str) {
-        let host = &mut self.hosts.all[host];
+    fn log_connection_failure(&mut self, host: usize, course: ConnectionState, why: &str) {
+        let host = &mut self.endpoints.all[host];
         host.broken += 1;
         if self.now - host.logged_at >= 1.0 {
             info!(self.log, "connection broke"; "host" => host.name.as_str(), "course" => format!("{course:?}"),
@@ -138,40 +159,40 @@
         }
     }
 
-    fn load(&mut self, id: usize, load: Load, until: f64) {
-        let line = &mut self.lines[id];
-        (line.load, line.since, line.until) = (Some(load), self.now, until);
+    fn set_assignment(&mut self, id: usize, load: Assignment, until: f64) {
+        let line = &mut self.backends[id];
+        (line.assignment, line.assigned_at, line.deadline) = (Some(load), self.now, until);
     }
 
     /// Writes the line's load. The clock is read here, and the client looked at last: the turn may have been held up since it
     /// began.
-    fn send(&mut self, id: usize) {
+    fn send_assignment(&mut self, id: usize) {
         let time = self.clock.now();
-        let line = &mut self.lines[id];
+        let line = &mut self.backends[id];
         line.reply = Reply::default();
-        line.deadline_told_at = time;
-        let until = line.until;
-        match line.load {
-            Some(Load::Statement(stmt)) => {
-                if let Some(held) = self.statements.get(stmt) {
-                    held.text.send(time_left_to_tell(until - time), &mut line.outbox);
+        line.time_left_sent_at = time;
+        let until = line.deadline;
+        match line.assignment {
+            Some(Assignment::Request(request_id)) => {
+                if let Some(request) = self.requests.get(request_id) {
+                    request.text.write_to(advertised_time_left(until - time), &mut line.outbox);
                 }
             }
-            Some(Load::Probe) => line.outbox.push(frame::SHOW_HEALTH.clone()),
+            Some(Assignment::HealthCheck) => line.outbox.push(frame::SHOW_HEALTH.clone()),
             None => {}
         }
-        self.line_passes(id, Course::Sending, until);
+        self.set_backend_state(id, ConnectionState::Sending, until);
         let wanted = time < until && !self.client_has_ended(id);
-        if !wanted || !self.flush(id) {
+        if !wanted || !self.flush_backend(id) {
             // Ended from there, where nothing else is in hand.
-            self.again(Party::Line(id));
+            self.wake(Source::Backend(id));
         }
     }
 
     /// Whether the client whose statement the line carries has ended its connection.
     fn client_has_ended(&self, id: usize) -> bool {
-        let Some(Load::Statement(stmt)) = self.lines[id].load else { return false };
-        let client = self.statements.get(stmt).and_then(|held| self.clients.get(held.client));
+        let Some(Assignment::Request(request_id)) = self.backends[id].assignment else { return false };
+        let client = self.requests.get(request_id).and_then(|request| self.clients.get(request.client));
         client.is_none_or(|client| socket::has_ended(&client.socket))
     }
 
@@ -179,76 +200,76 @@
     /// date, or can't be changed.
     fn refresh_deadline(&mut self, id: usize) -> bool {
         let time = self.clock.now();
-        let line = &mut self.lines[id];
-        let Some(Load::Statement(stmt)) = line.load else { return true };
-        let Some(held) = self.statements.get(stmt) else { return false };
-        if held.text.update_time_left(time_left_to_tell(line.until - time), &mut line.outbox) {
-            line.deadline_told_at = time;
+        let line = &mut self.backends[id];
+        let Some(Assignment::Request(request_id)) = line.assignment else { return true };
+        let Some(request) = self.requests.get(request_id) else { return false };
+        if request.text.update_time_left(advertised_time_left(line.deadline - time), &mut line.outbox) {
+            line.time_left_sent_at = time;
         }
-        time - line.deadline_told_at <= DEADLINE_MARGIN
+        time - line.time_left_sent_at <= DEADLINE_MARGIN
     }
 
     /// False if the connection broke.
-    fn flush(&mut self, id: usize) -> bool {
-        let line = &mut self.lines[id];
+    fn flush_backend(&mut self, id: usize) -> bool {
+        let line = &mut self.backends[id];
         let flushed = line.outbox.flush(&line.socket);
-        let until = line.until;
-        if line.course == Course::Sending && matches!(flushed, Ok(true)) {
-            self.line_passes(id, Course::Sent, until);
+        let until = line.deadline;
+        if line.state == ConnectionState::Sending && matches!(flushed, Ok(true)) {
+            self.set_backend_state(id, ConnectionState::Sent, until);
         }
         flushed.is_ok()
     }
 
-    pub fn line_is_ready(&mut self, id: usize) {
-        let Some(line) = self.lines.get_mut(id) else { return };
-        if line.course == Course::Dialing {
-            match socket::is_up(&line.socket) {
+    pub fn on_backend_ready(&mut self, id: usize) {
+        let Some(line) = self.backends.get_mut(id) else { return };
+        if line.state == ConnectionState::Dialing {
+            match socket::is_connected(&line.socket) {
                 Ok(false) => return,
                 Ok(true) => {
-                    line.outbox.push(frame::GREETING.clone());
-                    let until = line.until.min(line.since + self.upkeep.connect);
-                    self.line_passes(id, Course::Greeting, until);
+                    line.outbox.push(frame::STARTUP.clone());
+                    let until = line.deadline.min(line.assigned_at + self.timeouts.connect);
+                    self.set_backend_state(id, ConnectionState::Greeting, until);
                 }
-                Err(fault) => return self.break_line(id, &fault.to_string()),
+                Err(fault) => return self.fail_backend(id, &fault.to_string()),
             }
         }
-        let sending = self.lines[id].course == Course::Sending;
-        if sending && !(self.refresh_deadline(id) && self.may_go_out(id)) {
+        let sending = self.backends[id].state == ConnectionState::Sending;
+        if sending && !(self.refresh_deadline(id) && self.may_still_send(id)) {
             // Its last byte, by which an execution counts, would come too late.
-            if self.lines.contains(id) {
-                self.unload(id);
+            if self.backends.contains(id) {
+                self.withdraw(id);
             }
             return;
         }
-        let wrote = self.flush(id);
-        let line = &mut self.lines[id];
+        let wrote = self.flush_backend(id);
+        let line = &mut self.backends[id];
         // An answer that came before the break still counts.
-        let got = socket::read(&line.socket, &mut line.inbox, frame::LONGEST);
+        let got = socket::read(&line.socket, &mut line.inbox, frame::MAX_MESSAGE_BYTES);
         if !self.read_reply(id) {
             return;
         }
         match got {
-            Ok(Got::All) if wrote => {}
-            Ok(Got::More) if wrote => self.again(Party::Line(id)),
-            _ => self.break_line(id, "the host ended it"),
+            Ok(ReadOutcome::Drained) if wrote => {}
+            Ok(ReadOutcome::MoreLeft) if wrote => self.wake(Source::Backend(id)),
+            _ => self.fail_backend(id, "the host ended it"),
         }
     }
 
     /// Takes in what is there whole; false if that ended the line.
     fn read_reply(&mut self, id: usize) -> bool {
-        while let Some(line) = self.lines.get_mut(id) {
-            let taken = match frame::message(&mut line.inbox) {
+        while let Some(line) = self.backends.get_mut(id) {
+            let taken = match frame::take_message(&mut line.inbox) {
                 Ok(None) => return true,
-                Ok(Some(message)) => line.reply.take(message),
+                Ok(Some(message)) => line.reply.add(message),
                 Err(nonsense) => Err(nonsense),
             };
-            match (taken, line.course) {
-                (Ok(false), Course::Idle) if line.reply.says_nothing() => {}
-                (Ok(false), Course::Greeting | Course::Sent) => {}
-                (Ok(true), Course::Greeting) => self.welcome(id),
-                (Ok(true), Course::Sent) => self.answered(id),
-                (Err(nonsense), _) => return self.spoil_line(id, nonsense),
-                _ => return self.spoil_line(id, "an answer to nothing"),
+            match (taken, line.state) {
+                (Ok(false), ConnectionState::Idle) if line.reply.is_empty() => {}
+                (Ok(false), ConnectionState::Greeting | ConnectionState::Sent) => {}
+                (Ok(true), ConnectionState::Greeting) => self.on_connection_ready(id),
+                (Ok(true), ConnectionState::Sent) => self.on_reply_complete(id),
+                (Err(nonsense), _) => return self.on_protocol_error(id, nonsense),
+                _ => return self.on_protocol_error(id, "an answer to nothing"),
             }
         }
         false
@@ -256,248 +277,275 @@
 
     /// The host has said what is no answer: its connection is of no further use. What was sent may have run, but the
     /// host is there: taken for a broken connection, this would cost it its role.
-    fn spoil_line(&mut self, id: usize, nonsense: &str) -> bool {
+    fn on_protocol_error(&mut self, id: usize, nonsense: &str) -> bool {
         self.counters.host_nonsense += 1;
-        let line = &mut self.lines[id];
-        if line.course != Course::Sent {
-            self.break_line(id, nonsense);
+        let line = &mut self.backends[id];
+        if line.state != ConnectionState::Sent {
+            self.fail_backend(id, nonsense);
             return false;
         }
-        let (host, load, since) = (line.host, line.load.take(), line.since);
-        self.log_broken(host, Course::Sent, nonsense);
-        self.close_line(id);
-        self.settle(load, host, since, AttemptOutcome::Error, Reply::default());
+        let (host, load, since) = (line.endpoint, line.assignment.take(), line.assigned_at);
+        self.log_connection_failure(host, ConnectionState::Sent, nonsense);
+        self.close_backend(id);
+        self.finish_assignment(load, host, since, AttemptOutcome::Error, Reply::default());
         false
     }
 
     /// A last look at the client before an execution of its statement begins: one that has closed its connection waits no
     /// more, though its turn to be read may not have come.
-    fn waits_still(&mut self, stmt: usize, client: usize) -> bool {
-        self.look_at_client(client);
-        self.statements.get(stmt).is_some_and(|held| !matches!(held.stage, Stage::Orphaned(_)))
+    fn client_still_waits(&mut self, request_id: usize, client: usize) -> bool {
+        self.close_client_if_ended(client);
+        self.requests
+            .get(request_id)
+            .is_some_and(|request| !matches!(request.phase, RequestPhase::Abandoned(_)))
     }
 
     /// Whether what a line was opened for may go out now that it is up: it was chosen some time ago.
-    fn may_go_out(&mut self, id: usize) -> bool {
-        let line = &self.lines[id];
-        let (host, until) = (line.host, line.until);
-        match line.load {
-            Some(Load::Statement(stmt)) => {
-                let client = self.statements.get(stmt).map(|held| held.client);
+    fn may_still_send(&mut self, id: usize) -> bool {
+        let line = &self.backends[id];
+        let (host, until) = (line.endpoint, line.deadline);
+        match line.assignment {
+            Some(Assignment::Request(request_id)) => {
+                let client = self.requests.get(request_id).map(|request| request.client);
                 self.clock.now() < until
-                    && client.is_some_and(|client| self.waits_still(stmt, client))
-                    && self.facade.may_begin(self.now, stmt, host)
+                    && client.is_some_and(|client| self.client_still_waits(request_id, client))
+                    && self.facade.may_begin(self.now, request_id, host)
             }
-            Some(Load::Probe) => self.facade.may_probe(host),
+            Some(Assignment::HealthCheck) => self.facade.may_probe(host),
             None => false,
         }
     }
 
     /// Takes back what has not gone out to hosts that may get nothing new by now.
-    pub fn call_back(&mut self) {
-        let waits = |line: &Line| matches!(line.course, Course::Dialing | Course::Greeting);
-        let told = |line: &Line| match line.load {
-            Some(Load::Statement(stmt)) => !self.facade.may_begin(self.now, stmt, line.host),
-            Some(Load::Probe) => !self.facade.may_probe(line.host),
+    pub fn withdraw_disallowed(&mut self) {
+        let waits = |line: &BackendConnection| {
+            matches!(line.state, ConnectionState::Dialing | ConnectionState::Greeting)
+        };
+        let told = |line: &BackendConnection| match line.assignment {
+            Some(Assignment::Request(request_id)) => {
+                !self.facade.may_begin(self.now, request_id, line.endpoint)
+            }
+            Some(Assignment::HealthCheck) => !self.facade.may_probe(line.endpoint),
             None => false,
         };
-        let back = self.lines.iter().filter(|(_, line)| waits(line) && told(line)).map(|(id, _)| id);
+        let back = self.backends.iter().filter(|(_, line)| waits(line) && told(line)).map(|(id, _)| id);
         let back: Vec<usize> = back.collect();
         for id in back {
-            self.unload(id);
+            self.withdraw(id);
         }
     }
 
     /// The line is up: what it was opened for goes out, unless that is over by now.
-    fn welcome(&mut self, id: usize) {
-        if self.lines[id].reply.unwelcome().is_some() {
+    fn on_connection_ready(&mut self, id: usize) {
+        if self.backends[id].reply.connection_refusal().is_some() {
             // ReadyForQuery after an error: nothing that a host of this protocol does.
-            return self.break_line(id, "the host said no");
+            return self.fail_backend(id, "the host said no");
         }
-        if !self.may_go_out(id) {
-            self.unload(id);
-            return self.rest(id);
+        if !self.may_still_send(id) {
+            self.withdraw(id);
+            return self.make_idle(id);
         }
-        let until = self.lines[id].until;
-        self.line_passes(id, Course::Idle, until);
-        self.send(id);
+        let until = self.backends[id].deadline;
+        self.set_backend_state(id, ConnectionState::Idle, until);
+        self.send_assignment(id);
     }
 
-    fn rest(&mut self, id: usize) {
+    fn make_idle(&mut self, id: usize) {
         // Half of what the host allows: one that ends at both sides at once would be a reset.
-        self.line_passes(id, Course::Idle, self.now + self.upkeep.idle / 2.0);
-        let line = &mut self.lines[id];
+        self.set_backend_state(id, ConnectionState::Idle, self.now + self.timeouts.idle / 2.0);
+        let line = &mut self.backends[id];
         line.idle_since = self.now;
         if line.inbox.is_empty() {
             // What is left of it would hold on to all that was read with it.
             line.inbox = BytesMut::new();
         }
-        self.hosts.all[line.host].idle.push(id);
+        self.endpoints.all[line.endpoint].idle.push(id);
     }
 
     /// The load has its answer; the line is kept.
-    fn answered(&mut self, id: usize) {
-        let line = &mut self.lines[id];
-        let (host, load, since) = (line.host, line.load.take(), line.since);
+    fn on_reply_complete(&mut self, id: usize) {
+        let line = &mut self.backends[id];
+        let (host, load, since) = (line.endpoint, line.assignment.take(), line.assigned_at);
         let reply = std::mem::take(&mut line.reply);
-        self.rest(id);
-        self.settle(load, host, since, reply.ending(), reply);
+        self.make_idle(id);
+        self.finish_assignment(load, host, since, reply.outcome(), reply);
     }
 
     /// ReportSource the end of what the line carried.
-    fn settle(
+    fn finish_assignment(
         &mut self,
-        load: Option<Load>,
+        load: Option<Assignment>,
         host: usize,
         since: f64,
         ending: AttemptOutcome,
         mut reply: Reply,
     ) {
         match load {
-            Some(Load::Statement(stmt)) => {
-                let held = self.statements.get(stmt);
+            Some(Assignment::Request(request_id)) => {
+                let request = self.requests.get(request_id);
                 let proved = !matches!(
                     ending,
                     AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
                 );
-                let ran = held.is_some() && !ending.had_no_effect() && ending != AttemptOutcome::Completed;
-                let orphan = matches!(held.map(|held| held.stage), Some(Stage::Orphaned(_)));
-                if let Some(place) = held.and_then(|held| held.place) {
-                    let only_reads = reply.note.role == Some(Role::Replica);
+                let ran = request.is_some() && !ending.had_no_effect() && ending != AttemptOutcome::Completed;
+                let orphan = matches!(request.map(|request| request.phase), Some(RequestPhase::Abandoned(_)));
+                if let Some(place) = request.and_then(|request| request.cache_key) {
+                    let only_reads = reply.piggybacked.role == Some(Role::Replica);
                     match ending {
                         AttemptOutcome::Completed => {
-                            self.book.record_completion(self.now, place, host, self.now - since, only_reads);
+                            self.fingerprints.record_completion(
+                                self.now,
+                                place,
+                                host,
+                                self.now - since,
+                                only_reads,
+                            );
+                        }
+                        AttemptOutcome::ReadOnly if only_reads => {
+                            self.fingerprints.record_read_only_rejection(place)
                         }
-                        AttemptOutcome::ReadOnly if only_reads => self.book.record_read_only_rejection(place),
                         _ => {}
                     }
                 }
-                self.fleet_ends(host, proved);
+                self.release_attempt_quota(host, proved);
                 if ran {
-                    self.statements.note_ran(stmt);
+                    self.requests.note_may_have_run(request_id);
                 }
                 if orphan {
-                    self.statements.pass(stmt, Stage::Vacant, &mut self.counters);
+                    self.requests.transition(request_id, RequestPhase::Vacant, &mut self.counters);
                 } else if ending == AttemptOutcome::Completed {
-                    self.complete(stmt, reply.value());
+                    self.complete(request_id, reply.take_client_messages());
                 } else {
-                    self.statements.pass(stmt, Stage::Waiting, &mut self.counters);
+                    self.requests.transition(request_id, RequestPhase::Waiting, &mut self.counters);
                 }
-                self.tell_execution(stmt, host, ending, self.now - since, &reply);
+                self.report_attempt(request_id, host, ending, self.now - since, &reply);
             }
-            Some(Load::Probe)
+            Some(Assignment::HealthCheck)
                 if matches!(
                     ending,
                     AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Full
                 ) =>
             {
-                let (ending, report) = reply.probed();
-                self.tell_probe(host, ending, report);
+                let (ending, report) = reply.health_check_result();
+                self.report_health_check(host, ending, report);
             }
-            Some(Load::Probe) => self.tell_probe(host, ending, LoadReport::default()),
+            Some(Assignment::HealthCheck) => self.report_health_check(host, ending, LoadReport::default()),
             None => {}
         }
     }
 
     /// The connection failed, broke, ended or talks nonsense.
-    fn break_line(&mut self, id: usize, why: &str) {
-        let line = &mut self.lines[id];
-        let (host, load, since, course) = (line.host, line.load.take(), line.since, line.course);
+    fn fail_backend(&mut self, id: usize, why: &str) {
+        let line = &mut self.backends[id];
+        let (host, load, since, course) =
+            (line.endpoint, line.assignment.take(), line.assigned_at, line.state);
         let reply = std::mem::take(&mut line.reply);
         match course {
-            Course::Dialing | Course::Greeting => self.counters.lines_failed += 1,
-            Course::Idle => self.counters.lines_ended += 1,
+            ConnectionState::Dialing | ConnectionState::Greeting => self.counters.lines_failed += 1,
+            ConnectionState::Idle => self.counters.lines_ended += 1,
             _ => {}
         }
-        if course != Course::Idle {
-            self.log_broken(host, course, why);
+        if course != ConnectionState::Idle {
+            self.log_connection_failure(host, course, why);
         }
         let ending = match course {
-            Course::Greeting => reply.unwelcome().unwrap_or(AttemptOutcome::ConnectFailed),
-            Course::Sent if reply.is_completed() => AttemptOutcome::Completed,
+            ConnectionState::Greeting => reply.connection_refusal().unwrap_or(AttemptOutcome::ConnectFailed),
+            ConnectionState::Sent if reply.is_completed() => AttemptOutcome::Completed,
             course => course.broken(),
         };
-        self.close_line(id);
-        self.settle(load, host, since, ending, reply);
+        self.close_backend(id);
+        self.finish_assignment(load, host, since, ending, reply);
     }
 
-    pub fn line_is_due(&mut self, id: usize) {
-        let Some(line) = self.lines.get_mut(id) else { return };
-        line.alarm = None;
-        match line.course {
-            Course::Idle => {
+    pub fn on_backend_timer(&mut self, id: usize) {
+        let Some(line) = self.backends.get_mut(id) else { return };
+        line.timer = None;
+        match line.state {
+            ConnectionState::Idle => {
                 self.counters.lines_idled += 1;
                 line.outbox.push(frame::TERMINATE.clone());
-                self.flush(id);
-                self.close_line(id);
+                self.flush_backend(id);
+                self.close_backend(id);
             }
-            Course::Dialing | Course::Greeting if self.now < line.until || line.load == Some(Load::Probe) => {
-                self.break_line(id, "not up in time");
+            ConnectionState::Dialing | ConnectionState::Greeting
+                if self.now < line.deadline || line.assignment == Some(Assignment::HealthCheck) =>
+            {
+                self.fail_backend(id, "not up in time");
             }
-            _ => self.give_up_line(id, AttemptOutcome::TimedOut),
+            _ => self.abandon_backend(id, AttemptOutcome::TimedOut),
         }
     }
 
     /// Stops waiting for what the line carries, which closes it: it may still be running there.
-    fn give_up_line(&mut self, id: usize, late: AttemptOutcome) {
-        let line = &mut self.lines[id];
-        let (host, load, since) = (line.host, line.load.take(), line.since);
-        let ending = line.course.given_up(late);
-        self.close_line(id);
-        self.settle(load, host, since, ending, Reply::default());
+    fn abandon_backend(&mut self, id: usize, late: AttemptOutcome) {
+        let line = &mut self.backends[id];
+        let (host, load, since) = (line.endpoint, line.assignment.take(), line.assigned_at);
+        let ending = line.state.given_up(late);
+        self.close_backend(id);
+        self.finish_assignment(load, host, since, ending, Reply::default());
     }
 
-    pub fn recall(&mut self, stmt: usize) {
-        if let Some(Stage::Executing(line)) = self.statements.get(stmt).map(|held| held.stage) {
-            if !self.unload(line) {
-                self.give_up_line(line, AttemptOutcome::Cancelled);
+    pub fn cancel_attempt(&mut self, request_id: usize) {
+        if let Some(RequestPhase::Executing(line)) =
+            self.requests.get(request_id).map(|request| request.phase)
+        {
+            if !self.withdraw(line) {
+                self.abandon_backend(line, AttemptOutcome::Cancelled);
             }
         }
     }
 
     /// Takes off a line what has not gone out whole; false if that has.
-    pub fn unload(&mut self, id: usize) -> bool {
-        let line = &mut self.lines[id];
-        match line.course {
-            Course::Dialing | Course::Greeting => {
-                let (host, load, since) = (line.host, line.load.take(), line.since);
-                line.until = f64::INFINITY;
-                self.settle(load, host, since, AttemptOutcome::NeverSent, Reply::default());
+    pub fn withdraw(&mut self, id: usize) -> bool {
+        let line = &mut self.backends[id];
+        match line.state {
+            ConnectionState::Dialing | ConnectionState::Greeting => {
+                let (host, load, since) = (line.endpoint, line.assignment.take(), line.assigned_at);
+                line.deadline = f64::INFINITY;
+                self.finish_assignment(load, host, since, AttemptOutcome::NeverSent, Reply::default());
                 true
             }
             // A part may be out: the rest of it, sent later, would be an execution for nobody.
-            Course::Sending => {
-                self.give_up_line(id, AttemptOutcome::NeverSent);
+            ConnectionState::Sending => {
+                self.abandon_backend(id, AttemptOutcome::NeverSent);
                 true
             }
             _ => false,
         }
     }
 
-    fn close_line(&mut self, id: usize) {
-        self.line_passes(id, Course::Closed, f64::INFINITY);
-        let line = self.lines.remove(id);
+    fn close_backend(&mut self, id: usize) {
+        self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
+        let line = self.backends.remove(id);
         self.handle.remove(line.token);
-        self.hosts.all[line.host].idle.retain(|idle| *idle != id);
+        self.endpoints.all[line.endpoint].idle.retain(|idle| *idle != id);
     }
 
-    pub fn close_idle_of(&mut self, host: usize) {
-        while let Some(id) = self.hosts.all[host].idle.pop() {
-            self.close_line(id);
+    pub fn close_idle_backends_of(&mut self, host: usize) {
+        while let Some(id) = self.endpoints.all[host].idle.pop() {
+            self.close_backend(id);
         }
     }
 
     /// Closes the line that has stood idle for longest, for the sake of another connection.
-    pub fn close_idle_line(&mut self) -> bool {
-        let oldest = self.hosts.all.iter().filter_map(|host| host.idle.first().copied());
-        let oldest = oldest.min_by(|a, b| self.lines[*a].idle_since.total_cmp(&self.lines[*b].idle_since));
+    pub fn close_longest_idle_backend(&mut self) -> bool {
+        let oldest = self.endpoints.all.iter().filter_map(|host| host.idle.first().copied());
+        let oldest =
+            oldest.min_by(|a, b| self.backends[*a].idle_since.total_cmp(&self.backends[*b].idle_since));
         if let Some(id) = oldest {
-            self.close_line(id);
+            self.close_backend(id);
         }
         oldest.is_some()
     }
 
-    fn tell_execution(&mut self, stmt: usize, host: usize, ending: AttemptOutcome, took: f64, reply: &Reply) {
+    fn report_attempt(
+        &mut self,
+        request_id: usize,
+        host: usize,
+        ending: AttemptOutcome,
+        took: f64,
+        reply: &Reply,
+    ) {
         let counter = match ending {
             AttemptOutcome::Completed => &mut self.counters.ended_completed,
             AttemptOutcome::Error => &mut self.counters.ended_error,
@@ -511,18 +559,18 @@
             AttemptOutcome::ReadOnly => &mut self.counters.ended_read_only,
         };
         *counter += 1;
-        self.tell(RoutingEvent::AttemptEnded {
-            stmt,
+        self.report(RoutingEvent::AttemptEnded {
+            stmt: request_id,
             host,
             ending,
             took,
-            note: reply.note,
-            report: reply.report,
+            note: reply.piggybacked,
+            report: reply.load_report,
         });
     }
 
-    fn tell_probe(&mut self, host: usize, ending: AttemptOutcome, report: LoadReport) {
+    fn report_health_check(&mut self, host: usize, ending: AttemptOutcome, report: LoadReport) {
         self.counters.probes_failed += u64::from(ending != AttemptOutcome::Completed);
-        self.tell(RoutingEvent::HealthCheckEnded { host, ending, report });
+        self.report(RoutingEvent::HealthCheckEnded { host, ending, report });
     }
 }
--- a/crates/ottersill/src/backend/connection.rs
+++ b/crates/ottersill/src/backend/connection.rs
@@ -9,10 +9,10 @@
 
 use crate::backend::reply::Reply;
 use crate::protocol::socket::Outbox;
-use crate::timers::TimerHandle as Set;
+use crate::timers::TimerHandle;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Course {
+pub enum ConnectionState {
     /// The connection is being set up.
     Dialing,
     /// It is up, and the host's first ReadyForQuery is awaited.
@@ -25,9 +25,9 @@
     Closed,
 }
 
-impl Course {
-    pub fn may_become(self, next: Course) -> bool {
-        use Course::*;
+impl ConnectionState {
+    pub fn may_become(self, next: ConnectionState) -> bool {
+        use ConnectionState::*;
         matches!(
             (self, next),
             (Dialing, Greeting)
@@ -40,35 +40,35 @@
 
     /// What an execution on it has come to if the connection breaks now: the proof line.
     pub fn broken(self) -> AttemptOutcome {
-        if self == Course::Sent { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
+        if self == ConnectionState::Sent { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
 
     /// The same if the router stops waiting.
     pub fn given_up(self, late: AttemptOutcome) -> AttemptOutcome {
-        if self == Course::Sent { late } else { AttemptOutcome::NeverSent }
+        if self == ConnectionState::Sent { late } else { AttemptOutcome::NeverSent }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Load {
-    Statement(usize),
-    Probe,
+pub enum Assignment {
+    Request(usize),
+    HealthCheck,
 }
 
-pub struct Line {
-    pub host: usize,
-    pub course: Course,
-    pub load: Option<Load>,
+pub struct BackendConnection {
+    pub endpoint: usize,
+    pub state: ConnectionState,
+    pub assignment: Option<Assignment>,
     /// When the load was given, and when it ends unanswered.
-    pub since: f64,
-    pub until: f64,
+    pub assigned_at: f64,
+    pub deadline: f64,
     /// When the time left was computed that the statement on it tells the host.
-    pub deadline_told_at: f64,
+    pub time_left_sent_at: f64,
     /// Apart from `since`, or standing idle between greeting and load would shorten the load's time.
     pub idle_since: f64,
     pub socket: Rc<Socket>,
     pub token: RegistrationToken,
-    pub alarm: Option<Set>,
+    pub timer: Option<TimerHandle>,
     pub inbox: BytesMut,
     pub outbox: Outbox,
     pub reply: Reply,
--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 
-use crate::protocol::frame::{Message, Nonsense};
+use crate::protocol::frame::{Message, ProtocolError};
 
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
@@ -11,12 +11,12 @@
     row: Option<Message>,
     complete: Option<Bytes>,
     code: Option<[u8; 5]>,
-    pub note: LoadReport,
-    pub report: Option<LoadReport>,
+    pub piggybacked: LoadReport,
+    pub load_report: Option<LoadReport>,
 }
 
 /// Role and position, as `recovery` and `lsn_ms` tell them. Positions are Unix milliseconds.
-fn note(note: &mut LoadReport, name: &[u8], value: &str) {
+fn read_parameter(note: &mut LoadReport, name: &[u8], value: &str) {
     match name {
         b"recovery" => {
             note.role = match value {
@@ -33,7 +33,7 @@
 }
 
 /// A load report, `x0=…,x1=…`: its position is in Unix seconds.
-fn report(text: &str) -> LoadReport {
+fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         let Some(value) = value.parse::<f64>().ok().filter(|value| value.is_finite()) else { continue };
@@ -51,8 +51,8 @@
 impl Reply {
     /// Takes one message in; true with ReadyForQuery, which ends the answer. Whatever is not just as an answer of
     /// one row or an error has to be is spoilt: it proves nothing, and nothing of it may be passed on.
-    pub fn take(&mut self, message: Message) -> Result<bool, Nonsense> {
-        let none = self.says_nothing();
+    pub fn add(&mut self, message: Message) -> Result<bool, ProtocolError> {
+        let none = self.is_empty();
         match message.tag() {
             b'T' if none && message.describes_one() => self.description = Some(message.0),
             b'D' if self.description.is_some() && self.row.is_none() && message.column().is_some() => {
@@ -73,7 +73,7 @@
                 let (name, value) = message.parameter().ok_or("a parameter without its value")?;
                 // What can't be read is no report; the answer that it came with may be good all the same.
                 if let Ok(value) = std::str::from_utf8(value) {
-                    self.hear(name, value);
+                    self.read_parameter_status(name, value);
                 }
             }
             b'Z' if message.body().len() == 1 => return Ok(true),
@@ -83,15 +83,15 @@
         Ok(false)
     }
 
-    fn hear(&mut self, name: &[u8], value: &str) {
+    fn read_parameter_status(&mut self, name: &[u8], value: &str) {
         if name == b"health" {
-            self.report = Some(report(value));
+            self.load_report = Some(parse_load_report(value));
         }
-        note(&mut self.note, name, value);
+        read_parameter(&mut self.piggybacked, name, value);
     }
 
     /// Nothing but notices and parameters, which a host may send at any time.
-    pub fn says_nothing(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.code.is_none() && self.description.is_none() && self.complete.is_none()
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// What an execution has come to. 53300 promises that nothing ran, and no other code does but the misses.
-    pub fn ending(&self) -> AttemptOutcome {
+    pub fn outcome(&self) -> AttemptOutcome {
         match self.code.as_ref() {
             Some(b"53300") => AttemptOutcome::Full,
             Some(b"72000") => AttemptOutcome::Miss,
@@ -114,13 +114,13 @@
     }
 
     /// What the setting up of a connection has come to, if the host said no: nothing was sent on it.
-    pub fn unwelcome(&self) -> Option<AttemptOutcome> {
+    pub fn connection_refusal(&self) -> Option<AttemptOutcome> {
         let code = self.code.as_ref()?;
         Some(if code == b"53300" { AttemptOutcome::Full } else { AttemptOutcome::ConnectFailed })
     }
 
     /// What a probe has come to, and what it reports; 57P03 turns a probe away.
-    pub fn probed(&self) -> (AttemptOutcome, LoadReport) {
+    pub fn health_check_result(&self) -> (AttemptOutcome, LoadReport) {
         match (self.code.as_ref(), self.health()) {
             (Some(b"53300" | b"57P03"), _) => (AttemptOutcome::Full, LoadReport::default()),
             (None, Some(report)) => (AttemptOutcome::Completed, report),
@@ -129,13 +129,13 @@
     }
 
     /// What a client is sent, just as the host gave it.
-    pub fn value(&mut self) -> [Bytes; 3] {
+    pub fn take_client_messages(&mut self) -> [Bytes; 3] {
         let row = self.row.take().map(|row| row.0);
         [self.description.take(), row, self.complete.take()].map(Option::unwrap_or_default)
     }
 
     fn health(&self) -> Option<LoadReport> {
         let row = self.row.as_ref().filter(|_| self.is_completed())?;
-        Some(report(std::str::from_utf8(row.column()?).ok()?))
+        Some(parse_load_report(std::str::from_utf8(row.column()?).ok()?))
     }
 }
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -8,35 +8,35 @@
 use socket2::Socket;
 
 use crate::protocol::socket::Outbox;
-use crate::timers::TimerHandle as Set;
+use crate::timers::TimerHandle;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Session {
+pub enum ConnectionPhase {
     /// The startup message is awaited.
-    Greeting,
+    AwaitingStartup,
     /// Between statements; `since` is when it last had something to do.
     Idle,
     /// That statement is in hand.
     Busy(usize),
     /// The client has said that it ends: the connection is shut.
-    Leaving,
+    Terminated,
     /// Told that it ends: the last words go out.
-    Dismissed,
+    Rejected,
     /// Shut for writing. Nothing is read any more, so that what the client still sends counts as not read; the connection is
     /// closed once the client has ended too, or after a bounded time.
-    Closing,
+    Lingering,
 }
 
-impl Session {
-    pub fn may_become(self, next: Session) -> bool {
-        use Session::*;
+impl ConnectionPhase {
+    pub fn may_become(self, next: ConnectionPhase) -> bool {
+        use ConnectionPhase::*;
         matches!(
             (self, next),
-            (Greeting, Idle)
+            (AwaitingStartup, Idle)
                 | (Idle, Busy(_))
                 | (Busy(_), Idle)
-                | (Greeting | Idle, Leaving | Dismissed | Closing)
-                | (Leaving | Dismissed, Closing)
+                | (AwaitingStartup | Idle, Terminated | Rejected | Lingering)
+                | (Terminated | Rejected, Lingering)
         )
     }
 }
@@ -48,16 +48,16 @@
     pub since: f64,
 }
 
-pub struct Client {
-    pub session: Session,
-    pub since: f64,
+pub struct ClientConnection {
+    pub phase: ConnectionPhase,
+    pub phase_since: f64,
     /// When the connection began.
-    pub begun: f64,
-    pub alarm: Option<Set>,
+    pub connected_at: f64,
+    pub timer: Option<TimerHandle>,
     /// When it was last looked at for bytes, or its end.
-    pub looked_at: f64,
+    pub last_read_at: f64,
     /// False if it was let in only to be told that there is no room.
-    pub welcome: bool,
+    pub is_admitted: bool,
     pub socket: Rc<Socket>,
     pub token: RegistrationToken,
     /// May hold further queries that a client sent ahead.
@@ -67,29 +67,29 @@
     /// Holds one answer at most, as the next query waits for it to go out.
     pub outbox: Outbox,
     /// More may be there to read, and no further readiness will tell of it.
-    pub unread: bool,
+    pub may_have_unread: bool,
     /// It has sent a statement before.
-    pub used: bool,
-    /// Bytes counted for it in [`Exchange::stored`](crate::event_loop::Exchange).
-    pub stored: usize,
+    pub has_queried: bool,
+    /// Bytes counted for it in [`EventLoop::stored_statement_bytes`](crate::event_loop::EventLoop).
+    pub stored_bytes: usize,
 }
 
 /// Arrivals told apart for one client; what comes beyond counts as come with the last of these.
-const ARRIVALS: usize = 64;
+const MAX_ARRIVALS: usize = 64;
 
-impl Client {
+impl ClientConnection {
     /// Drops what was read of it, and the memory that this takes.
     pub fn discard_input(&mut self) {
         self.inbox = BytesMut::new();
         self.arrivals = VecDeque::new();
-        self.unread = false;
+        self.may_have_unread = false;
     }
 
     /// Has the arrivals match the inbox, after each reading into it and each taking out of it.
     pub fn match_arrivals(&mut self, now: f64) {
         let noted: usize = self.arrivals.iter().map(|(bytes, _)| bytes).sum();
         let more = self.inbox.len().saturating_sub(noted);
-        let full = self.arrivals.len() >= ARRIVALS;
+        let full = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut() {
             Some((bytes, _)) if full => *bytes += more,
             _ if more > 0 => self.arrivals.push_back((more, now)),
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -7,14 +7,14 @@
 use serde_json::{Value, json};
 
 use crate::discovery::registry::EndpointRegistry;
-use crate::fleet_link::link::{Course, Link};
+use crate::fleet_link::link::{FleetLink, MembershipState};
 
 /// The state that answers are made of.
 pub struct FleetReport<'a> {
     /// Unix seconds, read from the clock for this answer.
     pub now: f64,
     /// The link to the fleet; none if this router is in no fleet.
-    pub link: Option<&'a Link>,
+    pub link: Option<&'a FleetLink>,
     /// Names the endpoints that budgets are for.
     pub endpoints: &'a EndpointRegistry,
 }
@@ -34,18 +34,20 @@
     }
 
     fn fleet(&self) -> Option<&FleetNode> {
-        match &self.link?.course {
-            Course::Joined { fleet, .. } => Some(fleet),
-            Course::Barred { .. } | Course::Left => None,
+        match &self.link?.state {
+            MembershipState::Joined { fleet, .. } => Some(fleet),
+            MembershipState::AddressTaken { .. } | MembershipState::Left => None,
         }
     }
 
     /// Who is a member, and since when.
     fn members(&self) -> Vec<Value> {
-        let fleet = match self.link.map(|link| &link.course) {
-            Some(Course::Joined { fleet, .. }) => fleet,
-            Some(Course::Barred { .. }) => return vec![fault("another process holds this member's address")],
-            Some(Course::Left) | None => return vec![fault("this router is in no fleet")],
+        let fleet = match self.link.map(|link| &link.state) {
+            Some(MembershipState::Joined { fleet, .. }) => fleet,
+            Some(MembershipState::AddressTaken { .. }) => {
+                return vec![fault("another process holds this member's address")];
+            }
+            Some(MembershipState::Left) | None => return vec![fault("this router is in no fleet")],
         };
         let leader = fleet.leader();
         let object = |member: &Member| {
--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -11,7 +11,7 @@
 use socket2::Socket;
 
 use crate::control::fleet_report::FleetReport;
-use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket::{self, Outbox, ReadOutcome};
 use crate::protocol::socket_failure::AcceptFailure;
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
@@ -103,7 +103,7 @@
     /// A connection became ready: reads the question, and writes what `report` answers.
     pub fn on_client_ready(&mut self, id: usize, report: &FleetReport, context: &mut Context) {
         let Some(client) = self.clients.get_mut(id) else { return };
-        let got = socket::read(&client.socket, &mut client.inbox, MAX_QUESTION_BYTES);
+        let outcome = socket::read(&client.socket, &mut client.inbox, MAX_QUESTION_BYTES);
         if let Some(question) = client.take_line() {
             client.outbox.push(Bytes::from(report.answer(&question)));
             client.was_answered = true;
@@ -112,7 +112,7 @@
             // More than the socket takes: the rest once there is room, or the lifetime is over.
             Ok(false) => true,
             // One question a connection: its end says that the answer is complete.
-            Ok(true) => !client.was_answered && matches!(got, Ok(Got::All)),
+            Ok(true) => !client.was_answered && matches!(outcome, Ok(ReadOutcome::Drained)),
             Err(_) => false,
         };
         if !keep {
--- a/crates/ottersill/src/counters.rs
+++ b/crates/ottersill/src/counters.rs
@@ -73,7 +73,7 @@
 
 impl Counters {
     /// Checks an invariant: a debug build panics where it does not hold, a release build counts it and goes on.
-    pub fn must(&mut self, holds: bool, what: &str) {
+    pub fn check_invariant(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         self.breaches += u64::from(!holds);
     }
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -12,7 +12,7 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::http::{self, HttpError, Response};
 use crate::discovery::watch::{self, CallState, Request};
-use crate::protocol::socket::{self, Got, Outbox};
+use crate::protocol::socket::{self, Outbox, ReadOutcome};
 use crate::reactor::{Context, Source};
 
 /// The only status of a response that counts.
@@ -103,7 +103,7 @@
     /// If this machine can't open or watch one more connection, or knows no way to the address.
     pub fn dial(address: SocketAddr, context: &Context) -> io::Result<Call> {
         let (socket, token) =
-            context.register(socket::dial(address).map_err(io::Error::from)?, Source::Discovery)?;
+            context.register(socket::connect(address).map_err(io::Error::from)?, Source::Discovery)?;
         Ok(Call {
             state: CallState::Connecting,
             socket,
@@ -126,7 +126,7 @@
     /// # Errors
     /// If it never will be.
     pub fn is_up(&self) -> io::Result<bool> {
-        socket::is_up(&self.socket)
+        socket::is_connected(&self.socket)
     }
 
     /// Whether the time is over for which it is kept beside the calls that follow it.
@@ -157,18 +157,19 @@
     pub fn read(&mut self, context: &mut Context) -> Result<Option<Answer>, CallError> {
         self.outbox.flush(&self.socket)?;
         // A reset is no end: what came before it is dropped with the connection.
-        let got = socket::read(&self.socket, &mut self.inbox, http::MAX_RESPONSE_BYTES)?;
-        let response = http::response(&mut self.inbox, got == Got::End).map_err(CallError::Http)?;
+        let outcome = socket::read(&self.socket, &mut self.inbox, http::MAX_RESPONSE_BYTES)?;
+        let response =
+            http::response(&mut self.inbox, outcome == ReadOutcome::Ended).map_err(CallError::Http)?;
         if let Some(response) = response {
             return Answer::parse(&response).map(Some);
         }
-        match got {
-            Got::End => Err(CallError::Ended),
-            Got::More => {
+        match outcome {
+            ReadOutcome::Ended => Err(CallError::Ended),
+            ReadOutcome::MoreLeft => {
                 context.wake(Source::Discovery);
                 Ok(None)
             }
-            Got::All => Ok(None),
+            ReadOutcome::Drained => Ok(None),
         }
     }
 
@@ -181,7 +182,7 @@
 
     /// Every change of its state.
     pub fn transition(&mut self, next: CallState, context: &mut Context) {
-        context.counters.must(
+        context.counters.check_invariant(
             self.state.may_become(next),
             "a call changes its state only as CallState::may_become allows",
         );
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -16,23 +16,22 @@
 use slog::{Logger, info};
 use socket2::Socket;
 
-use crate::backend::connection::Line;
-use crate::client::connection::{Client, UnwatchedClient};
+use crate::backend::connection::BackendConnection;
+use crate::client::connection::{ClientConnection, UnwatchedClient};
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
 use crate::counters::Counters;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
-use crate::fleet_link::link::Link;
-use crate::in_flight::Statements;
-pub use crate::reactor::Source as Party;
-use crate::reactor::{self, Context, ReactorHandle, Readiness};
+use crate::fleet_link::link::FleetLink;
+use crate::in_flight::InFlightRequests;
+use crate::reactor::{self, Context, ReactorHandle, Readiness, Source};
 use crate::timers::{Timer, TimerHandle, Timers};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
 /// connection comes up is no measure for it: a customer's settings may give that any length.
-pub const LEEWAY: f64 = 0.25;
+pub const TIMING_MARGIN: f64 = 0.25;
 
 /// Sockets that are found ready within so many seconds after a turn may have been ready during it.
 const NO_WAIT: f64 = 0.001;
@@ -65,39 +64,39 @@
 
 /// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
 #[derive(Clone, Copy, Debug)]
-pub struct Berths {
+pub struct ConnectionLimits {
     /// For clients and lines together.
-    pub all: usize,
+    pub total: usize,
     pub clients: usize,
     /// With more than this of those that have asked, the longest idle ones are closed as others come.
-    pub easy: usize,
+    pub established_clients: usize,
     /// Beside all these, for clients that are let in to be told that there is no room.
-    pub spare: usize,
+    pub rejected_clients: usize,
     /// For statements of clients, whole or not.
-    pub bytes: usize,
+    pub statement_bytes: usize,
     /// For what is known of the shapes of statements.
-    pub book: usize,
+    pub fingerprint_bytes: usize,
 }
 
-pub struct Exchange {
+pub struct EventLoop {
     pub facade: Facade,
-    pub statements: Statements,
-    pub hosts: EndpointRegistry,
-    pub clients: Slab<Client>,
-    pub lines: Slab<Line>,
+    pub requests: InFlightRequests,
+    pub endpoints: EndpointRegistry,
+    pub clients: Slab<ClientConnection>,
+    pub backends: Slab<BackendConnection>,
     discovery: DiscoveryClient,
-    pub alarms: Timers,
+    pub timers: Timers,
     /// The tie to the other routers; none where there is no talk.
-    pub link: Option<Link>,
+    pub fleet_link: Option<FleetLink>,
     control: ControlServer,
     pub counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
-    pub book: FingerprintCache,
+    pub fingerprints: FingerprintCache,
     /// When a line last said why a statement was taken for one that may write.
-    pub strict_logged_at: f64,
-    pub names: Catalog,
-    pub upkeep: BackendTimeouts,
-    pub berths: Berths,
+    pub write_classification_logged_at: f64,
+    pub catalog: Catalog,
+    pub timeouts: BackendTimeouts,
+    pub limits: ConnectionLimits,
     pub log: Logger,
     pub handle: ReactorHandle,
     pub clock: Clock,
@@ -106,184 +105,186 @@
     /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
     /// bytes then may have lain there while that turn was held up.
     pub arrivals_since: f64,
-    turn_ended_at: f64,
+    iteration_ended_at: f64,
     pub started_at: f64,
     /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
-    pub come_again: f64,
+    pub max_retry_after: f64,
     /// Bytes of statements, whole or not; falls with each answer and each client that leaves.
-    pub stored: usize,
+    pub stored_statement_bytes: usize,
     pub listener: Option<(Rc<Socket>, RegistrationToken)>,
     /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
     pub unwatched_client: Option<UnwatchedClient>,
     /// Set while clients wait at the door for one to leave.
-    pub crowd: Option<TimerHandle>,
+    pub accept_retry: Option<TimerHandle>,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
-    pub retiring: bool,
+    pub is_draining: bool,
     /// What is taken in is answered by then; never, unless the router has been told to stop.
-    pub stops_at: f64,
+    pub answers_by: f64,
     /// What the event loop notes while it waits.
     pub readiness: Readiness,
 }
 
-impl Exchange {
+impl EventLoop {
     pub fn new(
         terms: RoutingConfig,
-        names: Catalog,
-        upkeep: BackendTimeouts,
-        berths: Berths,
+        catalog: Catalog,
+        timeouts: BackendTimeouts,
+        limits: ConnectionLimits,
         discovery: std::net::SocketAddr,
         log: Logger,
         handle: ReactorHandle,
-    ) -> Exchange {
+    ) -> EventLoop {
         let clock = Clock::default();
         let now = clock.now();
-        let come_again = terms.max_retry_after;
-        let usual = terms.workloads.iter().map(Router::typical).collect();
-        let book = FingerprintCache::new(now, Key::from_seed(terms.seed), berths.book, usual);
-        Exchange {
+        let max_retry_after = terms.max_retry_after;
+        let typical_work = terms.workloads.iter().map(Router::typical).collect();
+        let fingerprints =
+            FingerprintCache::new(now, Key::from_seed(terms.seed), limits.fingerprint_bytes, typical_work);
+        EventLoop {
             facade: Facade::start(now, terms),
-            statements: Statements::default(),
-            hosts: EndpointRegistry::new(names.sites.clone()),
+            requests: InFlightRequests::default(),
+            endpoints: EndpointRegistry::new(catalog.sites.clone()),
             clients: Slab::new(),
-            lines: Slab::new(),
-            discovery: DiscoveryClient::new(discovery, upkeep.drain_grace),
-            alarms: Timers::default(),
-            link: None,
+            backends: Slab::new(),
+            discovery: DiscoveryClient::new(discovery, timeouts.drain_grace),
+            timers: Timers::default(),
+            fleet_link: None,
             control: ControlServer::default(),
             counters: Counters::default(),
-            book,
-            strict_logged_at: 0.0,
-            names,
-            upkeep,
-            berths,
+            fingerprints,
+            write_classification_logged_at: 0.0,
+            catalog,
+            timeouts,
+            limits,
             log,
             handle,
             clock,
             now,
             arrivals_since: now,
-            turn_ended_at: now,
+            iteration_ended_at: now,
             started_at: now,
-            come_again,
-            stored: 0,
+            max_retry_after,
+            stored_statement_bytes: 0,
             listener: None,
             unwatched_client: None,
-            crowd: None,
-            retiring: false,
-            stops_at: f64::INFINITY,
+            accept_retry: None,
+            is_draining: false,
+            answers_by: f64::INFINITY,
             readiness: Readiness::default(),
         }
     }
 
     /// Has the loop tell when the socket becomes ready: once for each change, so that nothing needs to be asked
-    /// for again; whoever leaves something unread says so by [`Exchange::again`].
-    pub fn attend(&self, socket: Socket, party: Party) -> io::Result<(Rc<Socket>, RegistrationToken)> {
-        reactor::register(&self.handle, socket, party)
+    /// for again; whoever leaves something unread says so by [`EventLoop::wake`].
+    pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+        reactor::register(&self.handle, socket, source)
     }
 
     /// The same for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
-    pub fn attend_shared(&self, socket: &Rc<Socket>, party: Party) -> io::Result<RegistrationToken> {
-        reactor::register_shared(&self.handle, socket, party)
+    pub fn register_shared(&self, socket: &Rc<Socket>, source: Source) -> io::Result<RegistrationToken> {
+        reactor::register_shared(&self.handle, socket, source)
     }
 
-    /// Sees to that party in the next turn.
-    pub fn again(&mut self, party: Party) {
-        self.readiness.wake(party);
+    /// Sees to that source in the next turn.
+    pub fn wake(&mut self, source: Source) {
+        self.readiness.wake(source);
     }
 
     /// When the next turn is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
         let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
-        self.alarms.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
+        self.timers.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
-    pub fn turn(&mut self) {
-        self.begin_turn(self.clock.now());
-        self.fleet_parts();
-        for party in self.readiness.take() {
-            match party {
-                Party::Discovery => self.with_discovery(DiscoveryClient::on_ready),
-                Party::Fleet => {
-                    self.fleet_is_ready();
-                    self.fleet_parts();
+    pub fn poll_once(&mut self) {
+        self.begin_iteration(self.clock.now());
+        self.update_fleet_quota();
+        for source in self.readiness.take() {
+            match source {
+                Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
+                Source::Fleet => {
+                    self.on_fleet_ready();
+                    self.update_fleet_quota();
                 }
-                Party::Control => self.with_control(ControlServer::on_ready),
-                Party::ControlClient(id) => {
+                Source::Control => self.with_control(ControlServer::on_ready),
+                Source::ControlClient(id) => {
                     self.with_control(|control, report, context| {
                         control.on_client_ready(id, report, context)
                     });
                 }
-                Party::Line(line) => self.line_is_ready(line),
-                Party::Client(client) => self.client_is_ready(client),
-                Party::Listener => self.listener_is_ready(),
+                Source::Backend(id) => self.on_backend_ready(id),
+                Source::Client(id) => self.on_client_ready(id),
+                Source::Listener => self.on_listener_ready(),
             }
-            self.carry_out();
+            self.run_routing_actions();
         }
-        while let Some(timer) = self.alarms.expired(self.now) {
+        while let Some(timer) = self.timers.expired(self.now) {
             match timer {
                 Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
-                Timer::Fleet => self.fleet_is_due(),
+                Timer::Fleet => self.on_fleet_timer(),
                 Timer::ControlClient(id) => {
                     self.with_control(|control, _, context| control.close_client(id, context));
                 }
-                Timer::Control => self.again(Party::Control),
+                Timer::Control => self.wake(Source::Control),
                 Timer::Listener => {
-                    self.crowd = None;
-                    self.again(Party::Listener);
+                    self.accept_retry = None;
+                    self.wake(Source::Listener);
                 }
-                Timer::Line(line) => self.line_is_due(line),
-                Timer::Client(client) => self.client_is_due(client),
+                Timer::Backend(id) => self.on_backend_timer(id),
+                Timer::Client(id) => self.on_client_timer(id),
             }
-            self.carry_out();
+            self.run_routing_actions();
         }
-        self.carry_out();
-        self.fleet_after();
-        self.turn_ended_at = self.clock.now();
+        self.run_routing_actions();
+        self.flush_fleet();
+        self.iteration_ended_at = self.clock.now();
     }
 
-    fn begin_turn(&mut self, time: f64) {
-        let waited = time - self.turn_ended_at;
+    fn begin_iteration(&mut self, time: f64) {
+        let waited = time - self.iteration_ended_at;
         self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
         self.now = time;
     }
 
     /// Does what the facade names, until it names nothing more.
-    pub fn carry_out(&mut self) {
+    pub fn run_routing_actions(&mut self) {
         loop {
-            let due = self.facade.tick(self.now);
-            if due.is_empty() {
+            let actions = self.facade.tick(self.now);
+            if actions.is_empty() {
                 return;
             }
-            for due in due {
-                match due {
-                    RoutingAction::Pick(stmt) => {
-                        let (stmt, choice) = self.facade.pick(self.now, PickRequest::Waiting(stmt));
-                        self.act(stmt, choice);
+            for action in actions {
+                match action {
+                    RoutingAction::Pick(request_id) => {
+                        let (request_id, choice) =
+                            self.facade.pick(self.now, PickRequest::Waiting(request_id));
+                        self.apply_decision(request_id, choice);
                     }
-                    RoutingAction::CancelAttempt(stmt) => self.recall(stmt),
-                    RoutingAction::HealthCheck(host) => self.probe(host),
+                    RoutingAction::CancelAttempt(request_id) => self.cancel_attempt(request_id),
+                    RoutingAction::HealthCheck(endpoint) => self.start_health_check(endpoint),
                 }
             }
         }
     }
 
-    /// Opens a statement at the facade; `held` is told the number that it got.
-    pub fn open(&mut self, stmt: Request, held: impl FnOnce(&mut Exchange, usize)) {
-        let (index, choice) = self.facade.pick(self.now, PickRequest::New(stmt));
-        held(self, index);
-        self.act(index, choice);
+    /// Opens a statement at the facade; `inserted` is told the number that it got.
+    pub fn start_request(&mut self, request: Request, inserted: impl FnOnce(&mut EventLoop, usize)) {
+        let (request_id, choice) = self.facade.pick(self.now, PickRequest::New(request));
+        inserted(self, request_id);
+        self.apply_decision(request_id, choice);
     }
 
-    fn act(&mut self, stmt: usize, choice: Decision) {
+    fn apply_decision(&mut self, request_id: usize, choice: Decision) {
         match choice {
             Decision::Wait => {}
-            Decision::Dispatch { host, time_out } => self.execute(stmt, host, time_out),
-            Decision::Reject { retry_after } => self.reject(stmt, retry_after),
-            Decision::Abort => self.abort(stmt),
+            Decision::Dispatch { host, time_out } => self.start_attempt(request_id, host, time_out),
+            Decision::Reject { retry_after } => self.reject(request_id, retry_after),
+            Decision::Abort => self.abort(request_id),
         }
     }
 
-    pub fn tell(&mut self, news: RoutingEvent) {
-        self.facade.report(self.now, news);
+    pub fn report(&mut self, event: RoutingEvent) {
+        self.facade.report(self.now, event);
     }
 
     /// Has the discovery client do something, and carries out what it says.
@@ -292,7 +293,7 @@
             now: self.now,
             handle: &self.handle,
             readiness: &mut self.readiness,
-            timers: &mut self.alarms,
+            timers: &mut self.timers,
             counters: &mut self.counters,
             log: &self.log,
         };
@@ -300,7 +301,7 @@
         while let Some(event) = self.discovery.poll_event() {
             match event {
                 DiscoveryEvent::List(list) => self.apply_endpoint_list(&list),
-                DiscoveryEvent::CallFailed => self.tell(RoutingEvent::EndpointListFailed),
+                DiscoveryEvent::CallFailed => self.report(RoutingEvent::EndpointListFailed),
             }
         }
     }
@@ -308,27 +309,28 @@
     /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
         self.counters.lists += 1;
-        let change = self.hosts.apply(list);
+        let change = self.endpoints.apply(list);
         for endpoint in change.readdressed {
-            self.close_idle_of(endpoint);
+            self.close_idle_backends_of(endpoint);
         }
         for listed in &change.updates {
-            let name = self.hosts.all[listed.host].name.as_str();
+            let name = self.endpoints.all[listed.host].name.as_str();
             info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.standing),
                 "started_at" => listed.started_at.unwrap_or(0.0));
         }
-        self.tell(RoutingEvent::EndpointList(&change.updates));
-        self.call_back();
+        self.report(RoutingEvent::EndpointList(&change.updates));
+        self.withdraw_disallowed();
     }
 
     /// Has the control listener do something.
     pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
-        let report = FleetReport { now: self.clock.now(), link: self.link.as_ref(), endpoints: &self.hosts };
+        let report =
+            FleetReport { now: self.clock.now(), link: self.fleet_link.as_ref(), endpoints: &self.endpoints };
         let mut context = Context {
             now: self.now,
             handle: &self.handle,
             readiness: &mut self.readiness,
-            timers: &mut self.alarms,
+            timers: &mut self.timers,
             counters: &mut self.counters,
             log: &self.log,
         };
@@ -337,7 +339,9 @@
 
     /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
     pub fn open_control(&mut self) -> Result<(), String> {
-        let Some(address) = self.link.as_ref().and_then(|link| link.file.control) else { return Ok(()) };
+        let Some(address) = self.fleet_link.as_ref().and_then(|link| link.file.control) else {
+            return Ok(());
+        };
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
         opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
@@ -346,13 +350,13 @@
     }
 
     /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
-    pub fn retire(&mut self) {
+    pub fn drain(&mut self) {
         // Whom the machine has let in may have sent a statement, which then counts as taken.
-        self.accept(usize::MAX);
-        self.retiring = true;
-        self.close_door();
+        self.accept_clients(usize::MAX);
+        self.is_draining = true;
+        self.close_listener_if_drained();
         self.close_idle_clients();
-        self.carry_out();
+        self.run_routing_actions();
     }
 
     /// Nobody is in hand or at the door.
@@ -361,7 +365,7 @@
     }
 
     /// Everything that must hold, wherever it is counted.
-    pub fn breaches(&self) -> u64 {
+    pub fn invariant_violations(&self) -> u64 {
         self.counters.breaches + self.facade.breaches()
     }
 }
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -12,103 +12,106 @@
 use slog::{info, warn};
 use socket2::SockAddr;
 
-use crate::event_loop::{Exchange, Party};
-use crate::fleet_link::link::{Course, Link};
+use crate::event_loop::EventLoop;
+use crate::fleet_link::link::{FleetLink, MembershipState};
 use crate::protocol::socket;
-use crate::timers::Timer as Alarm;
+use crate::reactor::Source;
+use crate::timers::Timer;
 
 /// Datagrams read in one turn, so that a flood of them holds up no statement.
-const DATAGRAMS: usize = 64;
+const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 /// Between two tries to have the member's address; seconds.
-const AGAIN: f64 = 0.5;
+const BIND_RETRY_DELAY: f64 = 0.5;
 
-impl Exchange {
+impl EventLoop {
     /// Joins the fleet if the address is free.
-    fn fleet_join(&mut self) {
-        let Some(link) = &mut self.link else { return };
+    fn join_fleet(&mut self) {
+        let Some(link) = &mut self.fleet_link else { return };
         let listen = link.file.listen;
-        let opened = socket::datagrams(listen).and_then(|socket| self.attend(socket, Party::Fleet));
-        let Some(link) = &mut self.link else { return };
+        let opened = socket::bind_datagram(listen).and_then(|socket| self.register(socket, Source::Fleet));
+        let Some(link) = &mut self.fleet_link else { return };
         match opened {
             Ok((socket, token)) => {
                 link.join(self.now, socket, token);
                 info!(self.log, "joined the fleet"; "listen" => %listen);
             }
             Err(fault) => {
-                if matches!(link.course, Course::Barred { again_at } if again_at == 0.0) {
+                if matches!(link.state, MembershipState::AddressTaken { retry_at } if retry_at == 0.0) {
                     warn!(self.log, "no part of the fleet's budgets: its address can't be had"; "listen" => %listen,
                         "fault" => %fault);
                 }
-                link.course = Course::Barred { again_at: self.now + AGAIN };
+                link.state = MembershipState::AddressTaken { retry_at: self.now + BIND_RETRY_DELAY };
             }
         }
     }
 
-    pub fn fleet_is_ready(&mut self) {
+    pub fn on_fleet_ready(&mut self) {
         let mut space = [0; MAX_DATAGRAM_BYTES];
-        for _ in 0..DATAGRAMS {
-            let Some(Link { course: Course::Joined { fleet, socket, .. }, .. }) = &mut self.link else {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKE {
+            let Some(FleetLink { state: MembershipState::Joined { fleet, socket, .. }, .. }) =
+                &mut self.fleet_link
+            else {
                 return;
             };
-            match socket::datagram(socket, &mut space) {
+            match socket::receive_datagram(socket, &mut space) {
                 // Each by the clock as it is when it is read: what is granted counts from then.
                 Ok(Some(length)) => fleet.handle_datagram(self.clock.now(), &space[..length]),
-                Ok(None) => return self.fleet_after(),
+                Ok(None) => return self.flush_fleet(),
                 // An earlier datagram found nobody, or no way; the next may be in order.
                 Err(e) if is_of_one_datagram(e.kind()) => {}
                 Err(e) => {
                     warn!(self.log, "fleet datagrams"; "fault" => %e);
-                    if let Some(link) = &mut self.link {
+                    if let Some(link) = &mut self.fleet_link {
                         link.read_again = true;
                     }
-                    return self.fleet_after();
+                    return self.flush_fleet();
                 }
             }
         }
-        self.fleet_after();
-        self.again(Party::Fleet);
+        self.flush_fleet();
+        self.wake(Source::Fleet);
     }
 
-    pub fn fleet_is_due(&mut self) {
+    pub fn on_fleet_timer(&mut self) {
         let now = self.clock.now();
-        match self.link.as_mut().map(|link| &mut link.course) {
-            Some(Course::Barred { again_at }) if now >= *again_at => self.fleet_join(),
-            Some(Course::Joined { fleet, .. }) => fleet.tick(now),
+        match self.fleet_link.as_mut().map(|link| &mut link.state) {
+            Some(MembershipState::AddressTaken { retry_at }) if now >= *retry_at => self.join_fleet(),
+            Some(MembershipState::Joined { fleet, .. }) => fleet.tick(now),
             _ => {}
         }
-        if self.link.as_mut().is_some_and(|link| std::mem::take(&mut link.read_again)) {
-            self.again(Party::Fleet);
+        if self.fleet_link.as_mut().is_some_and(|link| std::mem::take(&mut link.read_again)) {
+            self.wake(Source::Fleet);
         }
-        self.fleet_after();
+        self.flush_fleet();
     }
 
     /// Sends what is to be sent, says what changed, and sets the alarm anew.
-    pub fn fleet_after(&mut self) {
+    pub fn flush_fleet(&mut self) {
         let now = self.clock.now();
-        let Some(link) = &mut self.link else { return };
+        let Some(link) = &mut self.fleet_link else { return };
         let (datagrams, events) =
             link.fleet().map_or_else(Default::default, |fleet| (fleet.take_datagrams(), fleet.take_events()));
         for event in &events {
-            link.note(now, event);
+            link.record(now, event);
         }
         for datagram in datagrams {
             let at = link.address(&datagram.to).or(datagram.advertised_address);
-            if let (Some(at), Course::Joined { socket, .. }) = (at, &link.course) {
+            if let (Some(at), MembershipState::Joined { socket, .. }) = (at, &link.state) {
                 // One that is lost is asked for again.
                 let _ = socket.send_to(&datagram.bytes, &SockAddr::from(at));
             }
         }
-        self.alarms.clear(link.alarm.take());
+        self.timers.clear(link.timer.take());
         let next = link.next_at();
         if next.is_finite() {
-            link.alarm = Some(self.alarms.set(next, Alarm::Fleet));
+            link.timer = Some(self.timers.set(next, Timer::Fleet));
         }
         for event in events {
-            self.fleet_logs(event);
+            self.log_fleet_event(event);
         }
     }
 
-    fn fleet_logs(&self, event: Event) {
+    fn log_fleet_event(&self, event: Event) {
         match event {
             Event::MembershipChanged(change) => {
                 info!(self.log, "member"; "member" => change.process.name.as_str(),
@@ -140,7 +143,7 @@
     }
 
     pub fn budget_name(&self, id: u64) -> String {
-        let budget = self.link.as_ref().and_then(|link| link.file.fleet.budget(id));
+        let budget = self.fleet_link.as_ref().and_then(|link| link.file.fleet.budget(id));
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
@@ -149,19 +152,19 @@
         if label == 0 {
             return String::new();
         }
-        let host = self.hosts.all.iter().find(|host| host.label == label);
+        let host = self.endpoints.all.iter().find(|host| host.label == label);
         host.map_or_else(|| format!("{label:x}"), |host| host.name.clone())
     }
 
     /// Tells the module what its parts are now, and the fleet what waits for more.
-    pub fn fleet_parts(&mut self) {
-        let Some(mut link) = self.link.take() else { return };
+    pub fn update_fleet_quota(&mut self) {
+        let Some(mut link) = self.fleet_link.take() else { return };
         let now = self.clock.now();
-        link.parts.hosts.clear();
-        let in_hand = self.statements.in_hand();
-        for (index, host) in self.hosts.all.iter().enumerate() {
+        link.quota.hosts.clear();
+        let in_flight = self.requests.count();
+        for (index, host) in self.endpoints.all.iter().enumerate() {
             let waiting = self.facade.waiting(host.listed.group) as u64;
-            let units = link.key(BudgetKind::AttemptsPerEndpoint, &host.name).map(|key| {
+            let units = link.budget_key(BudgetKind::AttemptsPerEndpoint, &host.name).map(|key| {
                 link.fleet().map_or(0, |fleet| {
                     fleet.track(now, key);
                     if waiting > 0 && !fleet.is_available(now, key) {
@@ -172,12 +175,12 @@
             });
             // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
             let cold = self.facade.is_cold(self.now, index);
-            let key = link.key(BudgetKind::AttemptsPerWarmingEndpoint, &host.name).filter(|_| cold);
+            let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, &host.name).filter(|_| cold);
             let tokens = key.map(|key| {
                 link.fleet().map_or(0.0, |fleet| {
                     let tokens = fleet.tokens(now, key);
                     // Nothing waits for a cold host as long as a warm one has room: who has traffic wants a part.
-                    if in_hand > 0 && tokens < 1.0 {
+                    if in_flight > 0 && tokens < 1.0 {
                         fleet.note_waiting(now, key, 1);
                     }
                     tokens
@@ -185,62 +188,62 @@
             });
             let units = units.map(|units| units as f64);
             if units.is_some() || tokens.is_some() {
-                link.parts.hosts.push(EndpointQuota { host: index, units, tokens });
+                link.quota.hosts.push(EndpointQuota { host: index, units, tokens });
             }
         }
         let here = |fleet: &mut FleetNode| fleet.members().filter(|m| m.presence == Presence::Here).count();
-        link.parts.routers = link.fleet().map(here);
-        link.parts.second_tries = link
-            .key(BudgetKind::Retries, "")
+        link.quota.routers = link.fleet().map(here);
+        link.quota.second_tries = link
+            .budget_key(BudgetKind::Retries, "")
             .map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
-        self.facade.report(self.now, RoutingEvent::Quota(&link.parts));
+        self.facade.report(self.now, RoutingEvent::Quota(&link.quota));
         let next = link.next_at();
-        self.alarms.clear(link.alarm.take());
+        self.timers.clear(link.timer.take());
         if next.is_finite() {
-            link.alarm = Some(self.alarms.set(next, Alarm::Fleet));
+            link.timer = Some(self.timers.set(next, Timer::Fleet));
         }
-        self.link = Some(link);
+        self.fleet_link = Some(link);
     }
 
     /// Whether the fleet's budgets let an execution go out to that host now, and counts it if they do.
-    pub fn fleet_lets(&mut self, stmt: usize, host: usize) -> bool {
+    pub fn acquire_attempt_quota(&mut self, stmt: usize, host: usize) -> bool {
         let now = self.clock.now();
-        let again = self.statements.get(stmt).is_some_and(|held| held.ran);
-        let Some(link) = &mut self.link else { return true };
-        let name = &self.hosts.all[host].name;
-        if again && !link.take(now, BudgetKind::Retries, "") {
+        let again = self.requests.get(stmt).is_some_and(|request| request.may_have_run);
+        let Some(link) = &mut self.fleet_link else { return true };
+        let name = &self.endpoints.all[host].name;
+        if again && !link.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
         let cold = self.facade.is_cold(self.now, host);
-        (!cold || link.take(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
-            && link.take(now, BudgetKind::AttemptsPerEndpoint, name)
+        (!cold || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
+            && link.acquire(now, BudgetKind::AttemptsPerEndpoint, name)
     }
 
-    pub fn fleet_has(&mut self, of: BudgetKind) -> bool {
+    pub fn acquire_quota(&mut self, of: BudgetKind) -> bool {
         let now = self.clock.now();
-        self.link.as_mut().is_none_or(|link| link.take(now, of, ""))
+        self.fleet_link.as_mut().is_none_or(|link| link.acquire(now, of, ""))
     }
 
     /// An execution that was counted is over; `proved` if it is known to run no more.
-    pub fn fleet_ends(&mut self, host: usize, proved: bool) {
+    pub fn release_attempt_quota(&mut self, host: usize, proved: bool) {
         let now = self.clock.now();
-        if let Some(link) = &mut self.link {
-            link.put(now, BudgetKind::AttemptsPerEndpoint, &self.hosts.all[host].name, proved);
+        if let Some(link) = &mut self.fleet_link {
+            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[host].name, proved);
         }
     }
 
-    pub fn fleet_leaves(&mut self) {
+    pub fn leave_fleet(&mut self) {
         let now = self.clock.now();
-        if let Some(fleet) = self.link.as_mut().and_then(Link::fleet) {
+        if let Some(fleet) = self.fleet_link.as_mut().and_then(FleetLink::fleet) {
             FleetNode::leave(fleet, now);
         }
-        self.fleet_after();
+        self.flush_fleet();
     }
 
-    pub fn fleet_reloads(&mut self) {
+    pub fn reload_fleet(&mut self) {
         let now = self.clock.now();
-        let Some(link) = &mut self.link else { return };
+        let Some(link) = &mut self.fleet_link else { return };
         match link.reload(now) {
             Ok(changed) => info!(self.log, "the fleet's file read again"; "changed" => changed.join(", ")),
             Err(fault) => {
@@ -248,7 +251,7 @@
                 warn!(self.log, "the fleet's file not taken, all goes on as it was"; "fault" => fault);
             }
         }
-        self.fleet_after();
+        self.flush_fleet();
     }
 }
 
@@ -259,10 +262,10 @@
 }
 
 /// Joins the fleet, and answers operators about it; the error is one line for the operator.
-pub fn begin(exchange: &mut Exchange, link: Link) -> Result<(), String> {
-    exchange.link = Some(link);
-    exchange.open_control()?;
-    exchange.fleet_join();
-    exchange.fleet_after();
+pub fn begin(event_loop: &mut EventLoop, link: FleetLink) -> Result<(), String> {
+    event_loop.fleet_link = Some(link);
+    event_loop.open_control()?;
+    event_loop.join_fleet();
+    event_loop.flush_fleet();
     Ok(())
 }
--- a/crates/ottersill/src/fleet_link/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -16,14 +16,14 @@
 use socket2::Socket;
 
 use crate::fleet_link::audit_file::AuditFile;
-use crate::timers::TimerHandle as Set;
+use crate::timers::TimerHandle;
 
 /// Where the link stands.
-pub enum Course {
-    /// Another process holds the member's address: whoever has it is the member. Tried again at `again_at`; until then
+pub enum MembershipState {
+    /// Another process holds the member's address: whoever has it is the member. Tried again at `retry_at`; until then
     /// this router has no part of any budget.
-    Barred {
-        again_at: f64,
+    AddressTaken {
+        retry_at: f64,
     },
     Joined {
         fleet: Box<FleetNode>,
@@ -34,30 +34,30 @@
     Left,
 }
 
-pub struct Link {
+pub struct FleetLink {
     path: String,
     name: String,
-    longest: f64,
+    longest_statement_timeout: f64,
     pub file: FleetFile,
     secret: Vec<u8>,
     seed: u64,
-    pub course: Course,
+    pub state: MembershipState,
     /// What is written for whoever adds up; each line is written before what it tells of is done.
     audit: Option<AuditFile>,
     /// Lines of it that could not be written.
     pub unwritten: u64,
-    pub alarm: Option<Set>,
+    pub timer: Option<TimerHandle>,
     /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
     /// come already.
     pub read_again: bool,
-    pub parts: FleetQuota,
+    pub quota: FleetQuota,
     /// Spent and turned away, by what for.
     pub refused: u64,
 }
 
 /// A line of the audit. Times are Unix seconds of the machine's clock.
 #[derive(Serialize)]
-struct Entry<'a> {
+struct AuditEntry<'a> {
     at: f64,
     process: &'a str,
     incarnation: u64,
@@ -73,10 +73,15 @@
     until: Option<[(u64, f64); 2]>,
 }
 
-impl Link {
+impl FleetLink {
     /// Reads the file at `path`; the error is one line for the operator.
-    pub fn open(path: &str, name: &str, longest: f64, seed: u64) -> Result<Link, String> {
-        let file = read(path, name, longest)?;
+    pub fn open(
+        path: &str,
+        name: &str,
+        longest_statement_timeout: f64,
+        seed: u64,
+    ) -> Result<FleetLink, String> {
+        let file = read(path, name, longest_statement_timeout)?;
         let secret = secret(&file.key_file)?;
         let audit = match &file.audit_file {
             None => None,
@@ -85,19 +90,19 @@
                 Some(opened.map_err(|e| format!("{path}: audit_file: {file}: {e}"))?)
             }
         };
-        Ok(Link {
+        Ok(FleetLink {
             path: path.to_string(),
             name: name.to_string(),
-            longest,
+            longest_statement_timeout,
             file,
             secret,
             seed,
-            course: Course::Barred { again_at: 0.0 },
+            state: MembershipState::AddressTaken { retry_at: 0.0 },
             audit,
             unwritten: 0,
-            alarm: None,
+            timer: None,
             read_again: false,
-            parts: FleetQuota::default(),
+            quota: FleetQuota::default(),
             refused: 0,
         })
     }
@@ -116,18 +121,18 @@
             seed: self.seed ^ random,
         };
         let fleet = Box::new(FleetNode::start(now, self.file.fleet.clone(), identity));
-        self.course = Course::Joined { fleet, socket, token };
+        self.state = MembershipState::Joined { fleet, socket, token };
     }
 
     pub fn fleet(&mut self) -> Option<&mut FleetNode> {
-        match &mut self.course {
-            Course::Joined { fleet, .. } => Some(fleet),
+        match &mut self.state {
+            MembershipState::Joined { fleet, .. } => Some(fleet),
             _ => None,
         }
     }
 
     /// The budget for that, if there is one, and its subject: a host's name, or nothing.
-    pub fn key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
+    pub fn budget_key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
         let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
         let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
         Some(BudgetKey { budget: self.file.fleet.budgets[index].id, subject })
@@ -135,8 +140,8 @@
 
     /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
     /// that everything may be done.
-    pub fn take(&mut self, now: f64, of: BudgetKind, subject: &str) -> bool {
-        let Some(key) = self.key(of, subject) else { return true };
+    pub fn acquire(&mut self, now: f64, of: BudgetKind, subject: &str) -> bool {
+        let Some(key) = self.budget_key(of, subject) else { return true };
         let Some(fleet) = self.fleet() else {
             self.refused += 1;
             return false;
@@ -150,8 +155,8 @@
     }
 
     /// A thing in hand is over.
-    pub fn put(&mut self, now: f64, of: BudgetKind, subject: &str, proved: bool) {
-        let Some(key) = self.key(of, subject) else { return };
+    pub fn release(&mut self, now: f64, of: BudgetKind, subject: &str, proved: bool) {
+        let Some(key) = self.budget_key(of, subject) else { return };
         if let Some(fleet) = self.fleet() {
             fleet.release(now, key, proved);
             self.write(if proved { "put" } else { "put unproved" }, now, key, None, None, None);
@@ -159,7 +164,7 @@
     }
 
     /// Writes down a right, before anything is spent of it.
-    pub fn note(&mut self, now: f64, event: &Event) {
+    pub fn record(&mut self, now: f64, event: &Event) {
         if let Event::QuotaGranted { key, term, serial, units, expires_at } = event {
             let grant = format!("{}.{}.{}/{serial}", term.round, term.voter_index, term.incarnation);
             let rights = [(units.demand, expires_at.demand), (units.floor, expires_at.floor)];
@@ -179,12 +184,21 @@
         if self.audit.is_none() {
             return;
         }
-        let Course::Joined { fleet, .. } = &self.course else { return };
-        let charter = fleet.config();
-        let budget = charter.budget(key.budget).map_or("", |budget| budget.name.as_str());
+        let MembershipState::Joined { fleet, .. } = &self.state else { return };
+        let config = fleet.config();
+        let budget = config.budget(key.budget).map_or("", |budget| budget.name.as_str());
         let (process, incarnation) = (fleet.process().name.as_str(), fleet.process().incarnation);
-        let entry =
-            Entry { at: now, process, incarnation, what, budget, subject: key.subject, grant, units, until };
+        let entry = AuditEntry {
+            at: now,
+            process,
+            incarnation,
+            what,
+            budget,
+            subject: key.subject,
+            grant,
+            units,
+            until,
+        };
         let line = serde_json::to_string(&entry);
         let file = self.audit.as_mut();
         let wrote = file.zip(line.ok()).is_some_and(|(file, line)| file.write_line(&line).is_ok());
@@ -193,7 +207,7 @@
 
     /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
     pub fn reload(&mut self, now: f64) -> Result<Vec<String>, String> {
-        let new = read(&self.path, &self.name, self.longest)?;
+        let new = read(&self.path, &self.name, self.longest_statement_timeout)?;
         if let Some(field) = self.file.restart_required(&new) {
             return Err(format!(
                 "{}: {field}: differs, and is alike at all members as long as any runs",
@@ -217,17 +231,18 @@
     }
 
     pub fn next_at(&self) -> f64 {
-        match &self.course {
-            Course::Barred { again_at } => *again_at,
-            Course::Joined { fleet, .. } => fleet.next_timeout(),
-            Course::Left => f64::INFINITY,
+        match &self.state {
+            MembershipState::AddressTaken { retry_at } => *retry_at,
+            MembershipState::Joined { fleet, .. } => fleet.next_timeout(),
+            MembershipState::Left => f64::INFINITY,
         }
     }
 }
 
-fn read(path: &str, name: &str, longest: f64) -> Result<FleetFile, String> {
+fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    FleetFile::from_textproto(&text, name, longest).map_err(|fault| format!("{path}: {fault}"))
+    FleetFile::from_textproto(&text, name, longest_statement_timeout)
+        .map_err(|fault| format!("{path}: {fault}"))
 }
 
 /// Who has read the key is a member, so a file that others may read is refused.
--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -1,14 +1,14 @@
-//! Statements in hand, by the number that the facade gave them.
+//! InFlightRequests in hand, by the number that the facade gave them.
 
 use std::collections::BTreeSet;
 
 use ottersill_statement::fingerprint_cache::CacheKey;
 
 use crate::counters::Counters;
-use crate::protocol::statement_text::Text;
+use crate::protocol::statement_text::StatementText;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestPhase {
     /// No statement has this number.
     Vacant,
     /// The facade said to wait, or is about to say.
@@ -16,95 +16,97 @@
     /// An execution is out on that line.
     Executing(usize),
     /// The client left; an execution is still out on that line.
-    Orphaned(usize),
+    Abandoned(usize),
 }
 
-impl Stage {
+impl RequestPhase {
     /// The ways a statement may go. Vacant to Waiting is the taking in; back to Vacant is the final answer, the
     /// client's leaving, or the end of an orphan.
-    pub fn may_become(self, next: Stage) -> bool {
-        use Stage::*;
+    pub fn may_become(self, next: RequestPhase) -> bool {
+        use RequestPhase::*;
         match (self, next) {
             (Vacant, Waiting) | (Waiting, Vacant | Executing(_)) => true,
-            (Executing(_), Waiting | Vacant) | (Orphaned(_), Vacant) => true,
-            (Executing(line), Orphaned(same)) => line == same,
+            (Executing(_), Waiting | Vacant) | (Abandoned(_), Vacant) => true,
+            (Executing(line), Abandoned(same)) => line == same,
             _ => false,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Held {
-    pub stage: Stage,
+pub struct InFlightRequest {
+    pub phase: RequestPhase,
     pub client: usize,
     /// Of the statement's `id`, by which hosts know its copies.
     pub id: u64,
     /// Outlives the message it came in, as it may be sent more than once; dropped with the final answer.
-    pub text: Text,
+    pub text: StatementText,
     /// What is known of its shape stands there.
-    pub place: Option<CacheKey>,
+    pub cache_key: Option<CacheKey>,
     /// When its client stops waiting.
-    pub gives_up_at: f64,
+    pub deadline: f64,
     /// An execution of it has ended that may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
 }
 
 /// Grows to as many as were ever in hand at once; the facade's numbers are used again.
 #[derive(Default)]
-pub struct Statements {
-    held: Vec<Held>,
-    in_hand: usize,
+pub struct InFlightRequests {
+    by_id: Vec<InFlightRequest>,
+    in_flight: usize,
     /// The ids of those in hand; each leaves with its statement.
     ids: BTreeSet<u64>,
 }
 
-impl Statements {
+impl InFlightRequests {
     /// A statement enters under the number that the facade gave it.
-    pub fn enter(&mut self, index: usize, new: Held, counters: &mut Counters) {
-        let vacant = Held { stage: Stage::Vacant, text: Text::default(), ..new };
-        self.held.resize(self.held.len().max(index + 1), vacant);
-        counters
-            .must(self.held[index].stage == Stage::Vacant, "a number is given to one statement at a time");
-        let stage = self.held[index].stage;
-        self.held[index] = Held { stage, ..new };
-        self.pass(index, Stage::Waiting, counters);
+    pub fn insert(&mut self, index: usize, new: InFlightRequest, counters: &mut Counters) {
+        let vacant = InFlightRequest { phase: RequestPhase::Vacant, text: StatementText::default(), ..new };
+        self.by_id.resize(self.by_id.len().max(index + 1), vacant);
+        counters.check_invariant(
+            self.by_id[index].phase == RequestPhase::Vacant,
+            "a number is given to one statement at a time",
+        );
+        let phase = self.by_id[index].phase;
+        self.by_id[index] = InFlightRequest { phase, ..new };
+        self.transition(index, RequestPhase::Waiting, counters);
     }
 
     /// Every change of a statement's stage.
-    pub fn pass(&mut self, index: usize, next: Stage, counters: &mut Counters) {
-        let held = &mut self.held[index];
-        counters.must(held.stage.may_become(next), "a statement goes its ways only");
-        match (held.stage, next) {
-            (Stage::Vacant, _) => {
-                self.in_hand += 1;
-                self.ids.insert(held.id);
+    pub fn transition(&mut self, index: usize, next: RequestPhase, counters: &mut Counters) {
+        let request = &mut self.by_id[index];
+        counters.check_invariant(request.phase.may_become(next), "a statement goes its ways only");
+        match (request.phase, next) {
+            (RequestPhase::Vacant, _) => {
+                self.in_flight += 1;
+                self.ids.insert(request.id);
             }
-            (_, Stage::Vacant) => {
-                self.in_hand -= 1;
-                self.ids.remove(&held.id);
-                held.text = Text::default();
+            (_, RequestPhase::Vacant) => {
+                self.in_flight -= 1;
+                self.ids.remove(&request.id);
+                request.text = StatementText::default();
             }
             // Never sent again.
-            (_, Stage::Orphaned(_)) => held.text = Text::default(),
+            (_, RequestPhase::Abandoned(_)) => request.text = StatementText::default(),
             _ => {}
         }
-        held.stage = next;
+        request.phase = next;
     }
 
-    pub fn get(&self, index: usize) -> Option<&Held> {
-        self.held.get(index).filter(|held| held.stage != Stage::Vacant)
+    pub fn get(&self, index: usize) -> Option<&InFlightRequest> {
+        self.by_id.get(index).filter(|request| request.phase != RequestPhase::Vacant)
     }
 
     /// An execution of it has ended, and may have run.
-    pub fn note_ran(&mut self, index: usize) {
-        self.held[index].ran = true;
+    pub fn note_may_have_run(&mut self, index: usize) {
+        self.by_id[index].may_have_run = true;
     }
 
-    pub fn is_open(&self, id: u64) -> bool {
+    pub fn contains_id(&self, id: u64) -> bool {
         self.ids.contains(&id)
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn count(&self) -> usize {
+        self.in_flight
     }
 }
--- a/crates/ottersill/src/lifecycle/config.rs
+++ b/crates/ottersill/src/lifecycle/config.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::discovery::endpoint_list::EndpointList;
-use crate::event_loop::Berths;
+use crate::event_loop::ConnectionLimits;
 
 /// The environment variable with the path of the file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
@@ -157,20 +157,20 @@
     /// # Errors
     ///
     /// [`LimitsError::Sockets`] if there are too few descriptors to serve a client.
-    pub fn berths(&self) -> Result<Berths, LimitsError> {
+    pub fn connection_limits(&self) -> Result<ConnectionLimits, LimitsError> {
         let reserved = OWN_DESCRIPTORS + SPARE_DESCRIPTORS;
         let connections = self.sockets.saturating_sub(reserved);
         if connections < MIN_CONNECTIONS {
             return Err(LimitsError::Sockets { least: reserved + MIN_CONNECTIONS, found: self.sockets });
         }
         let memory_bytes = self.memory_mb << 20;
-        Ok(Berths {
-            all: connections,
+        Ok(ConnectionLimits {
+            total: connections,
             clients: connections / 2,
-            easy: self.sockets / 4,
-            spare: SPARE_DESCRIPTORS,
-            bytes: memory_bytes / 4,
-            book: (memory_bytes / 64).min(MAX_FINGERPRINT_BYTES),
+            established_clients: self.sockets / 4,
+            rejected_clients: SPARE_DESCRIPTORS,
+            statement_bytes: memory_bytes / 4,
+            fingerprint_bytes: (memory_bytes / 64).min(MAX_FINGERPRINT_BYTES),
         })
     }
 }
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -4,7 +4,7 @@
 
 use slog::{info, warn};
 
-use crate::event_loop::Exchange;
+use crate::event_loop::EventLoop;
 use crate::lifecycle::config::Config;
 
 /// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
@@ -48,23 +48,23 @@
     }
 
     /// Tries to reload if that is due.
-    pub fn poll_once(&mut self, exchange: &mut Exchange) {
-        let now = exchange.now;
+    pub fn poll_once(&mut self, event_loop: &mut EventLoop) {
+        let now = event_loop.now;
         let State::Requested { at, next_try_at } = self.state else { return };
         if now < next_try_at {
             return;
         }
         self.state = match Config::load() {
             Ok(config) => {
-                self.apply(config, exchange);
+                self.apply(config, event_loop);
                 State::Idle
             }
             Err(fault) => {
                 let is_first_try = next_try_at == at;
                 if is_first_try {
-                    warn!(exchange.log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
+                    warn!(event_loop.log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
                 }
-                exchange.counters.reloads_failed += 1;
+                event_loop.counters.reloads_failed += 1;
                 let next_try_at = now + RETRY_INTERVAL;
                 if next_try_at < at + RELOAD_DEADLINE {
                     State::Requested { at, next_try_at }
@@ -75,13 +75,13 @@
         };
     }
 
-    fn apply(&mut self, config: Config, exchange: &mut Exchange) {
-        exchange.counters.reloads += 1;
+    fn apply(&mut self, config: Config, event_loop: &mut EventLoop) {
+        event_loop.counters.reloads += 1;
         let needs_restart = self.config.restart_required(&config).join(",");
-        info!(exchange.log, "configuration reloaded"; "discovery" => %config.discovery,
+        info!(event_loop.log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
         self.config.discovery = config.discovery;
-        exchange.with_discovery(|client, context| client.move_to(config.discovery, context));
+        event_loop.with_discovery(|client, context| client.move_to(config.discovery, context));
     }
 }
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -7,16 +7,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use calloop::EventLoop;
 use slog::info;
 
-use crate::event_loop::{Exchange, Party};
+use crate::event_loop::EventLoop;
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::Log;
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::shutdown::{Observation, Phase};
 use crate::protocol::socket;
-use crate::reactor::Readiness;
+use crate::reactor::{Reactor, Source};
 
 /// The loop waits no longer than this, in seconds.
 const MAX_WAIT: f64 = 1.0;
@@ -32,8 +31,8 @@
 
 /// A router that was built and runs.
 pub struct Program {
-    events: EventLoop<'static, Readiness>,
-    exchange: Exchange,
+    events: Reactor,
+    event_loop: EventLoop,
     reload: Reload,
     log: Log,
     listen: ListenAddress,
@@ -45,14 +44,14 @@
 impl Program {
     /// In the phase [`Phase::Starting`]. `longest_statement_timeout` is in seconds.
     pub fn new(
-        events: EventLoop<'static, Readiness>,
-        exchange: Exchange,
+        events: Reactor,
+        event_loop: EventLoop,
         reload: Reload,
         log: Log,
         listen: ListenAddress,
         longest_statement_timeout: f64,
     ) -> Program {
-        Program { events, exchange, reload, log, listen, longest_statement_timeout, phase: Phase::Starting }
+        Program { events, event_loop, reload, log, listen, longest_statement_timeout, phase: Phase::Starting }
     }
 
     /// Runs until the router has shut down.
@@ -63,43 +62,43 @@
         while self.phase != Phase::Stopped {
             self.advance_phase()?;
             self.wait_for_events()?;
-            self.exchange.turn();
+            self.event_loop.poll_once();
             self.reload_if_asked();
-            self.exchange.counters.log_dropped = self.log.dropped();
-            if mem::take(&mut self.exchange.readiness.signals.print_counters) {
-                log_counters(&self.exchange);
+            self.event_loop.counters.log_dropped = self.log.dropped();
+            if mem::take(&mut self.event_loop.readiness.signals.print_counters) {
+                log_counters(&self.event_loop);
             }
             self.log.flush();
         }
-        log_counters(&self.exchange);
+        log_counters(&self.event_loop);
         self.log.flush();
         Ok(())
     }
 
     fn wait_for_events(&mut self) -> Result<(), RunError> {
-        let next_at = self.exchange.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
-        let wait = (next_at - self.exchange.clock.now()).clamp(0.0, MAX_WAIT);
+        let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
+        let wait = (next_at - self.event_loop.clock.now()).clamp(0.0, MAX_WAIT);
         let wait = Some(Duration::from_secs_f64(wait));
-        self.events.dispatch(wait, &mut self.exchange.readiness).map_err(RunError::EventLoop)
+        self.events.dispatch(wait, &mut self.event_loop.readiness).map_err(RunError::EventLoop)
     }
 
     fn reload_if_asked(&mut self) {
-        if mem::take(&mut self.exchange.readiness.signals.reload) {
-            self.reload.request(self.exchange.now);
-            self.exchange.fleet_reloads();
+        if mem::take(&mut self.event_loop.readiness.signals.reload) {
+            self.reload.request(self.event_loop.now);
+            self.event_loop.reload_fleet();
         }
-        self.reload.poll_once(&mut self.exchange);
+        self.reload.poll_once(&mut self.event_loop);
     }
 
     /// Goes over to the next phase if it is time, and does what that asks for.
     fn advance_phase(&mut self) -> Result<(), RunError> {
-        let exchange = &mut self.exchange;
+        let event_loop = &mut self.event_loop;
         let observed = Observation {
-            now: exchange.now,
-            started_at: exchange.started_at,
-            shutdown_requested: exchange.readiness.signals.shutdown,
-            knows_endpoints: !exchange.hosts.all.is_empty(),
-            has_no_clients: exchange.is_empty(),
+            now: event_loop.now,
+            started_at: event_loop.started_at,
+            shutdown_requested: event_loop.readiness.signals.shutdown,
+            knows_endpoints: !event_loop.endpoints.all.is_empty(),
+            has_no_clients: event_loop.is_empty(),
             longest_statement_timeout: self.longest_statement_timeout,
         };
         let next = self.phase.next(&observed);
@@ -108,36 +107,36 @@
             return Ok(());
         }
         match next {
-            Phase::Serving => open_listener(exchange, &self.listen)?,
+            Phase::Serving => open_listener(event_loop, &self.listen)?,
             Phase::LameDuck { answers_by, .. } => {
-                info!(exchange.log, "shutdown requested"; "statements_in_flight" => exchange.statements.in_hand());
-                exchange.stops_at = answers_by;
+                info!(event_loop.log, "shutdown requested"; "statements_in_flight" => event_loop.requests.count());
+                event_loop.answers_by = answers_by;
             }
-            Phase::Draining { .. } => exchange.retire(),
-            Phase::Stopped if matches!(previous, Phase::Draining { .. }) => exchange.fleet_leaves(),
+            Phase::Draining { .. } => event_loop.drain(),
+            Phase::Stopped if matches!(previous, Phase::Draining { .. }) => event_loop.leave_fleet(),
             Phase::Starting | Phase::Stopped => {}
         }
         Ok(())
     }
 }
 
-fn open_listener(exchange: &mut Exchange, listen: &ListenAddress) -> Result<(), RunError> {
+fn open_listener(event_loop: &mut EventLoop, listen: &ListenAddress) -> Result<(), RunError> {
     let ListenAddress { address, backlog } = *listen;
     let failed = |source: io::Error| RunError::Listen { address, source };
     let listener = socket::listen(address, backlog).map_err(failed)?;
     let bound_to = listener.local_addr().map_err(failed)?.as_socket().unwrap_or(address);
-    exchange.listener = Some(exchange.attend(listener, Party::Listener).map_err(failed)?);
-    exchange.again(Party::Listener);
-    info!(exchange.log, "ready"; "listen" => %bound_to, "endpoints" => exchange.hosts.all.len());
+    event_loop.listener = Some(event_loop.register(listener, Source::Listener).map_err(failed)?);
+    event_loop.wake(Source::Listener);
+    info!(event_loop.log, "ready"; "listen" => %bound_to, "endpoints" => event_loop.endpoints.all.len());
     Ok(())
 }
 
 /// Writes all counters to the log.
-fn log_counters(exchange: &Exchange) {
-    let (book, found) = (&exchange.book, exchange.book.counts);
-    info!(exchange.log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
+fn log_counters(event_loop: &EventLoop) {
+    let (book, found) = (&event_loop.fingerprints, event_loop.fingerprints.counts);
+    info!(event_loop.log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
         "prescanned" => found.prescanned, "replica_refusals" => found.denied, "pages" => book.entries(), "bytes" => book.bytes());
-    info!(exchange.log, "counters: {}", exchange.counters; "invariant_violations_total" => exchange.breaches(),
-        "client_connections_open" => exchange.clients.len(), "backend_connections_open" => exchange.lines.len(),
-        "statements_in_flight" => exchange.statements.in_hand());
+    info!(event_loop.log, "counters: {}", event_loop.counters; "invariant_violations_total" => event_loop.invariant_violations(),
+        "client_connections_open" => event_loop.clients.len(), "backend_connections_open" => event_loop.backends.len(),
+        "statements_in_flight" => event_loop.requests.count());
 }
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -3,7 +3,7 @@
 
 #![warn(missing_docs)]
 
-use crate::event_loop::LEEWAY;
+use crate::event_loop::TIMING_MARGIN;
 
 /// A router serves after this time even if no endpoint list has come, so that one without a list can be told from one
 /// that does not start.
@@ -82,7 +82,7 @@
     /// Half of the time that a shutdown has, as the last statements need their time too.
     fn lame_duck(now: f64, longest_statement_timeout: f64) -> Phase {
         let counted_timeout = longest_statement_timeout.min(MAX_COUNTED_TIMEOUT);
-        let answers_by = now + counted_timeout + KILL_DELAY - LEEWAY;
+        let answers_by = now + counted_timeout + KILL_DELAY - TIMING_MARGIN;
         let until = (now + MIN_LAME_DUCK).max((now + answers_by) / 2.0);
         Phase::LameDuck { until, answers_by }
     }
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -2,20 +2,19 @@
 
 #![warn(missing_docs)]
 
-use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
 use slog::info;
 
 use crate::discovery::client::DiscoveryClient;
-use crate::event_loop::Exchange;
+use crate::event_loop::EventLoop;
 use crate::fleet_link::handlers;
-use crate::fleet_link::link::Link;
+use crate::fleet_link::link::FleetLink;
 use crate::lifecycle::config::{Config, ConfigError};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::{Form, Log};
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::run::{ListenAddress, Program};
-use crate::reactor::{ReactorHandle, Readiness};
+use crate::reactor::{Reactor, ReactorHandle, Readiness};
 
 /// Runs a router until it is told to stop. `fleet_file` names the configuration of the fleet, where routers talk to each
 /// other.
@@ -27,29 +26,29 @@
 }
 
 fn build(config: Config, fleet_file: Option<&str>, log: Log) -> Result<Program, RunError> {
-    let limits = config.limits.berths().map_err(ConfigError::from)?;
+    let limits = config.limits.connection_limits().map_err(ConfigError::from)?;
     let timeouts = config.settings.backend_timeouts().map_err(ConfigError::from)?;
     let terms = config.settings.terms(config.seed).map_err(ConfigError::from)?;
     let names = config.settings.catalog();
     let longest_statement_timeout = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
-    let open_link = |path| Link::open(path, &config.name, longest_statement_timeout, config.seed);
+    let open_link = |path| FleetLink::open(path, &config.name, longest_statement_timeout, config.seed);
     let link = fleet_file.map(open_link).transpose().map_err(RunError::Fleet)?;
-    let events = EventLoop::try_new().map_err(RunError::EventLoop)?;
+    let events = Reactor::try_new().map_err(RunError::EventLoop)?;
     listen_to_signals(&events.handle())?;
     let logger = log.logger(&config.name);
-    let mut exchange =
-        Exchange::new(terms, names, timeouts, limits, config.discovery, logger, events.handle());
+    let mut event_loop =
+        EventLoop::new(terms, names, timeouts, limits, config.discovery, logger, events.handle());
     if let Some(known) = &config.known {
-        exchange.apply_endpoint_list(known);
+        event_loop.apply_endpoint_list(known);
     }
-    exchange.with_discovery(DiscoveryClient::start);
+    event_loop.with_discovery(DiscoveryClient::start);
     if let Some(link) = link {
-        handlers::begin(&mut exchange, link).map_err(RunError::Fleet)?;
+        handlers::begin(&mut event_loop, link).map_err(RunError::Fleet)?;
     }
-    info!(exchange.log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
+    info!(event_loop.log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
     let listen = ListenAddress { address: config.listen, backlog: config.limits.sockets };
     let reload = Reload::new(config);
-    Ok(Program::new(events, exchange, reload, log, listen, longest_statement_timeout))
+    Ok(Program::new(events, event_loop, reload, log, listen, longest_statement_timeout))
 }
 
 fn listen_to_signals(handle: &ReactorHandle) -> Result<(), RunError> {
--- a/crates/ottersill/src/protocol/frame.rs
+++ b/crates/ottersill/src/protocol/frame.rs
@@ -3,13 +3,13 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// The protocol page's bound on values.
-const VALUE: usize = 64 * 1024;
+const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// A value is written with two digits a byte, beside its statement.
-pub const LONGEST: usize = 2 * VALUE + 4096;
+pub const MAX_MESSAGE_BYTES: usize = 2 * MAX_VALUE_BYTES + 4096;
 /// Nearly every statement is shorter; buffers of that size are no burden.
-pub const SHORT: usize = 4096;
+pub const TYPICAL_MESSAGE_BYTES: usize = 4096;
 /// Messages of a startup hold a few names.
-const LONGEST_STARTUP: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 
 const PROTOCOL_3: u32 = 3 << 16;
 const CANCEL: u32 = (1234 << 16) | 5678;
@@ -71,24 +71,24 @@
 }
 
 /// What is no message of this protocol, said in a few words.
-pub type Nonsense = &'static str;
+pub type ProtocolError = &'static str;
 
 fn length(bytes: &[u8]) -> usize {
     u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize
 }
 
 /// The next message, once it is there whole.
-pub fn message(inbox: &mut BytesMut) -> Result<Option<Message>, Nonsense> {
-    Ok(whole(inbox)?.map(|whole| Message(inbox.split_to(whole).freeze())))
+pub fn take_message(inbox: &mut BytesMut) -> Result<Option<Message>, ProtocolError> {
+    Ok(message_length(inbox)?.map(|length| Message(inbox.split_to(length).freeze())))
 }
 
 /// The length of the next message, once it is there whole; nothing is taken out.
-pub fn whole(inbox: &[u8]) -> Result<Option<usize>, Nonsense> {
+pub fn message_length(inbox: &[u8]) -> Result<Option<usize>, ProtocolError> {
     if inbox.len() < 5 {
         return Ok(None);
     }
     match 1 + length(&inbox[1..5]) {
-        whole @ 5..=LONGEST => Ok((inbox.len() >= whole).then_some(whole)),
+        whole @ 5..=MAX_MESSAGE_BYTES => Ok((inbox.len() >= whole).then_some(whole)),
         _ => Err("message length out of bounds"),
     }
 }
@@ -102,12 +102,12 @@
     OtherVersion,
 }
 
-pub fn startup(inbox: &mut BytesMut) -> Result<Option<Startup>, Nonsense> {
+pub fn take_startup(inbox: &mut BytesMut) -> Result<Option<Startup>, ProtocolError> {
     if inbox.len() < 4 {
         return Ok(None);
     }
     let whole = length(inbox);
-    if !(8..=LONGEST_STARTUP).contains(&whole) {
+    if !(8..=MAX_STARTUP_BYTES).contains(&whole) {
         return Err("startup length out of bounds");
     }
     if inbox.len() < whole {
@@ -132,17 +132,17 @@
     out.freeze()
 }
 
-pub static READY: Bytes = Bytes::from_static(b"Z\0\0\0\x05I");
-pub static EMPTY: Bytes = Bytes::from_static(b"I\0\0\0\x04");
-pub static NO_ENCRYPTION: Bytes = Bytes::from_static(b"N");
+pub static READY_FOR_QUERY: Bytes = Bytes::from_static(b"Z\0\0\0\x05I");
+pub static EMPTY_QUERY_RESPONSE: Bytes = Bytes::from_static(b"I\0\0\0\x04");
+pub static ENCRYPTION_REFUSED: Bytes = Bytes::from_static(b"N");
 pub static SHOW_HEALTH: Bytes = Bytes::from_static(b"Q\0\0\0\x10SHOW health\0");
 pub static TERMINATE: Bytes = Bytes::from_static(b"X\0\0\0\x04");
 /// AuthenticationOk, two parameters that drivers insist on, ReadyForQuery.
-pub static WELCOME: Bytes = Bytes::from_static(
+pub static AUTHENTICATION_OK: Bytes = Bytes::from_static(
     b"R\0\0\0\x08\0\0\0\0S\0\0\0\x19client_encoding\0UTF8\0S\0\0\0\x18server_version\x0016.0\0Z\0\0\0\x05I",
 );
 /// What a router says first to a host.
-pub static GREETING: Bytes = Bytes::from_static(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0");
+pub static STARTUP: Bytes = Bytes::from_static(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0");
 
 /// The head of a Query whose text, with the zero at its end, has that length.
 pub fn query_head(text: usize) -> [u8; 5] {
@@ -151,7 +151,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
+pub enum ErrorCode {
     /// A rejection: nothing ran, trying again is harmless. Said only for the module's rejections and for
     /// connections that no descriptor is left for.
     TooMany,
@@ -162,21 +162,21 @@
     Unknown,
 }
 
-impl Code {
+impl ErrorCode {
     fn sqlstate(self) -> &'static str {
         match self {
-            Code::TooMany => "53300",
-            Code::CompletionUnknown => "40003",
-            Code::ProtocolViolation => "08P01",
-            Code::NotSupported => "0A000",
-            Code::Unknown => "42704",
+            ErrorCode::TooMany => "53300",
+            ErrorCode::CompletionUnknown => "40003",
+            ErrorCode::ProtocolViolation => "08P01",
+            ErrorCode::NotSupported => "0A000",
+            ErrorCode::Unknown => "42704",
         }
     }
 }
 
-/// An ErrorResponse; `come_again` in milliseconds goes into the field D.
-pub fn error(severity: &str, code: Code, text: &str, come_again: Option<u64>) -> Bytes {
-    let detail = come_again.map_or(String::new(), |ms| format!("D{ms}\0"));
+/// An ErrorResponse; `retry_after_ms` in milliseconds goes into the field D.
+pub fn error(severity: &str, code: ErrorCode, text: &str, retry_after_ms: Option<u64>) -> Bytes {
+    let detail = retry_after_ms.map_or(String::new(), |ms| format!("D{ms}\0"));
     let body = format!("S{severity}\0V{severity}\0C{}\0M{text}\0{detail}\0", code.sqlstate());
     framed(b'E', &[body.as_bytes()])
 }
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -11,42 +11,42 @@
 use crate::protocol::socket_failure::ConnectFailure;
 
 /// Read at once, a page: a statement and its answer are shorter.
-const CHUNK: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 /// Reads of one connection in a row, so that one that talks a lot holds up no other.
-const READS: usize = 16;
+const MAX_READS_PER_WAKE: usize = 16;
 /// Slices written at once.
-const SLICES: usize = 16;
+const MAX_SLICES_PER_WRITE: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadOutcome {
     /// All that was there.
-    All,
+    Drained,
     /// There may be more: the buffer is full, or it is others' turn.
-    More,
+    MoreLeft,
     /// The other side has ended.
-    End,
+    Ended,
 }
 
 /// Reads until `most` bytes are in the buffer or the socket is dry. A short read does not prove that: an end that
 /// came with the data raises no readiness of its own.
-pub fn read(mut socket: &Socket, inbox: &mut BytesMut, most: usize) -> io::Result<Got> {
-    for _ in 0..READS {
+pub fn read(mut socket: &Socket, inbox: &mut BytesMut, most: usize) -> io::Result<ReadOutcome> {
+    for _ in 0..MAX_READS_PER_WAKE {
         let from = inbox.len();
         if from >= most {
-            return Ok(Got::More);
+            return Ok(ReadOutcome::MoreLeft);
         }
-        inbox.resize(from + CHUNK, 0);
+        inbox.resize(from + READ_CHUNK_BYTES, 0);
         let read = socket.read(&mut inbox[from..]);
         inbox.truncate(from + *read.as_ref().unwrap_or(&0));
         match read {
-            Ok(0) => return Ok(Got::End),
+            Ok(0) => return Ok(ReadOutcome::Ended),
             Ok(_) => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(Got::All),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::Drained),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    Ok(Got::More)
+    Ok(ReadOutcome::MoreLeft)
 }
 
 /// Whether the peer has ended the connection, even if what it sent before is not read yet. Reads nothing.
@@ -93,7 +93,8 @@
     /// Writes what the socket takes; true once nothing is left.
     pub fn flush(&mut self, mut socket: &Socket) -> io::Result<bool> {
         while !self.slices.is_empty() {
-            let parts: Vec<IoSlice> = self.slices.iter().take(SLICES).map(|s| IoSlice::new(s)).collect();
+            let parts: Vec<IoSlice> =
+                self.slices.iter().take(MAX_SLICES_PER_WRITE).map(|s| IoSlice::new(s)).collect();
             match socket.write_vectored(&parts) {
                 Ok(written) => self.written(written),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
@@ -141,7 +142,7 @@
 }
 
 /// Starts to connect; the socket becomes writable when that has ended, well or not.
-pub fn dial(to: SocketAddr) -> Result<Socket, ConnectFailure> {
+pub fn connect(to: SocketAddr) -> Result<Socket, ConnectFailure> {
     let socket = open(to).map_err(ConnectFailure::Local)?;
     // Without it the connection serves as well, with small writes held back at times.
     let _ = socket.set_tcp_nodelay(true);
@@ -162,7 +163,7 @@
 }
 
 /// A socket for datagrams at an address that nobody else has, nor can have while this one is open.
-pub fn datagrams(at: SocketAddr) -> io::Result<Socket> {
+pub fn bind_datagram(at: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(at), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
@@ -170,7 +171,7 @@
 }
 
 /// The next datagram, if one is there; what is longer than the space is cut off.
-pub fn datagram(mut socket: &Socket, space: &mut [u8]) -> io::Result<Option<usize>> {
+pub fn receive_datagram(mut socket: &Socket, space: &mut [u8]) -> io::Result<Option<usize>> {
     match socket.read(space) {
         Ok(length) => Ok(Some(length)),
         Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(None),
@@ -195,7 +196,7 @@
 
 /// Whether a dialled connection is up by now; an error says that it never will be. Where the system can't tell, as it lacks
 /// the memory for that, the next write or the time limit does.
-pub fn is_up(socket: &Socket) -> io::Result<bool> {
+pub fn is_connected(socket: &Socket) -> io::Result<bool> {
     if let Ok(Some(fault)) = socket.take_error() {
         return Err(fault);
     }
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -14,23 +14,23 @@
 /// it arrives, and that much is used up by a router that is held up between reading its clock and writing.
 pub const DEADLINE_MARGIN: f64 = 0.05;
 /// Slices of a written query that follow the digits of `d`.
-const SLICES_BEHIND_DIGITS: usize = 2;
+const SLICES_AFTER_DIGITS: usize = 2;
 
 /// The milliseconds that a host is told when the client has so many seconds left. Where that is little, half of it is kept.
-pub fn time_left_to_tell(left: f64) -> u64 {
+pub fn advertised_time_left(left: f64) -> u64 {
     let margin = DEADLINE_MARGIN.min(left / 2.0);
     ((left - margin) * 1000.0).max(1.0) as u64
 }
 
 /// A slice of the buffer it was read into. It is sent on as it came, but for the digits of `d`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Text {
+pub struct StatementText {
     whole: Bytes,
     digits: Range<usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said<'a> {
+pub struct StatementComment<'a> {
     /// A number for the statement's `id`.
     pub id: u64,
     pub workload: &'a str,
@@ -43,9 +43,12 @@
     pub session: Option<u64>,
 }
 
-impl Text {
+impl StatementText {
     /// Reads the comment at the end of a query's text, of which `scan` tells where it is; the error says what it lacks.
-    pub fn read<'a>(whole: &'a Bytes, scan: &Scan) -> Result<(Text, Said<'a>), &'static str> {
+    pub fn parse<'a>(
+        whole: &'a Bytes,
+        scan: &Scan,
+    ) -> Result<(StatementText, StatementComment<'a>), &'static str> {
         let text = std::str::from_utf8(whole).map_err(|_| "the statement is not UTF-8")?;
         if scan.unfinished {
             return Err("the statement ends within a literal, a name or a comment");
@@ -87,7 +90,7 @@
             }
         }
         let id = id.filter(|id| !id.is_empty()).ok_or("the comment has no id")?;
-        let said = Said {
+        let parsed = StatementComment {
             id: number(id),
             workload: workload.ok_or("the comment has no c")?,
             cluster: cluster.ok_or("the comment has no cluster, or one that is no number")?,
@@ -96,7 +99,7 @@
             repeat,
             session: scan.literal.as_ref().and_then(|at| session(&text[at.clone()])),
         };
-        Ok((Text { whole: whole.clone(), digits }, said))
+        Ok((StatementText { whole: whole.clone(), digits }, parsed))
     }
 
     pub fn len(&self) -> usize {
@@ -108,7 +111,7 @@
     }
 
     /// Writes the query with that many milliseconds left. Only `d` differs from what the client sent.
-    pub fn send(&self, left_ms: u64, outbox: &mut Outbox) {
+    pub fn write_to(&self, left_ms: u64, outbox: &mut Outbox) {
         let digits = left_ms.to_string();
         let length = self.whole.len() - self.digits.len() + digits.len() + 1;
         outbox.push(Bytes::copy_from_slice(&frame::query_head(length)));
@@ -121,17 +124,17 @@
     /// Writes another time left into a query of which a part has gone out; false if the digits went out too, or if the new
     /// ones are more or fewer, as the length of the query has gone out before them.
     pub fn update_time_left(&self, left_ms: u64, outbox: &mut Outbox) -> bool {
-        outbox.replace_from_end(SLICES_BEHIND_DIGITS, &Bytes::from(left_ms.to_string()))
+        outbox.replace_from_end(SLICES_AFTER_DIGITS, &Bytes::from(left_ms.to_string()))
     }
 }
 
 /// Comments of this service are shorter; bytes.
-const COMMENT: usize = 512;
+const MAX_COMMENT_BYTES: usize = 512;
 
 /// The seconds that a client waits for a statement, read from the end of its text without looking at the rest: good enough
-/// to see to those ahead of it. [`Text::read`] tells whether the text is in order, once its turn has come.
-pub fn glance_at_time_left(text: &[u8]) -> Option<f64> {
-    let end = &text[text.len().saturating_sub(COMMENT)..];
+/// to see to those ahead of it. [`StatementText::parse`] tells whether the text is in order, once its turn has come.
+pub fn peek_time_left(text: &[u8]) -> Option<f64> {
+    let end = &text[text.len().saturating_sub(MAX_COMMENT_BYTES)..];
     let open = end.windows(2).rposition(|two| two == b"/*")?;
     let comment = std::str::from_utf8(&end[open + 2..]).ok()?;
     let digits = comment.split([',', '*']).find_map(|pair| pair.trim().strip_prefix("d="))?;
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -28,7 +28,7 @@
     /// The connection of an operator at the control listener.
     ControlClient(usize),
     /// A backend connection.
-    Line(usize),
+    Backend(usize),
     /// A client connection.
     Client(usize),
     /// The listener for clients.
@@ -74,6 +74,9 @@
     }
 }
 
+/// The event loop of calloop, with the data that its callbacks write to.
+pub type Reactor = calloop::EventLoop<'static, Readiness>;
+
 /// The event loop's handle, by which sockets are registered and deregistered.
 pub type ReactorHandle = LoopHandle<'static, Readiness>;
 
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// A backend connection has to change its state by then.
-    Line(usize),
+    Backend(usize),
     /// A client connection has to be looked at.
     Client(usize),
     /// Discovery has to have answered by then, or is asked again.
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -1,16 +1,16 @@
 //! What is read off the wire, whatever pieces it comes in.
 
 use bytes::{Bytes, BytesMut};
-use ottersill::backend::connection::Course;
+use ottersill::backend::connection::ConnectionState;
 use ottersill::backend::reply::Reply;
-use ottersill::client::connection::Session;
+use ottersill::client::connection::ConnectionPhase;
 use ottersill::discovery::endpoint_list::EndpointList;
 use ottersill::discovery::http;
 use ottersill::discovery::registry::{EndpointRegistry, RegistryChange};
-use ottersill::in_flight::Stage;
+use ottersill::in_flight::RequestPhase;
 use ottersill::protocol::frame::{self, Message, Startup};
 use ottersill::protocol::socket::Outbox;
-use ottersill::protocol::statement_text::Text;
+use ottersill::protocol::statement_text::StatementText;
 use ottersill_routing::interface::{AttemptOutcome, EndpointState, Role};
 use ottersill_statement::fingerprint::{Key, scan};
 use ottersill_testkit::stand_in::message;
@@ -42,7 +42,7 @@
     let mut bytes = message(b'Q', b"\0");
     bytes.extend(message(b'Q', format!("{READ}\0").as_bytes()));
     bytes.extend(message(b'X', b""));
-    let found = at_every_cut(&bytes, |inbox| frame::message(inbox).expect("messages"));
+    let found = at_every_cut(&bytes, |inbox| frame::take_message(inbox).expect("messages"));
     assert_eq!(found.iter().map(Message::tag).collect::<Vec<_>>(), b"QQX");
     assert_eq!(found[1].query().as_deref(), Some(READ.as_bytes()));
 }
@@ -55,7 +55,7 @@
 #[case::gssenc(&[0, 0, 0, 8, 4, 210, 22, 48], Startup::Encryption)]
 #[case::cancel(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2], Startup::Cancel)]
 fn startups_in_any_pieces(#[case] bytes: &[u8], #[case] expected: Startup) {
-    assert_eq!(at_every_cut(bytes, |inbox| frame::startup(inbox).expect("a startup")), [expected]);
+    assert_eq!(at_every_cut(bytes, |inbox| frame::take_startup(inbox).expect("a startup")), [expected]);
 }
 
 #[rstest]
@@ -63,7 +63,7 @@
 #[case::longer_than_any(&[b'Q', 0x7f, 0xff, 0xff, 0xff])]
 #[case::no_protocol(b"GET / HTTP/1.1")]
 fn no_message(#[case] bytes: &[u8]) {
-    assert!(frame::message(&mut BytesMut::from(bytes)).is_err());
+    assert!(frame::take_message(&mut BytesMut::from(bytes)).is_err());
 }
 
 #[rstest]
@@ -78,7 +78,7 @@
 #[case::shorter_than_itself(&[0, 0, 0, 7])]
 #[case::no_protocol(b"GET / HTTP/1.1")]
 fn no_startup(#[case] bytes: &[u8]) {
-    assert!(frame::startup(&mut BytesMut::from(bytes)).is_err());
+    assert!(frame::take_startup(&mut BytesMut::from(bytes)).is_err());
 }
 
 #[rstest]
@@ -105,7 +105,7 @@
 #[test]
 fn a_comment_says_what_the_module_needs() {
     let whole = Bytes::from(READ);
-    let (_, said) = Text::read(&whole, &scan(KEY, &whole)).expect("a statement");
+    let (_, said) = StatementText::parse(&whole, &scan(KEY, &whole)).expect("a statement");
     assert_eq!((said.workload, said.cluster, said.time_left), ("basket", 2, 0.48));
     assert_eq!((said.after, said.repeat, said.session), (Some(1_767_225_600.123), false, Some(0x1f)));
 }
@@ -116,9 +116,9 @@
 #[case::d_last("SELECT '/* d=1 */' /* id=1,c=a,cluster=1,k=d=7,r=1, d=750*/", 20)]
 fn only_the_time_left_differs(#[case] text: &str, #[case] left: u64) {
     let whole = Bytes::copy_from_slice(text.as_bytes());
-    let (read, _) = Text::read(&whole, &scan(KEY, &whole)).expect("a statement");
+    let (read, _) = StatementText::parse(&whole, &scan(KEY, &whole)).expect("a statement");
     let mut outbox = Outbox::default();
-    read.send(left, &mut outbox);
+    read.write_to(left, &mut outbox);
     let was = if text == READ { "d=480" } else { " d=750" };
     let now = was.replace(was.trim_start_matches([' ', 'd', '=']), &left.to_string());
     assert_eq!(outbox.rest(), message(b'Q', format!("{}\0", text.replace(was, &now)).as_bytes()));
@@ -143,7 +143,7 @@
 #[case::more_behind("SELECT 1 /* id=1,c=a,d=1,cluster=1 */; SELECT 2", "behind")]
 fn strange_statements(#[case] text: &str, #[case] lack: &str) {
     let whole = Bytes::copy_from_slice(text.as_bytes());
-    assert!(Text::read(&whole, &scan(KEY, &whole)).expect_err("no statement").contains(lack));
+    assert!(StatementText::parse(&whole, &scan(KEY, &whole)).expect_err("no statement").contains(lack));
 }
 
 type Part = (u8, &'static str);
@@ -151,7 +151,7 @@
 fn reply(parts: &[Part]) -> Reply {
     let mut reply = Reply::default();
     for (tag, body) in parts {
-        reply.take(Message(message(*tag, body.as_bytes()).into())).expect("an answer");
+        reply.add(Message(message(*tag, body.as_bytes()).into())).expect("an answer");
     }
     reply
 }
@@ -167,7 +167,7 @@
 #[case::turned_away(&[(b'E', "C53300\0\0")], AttemptOutcome::Full)]
 #[case::not_now_proves_nothing(&[(b'E', "C57P03\0\0")], AttemptOutcome::Error)]
 fn what_comes_back(#[case] parts: &[Part], #[case] expected: AttemptOutcome) {
-    assert_eq!(reply(parts).ending(), expected);
+    assert_eq!(reply(parts).outcome(), expected);
 }
 
 /// Nothing of these may be passed on, or taken for a proof that nothing ran.
@@ -195,7 +195,7 @@
 fn spoilt_answers(#[case] parts: &[Part]) {
     let (last, first) = parts.split_last().expect("parts");
     let mut reply = reply(first);
-    assert!(reply.take(Message(message(last.0, last.1.as_bytes()).into())).is_err());
+    assert!(reply.add(Message(message(last.0, last.1.as_bytes()).into())).is_err());
 }
 
 /// A host that has just started knows no position yet; taken for one, its 0 is a lag of fifty years.
@@ -205,8 +205,8 @@
 fn a_report_of_load(#[case] text: &str, #[case] lsn: Option<f64>) {
     let mut reply = reply(&ROW);
     let parameter = format!("health\0{text}\0");
-    assert_eq!(reply.take(Message(message(b'S', parameter.as_bytes()).into())), Ok(false));
-    let said = reply.report.expect("a report");
+    assert_eq!(reply.add(Message(message(b'S', parameter.as_bytes()).into())), Ok(false));
+    let said = reply.load_report.expect("a report");
     assert_eq!((said.lsn, said.role, said.busy), (lsn, Some(Role::Replica), Some(0.25)));
 }
 
@@ -218,10 +218,11 @@
 #[case::no_position(b"lsn_ms\0inf\0")]
 fn unreadable_reports_spoil_nothing(#[case] parameter: &[u8]) {
     let mut reply = reply(&ROW);
-    assert_eq!(reply.take(Message(message(b'S', parameter).into())), Ok(false));
-    assert_eq!(reply.ending(), AttemptOutcome::Completed);
+    assert_eq!(reply.add(Message(message(b'S', parameter).into())), Ok(false));
+    assert_eq!(reply.outcome(), AttemptOutcome::Completed);
     assert!(
-        reply.note.lsn.is_none() && reply.report.is_none_or(|said| said.lsn.is_none() && said.role.is_none())
+        reply.piggybacked.lsn.is_none()
+            && reply.load_report.is_none_or(|said| said.lsn.is_none() && said.role.is_none())
     );
 }
 
@@ -229,37 +230,42 @@
 fn role_and_position_come_in_parameters_and_rows() {
     let answer =
         reply(&[(b'S', "recovery\0on\0"), (b'S', "lsn_ms\x001500\0"), (b'S', "health\0x0=2.5,x1=1\0")]);
-    assert_eq!((answer.note.role, answer.note.lsn), (Some(Role::Replica), Some(1.5)));
-    assert_eq!(answer.report.map(|said| (said.role, said.lsn)), Some((Some(Role::Primary), Some(2.5))));
-    let (ending, report) = reply(&[ROW[0], (b'D', "\0\x01\0\0\0\x0bx0=2.5,x1=0"), ROW[2]]).probed();
+    assert_eq!((answer.piggybacked.role, answer.piggybacked.lsn), (Some(Role::Replica), Some(1.5)));
+    assert_eq!(answer.load_report.map(|said| (said.role, said.lsn)), Some((Some(Role::Primary), Some(2.5))));
+    let (ending, report) =
+        reply(&[ROW[0], (b'D', "\0\x01\0\0\0\x0bx0=2.5,x1=0"), ROW[2]]).health_check_result();
     assert_eq!(
         (ending, report.role, report.lsn),
         (AttemptOutcome::Completed, Some(Role::Replica), Some(2.5))
     );
-    assert_eq!(reply(&[(b'E', "C57P03\0\0")]).probed().0, AttemptOutcome::Full);
+    assert_eq!(reply(&[(b'E', "C57P03\0\0")]).health_check_result().0, AttemptOutcome::Full);
 }
 
 /// The proof line: until the last byte is handed over nothing can have run, from then on it may have.
 #[rstest]
-#[case::dialing(Course::Dialing, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
-#[case::greeting(Course::Greeting, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
-#[case::sending(Course::Sending, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
-#[case::sent(Course::Sent, AttemptOutcome::Reset, AttemptOutcome::TimedOut)]
-fn the_proof_line(#[case] course: Course, #[case] broken: AttemptOutcome, #[case] late: AttemptOutcome) {
+#[case::dialing(ConnectionState::Dialing, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
+#[case::greeting(ConnectionState::Greeting, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
+#[case::sending(ConnectionState::Sending, AttemptOutcome::ConnectFailed, AttemptOutcome::NeverSent)]
+#[case::sent(ConnectionState::Sent, AttemptOutcome::Reset, AttemptOutcome::TimedOut)]
+fn the_proof_line(
+    #[case] course: ConnectionState,
+    #[case] broken: AttemptOutcome,
+    #[case] late: AttemptOutcome,
+) {
     assert_eq!((course.broken(), course.given_up(AttemptOutcome::TimedOut)), (broken, late));
     assert_eq!(broken.had_no_effect(), late.had_no_effect());
 }
 
 #[test]
 fn no_state_is_left_but_by_its_ways() {
-    assert!(!Stage::Vacant.may_become(Stage::Executing(1)), "an execution without a statement");
-    assert!(!Stage::Executing(1).may_become(Stage::Executing(2)), "two executions at once");
-    assert!(!Stage::Orphaned(1).may_become(Stage::Waiting), "a further execution for nobody");
-    assert!(!Course::Sent.may_become(Course::Sending), "two loads at once");
-    assert!(!Course::Closed.may_become(Course::Idle));
-    assert!(!Session::Leaving.may_become(Session::Idle));
-    assert!(!Session::Dismissed.may_become(Session::Idle));
-    assert!(!Session::Busy(1).may_become(Session::Busy(2)), "two statements at once");
+    assert!(!RequestPhase::Vacant.may_become(RequestPhase::Executing(1)), "an execution without a statement");
+    assert!(!RequestPhase::Executing(1).may_become(RequestPhase::Executing(2)), "two executions at once");
+    assert!(!RequestPhase::Abandoned(1).may_become(RequestPhase::Waiting), "a further execution for nobody");
+    assert!(!ConnectionState::Sent.may_become(ConnectionState::Sending), "two loads at once");
+    assert!(!ConnectionState::Closed.may_become(ConnectionState::Idle));
+    assert!(!ConnectionPhase::Terminated.may_become(ConnectionPhase::Idle));
+    assert!(!ConnectionPhase::Rejected.may_become(ConnectionPhase::Idle));
+    assert!(!ConnectionPhase::Busy(1).may_become(ConnectionPhase::Busy(2)), "two statements at once");
 }
 
 fn list(whole: bool, hosts: &[(&str, &str, &str)]) -> EndpointList {
--- a/crates/ottersill/tests/config.rs
+++ b/crates/ottersill/tests/config.rs
@@ -135,7 +135,7 @@
 fn connection_limits_come_from_the_descriptor_limit(#[case] sockets: usize, #[case] expected: Option<usize>) {
     let mut config = Config::parse(EXAMPLE.as_bytes()).expect("the example");
     config.limits.sockets = sockets;
-    assert_eq!(config.limits.berths().ok().map(|berths| berths.all), expected);
+    assert_eq!(config.limits.connection_limits().ok().map(|limits| limits.total), expected);
 }
 
 /// Errors have field, line, column and cause as values, not only in their text.
--- a/crates/ottersill/tests/timers.rs
+++ b/crates/ottersill/tests/timers.rs
@@ -42,15 +42,15 @@
 #[test]
 fn in_order_of_time_and_each_once() {
     let mut timers = Timers::default();
-    let later = timers.set(AT + 2.0, Timer::Line(1));
+    let later = timers.set(AT + 2.0, Timer::Backend(1));
     timers.set(AT + 1.0, Timer::Discovery);
     timers.set(AT, Timer::Listener);
-    timers.set(AT, Timer::Line(0));
+    timers.set(AT, Timer::Backend(0));
     timers.clear(Some(later));
     let mut found = Vec::new();
     while let Some(timer) = timers.expired(AT + 9.0) {
         found.push(timer);
     }
-    assert_eq!(found, [Timer::Line(0), Timer::Listener, Timer::Discovery]);
+    assert_eq!(found, [Timer::Backend(0), Timer::Listener, Timer::Discovery]);
     assert_eq!(timers.next_at(), None);
 }
