--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -43,10 +43,10 @@
             return self.report_attempt(request_id, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
         }
         if !self.acquire_attempt_quota(request_id, host) {
-            self.counters.fleet_refused += 1;
+            self.counters.fleet_quota_refusals += 1;
             return self.report_attempt(request_id, host, AttemptOutcome::NeverSent, 0.0, &Reply::default());
         }
-        self.counters.executions += 1;
+        self.counters.attempts += 1;
         match self.assign_to_endpoint(host, Assignment::Request(request_id), until) {
             Ok(line) => {
                 self.requests.transition(request_id, RequestPhase::Executing(line), &mut self.counters)
@@ -60,10 +60,10 @@
 
     pub fn start_health_check(&mut self, host: usize) {
         if !self.acquire_quota(BudgetKind::HealthChecks) {
-            self.counters.fleet_refused += 1;
+            self.counters.fleet_quota_refusals += 1;
             return self.report_health_check(host, AttemptOutcome::NeverSent, LoadReport::default());
         }
-        self.counters.probes += 1;
+        self.counters.health_checks += 1;
         // The settings name no other time after which a host counts as not there.
         if let Err(ending) =
             self.assign_to_endpoint(host, Assignment::HealthCheck, self.now + self.timeouts.connect)
@@ -87,7 +87,7 @@
                 Ok(ReadOutcome::Drained)
             );
             if !dry || !line.inbox.is_empty() {
-                self.counters.lines_ended += 1;
+                self.counters.backend_connections_closed_by_endpoint += 1;
                 self.close_backend(id);
                 continue;
             }
@@ -107,24 +107,24 @@
             && !self.close_one_lingering()
             && !self.close_longest_idle_backend()
         {
-            self.counters.lines_wanting += 1;
+            self.counters.attempts_without_descriptor += 1;
             return Err(AttemptOutcome::NeverSent);
         }
         if !self.acquire_quota(BudgetKind::NewConnections) {
-            self.counters.fleet_refused += 1;
+            self.counters.fleet_quota_refusals += 1;
             return Err(AttemptOutcome::NeverSent);
         }
         let id = self.backends.vacant_key();
         let opened = socket::connect(dial)
             .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
         let (socket, token) = opened.map_err(|failure| {
-            self.counters.lines_failed += 1;
+            self.counters.backend_connections_failed += 1;
             self.log_connection_failure(host, ConnectionState::Dialing, &failure.to_string());
             let blamed = self.endpoints.connect_failed(host, self.now, self.timeouts.connect, &failure);
             if blamed { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
         })?;
         self.endpoints.connect_begun(host, self.now);
-        self.counters.lines_opened += 1;
+        self.counters.backend_connections_opened += 1;
         let up_by = self.now + self.timeouts.connect;
         let timer = Some(self.timers.set(until.min(up_by), Timer::Backend(id)));
         let (inbox, outbox, reply) = (BytesMut::new(), Outbox::default(), Reply::default());
@@ -278,7 +278,7 @@
     /// The host has said what is no answer: its connection is of no further use. What was sent may have run, but the
     /// host is there: taken for a broken connection, this would cost it its role.
     fn on_protocol_error(&mut self, id: usize, nonsense: &str) -> bool {
-        self.counters.host_nonsense += 1;
+        self.counters.backend_protocol_errors += 1;
         let line = &mut self.backends[id];
         if line.state != ConnectionState::Sent {
             self.fail_backend(id, nonsense);
@@ -441,8 +441,10 @@
             (line.endpoint, line.assignment.take(), line.assigned_at, line.state);
         let reply = std::mem::take(&mut line.reply);
         match course {
-            ConnectionState::Dialing | ConnectionState::Greeting => self.counters.lines_failed += 1,
-            ConnectionState::Idle => self.counters.lines_ended += 1,
+            ConnectionState::Dialing | ConnectionState::Greeting => {
+                self.counters.backend_connections_failed += 1
+            }
+            ConnectionState::Idle => self.counters.backend_connections_closed_by_endpoint += 1,
             _ => {}
         }
         if course != ConnectionState::Idle {
@@ -462,7 +464,7 @@
         line.timer = None;
         match line.state {
             ConnectionState::Idle => {
-                self.counters.lines_idled += 1;
+                self.counters.backend_connections_closed_idle += 1;
                 line.outbox.push(frame::TERMINATE.clone());
                 self.flush_backend(id);
                 self.close_backend(id);
@@ -547,16 +549,16 @@
         reply: &Reply,
     ) {
         let counter = match ending {
-            AttemptOutcome::Completed => &mut self.counters.ended_completed,
-            AttemptOutcome::Error => &mut self.counters.ended_error,
-            AttemptOutcome::Full => &mut self.counters.ended_full,
-            AttemptOutcome::TimedOut => &mut self.counters.ended_timed_out,
-            AttemptOutcome::ConnectFailed => &mut self.counters.ended_connect_failed,
-            AttemptOutcome::Reset => &mut self.counters.ended_reset,
-            AttemptOutcome::Cancelled => &mut self.counters.ended_recalled,
-            AttemptOutcome::NeverSent => &mut self.counters.ended_never_sent,
-            AttemptOutcome::Miss => &mut self.counters.ended_miss,
-            AttemptOutcome::ReadOnly => &mut self.counters.ended_read_only,
+            AttemptOutcome::Completed => &mut self.counters.attempts_completed,
+            AttemptOutcome::Error => &mut self.counters.attempts_error,
+            AttemptOutcome::Full => &mut self.counters.attempts_refused,
+            AttemptOutcome::TimedOut => &mut self.counters.attempts_timed_out,
+            AttemptOutcome::ConnectFailed => &mut self.counters.attempts_connect_failed,
+            AttemptOutcome::Reset => &mut self.counters.attempts_connection_reset,
+            AttemptOutcome::Cancelled => &mut self.counters.attempts_cancelled,
+            AttemptOutcome::NeverSent => &mut self.counters.attempts_not_sent,
+            AttemptOutcome::Miss => &mut self.counters.attempts_wrong_endpoint,
+            AttemptOutcome::ReadOnly => &mut self.counters.attempts_read_only,
         };
         *counter += 1;
         self.report(RoutingEvent::AttemptEnded {
@@ -570,7 +572,7 @@
     }
 
     fn report_health_check(&mut self, host: usize, ending: AttemptOutcome, report: LoadReport) {
-        self.counters.probes_failed += u64::from(ending != AttemptOutcome::Completed);
+        self.counters.health_checks_failed += u64::from(ending != AttemptOutcome::Completed);
         self.report(RoutingEvent::HealthCheckEnded { host, ending, report });
     }
 }
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -146,12 +146,12 @@
                 return false;
             }
             Err(_) => {
-                self.counters.clients += 1;
-                self.counters.clients_unwatched += 1;
+                self.counters.client_connections += 1;
+                self.counters.client_connections_unwatched += 1;
             }
             Ok(token) => {
-                self.counters.clients += 1;
-                self.counters.clients_turned_away += u64::from(!is_admitted);
+                self.counters.client_connections += 1;
+                self.counters.client_connections_rejected += u64::from(!is_admitted);
                 let (inbox, outbox) = (BytesMut::new(), Outbox::default());
                 let phase = ConnectionPhase::AwaitingStartup;
                 let timer = Some(self.timers.set(since + INCOMPLETE_INPUT_TIMEOUT, Timer::Client(id)));
@@ -243,7 +243,7 @@
             }
             return;
         }
-        self.counters.clients_closed_idle += 1;
+        self.counters.client_connections_closed_idle += 1;
         let halfway = matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
             && !client.inbox.is_empty();
         if halfway && client.outbox.is_empty() {
@@ -285,7 +285,7 @@
                 Some(_) => self.begin_close(id),
                 None => {}
             }
-            self.counters.clients_closed_idle += 1;
+            self.counters.client_connections_closed_idle += 1;
             return true;
         }
         false
@@ -307,7 +307,7 @@
         }
         self.handle.remove(client.token);
         if let ConnectionPhase::Busy(request_id) = client.phase {
-            self.counters.clients_left += 1;
+            self.counters.statements_abandoned += 1;
             let Some(request) = self.requests.get(request_id) else { return };
             let next = match request.phase {
                 RequestPhase::Executing(backend) => RequestPhase::Abandoned(backend),
@@ -406,7 +406,7 @@
                     if self.stored_statement_bytes > self.limits.statement_bytes
                         && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
                 {
-                    self.counters.clients_turned_away += 1;
+                    self.counters.client_connections_rejected += 1;
                     self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
                 }
                 Ok(None) => return self.await_more_input(id),
@@ -482,7 +482,7 @@
         };
         if self.endpoints.all.is_empty() {
             // Ready without a list: as it was never sent, coming again is harmless.
-            self.counters.blind += 1;
+            self.counters.rejected_without_endpoint_list += 1;
             let error = self.rejection(self.max_retry_after, "rejected: no list of hosts has come yet");
             return self.send_to_client(client, [error, frame::READY_FOR_QUERY.clone()]);
         }
@@ -507,7 +507,7 @@
         }
         let writes = info.kind != StatementKind::Read;
         if writes && self.catalog.reads[workload] {
-            self.counters.strict += 1;
+            self.counters.reads_treated_as_writes += 1;
             self.log_write_classification(workload, text, &info);
         }
         let until = arrived_at + comment.time_left.min(self.catalog.timeouts[workload]);
@@ -575,12 +575,12 @@
             &reading.why
         };
         info!(self.log, "text may write"; "why" => why, "nature" => info.kind.name(),
-            "workload" => self.catalog.workloads[workload].as_str(), "so_far" => self.counters.strict);
+            "workload" => self.catalog.workloads[workload].as_str(), "so_far" => self.counters.reads_treated_as_writes);
     }
 
     /// The connection is in order, the query is none of this service's.
     fn reject_query(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.counters.strange_queries += 1;
+        self.counters.invalid_queries += 1;
         self.send_to_client(id, [frame::error("ERROR", code, text, None), frame::READY_FOR_QUERY.clone()]);
     }
 
@@ -601,7 +601,7 @@
 
     /// What this client sends can't be trusted any more.
     fn reject_protocol_violation(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.counters.client_nonsense += 1;
+        self.counters.client_protocol_errors += 1;
         info!(self.log, "client dismissed"; "reason" => text);
         self.reject_connection(id, code, text);
     }
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -216,10 +216,10 @@
     }
 
     fn report_failure(&mut self, error: &CallError, context: &mut Context) {
-        context.counters.lists_failed += 1;
+        context.counters.discovery_calls_failed += 1;
         if context.now - self.logged_at >= LOG_INTERVAL {
             self.logged_at = context.now;
-            let calls_failed = context.counters.lists_failed;
+            let calls_failed = context.counters.discovery_calls_failed;
             warn!(context.log, "discovery call failed"; "error" => %error, "calls_failed" => calls_failed);
         }
         self.events.push_back(DiscoveryEvent::CallFailed);
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -308,7 +308,7 @@
 
     /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        self.counters.lists += 1;
+        self.counters.endpoint_lists += 1;
         let change = self.endpoints.apply(list);
         for endpoint in change.readdressed {
             self.close_idle_backends_of(endpoint);
@@ -366,6 +366,6 @@
 
     /// Everything that must hold, wherever it is counted.
     pub fn invariant_violations(&self) -> u64 {
-        self.counters.breaches + self.facade.breaches()
+        self.counters.invariant_violations + self.facade.breaches()
     }
 }
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -64,7 +64,7 @@
             self.wait_for_events()?;
             self.event_loop.poll_once();
             self.reload_if_asked();
-            self.event_loop.counters.log_dropped = self.log.dropped();
+            self.event_loop.counters.log_lines_dropped = self.log.dropped();
             if mem::take(&mut self.event_loop.readiness.signals.print_counters) {
                 log_counters(&self.event_loop);
             }
