--- a/crates/ottersill/src/backend/mod.rs
+++ b/crates/ottersill/src/backend/mod.rs
@@ -2,4 +2,7 @@
 
 pub mod attempt;
 pub mod connection;
+pub mod outcome;
+pub mod pool;
 pub mod reply;
+pub mod session;
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -7,15 +7,17 @@
 
 use std::net::Shutdown;
 
-use crate::client::connection::{ClientConnection, ConnectionPhase};
-use crate::event_loop::{EventLoop, TIMING_MARGIN};
+use ottersill_routing::facade::RoutingEvent;
+
+use crate::client::connection::ConnectionPhase;
+use crate::event_loop::EventLoop;
+use crate::in_flight::RequestPhase;
 use crate::protocol::socket;
+use crate::reactor::Source;
 
 /// A connection that is shut is closed after so many seconds, though its client has not ended: a slow one may still be reading
 /// its last answer, which a reset would discard, and whatever it sends after the close is answered by one.
 pub const LINGER_TIMEOUT: f64 = 3.0;
-/// Shut connections of which one is chosen to make room for another.
-const MAX_LINGERING_CANDIDATES: usize = 8;
 
 impl EventLoop {
     /// Ends a connection on which nothing is in hand and all is written.
@@ -48,17 +50,41 @@
         }
     }
 
-    /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
-    /// resets has had the time of a round trip at least.
-    pub fn close_one_lingering(&mut self) -> bool {
-        let lingering = self.clients.iter().filter(|(_, client)| client.phase == ConnectionPhase::Lingering);
-        let mut oldest: Vec<(usize, &ClientConnection)> = lingering.collect();
-        oldest.sort_by(|a, b| a.1.phase_since.total_cmp(&b.1.phase_since));
-        oldest.truncate(MAX_LINGERING_CANDIDATES);
-        let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
-        let first = oldest.first().filter(|(_, client)| client.phase_since < self.now - TIMING_MARGIN);
-        let chosen = clean.or(first).map(|(id, _)| *id);
-        chosen.into_iter().for_each(|id| self.close_client(id));
-        chosen.is_some()
+    pub fn close_idle_clients(&mut self) {
+        let all: Vec<usize> = self.clients.iter().map(|(id, _)| id).collect();
+        // Each gets a last look, as what has come by now counts as taken.
+        all.into_iter().for_each(|id| self.on_client_ready(id));
+    }
+
+    /// Looks for the client's end, which may not have had its turn to be read.
+    pub fn close_client_if_ended(&mut self, id: usize) {
+        if self.clients.get(id).is_some_and(|client| socket::has_ended(&client.socket)) {
+            self.close_client(id);
+        }
+    }
+
+    /// Ends the connection; a statement of it that is in hand has lost its client.
+    pub(crate) fn close_client(&mut self, id: usize) {
+        let client = self.clients.remove(id);
+        self.stored_statement_bytes -= client.stored_bytes;
+        self.timers.clear(client.timer);
+        if self.accept_retry.is_some() {
+            self.wake(Source::Listener);
+        }
+        self.handle.remove(client.token);
+        if let ConnectionPhase::Busy(request_id) = client.phase {
+            self.counters.statements_abandoned += 1;
+            let Some(request) = self.requests.get(request_id) else { return };
+            let next = match request.phase {
+                RequestPhase::Executing(backend) => RequestPhase::Abandoned(backend),
+                _ => RequestPhase::Vacant,
+            };
+            self.requests.transition(request_id, next, &mut self.counters);
+            self.report(RoutingEvent::ClientGone(request_id));
+            if let RequestPhase::Abandoned(backend) = next {
+                // Nobody waits for it any more: what is not on its way stays here.
+                self.withdraw(backend);
+            }
+        }
     }
 }
--- /dev/null
+++ b/crates/ottersill/src/client/limits.rs
@@ -0,0 +1,82 @@
+//! Limits of connections, and the closing of idle ones to make room for others.
+
+use crate::client::connection::ClientConnection;
+use crate::client::connection::ConnectionPhase;
+use crate::event_loop::EventLoop;
+use crate::event_loop::TIMING_MARGIN;
+use crate::protocol::socket;
+
+/// Shut connections of which one is chosen to make room for another.
+const MAX_LINGERING_CANDIDATES: usize = 8;
+
+/// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionLimits {
+    /// For clients and lines together.
+    pub total: usize,
+    pub clients: usize,
+    /// With more than this of those that have asked, the longest idle ones are closed as others come.
+    pub established_clients: usize,
+    /// Beside all these, for clients that are let in to be told that there is no room.
+    pub rejected_clients: usize,
+    /// For statements of clients, whole or not.
+    pub statement_bytes: usize,
+    /// For what is known of the shapes of statements.
+    pub fingerprint_bytes: usize,
+}
+
+impl EventLoop {
+    /// Whether one more client can be taken on; makes room by ending what idles.
+    pub(crate) fn make_room_for_client(&mut self) -> bool {
+        // Those that are being closed hold spare descriptors, and give them up first.
+        let open = self.clients.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering).count();
+        // Who has said nothing yet goes first: a crowd of those must not cost the others their connections.
+        (open < self.limits.clients || self.close_idle_client(false) || self.close_idle_client(true))
+            && (self.clients.len() + self.backends.len() < self.limits.total
+                || self.close_one_lingering()
+                || self.close_longest_idle_backend())
+    }
+
+    /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
+    pub(crate) fn close_idle_client(&mut self, asked: bool) -> bool {
+        // One that is new has its first statement on the way.
+        let new_since = self.now - TIMING_MARGIN;
+        let idle = |c: &ClientConnection| {
+            matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
+                && c.has_queried == asked
+                && c.inbox.is_empty()
+                && c.outbox.is_empty()
+                && !c.may_have_unread
+                && (asked || c.phase_since < new_since)
+        };
+        let all = self.clients.iter().filter(|(_, c)| idle(c)).map(|(id, c)| (c.phase_since, id));
+        let mut all: Vec<(f64, usize)> = all.collect();
+        all.sort_by(|a, b| a.0.total_cmp(&b.0));
+        for (_, id) in all {
+            // A last look: what has come meanwhile is taken in instead.
+            self.on_client_ready(id);
+            match self.clients.get(id) {
+                Some(client) if !idle(client) => continue,
+                Some(_) => self.begin_close(id),
+                None => {}
+            }
+            self.counters.client_connections_closed_idle += 1;
+            return true;
+        }
+        false
+    }
+
+    /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
+    /// resets has had the time of a round trip at least.
+    pub fn close_one_lingering(&mut self) -> bool {
+        let lingering = self.clients.iter().filter(|(_, client)| client.phase == ConnectionPhase::Lingering);
+        let mut oldest: Vec<(usize, &ClientConnection)> = lingering.collect();
+        oldest.sort_by(|a, b| a.1.phase_since.total_cmp(&b.1.phase_since));
+        oldest.truncate(MAX_LINGERING_CANDIDATES);
+        let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
+        let first = oldest.first().filter(|(_, client)| client.phase_since < self.now - TIMING_MARGIN);
+        let chosen = clean.or(first).map(|(id, _)| *id);
+        chosen.into_iter().for_each(|id| self.close_client(id));
+        chosen.is_some()
+    }
+}
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -3,7 +3,6 @@
 
 use std::io;
 use std::rc::Rc;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use calloop::RegistrationToken;
 use ottersill_config::deployment::{BackendTimeouts, Catalog};
@@ -18,6 +17,8 @@
 
 use crate::backend::connection::BackendConnection;
 use crate::client::connection::{ClientConnection, UnwatchedClient};
+use crate::client::limits::ConnectionLimits;
+use crate::clock::Clock;
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
 use crate::counters::Counters;
@@ -36,48 +37,6 @@
 /// Sockets that are found ready within so many seconds after a turn may have been ready during it.
 const NO_WAIT: f64 = 0.001;
 
-/// One time for everything: it never goes back, and was tied to Unix time once, since positions are Unix times.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    started: Instant,
-    unix: f64,
-}
-
-impl Default for Clock {
-    /// Both clocks are read as one: a process that was not on a core between the two readings would be off by that for
-    /// good, and in what it tells others. Of some readings the one that took least counts.
-    fn default() -> Clock {
-        let read = || {
-            let started = Instant::now();
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            (started.elapsed(), Clock { started, unix: unix.as_secs_f64() })
-        };
-        (0..4).map(|_| read()).fold(read(), |best, one| if one.0 < best.0 { one } else { best }).1
-    }
-}
-
-impl Clock {
-    pub fn now(&self) -> f64 {
-        self.unix + self.started.elapsed().as_secs_f64()
-    }
-}
-
-/// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
-#[derive(Clone, Copy, Debug)]
-pub struct ConnectionLimits {
-    /// For clients and lines together.
-    pub total: usize,
-    pub clients: usize,
-    /// With more than this of those that have asked, the longest idle ones are closed as others come.
-    pub established_clients: usize,
-    /// Beside all these, for clients that are let in to be told that there is no room.
-    pub rejected_clients: usize,
-    /// For statements of clients, whole or not.
-    pub statement_bytes: usize,
-    /// For what is known of the shapes of statements.
-    pub fingerprint_bytes: usize,
-}
-
 pub struct EventLoop {
     pub facade: Facade,
     pub requests: InFlightRequests,
--- a/crates/ottersill/src/fleet_link/mod.rs
+++ b/crates/ottersill/src/fleet_link/mod.rs
@@ -3,3 +3,4 @@
 pub mod audit_file;
 pub mod handlers;
 pub mod link;
+pub mod quota;
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -2,7 +2,7 @@
 //! which alone decides where a request goes.
 //!
 //! In reading order: [`command`] (the command line), [`lifecycle`] (configuration, start, main loop, reload, shutdown),
-//! [`event_loop`] (hands each event to the part that owns it), [`reactor`] and [`timers`] (what the parts see of
+//! [`event_loop`] (hands each event to the part that owns it), [`reactor`], [`timers`] and [`clock`] (what the parts see of
 //! the loop), [`client`] (client connections), [`in_flight`] (the requests between them and the endpoints), [`backend`]
 //! (connections to endpoints), [`protocol`] (PostgreSQL's wire protocol, sockets), [`discovery`] (endpoint lists),
 //! [`fleet_link`] (the other routers), [`control`] (answers to operators), [`counters`]. `docs/architecture.md` says who
@@ -10,6 +10,7 @@
 
 pub mod backend;
 pub mod client;
+pub mod clock;
 pub mod command;
 pub mod control;
 pub mod counters;
--- a/crates/ottersill/src/lifecycle/config.rs
+++ b/crates/ottersill/src/lifecycle/config.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 
+use crate::client::limits::ConnectionLimits;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::event_loop::ConnectionLimits;
 
 /// The environment variable with the path of the file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
