--- a/crates/ottersill/src/backend/mod.rs
+++ b/crates/ottersill/src/backend/mod.rs
@@ -6,3 +6,4 @@
 pub mod pool;
 pub mod reply;
 pub mod session;
+pub mod table;
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -37,7 +37,7 @@
         load: Assignment,
         until: f64,
     ) -> Result<usize, AttemptOutcome> {
-        while let Some(id) = self.endpoints.all[host].idle.pop() {
+        while let Some(id) = self.backends.pop_idle(host) {
             // A last look: what the host has ended must not be taken for a connection.
             let line = &mut self.backends[id];
             let dry = matches!(
@@ -72,7 +72,7 @@
             self.counters.fleet_quota_refusals += 1;
             return Err(AttemptOutcome::NeverSent);
         }
-        let id = self.backends.vacant_key();
+        let id = self.backends.next_id();
         let opened = socket::connect(dial)
             .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
         let (socket, token) = opened.map_err(|failure| {
@@ -131,27 +131,24 @@
             // What is left of it would hold on to all that was read with it.
             line.inbox = BytesMut::new();
         }
-        self.endpoints.all[line.endpoint].idle.push(id);
+        self.backends.push_idle(id);
     }
 
     pub(crate) fn close_backend(&mut self, id: usize) {
         self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
         let line = self.backends.remove(id);
         self.handle.remove(line.token);
-        self.endpoints.all[line.endpoint].idle.retain(|idle| *idle != id);
     }
 
     pub fn close_idle_backends_of(&mut self, host: usize) {
-        while let Some(id) = self.endpoints.all[host].idle.pop() {
+        while let Some(id) = self.backends.pop_idle(host) {
             self.close_backend(id);
         }
     }
 
     /// Closes the line that has stood idle for longest, for the sake of another connection.
     pub fn close_longest_idle_backend(&mut self) -> bool {
-        let oldest = self.endpoints.all.iter().filter_map(|host| host.idle.first().copied());
-        let oldest =
-            oldest.min_by(|a, b| self.backends[*a].idle_since.total_cmp(&self.backends[*b].idle_since));
+        let oldest = self.backends.longest_idle();
         if let Some(id) = oldest {
             self.close_backend(id);
         }
--- /dev/null
+++ b/crates/ottersill/src/backend/table.rs
@@ -0,0 +1,103 @@
+//! All backend connections, and which of them are idle.
+
+use std::ops::{Index, IndexMut};
+
+use slab::Slab;
+
+use crate::backend::connection::BackendConnection;
+
+/// Backend connections by their number, which is used again once a connection is removed.
+#[derive(Default)]
+pub struct BackendTable {
+    connections: Slab<BackendConnection>,
+    /// Idle connections to each endpoint by its index, the last used at the end.
+    idle: Vec<Vec<usize>>,
+}
+
+impl BackendTable {
+    /// The number that the next connection gets.
+    pub fn next_id(&self) -> usize {
+        self.connections.vacant_key()
+    }
+
+    /// Adds a connection under [`next_id`](Self::next_id).
+    pub fn insert(&mut self, connection: BackendConnection) {
+        self.connections.insert(connection);
+    }
+
+    /// Removes a connection, from the idle ones too.
+    ///
+    /// # Panics
+    /// If no connection has that number.
+    pub fn remove(&mut self, id: usize) -> BackendConnection {
+        let connection = self.connections.remove(id);
+        if let Some(idle) = self.idle.get_mut(connection.endpoint) {
+            idle.retain(|idle| *idle != id);
+        }
+        connection
+    }
+
+    /// The connection with that number.
+    pub fn get(&self, id: usize) -> Option<&BackendConnection> {
+        self.connections.get(id)
+    }
+
+    /// As [`get`](Self::get), to be changed.
+    pub fn get_mut(&mut self, id: usize) -> Option<&mut BackendConnection> {
+        self.connections.get_mut(id)
+    }
+
+    /// Whether there is a connection with that number.
+    pub fn contains(&self, id: usize) -> bool {
+        self.connections.contains(id)
+    }
+
+    /// All connections with their numbers.
+    pub fn iter(&self) -> impl Iterator<Item = (usize, &BackendConnection)> {
+        self.connections.iter()
+    }
+
+    /// How many connections there are.
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// There is no connection.
+    pub fn is_empty(&self) -> bool {
+        self.connections.is_empty()
+    }
+
+    /// Notes that a connection is idle.
+    pub fn push_idle(&mut self, id: usize) {
+        let endpoint = self.connections[id].endpoint;
+        if self.idle.len() <= endpoint {
+            self.idle.resize_with(endpoint + 1, Vec::new);
+        }
+        self.idle[endpoint].push(id);
+    }
+
+    /// Takes the idle connection to an endpoint that was used last.
+    pub fn pop_idle(&mut self, endpoint: usize) -> Option<usize> {
+        self.idle.get_mut(endpoint)?.pop()
+    }
+
+    /// The connection that has been idle for longest, of all endpoints.
+    pub fn longest_idle(&self) -> Option<usize> {
+        let oldest_of_each = self.idle.iter().filter_map(|idle| idle.first().copied());
+        oldest_of_each.min_by(|a, b| self[*a].idle_since.total_cmp(&self[*b].idle_since))
+    }
+}
+
+impl Index<usize> for BackendTable {
+    type Output = BackendConnection;
+
+    fn index(&self, id: usize) -> &BackendConnection {
+        &self.connections[id]
+    }
+}
+
+impl IndexMut<usize> for BackendTable {
+    fn index_mut(&mut self, id: usize) -> &mut BackendConnection {
+        &mut self.connections[id]
+    }
+}
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -107,7 +107,7 @@
     /// answer that leaves unread what the client sent is lost with the reset that this makes. False if the loop can't watch
     /// the connection for now: it is kept unread and tried again, and is closed once its time is over.
     fn add_client(&mut self, next: UnwatchedClient, is_admitted: bool) -> bool {
-        let id = self.clients.vacant_key();
+        let id = self.clients.next_id();
         let watched = self.register_shared(&next.socket, Source::Client(id));
         let UnwatchedClient { socket, since } = next;
         match watched {
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -66,7 +66,6 @@
     /// Ends the connection; a statement of it that is in hand has lost its client.
     pub(crate) fn close_client(&mut self, id: usize) {
         let client = self.clients.remove(id);
-        self.stored_statement_bytes -= client.stored_bytes;
         self.timers.clear(client.timer);
         if self.accept_retry.is_some() {
             self.wake(Source::Listener);
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -70,7 +70,7 @@
     pub may_have_unread: bool,
     /// It has sent a statement before.
     pub has_queried: bool,
-    /// Bytes counted for it in [`EventLoop::stored_statement_bytes`](crate::event_loop::EventLoop).
+    /// Bytes counted for it by [`ClientTable`](crate::client::table::ClientTable).
     pub stored_bytes: usize,
 }
 
--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -7,3 +7,4 @@
 pub mod limits;
 pub mod queries;
 pub mod session;
+pub mod table;
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -1,7 +1,5 @@
 //! The session of a client connection: reading it, its phases, its time limits.
 
-use bytes::BytesMut;
-
 use crate::client::connection::ClientConnection;
 use crate::client::connection::ConnectionPhase;
 use crate::client::queries::MAX_PIPELINED;
@@ -33,6 +31,7 @@
 
 impl EventLoop {
     pub fn on_client_ready(&mut self, id: usize) {
+        let memory_is_plentiful = self.clients.stored_statement_bytes() < self.limits.statement_bytes / 2;
         let Some(client) = self.clients.get_mut(id) else { return };
         match client.phase {
             ConnectionPhase::Rejected => return self.flush_rejected(id),
@@ -41,9 +40,8 @@
         }
         client.last_read_at = self.now;
         let busy = matches!(client.phase, ConnectionPhase::Busy(_));
-        let plenty = self.stored_statement_bytes < self.limits.statement_bytes / 2;
         // One message ahead of the one in hand at least.
-        let most = if busy && plenty { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
+        let most = if busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
         let read = client
             .outbox
             .flush(&client.socket)
@@ -130,7 +128,7 @@
                 Ok(Some(())) => {}
                 // A long statement that there is no room for is turned away before it is whole.
                 Ok(None)
-                    if self.stored_statement_bytes > self.limits.statement_bytes
+                    if self.clients.stored_statement_bytes() > self.limits.statement_bytes
                         && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
                 {
                     self.counters.client_connections_rejected += 1;
@@ -240,21 +238,15 @@
         self.timers.clear(before.filter(|before| *before != timer));
     }
 
-    /// Counts what is stored for a client: what was read ahead, and its statement. Buffers grow by doubling.
+    /// Counts what is stored for a client: what was read ahead, and its request in flight.
     pub(crate) fn count_stored_bytes(&mut self, id: usize) {
-        let Some(client) = self.clients.get_mut(id) else { return };
-        let text = match client.phase {
+        let Some(client) = self.clients.get(id) else { return };
+        let request_bytes = match client.phase {
             ConnectionPhase::Busy(request_id) => {
                 self.requests.get(request_id).map_or(0, |request| request.text.len())
             }
             _ => 0,
         };
-        if client.inbox.is_empty() {
-            // What is left of it would hold on to all that was read with it.
-            client.inbox = BytesMut::new();
-        }
-        let stored = 2 * (client.inbox.len() + text);
-        self.stored_statement_bytes = self.stored_statement_bytes + stored - client.stored_bytes;
-        client.stored_bytes = stored;
+        self.clients.count_stored_bytes(id, request_bytes);
     }
 }
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -10,7 +10,7 @@
 use crate::discovery::endpoint_list::{EndpointEntry, EndpointList};
 use crate::protocol::socket_failure::{ConnectFailure, LocalFailures};
 
-/// What is known of one endpoint, with the idle connections to it.
+/// What is known of one endpoint.
 pub struct Endpoint {
     /// Its name in endpoint lists.
     pub name: String,
@@ -20,8 +20,6 @@
     pub dial: Option<SocketAddr>,
     /// What the last list that named it said.
     pub listed: EndpointUpdate,
-    /// Idle connections, the last used at the end; one leaves when it is used or closed.
-    pub idle: Vec<usize>,
     /// Connections that broke since the last log line about that.
     pub broken: u64,
     /// When that line was written, in Unix seconds.
@@ -37,7 +35,6 @@
             label,
             dial: None,
             listed,
-            idle: Vec::new(),
             broken: 0,
             logged_at: 0.0,
             local_failures: LocalFailures::default(),
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -11,13 +11,13 @@
 use ottersill_routing::interface::{Request, RoutingConfig};
 use ottersill_statement::fingerprint::Key;
 use ottersill_statement::fingerprint_cache::FingerprintCache;
-use slab::Slab;
 use slog::{Logger, info};
 use socket2::Socket;
 
-use crate::backend::connection::BackendConnection;
-use crate::client::connection::{ClientConnection, UnwatchedClient};
+use crate::backend::table::BackendTable;
+use crate::client::connection::UnwatchedClient;
 use crate::client::limits::ConnectionLimits;
+use crate::client::table::ClientTable;
 use crate::clock::Clock;
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
@@ -41,8 +41,8 @@
     pub facade: Facade,
     pub requests: InFlightRequests,
     pub endpoints: EndpointRegistry,
-    pub clients: Slab<ClientConnection>,
-    pub backends: Slab<BackendConnection>,
+    pub clients: ClientTable,
+    pub backends: BackendTable,
     discovery: DiscoveryClient,
     pub timers: Timers,
     /// The tie to the other routers; none where there is no talk.
@@ -68,8 +68,6 @@
     pub started_at: f64,
     /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
     pub max_retry_after: f64,
-    /// Bytes of statements, whole or not; falls with each answer and each client that leaves.
-    pub stored_statement_bytes: usize,
     pub listener: Option<(Rc<Socket>, RegistrationToken)>,
     /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
     pub unwatched_client: Option<UnwatchedClient>,
@@ -103,8 +101,8 @@
             facade: Facade::start(now, terms),
             requests: InFlightRequests::default(),
             endpoints: EndpointRegistry::new(catalog.sites.clone()),
-            clients: Slab::new(),
-            backends: Slab::new(),
+            clients: ClientTable::default(),
+            backends: BackendTable::default(),
             discovery: DiscoveryClient::new(discovery, timeouts.drain_grace),
             timers: Timers::default(),
             fleet_link: None,
@@ -123,7 +121,6 @@
             iteration_ended_at: now,
             started_at: now,
             max_retry_after,
-            stored_statement_bytes: 0,
             listener: None,
             unwatched_client: None,
             accept_retry: None,
