--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -1,34 +1,104 @@
 //! Accepting client connections, and the listener for them.
 
-use std::collections::VecDeque;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 
-use bytes::BytesMut;
+use calloop::RegistrationToken;
 use slog::warn;
 use socket2::Socket;
 
-use crate::client::connection::ClientConnection;
-use crate::client::connection::ConnectionPhase;
-use crate::client::connection::UnwatchedClient;
+use crate::client::connection::{ClientConnection, UnwatchedClient};
 use crate::client::session::INCOMPLETE_INPUT_TIMEOUT;
 use crate::event_loop::EventLoop;
 use crate::protocol::socket;
-use crate::protocol::socket::Outbox;
 use crate::protocol::socket_failure::AcceptFailure;
-use crate::reactor::Source;
-use crate::timers::Timer;
+use crate::reactor::{ReactorHandle, Source};
+use crate::timers::{Timer, TimerHandle, Timers};
 
-/// Accepted in one turn, so that a crowd of new connections holds up no answer.
+/// Accepted in one iteration of the loop, so that many new connections hold up no answer.
 const MAX_ACCEPTS_PER_WAKE: usize = 64;
 
-/// So many failures of single connections in one turn are taken for one of the listener, which would go on for ever.
+/// So many failures of single connections in one iteration are taken for one of the listener, which would go on for ever.
 const MAX_ACCEPT_FAILURES: usize = MAX_ACCEPTS_PER_WAKE / 2;
 
-/// Who waits at the door for a descriptor is looked at again after so many seconds.
+/// Seconds after which accepting is tried again for those who wait in the accept backlog.
 const ACCEPT_RETRY_DELAY: f64 = 0.25;
 
+/// The listener for clients, and what it waits for.
+#[derive(Default)]
+pub struct ClientListener {
+    /// None before the router listens, and again once it has drained.
+    listener: Option<(Rc<Socket>, RegistrationToken)>,
+    /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
+    unwatched: Option<UnwatchedClient>,
+    /// Set while clients wait in the accept backlog for one to leave.
+    retry: Option<TimerHandle>,
+}
+
+impl ClientListener {
+    /// The router listens from now on, at a socket that the event loop watches.
+    pub fn open(&mut self, socket: Rc<Socket>, token: RegistrationToken) {
+        self.listener = Some((socket, token));
+    }
+
+    /// Listens no more.
+    pub fn close(&mut self, handle: &ReactorHandle) {
+        if let Some((_, token)) = self.listener.take() {
+            handle.remove(token);
+        }
+    }
+
+    /// Whether clients can connect.
+    pub fn is_open(&self) -> bool {
+        self.listener.is_some()
+    }
+
+    /// Whether accepting is tried again later, as clients wait.
+    pub fn is_retrying(&self) -> bool {
+        self.retry.is_some()
+    }
+
+    /// The timer has expired after which accepting is tried again.
+    pub fn on_retry_timer(&mut self) {
+        self.retry = None;
+    }
+
+    fn socket(&self) -> Option<Rc<Socket>> {
+        self.listener.as_ref().map(|(socket, _)| Rc::clone(socket))
+    }
+
+    fn retry_at(&mut self, at: f64, timers: &mut Timers) {
+        self.retry = Some(timers.set(at, Timer::Listener));
+    }
+
+    fn clear_retry(&mut self, timers: &mut Timers) {
+        timers.clear(self.retry.take());
+    }
+
+    fn keep_unwatched(&mut self, client: UnwatchedClient) {
+        self.unwatched = Some(client);
+    }
+
+    fn take_unwatched(&mut self) -> Option<UnwatchedClient> {
+        self.unwatched.take()
+    }
+}
+
 impl EventLoop {
+    /// Listens for clients; gives the address, as port 0 has the system choose one.
+    ///
+    /// # Errors
+    /// If the address can't be had, or the system can't watch the socket.
+    pub fn listen(&mut self, address: SocketAddr, backlog: usize) -> io::Result<SocketAddr> {
+        let socket = socket::listen(address, backlog)?;
+        let bound_to = socket.local_addr()?.as_socket().unwrap_or(address);
+        let (socket, token) = self.register(socket, Source::Listener)?;
+        self.listener.open(socket, token);
+        self.wake(Source::Listener);
+        Ok(bound_to)
+    }
+
     pub fn on_listener_ready(&mut self) {
         if self.accept_clients(MAX_ACCEPTS_PER_WAKE) {
             self.wake(Source::Listener);
@@ -37,66 +107,57 @@
         }
     }
 
-    /// Once nobody is at the door of a router that retires, as far as can be told.
+    /// Closes the listener of a router that drains once nobody waits there, as far as can be told.
     pub fn close_listener_if_drained(&mut self) {
-        if self.is_draining && self.accept_retry.is_none() {
-            if let Some((_, token)) = self.listener.take() {
-                self.handle.remove(token);
-            }
+        if self.is_draining && !self.listener.is_retrying() {
+            self.listener.close(&self.handle);
         }
     }
 
-    /// Accepts at most so many; true if more may be at the door.
+    /// Accepts at most so many; true if more may be waiting.
     pub fn accept_clients(&mut self, most: usize) -> bool {
-        let Some((listener, _)) = self.listener.clone() else { return false };
-        self.timers.clear(self.accept_retry.take());
+        let Some(listener) = self.listener.socket() else { return false };
+        self.listener.clear_retry(&mut self.timers);
         let mut failures = 0;
         for _ in 0..most {
-            let room = self.make_room_for_client();
-            if self.clients.len() >= self.limits.clients + self.limits.rejected_clients
-                && !self.close_one_lingering()
-            {
-                // They wait at the door, where what they sent is kept, until a client leaves.
-                self.accept_retry = Some(self.timers.set(self.now + ACCEPT_RETRY_DELAY, Timer::Listener));
-                return false;
+            let is_admitted = self.make_room_for_client();
+            if !self.has_descriptor_for_client() {
+                // They stay in the accept backlog, where what they sent is kept, until a client leaves.
+                return self.accept_later();
             }
             match self.next_client(&listener) {
                 Ok(Some(next)) => {
-                    if !self.add_client(next, room) {
-                        self.accept_retry =
-                            Some(self.timers.set(self.now + ACCEPT_RETRY_DELAY, Timer::Listener));
-                        return false;
+                    if !self.add_client(next, is_admitted) {
+                        return self.accept_later();
                     }
-                    // Clients may hold a third of the descriptors for requests: those that ask once and stay would
-                    // leave the others none long before this router is full.
-                    let open = |c: &ClientConnection| c.has_queried && c.phase != ConnectionPhase::Lingering;
-                    let asked =
-                        |event_loop: &EventLoop| event_loop.clients.iter().filter(|(_, c)| open(c)).count();
-                    while asked(self) > self.limits.established_clients && self.close_idle_client(true) {}
+                    self.close_surplus_established();
                 }
                 Ok(None) => return false,
-                Err(e)
-                    if AcceptFailure::of(&e) == AcceptFailure::TakeNext && failures < MAX_ACCEPT_FAILURES =>
-                {
+                Err(error) if is_of_one_client(&error) && failures < MAX_ACCEPT_FAILURES => {
                     failures += 1;
                     self.counters.accepts_failed += 1;
                 }
                 // Tried again after a while, as trying at once would keep the loop busy for nothing, and no readiness
                 // tells again of those who wait already.
-                Err(e) => {
+                Err(error) => {
                     self.counters.accepts_failed += 1;
-                    warn!(self.log, "accept"; "fault" => %e);
-                    self.accept_retry = Some(self.timers.set(self.now + ACCEPT_RETRY_DELAY, Timer::Listener));
-                    return false;
+                    warn!(self.log, "accept"; "fault" => %error);
+                    return self.accept_later();
                 }
             }
         }
         true
     }
 
-    /// The client that could not be watched before, or one from the queue.
+    /// Has accepting tried again after a delay; false, as nobody else is accepted before.
+    fn accept_later(&mut self) -> bool {
+        self.listener.retry_at(self.now + ACCEPT_RETRY_DELAY, &mut self.timers);
+        false
+    }
+
+    /// The client that could not be watched before, or one from the accept backlog.
     fn next_client(&mut self, listener: &Socket) -> io::Result<Option<UnwatchedClient>> {
-        if let Some(waiting) = self.unwatched_client.take() {
+        if let Some(waiting) = self.listener.take_unwatched() {
             return Ok(Some(waiting));
         }
         let accepted = socket::accept(listener)?;
@@ -108,12 +169,11 @@
     /// the connection for now: it is kept unread and tried again, and is closed once its time is over.
     fn add_client(&mut self, next: UnwatchedClient, is_admitted: bool) -> bool {
         let id = self.clients.next_id();
-        let watched = self.register_shared(&next.socket, Source::Client(id));
-        let UnwatchedClient { socket, since } = next;
-        match watched {
-            Err(fault) if self.now < since + INCOMPLETE_INPUT_TIMEOUT => {
+        let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
+        match self.register_shared(&next.socket, Source::Client(id)) {
+            Err(fault) if self.now < deadline => {
                 warn!(self.log, "client not watched yet"; "fault" => %fault);
-                self.unwatched_client = Some(UnwatchedClient { socket, since });
+                self.listener.keep_unwatched(next);
                 return false;
             }
             Err(_) => {
@@ -123,28 +183,16 @@
             Ok(token) => {
                 self.counters.client_connections += 1;
                 self.counters.client_connections_rejected += u64::from(!is_admitted);
-                let (inbox, outbox) = (BytesMut::new(), Outbox::default());
-                let phase = ConnectionPhase::AwaitingStartup;
-                let timer = Some(self.timers.set(since + INCOMPLETE_INPUT_TIMEOUT, Timer::Client(id)));
-                self.clients.insert(ClientConnection {
-                    phase,
-                    phase_since: since,
-                    connected_at: since,
-                    timer,
-                    last_read_at: since,
-                    is_admitted,
-                    socket,
-                    token,
-                    inbox,
-                    arrivals: VecDeque::new(),
-                    outbox,
-                    may_have_unread: false,
-                    has_queried: false,
-                    stored_bytes: 0,
-                });
+                let timer = self.timers.set(deadline, Timer::Client(id));
+                self.clients.insert(ClientConnection::new(next, token, timer, is_admitted));
                 self.on_client_ready(id);
             }
         }
         true
     }
 }
+
+/// Whether a failure of accept concerns one client only, so that the next can be accepted at once.
+fn is_of_one_client(error: &io::Error) -> bool {
+    AcceptFailure::of(error) == AcceptFailure::TakeNext
+}
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -67,7 +67,7 @@
     pub(crate) fn close_client(&mut self, id: usize) {
         let client = self.clients.remove(id);
         self.timers.clear(client.timer);
-        if self.accept_retry.is_some() {
+        if self.listener.is_retrying() {
             self.wake(Source::Listener);
         }
         self.handle.remove(client.token);
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -78,6 +78,32 @@
 const MAX_ARRIVALS: usize = 64;
 
 impl ClientConnection {
+    /// A connection that was accepted and is watched from now on. `is_admitted` is false if it is to be told that there is no
+    /// room.
+    pub fn new(
+        accepted: UnwatchedClient,
+        token: RegistrationToken,
+        timer: TimerHandle,
+        is_admitted: bool,
+    ) -> ClientConnection {
+        ClientConnection {
+            phase: ConnectionPhase::AwaitingStartup,
+            phase_since: accepted.since,
+            connected_at: accepted.since,
+            timer: Some(timer),
+            last_read_at: accepted.since,
+            is_admitted,
+            socket: accepted.socket,
+            token,
+            inbox: BytesMut::new(),
+            arrivals: VecDeque::new(),
+            outbox: Outbox::default(),
+            may_have_unread: false,
+            has_queried: false,
+            stored_bytes: 0,
+        }
+    }
+
     /// Drops what was read of it, and the memory that this takes.
     pub fn discard_input(&mut self) {
         self.inbox = BytesMut::new();
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -1,9 +1,8 @@
 //! Limits of connections, and the closing of idle ones to make room for others.
 
-use crate::client::connection::ClientConnection;
-use crate::client::connection::ConnectionPhase;
-use crate::event_loop::EventLoop;
-use crate::event_loop::TIMING_MARGIN;
+use crate::client::connection::{ClientConnection, ConnectionPhase};
+use crate::client::table::ClientTable;
+use crate::event_loop::{EventLoop, TIMING_MARGIN};
 use crate::protocol::socket;
 
 /// Shut connections of which one is chosen to make room for another.
@@ -26,6 +25,20 @@
 }
 
 impl EventLoop {
+    /// Whether one more client can be accepted, be it to be told that there is no room.
+    pub(crate) fn has_descriptor_for_client(&mut self) -> bool {
+        let most = self.limits.clients + self.limits.rejected_clients;
+        self.clients.len() < most || self.close_one_lingering()
+    }
+
+    /// Closes idle connections of clients that have queried, as far as there are too many of those. Guards against clients
+    /// that ask once and stay: they would leave the others no descriptor long before this router is full.
+    pub(crate) fn close_surplus_established(&mut self) {
+        let is_established = |c: &ClientConnection| c.has_queried && c.phase != ConnectionPhase::Lingering;
+        let count = |clients: &ClientTable| clients.iter().filter(|(_, c)| is_established(c)).count();
+        while count(&self.clients) > self.limits.established_clients && self.close_idle_client(true) {}
+    }
+
     /// Whether one more client can be taken on; makes room by ending what idles.
     pub(crate) fn make_room_for_client(&mut self) -> bool {
         // Those that are being closed hold spare descriptors, and give them up first.
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -15,7 +15,7 @@
 use socket2::Socket;
 
 use crate::backend::table::BackendTable;
-use crate::client::connection::UnwatchedClient;
+use crate::client::accept::ClientListener;
 use crate::client::limits::ConnectionLimits;
 use crate::client::table::ClientTable;
 use crate::clock::Clock;
@@ -28,7 +28,7 @@
 use crate::fleet_link::link::FleetLink;
 use crate::in_flight::InFlightRequests;
 use crate::reactor::{self, Context, ReactorHandle, Readiness, Source};
-use crate::timers::{Timer, TimerHandle, Timers};
+use crate::timers::{Timer, Timers};
 
 /// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
 /// connection comes up is no measure for it: a customer's settings may give that any length.
@@ -38,47 +38,43 @@
 const NO_WAIT: f64 = 0.001;
 
 pub struct EventLoop {
-    pub facade: Facade,
-    pub requests: InFlightRequests,
-    pub endpoints: EndpointRegistry,
-    pub clients: ClientTable,
-    pub backends: BackendTable,
+    pub(crate) facade: Facade,
+    pub(crate) requests: InFlightRequests,
+    pub(crate) endpoints: EndpointRegistry,
+    pub(crate) clients: ClientTable,
+    pub(crate) backends: BackendTable,
     discovery: DiscoveryClient,
-    pub timers: Timers,
+    pub(crate) timers: Timers,
     /// The tie to the other routers; none where there is no talk.
-    pub fleet_link: Option<FleetLink>,
+    pub(crate) fleet_link: Option<FleetLink>,
     control: ControlServer,
-    pub counters: Counters,
+    pub(crate) counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
-    pub fingerprints: FingerprintCache,
+    pub(crate) fingerprints: FingerprintCache,
     /// When a line last said why a statement was taken for one that may write.
-    pub write_classification_logged_at: f64,
-    pub catalog: Catalog,
-    pub timeouts: BackendTimeouts,
-    pub limits: ConnectionLimits,
-    pub log: Logger,
-    pub handle: ReactorHandle,
-    pub clock: Clock,
+    pub(crate) write_classification_logged_at: f64,
+    pub(crate) catalog: Catalog,
+    pub(crate) timeouts: BackendTimeouts,
+    pub(crate) limits: ConnectionLimits,
+    pub(crate) log: Logger,
+    pub(crate) handle: ReactorHandle,
+    pub(crate) clock: Clock,
     /// When the sockets were last found ready.
-    pub now: f64,
+    pub(crate) now: f64,
     /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
     /// bytes then may have lain there while that turn was held up.
-    pub arrivals_since: f64,
+    pub(crate) arrivals_since: f64,
     iteration_ended_at: f64,
-    pub started_at: f64,
+    pub(crate) started_at: f64,
     /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
-    pub max_retry_after: f64,
-    pub listener: Option<(Rc<Socket>, RegistrationToken)>,
-    /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
-    pub unwatched_client: Option<UnwatchedClient>,
-    /// Set while clients wait at the door for one to leave.
-    pub accept_retry: Option<TimerHandle>,
+    pub(crate) max_retry_after: f64,
+    pub(crate) listener: ClientListener,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
-    pub is_draining: bool,
+    pub(crate) is_draining: bool,
     /// What is taken in is answered by then; never, unless the router has been told to stop.
-    pub answers_by: f64,
+    pub(crate) answers_by: f64,
     /// What the event loop notes while it waits.
-    pub readiness: Readiness,
+    pub(crate) readiness: Readiness,
 }
 
 impl EventLoop {
@@ -121,15 +117,28 @@
             iteration_ended_at: now,
             started_at: now,
             max_retry_after,
-            listener: None,
-            unwatched_client: None,
-            accept_retry: None,
+            listener: ClientListener::default(),
             is_draining: false,
             answers_by: f64::INFINITY,
             readiness: Readiness::default(),
         }
     }
 
+    /// Where calloop's callbacks note what became ready, to be handed to its `dispatch`.
+    pub fn readiness(&mut self) -> &mut Readiness {
+        &mut self.readiness
+    }
+
+    /// All client connections.
+    pub fn clients(&self) -> &ClientTable {
+        &self.clients
+    }
+
+    /// All backend connections.
+    pub fn backends(&self) -> &BackendTable {
+        &self.backends
+    }
+
     /// Has the loop tell when the socket becomes ready: once for each change, so that nothing needs to be asked
     /// for again; whoever leaves something unread says so by [`EventLoop::wake`].
     pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
@@ -183,7 +192,7 @@
                 }
                 Timer::Control => self.wake(Source::Control),
                 Timer::Listener => {
-                    self.accept_retry = None;
+                    self.listener.on_retry_timer();
                     self.wake(Source::Listener);
                 }
                 Timer::Backend(id) => self.on_backend_timer(id),
@@ -317,7 +326,7 @@
 
     /// Nobody is in hand or at the door.
     pub fn is_empty(&self) -> bool {
-        self.clients.is_empty() && self.listener.is_none()
+        self.clients.is_empty() && !self.listener.is_open()
     }
 
     /// Everything that must hold, wherever it is counted.
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -14,8 +14,7 @@
 use crate::lifecycle::log::Log;
 use crate::lifecycle::reload::Reload;
 use crate::lifecycle::shutdown::{Observation, Phase};
-use crate::protocol::socket;
-use crate::reactor::{Reactor, Source};
+use crate::reactor::Reactor;
 
 /// The loop waits no longer than this, in seconds.
 const MAX_WAIT: f64 = 1.0;
@@ -123,10 +122,7 @@
 fn open_listener(event_loop: &mut EventLoop, listen: &ListenAddress) -> Result<(), RunError> {
     let ListenAddress { address, backlog } = *listen;
     let failed = |source: io::Error| RunError::Listen { address, source };
-    let listener = socket::listen(address, backlog).map_err(failed)?;
-    let bound_to = listener.local_addr().map_err(failed)?.as_socket().unwrap_or(address);
-    event_loop.listener = Some(event_loop.register(listener, Source::Listener).map_err(failed)?);
-    event_loop.wake(Source::Listener);
+    let bound_to = event_loop.listen(address, backlog).map_err(failed)?;
     info!(event_loop.log, "ready"; "listen" => %bound_to, "endpoints" => event_loop.endpoints.all.len());
     Ok(())
 }
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -11,8 +11,7 @@
 use ottersill::client::connection::ConnectionPhase;
 use ottersill::event_loop::EventLoop;
 use ottersill::lifecycle::config::Config;
-use ottersill::protocol::socket;
-use ottersill::reactor::{Reactor, Source};
+use ottersill::reactor::Reactor;
 use ottersill_testkit::scripted_peer::{ReceivedStatement, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 use slog::{Discard, Logger, o};
@@ -47,10 +46,7 @@
         let mut event_loop = EventLoop::new(terms, names, timeouts, limits, config.discovery, log, handle);
         let hosts = endpoint_list(1, &[("one", primary.at, "active"), ("two", replica.at, "active")]);
         event_loop.apply_endpoint_list(&serde_json::from_str(&hosts).expect("a list"));
-        let listener = socket::listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("a listener");
-        let at = listener.local_addr().ok().and_then(|at| at.as_socket()).expect("an address");
-        event_loop.listener =
-            Some(event_loop.register(listener, Source::Listener).expect("a place in the loop"));
+        let at = event_loop.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("a listener");
         let mut fixture = Fixture { events, event_loop, at, primary, replica };
         let mut client = fixture.client();
         client.send(&read(0, 9000)).expect("a query");
@@ -66,9 +62,7 @@
     }
 
     fn poll_once(&mut self) {
-        self.events
-            .dispatch(Some(Duration::from_millis(2)), &mut self.event_loop.readiness)
-            .expect("the loop");
+        self.events.dispatch(Some(Duration::from_millis(2)), self.event_loop.readiness()).expect("the loop");
         self.event_loop.poll_once();
     }
 
@@ -109,14 +103,17 @@
     fixture.arrival(|fixture| &fixture.replica).fail("53300");
     until_unread_from(fixture.replica.at);
     let event_loop = &mut fixture.event_loop;
-    let busy = event_loop.clients.iter().find(|(_, client)| matches!(client.phase, ConnectionPhase::Busy(_)));
+    let busy =
+        event_loop.clients().iter().find(|(_, client)| matches!(client.phase, ConnectionPhase::Busy(_)));
     let read_first = busy.map(|(id, _)| id).expect("a client whose statement is in hand");
     event_loop.on_client_ready(read_first);
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
     until_the_end_is_there(fixture.at, gone);
-    let carries =
-        event_loop.backends.iter().find(|(_, line)| matches!(line.assignment, Some(Assignment::Request(_))));
+    let carries = event_loop
+        .backends()
+        .iter()
+        .find(|(_, line)| matches!(line.assignment, Some(Assignment::Request(_))));
     let line = carries.map(|(id, _)| id).expect("a connection that carries it");
     event_loop.on_backend_ready(line);
     event_loop.run_routing_actions();
@@ -132,7 +129,7 @@
     let mut client = fixture.client();
     let event_loop = &mut fixture.event_loop;
     let (newest, _) = event_loop
-        .clients
+        .clients()
         .iter()
         .max_by(|a, b| a.1.connected_at.total_cmp(&b.1.connected_at))
         .expect("a client");
