--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -1,12 +1,9 @@
 //! Attempts and health checks: begun, sent, cancelled, given up.
 
 use ottersill_config::fleet::BudgetKind;
-use ottersill_routing::interface::AttemptOutcome;
-use ottersill_routing::interface::LoadReport;
+use ottersill_routing::interface::{AttemptOutcome, LoadReport};
 
-use crate::backend::connection::Assignment;
-use crate::backend::connection::BackendConnection;
-use crate::backend::connection::ConnectionState;
+use crate::backend::connection::{Assignment, BackendConnection, ConnectionState};
 use crate::backend::reply::Reply;
 use crate::event_loop::EventLoop;
 use crate::in_flight::RequestPhase;
--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/backend/outcome.rs
@@ -1,9 +1,8 @@
 //! How attempts and health checks end: counted, and reported to the routing module.
 
 use ottersill_routing::facade::RoutingEvent;
-use ottersill_routing::interface::AttemptOutcome;
-use ottersill_routing::interface::LoadReport;
-use ottersill_routing::interface::Role;
+use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
+use ottersill_statement::fingerprint_cache::CacheKey;
 
 use crate::backend::connection::Assignment;
 use crate::backend::reply::Reply;
@@ -11,78 +10,95 @@
 use crate::in_flight::RequestPhase;
 
 impl EventLoop {
-    /// ReportSource the end of what the line carried.
+    /// Counts and reports the end of what a connection carried, and answers the client if that completed its request.
     pub(crate) fn finish_assignment(
         &mut self,
-        load: Option<Assignment>,
-        host: usize,
-        since: f64,
-        ending: AttemptOutcome,
-        mut reply: Reply,
+        assignment: Option<Assignment>,
+        endpoint: usize,
+        assigned_at: f64,
+        outcome: AttemptOutcome,
+        reply: Reply,
     ) {
-        match load {
+        match assignment {
             Some(Assignment::Request(request_id)) => {
-                let request = self.requests.get(request_id);
-                let proved = !matches!(
-                    ending,
-                    AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
-                );
-                let ran = request.is_some() && !ending.had_no_effect() && ending != AttemptOutcome::Completed;
-                let orphan = matches!(request.map(|request| request.phase), Some(RequestPhase::Abandoned(_)));
-                if let Some(place) = request.and_then(|request| request.cache_key) {
-                    let only_reads = reply.piggybacked.role == Some(Role::Replica);
-                    match ending {
-                        AttemptOutcome::Completed => {
-                            self.fingerprints.record_completion(
-                                self.now,
-                                place,
-                                host,
-                                self.now - since,
-                                only_reads,
-                            );
-                        }
-                        AttemptOutcome::ReadOnly if only_reads => {
-                            self.fingerprints.record_read_only_rejection(place)
-                        }
-                        _ => {}
-                    }
-                }
-                self.release_attempt_quota(host, proved);
-                if ran {
-                    self.requests.note_may_have_run(request_id);
-                }
-                if orphan {
-                    self.requests.transition(request_id, RequestPhase::Vacant, &mut self.counters);
-                } else if ending == AttemptOutcome::Completed {
-                    self.complete(request_id, reply.take_client_messages());
-                } else {
-                    self.requests.transition(request_id, RequestPhase::Waiting, &mut self.counters);
-                }
-                self.report_attempt(request_id, host, ending, self.now - since, &reply);
-            }
-            Some(Assignment::HealthCheck)
-                if matches!(
-                    ending,
-                    AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Full
-                ) =>
-            {
-                let (ending, report) = reply.health_check_result();
-                self.report_health_check(host, ending, report);
+                self.finish_attempt(request_id, endpoint, assigned_at, outcome, reply);
             }
-            Some(Assignment::HealthCheck) => self.report_health_check(host, ending, LoadReport::default()),
+            Some(Assignment::HealthCheck) => self.finish_health_check(endpoint, outcome, &reply),
             None => {}
         }
     }
 
+    fn finish_attempt(
+        &mut self,
+        request_id: usize,
+        endpoint: usize,
+        assigned_at: f64,
+        outcome: AttemptOutcome,
+        mut reply: Reply,
+    ) {
+        let took = self.now - assigned_at;
+        let request = self.requests.get(request_id);
+        let is_known = request.is_some();
+        let is_abandoned = request.is_some_and(|request| matches!(request.phase, RequestPhase::Abandoned(_)));
+        if let Some(cache_key) = request.and_then(|request| request.cache_key) {
+            self.record_for_fingerprint(cache_key, endpoint, took, outcome, &reply);
+        }
+        // Otherwise it may run on.
+        let is_over =
+            !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset);
+        self.release_attempt_quota(endpoint, is_over);
+        if is_known && !outcome.had_no_effect() && outcome != AttemptOutcome::Completed {
+            self.requests.note_may_have_run(request_id);
+        }
+        if is_abandoned {
+            self.requests.transition(request_id, RequestPhase::Vacant, &mut self.counters);
+        } else if outcome == AttemptOutcome::Completed {
+            self.complete(request_id, reply.take_client_messages());
+        } else {
+            self.requests.transition(request_id, RequestPhase::Waiting, &mut self.counters);
+        }
+        self.report_attempt(request_id, endpoint, outcome, took, &reply);
+    }
+
+    /// Notes for later statements of the same text what this attempt tells of them.
+    fn record_for_fingerprint(
+        &mut self,
+        cache_key: CacheKey,
+        endpoint: usize,
+        took: f64,
+        outcome: AttemptOutcome,
+        reply: &Reply,
+    ) {
+        let at_replica = reply.piggybacked.role == Some(Role::Replica);
+        match outcome {
+            AttemptOutcome::Completed => {
+                self.fingerprints.record_completion(self.now, cache_key, endpoint, took, at_replica);
+            }
+            AttemptOutcome::ReadOnly if at_replica => self.fingerprints.record_read_only_rejection(cache_key),
+            _ => {}
+        }
+    }
+
+    fn finish_health_check(&mut self, endpoint: usize, outcome: AttemptOutcome, reply: &Reply) {
+        match outcome {
+            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Full => {
+                let (outcome, report) = reply.health_check_result();
+                self.report_health_check(endpoint, outcome, report);
+            }
+            _ => self.report_health_check(endpoint, outcome, LoadReport::default()),
+        }
+    }
+
+    /// Counts the end of an attempt, and reports it to the routing module.
     pub(crate) fn report_attempt(
         &mut self,
         request_id: usize,
-        host: usize,
-        ending: AttemptOutcome,
+        endpoint: usize,
+        outcome: AttemptOutcome,
         took: f64,
         reply: &Reply,
     ) {
-        let counter = match ending {
+        let counter = match outcome {
             AttemptOutcome::Completed => &mut self.counters.attempts_completed,
             AttemptOutcome::Error => &mut self.counters.attempts_error,
             AttemptOutcome::Full => &mut self.counters.attempts_refused,
@@ -97,16 +113,22 @@
         *counter += 1;
         self.report(RoutingEvent::AttemptEnded {
             stmt: request_id,
-            host,
-            ending,
+            host: endpoint,
+            ending: outcome,
             took,
             note: reply.piggybacked,
             report: reply.load_report,
         });
     }
 
-    pub(crate) fn report_health_check(&mut self, host: usize, ending: AttemptOutcome, report: LoadReport) {
-        self.counters.health_checks_failed += u64::from(ending != AttemptOutcome::Completed);
-        self.report(RoutingEvent::HealthCheckEnded { host, ending, report });
+    /// Counts the end of a health check, and reports it to the routing module.
+    pub(crate) fn report_health_check(
+        &mut self,
+        endpoint: usize,
+        outcome: AttemptOutcome,
+        report: LoadReport,
+    ) {
+        self.counters.health_checks_failed += u64::from(outcome != AttemptOutcome::Completed);
+        self.report(RoutingEvent::HealthCheckEnded { host: endpoint, ending: outcome, report });
     }
 }
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -1,70 +1,80 @@
 //! The pool of backend connections: finding an idle one to an endpoint, opening and closing them.
 
+use std::net::SocketAddr;
+
 use bytes::BytesMut;
 use ottersill_config::fleet::BudgetKind;
 use ottersill_routing::interface::AttemptOutcome;
 use slog::info;
 
-use crate::backend::connection::Assignment;
-use crate::backend::connection::BackendConnection;
-use crate::backend::connection::ConnectionState;
+use crate::backend::connection::{Assignment, BackendConnection, ConnectionState};
 use crate::backend::reply::Reply;
 use crate::event_loop::EventLoop;
 use crate::protocol::frame;
 use crate::protocol::socket;
-use crate::protocol::socket::Outbox;
-use crate::protocol::socket::ReadOutcome;
+use crate::protocol::socket::{Outbox, ReadOutcome};
 use crate::protocol::socket_failure::ConnectFailure;
 use crate::reactor::Source;
 use crate::timers::Timer;
 
 impl EventLoop {
-    /// Every change of a line's course, with the time by which it has to change again.
+    /// Every change of a connection's state, with the time by which it has to change again.
     pub(crate) fn set_backend_state(&mut self, id: usize, next: ConnectionState, until: f64) {
-        let line = &mut self.backends[id];
-        self.counters.check_invariant(line.state.may_become(next), "a line goes its ways only");
-        line.state = next;
-        self.timers.clear(line.timer.take());
+        let connection = &mut self.backends[id];
+        self.counters.check_invariant(
+            connection.state.may_become(next),
+            "a backend connection changes its state as allowed",
+        );
+        connection.state = next;
+        self.timers.clear(connection.timer.take());
         if next != ConnectionState::Closed {
-            line.timer = Some(self.timers.set(until, Timer::Backend(id)));
+            connection.timer = Some(self.timers.set(until, Timer::Backend(id)));
         }
     }
 
-    /// Finds a line for the load, the last used first, or opens one.
+    /// Gives an assignment to an idle connection to that endpoint, the last used first, or to a new one.
     pub(crate) fn assign_to_endpoint(
         &mut self,
-        host: usize,
-        load: Assignment,
-        until: f64,
+        endpoint: usize,
+        assignment: Assignment,
+        deadline: f64,
     ) -> Result<usize, AttemptOutcome> {
-        while let Some(id) = self.backends.pop_idle(host) {
-            // A last look: what the host has ended must not be taken for a connection.
-            let line = &mut self.backends[id];
-            let dry = matches!(
-                socket::read(&line.socket, &mut line.inbox, frame::MAX_MESSAGE_BYTES),
-                Ok(ReadOutcome::Drained)
-            );
-            if !dry || !line.inbox.is_empty() {
-                self.counters.backend_connections_closed_by_endpoint += 1;
-                self.close_backend(id);
-                continue;
-            }
-            self.set_assignment(id, load, until);
+        if let Some(id) = self.take_idle_backend(endpoint) {
+            self.set_assignment(id, assignment, deadline);
             self.send_assignment(id);
             return Ok(id);
         }
-        let dial = self.endpoints.all[host].dial.ok_or(AttemptOutcome::ConnectFailed)?;
-        // One for a probe of each host is kept back, as what can't be probed can't be judged.
-        let kept_back = if load == Assignment::HealthCheck {
-            0
-        } else {
-            self.endpoints.all.len().min(self.limits.total / 4)
+        let address = self.endpoints.all[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
+        self.check_may_connect(assignment)?;
+        self.open_backend(endpoint, address, assignment, deadline)
+    }
+
+    /// The idle connection to an endpoint that was used last. Those that the endpoint has ended are closed: they must not be
+    /// taken for connections.
+    fn take_idle_backend(&mut self, endpoint: usize) -> Option<usize> {
+        while let Some(id) = self.backends.pop_idle(endpoint) {
+            let connection = &mut self.backends[id];
+            let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
+            if matches!(read, Ok(ReadOutcome::Drained)) && connection.inbox.is_empty() {
+                return Some(id);
+            }
+            self.counters.backend_connections_closed_by_endpoint += 1;
+            self.close_backend(id);
+        }
+        None
+    }
+
+    /// Whether one more connection may be opened, by the limit on descriptors and the fleet's budget. Idle connections are
+    /// closed to make room.
+    fn check_may_connect(&mut self, assignment: Assignment) -> Result<(), AttemptOutcome> {
+        // One for a health check of each endpoint is kept back: an endpoint that can't be checked can't be judged.
+        let reserved = match assignment {
+            Assignment::HealthCheck => 0,
+            Assignment::Request(_) => self.endpoints.all.len().min(self.limits.total / 4),
         };
         let taken = self.clients.len().min(self.limits.clients) + self.backends.len();
-        if taken + kept_back >= self.limits.total
-            && !self.close_one_lingering()
-            && !self.close_longest_idle_backend()
-        {
+        let is_full = taken + reserved >= self.limits.total;
+        if is_full && !self.close_one_lingering() && !self.close_longest_idle_backend() {
             self.counters.attempts_without_descriptor += 1;
             return Err(AttemptOutcome::NeverSent);
         }
@@ -72,48 +82,60 @@
             self.counters.fleet_quota_refusals += 1;
             return Err(AttemptOutcome::NeverSent);
         }
+        Ok(())
+    }
+
+    /// Opens a connection for an assignment.
+    fn open_backend(
+        &mut self,
+        endpoint: usize,
+        address: SocketAddr,
+        assignment: Assignment,
+        deadline: f64,
+    ) -> Result<usize, AttemptOutcome> {
         let id = self.backends.next_id();
-        let opened = socket::connect(dial)
+        let opened = socket::connect(address)
             .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
-        let (socket, token) = opened.map_err(|failure| {
-            self.counters.backend_connections_failed += 1;
-            self.log_connection_failure(host, ConnectionState::Dialing, &failure.to_string());
-            let blamed = self.endpoints.connect_failed(host, self.now, self.timeouts.connect, &failure);
-            if blamed { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
-        })?;
-        self.endpoints.connect_begun(host, self.now);
+        let (socket, token) = opened.map_err(|failure| self.on_connect_failed(endpoint, &failure))?;
+        self.endpoints.connect_begun(endpoint, self.now);
         self.counters.backend_connections_opened += 1;
-        let up_by = self.now + self.timeouts.connect;
-        let timer = Some(self.timers.set(until.min(up_by), Timer::Backend(id)));
-        let (inbox, outbox, reply) = (BytesMut::new(), Outbox::default(), Reply::default());
-        let state = ConnectionState::Dialing;
-        let line = BackendConnection {
-            endpoint: host,
-            state,
-            assignment: Some(load),
+        let connected_by = self.now + self.timeouts.connect;
+        let timer = self.timers.set(deadline.min(connected_by), Timer::Backend(id));
+        self.backends.insert(BackendConnection {
+            endpoint,
+            state: ConnectionState::Dialing,
+            assignment: Some(assignment),
             assigned_at: self.now,
-            deadline: until,
+            deadline,
             time_left_sent_at: self.now,
             idle_since: self.now,
             socket,
             token,
-            timer,
-            inbox,
-            outbox,
-            reply,
-        };
-        self.backends.insert(line);
+            timer: Some(timer),
+            inbox: BytesMut::new(),
+            outbox: Outbox::default(),
+            reply: Reply::default(),
+        });
         Ok(id)
     }
 
-    /// A host that is down refuses hundreds of connections a second: one line a second tells as much.
-    pub(crate) fn log_connection_failure(&mut self, host: usize, course: ConnectionState, why: &str) {
-        let host = &mut self.endpoints.all[host];
-        host.broken += 1;
-        if self.now - host.logged_at >= 1.0 {
-            info!(self.log, "connection broke"; "host" => host.name.as_str(), "course" => format!("{course:?}"),
-                "why" => why, "since_last_line" => host.broken);
-            (host.logged_at, host.broken) = (self.now, 0);
+    /// What a connection that could not even be begun means for its attempt.
+    fn on_connect_failed(&mut self, endpoint: usize, failure: &ConnectFailure) -> AttemptOutcome {
+        self.counters.backend_connections_failed += 1;
+        self.log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string());
+        let counts = self.endpoints.connect_failed(endpoint, self.now, self.timeouts.connect, failure);
+        if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
+    }
+
+    /// Logs a broken connection. An endpoint that is down refuses hundreds of connections a second: one log line a second
+    /// tells as much.
+    pub(crate) fn log_connection_failure(&mut self, endpoint: usize, state: ConnectionState, why: &str) {
+        let endpoint = &mut self.endpoints.all[endpoint];
+        endpoint.broken += 1;
+        if self.now - endpoint.logged_at >= 1.0 {
+            info!(self.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
+                "why" => why, "since_last_line" => endpoint.broken);
+            (endpoint.logged_at, endpoint.broken) = (self.now, 0);
         }
     }
 
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -2,8 +2,7 @@
 
 use ottersill_routing::interface::AttemptOutcome;
 
-use crate::backend::connection::Assignment;
-use crate::backend::connection::ConnectionState;
+use crate::backend::connection::{Assignment, ConnectionState};
 use crate::backend::reply::Reply;
 use crate::event_loop::EventLoop;
 use crate::protocol::frame;
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -1,8 +1,7 @@
 //! Statements of clients: checked, classified, and handed to the routing module.
 
 use bytes::Bytes;
-use ottersill_routing::interface::Request;
-use ottersill_routing::interface::WorkEstimate;
+use ottersill_routing::interface::{Request, WorkEstimate};
 use ottersill_statement::classify;
 use ottersill_statement::classify::StatementKind;
 use ottersill_statement::fingerprint_cache::StatementInfo;
@@ -10,19 +9,19 @@
 
 use crate::client::connection::ConnectionPhase;
 use crate::event_loop::EventLoop;
-use crate::in_flight::InFlightRequest;
-use crate::in_flight::RequestPhase;
+use crate::in_flight::{InFlightRequest, RequestPhase};
 use crate::protocol::frame;
 use crate::protocol::frame::ErrorCode;
-use crate::protocol::statement_text::StatementText;
 use crate::protocol::statement_text::peek_time_left;
+use crate::protocol::statement_text::{StatementComment, StatementText};
 
 /// Statements sent behind one that are looked at before it is sent: their number bounds what each costs; those further behind
 /// are looked at as it gets shorter.
 pub const MAX_PIPELINED: usize = 16;
 
 impl EventLoop {
-    /// `arrived_at` is when its first byte did: the client counts from there, however long those ahead of it took.
+    /// Checks a statement of a client, and hands it to the routing module. `arrived_at` is when its first byte came: the client
+    /// counts from there, however long those ahead of it took.
     pub(crate) fn on_statement(&mut self, client: usize, text: &Bytes, arrived_at: f64) {
         let scan = self.fingerprints.scan(text);
         let (statement, comment) = match StatementText::parse(text, &scan) {
@@ -33,10 +32,7 @@
             return self.reject_query(client, ErrorCode::Unknown, "no workload has the name in c");
         };
         if self.endpoints.all.is_empty() {
-            // Ready without a list: as it was never sent, coming again is harmless.
-            self.counters.rejected_without_endpoint_list += 1;
-            let error = self.rejection(self.max_retry_after, "rejected: no list of hosts has come yet");
-            return self.send_to_client(client, [error, frame::READY_FOR_QUERY.clone()]);
+            return self.reject_without_list(client);
         }
         let Some(group) = self.endpoints.group(comment.cluster) else {
             return self.reject_query(client, ErrorCode::Unknown, "no list has named this cluster");
@@ -45,53 +41,83 @@
             return self.reject_without_descriptor(client);
         }
         if self.requests.contains_id(comment.id) {
-            // Sent on, it would be taken for a second copy of the one that is open.
-            return self.reject_query(
-                client,
-                ErrorCode::ProtocolViolation,
-                "a statement with this id is open",
-            );
+            // Sent on, it would be taken for a second copy of the one that is in flight.
+            let reason = "a statement with this id is open";
+            return self.reject_query(client, ErrorCode::ProtocolViolation, reason);
         }
         let info = self.fingerprints.lookup(self.now, workload, text, scan.fingerprint);
-        if let Some(why) = info.refusal {
+        if let Some(reason) = info.refusal {
             self.counters.session_queries += 1;
-            return self.reject_query(client, ErrorCode::NotSupported, why);
+            return self.reject_query(client, ErrorCode::NotSupported, reason);
         }
-        let writes = info.kind != StatementKind::Read;
-        if writes && self.catalog.reads[workload] {
+        let may_write = info.kind != StatementKind::Read;
+        if may_write && self.catalog.reads[workload] {
             self.counters.reads_treated_as_writes += 1;
             self.log_write_classification(workload, text, &info);
         }
-        let until = arrived_at + comment.time_left.min(self.catalog.timeouts[workload]);
-        let deadline = until.min(self.answers_by).min(self.earliest_pipelined_deadline(client));
-        let time_left = (deadline - self.now).max(0.0);
-        let id = comment.id;
-        let request = Request {
+        let deadline = self.statement_deadline(client, workload, &comment, arrived_at);
+        let request = self.routing_request(workload, group, &comment, &info, deadline);
+        let in_flight = InFlightRequest {
+            phase: RequestPhase::Waiting,
+            client,
+            id: comment.id,
+            text: statement,
+            cache_key: info.key,
+            deadline,
+            may_have_run: false,
+        };
+        self.counters.statements += 1;
+        self.start_request(request, |event_loop, request_id| event_loop.enter_request(request_id, in_flight));
+    }
+
+    /// Rejects a statement as no endpoint list has come yet. It was never sent, so coming again is harmless.
+    fn reject_without_list(&mut self, client: usize) {
+        self.counters.rejected_without_endpoint_list += 1;
+        let error = self.rejection(self.max_retry_after, "rejected: no list of hosts has come yet");
+        self.send_to_client(client, [error, frame::READY_FOR_QUERY.clone()]);
+    }
+
+    /// When a statement is given up: its own time, the time by which a router that stops has answered, or that of a
+    /// statement behind it.
+    fn statement_deadline(
+        &mut self,
+        client: usize,
+        workload: usize,
+        comment: &StatementComment,
+        arrived_at: f64,
+    ) -> f64 {
+        let own = arrived_at + comment.time_left.min(self.catalog.timeouts[workload]);
+        own.min(self.answers_by).min(self.earliest_pipelined_deadline(client))
+    }
+
+    /// What the routing module is told of a statement.
+    fn routing_request(
+        &self,
+        workload: usize,
+        group: usize,
+        comment: &StatementComment,
+        info: &StatementInfo,
+        deadline: f64,
+    ) -> Request {
+        Request {
             workload,
             group,
             tenant: None,
             session: comment.session,
-            time_left,
+            time_left: (deadline - self.now).max(0.0),
             since_write: comment.after.map(|after| (self.now - after).max(0.0)),
             repeat: comment.repeat,
-            writes,
+            writes: info.kind != StatementKind::Read,
             work: info.estimate.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
-        };
-        self.counters.statements += 1;
-        self.start_request(request, |event_loop, request_id| {
-            let request = InFlightRequest {
-                phase: RequestPhase::Waiting,
-                client,
-                id,
-                text: statement,
-                cache_key: info.key,
-                deadline,
-                may_have_run: false,
-            };
-            event_loop.requests.insert(request_id, request, &mut event_loop.counters);
-            event_loop.set_client_phase(client, ConnectionPhase::Busy(request_id));
-            event_loop.clients[client].has_queried = true;
-        });
+        }
+    }
+
+    /// A request is in flight from now on, under the number that the routing module gave it.
+    fn enter_request(&mut self, request_id: usize, request: InFlightRequest) {
+        let client = request.client;
+        self.requests.insert(request_id, request, &mut self.counters);
+        self.set_client_phase(client, ConnectionPhase::Busy(request_id));
+        self.clients[client].has_queried = true;
     }
 
     /// By when this statement has to be out of the way of those that its client has sent behind it: answers go out in order,
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -1,13 +1,10 @@
 //! The session of a client connection: reading it, its phases, its time limits.
 
-use crate::client::connection::ClientConnection;
-use crate::client::connection::ConnectionPhase;
+use crate::client::connection::{ClientConnection, ConnectionPhase};
 use crate::client::queries::MAX_PIPELINED;
-use crate::event_loop::EventLoop;
-use crate::event_loop::TIMING_MARGIN;
+use crate::event_loop::{EventLoop, TIMING_MARGIN};
 use crate::protocol::frame;
-use crate::protocol::frame::ErrorCode;
-use crate::protocol::frame::Startup;
+use crate::protocol::frame::{ErrorCode, Startup};
 use crate::protocol::socket;
 use crate::protocol::socket::ReadOutcome;
 use crate::reactor::Source;
