--- a/crates/config/src/fleet/locate.rs
+++ b/crates/config/src/fleet/locate.rs
@@ -60,7 +60,7 @@
     match bytes[0] {
         b'#' => bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len()),
         b'"' | b'\'' => quoted_length(bytes),
-        byte if is_word_byte(byte) => bytes.iter().take_while(|byte| is_word_byte(**byte)).count(),
+        first if is_word_byte(first) => bytes.iter().take_while(|byte| is_word_byte(**byte)).count(),
         _ => 1,
     }
 }
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -273,9 +273,9 @@
             self.transition(CandidateState::Preparing { ballot, until, promised });
             return None;
         }
-        let until = now + self.lease * ANSWER_WAIT;
+        let accepted_by = now + self.lease * ANSWER_WAIT;
         let granted = VoterSet::default();
-        self.transition(CandidateState::Accepting { ballot, sent_at: now, until, granted });
+        self.transition(CandidateState::Accepting { ballot, sent_at: now, until: accepted_by, granted });
         Some(CandidateCall::Accept(ballot))
     }
 
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -169,7 +169,6 @@
     ) -> Membership {
         let own = Member { process: process.clone(), address, presence: Presence::Here, since: now };
         Membership {
-            swim: join(process.clone(), address, seed),
             pending: PendingActions::default(),
             timers: BTreeMap::new(),
             timer_count: 0,
@@ -177,6 +176,7 @@
             seeds: seeds.into_iter().filter(|(name, _)| *name != process.name).collect(),
             announce_at: now,
             changes: Vec::new(),
+            swim: join(process, address, seed),
         }
     }
 
--- a/crates/fleet/src/node/quota_client.rs
+++ b/crates/fleet/src/node/quota_client.rs
@@ -139,7 +139,7 @@
         let is_short = self.quotas.values().any(LocalQuota::is_short);
         let budgets = self.budget_requests(now);
         let chunks = budgets.chunks(BUDGETS_PER_REQUEST);
-        let requests = chunks.map(|budgets| self.request(now, electorate, budgets)).collect();
+        let requests = chunks.map(|chunk| self.request(now, electorate, chunk)).collect();
         self.unanswered_since.get_or_insert(now);
         self.requested_at = now;
         let is_urgent = is_short || self.leader.is_none();
--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -292,8 +292,8 @@
         let units = division.grant(total, holder, request.held, settled);
         self.last_serial += 1;
         let serial = self.last_serial;
-        let account = accounts.entry(holder.clone()).or_default();
-        account.record_grant(now, serial, units, leases.map(|lease| now + lease + hold));
+        let granted = accounts.entry(holder.clone()).or_default();
+        granted.record_grant(now, serial, units, leases.map(|lease| now + lease + hold));
         Ok(Grant { key: request.key, total, units, serial })
     }
 
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -2,6 +2,7 @@
 
 mod simulation;
 
+use ottersill_fleet::node::FleetNode;
 use ottersill_fleet::quota_ledger::Pools;
 use rstest::rstest;
 use simulation::{Simulation, storm};
@@ -85,7 +86,7 @@
     let sum = simulation.sum(0);
     let sent = |simulation: &Simulation| -> Vec<(u64, u64)> {
         let counters =
-            simulation.nodes.iter().filter_map(|node| node.fleet.as_ref()).map(|fleet| fleet.counters());
+            simulation.nodes.iter().filter_map(|node| node.fleet.as_ref()).map(FleetNode::counters);
         counters.map(|counters| (counters.sent, counters.sent_bytes)).collect()
     };
     let before = sent(&simulation);
--- a/crates/fleet/tests/model_quota.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -127,6 +127,7 @@
     }
 
     /// `on` says whether a reply that this makes is delivered as well.
+    #[expect(clippy::needless_pass_by_value, reason = "what is delivered is on its way no longer")]
     fn deliver(&self, state: &mut State, in_transit: InTransit, on: bool) {
         let now = state.time as f64;
         match in_transit {
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -56,7 +56,7 @@
         }
         self.state = match Config::load() {
             Ok(config) => {
-                self.apply(config, exchange);
+                self.apply(&config, exchange);
                 State::Idle
             }
             Err(fault) => {
@@ -75,9 +75,9 @@
         };
     }
 
-    fn apply(&mut self, config: Config, exchange: &mut Exchange) {
+    fn apply(&mut self, config: &Config, exchange: &mut Exchange) {
         exchange.counters.reloads += 1;
-        let needs_restart = self.config.restart_required(&config).join(",");
+        let needs_restart = self.config.restart_required(config).join(",");
         info!(exchange.log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
--- a/crates/ottersill/tests/config.rs
+++ b/crates/ottersill/tests/config.rs
@@ -149,5 +149,5 @@
     assert_eq!(cause.to_string(), text);
     let limits = ConfigError::from(LimitsError::Sockets { least: 21, found: 3 });
     assert_eq!(limits.to_string(), "NODE_CONFIG: limits.sockets: expected 21 at least, found 3");
-    assert!(limits.source().is_some_and(|cause| cause.is::<LimitsError>()));
+    assert!(limits.source().is_some_and(<dyn Error>::is::<LimitsError>));
 }
--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -22,7 +22,7 @@
         client
     };
     let mut clients: Vec<Client> = (0..30).map(ask).collect();
-    let answers: Vec<String> = clients.iter_mut().map(|client| client.last_words()).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::last_words).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     drop(clients);
     service.all(Behaviour::Replica);
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -37,7 +37,7 @@
     };
     let mut clients: Vec<Client> = (0..36).map(ask).collect();
     service.signal("-TERM");
-    let answers: Vec<String> = clients.iter_mut().map(|client| client.last_words()).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::last_words).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     assert_eq!(service.exit().0, Some(0));
 }
--- a/crates/routing/tests/decisions/selection.rs
+++ b/crates/routing/tests/decisions/selection.rs
@@ -1,7 +1,5 @@
 //! Which of the endpoints that may serve a request does.
 
-use ottersill_routing::interface::*;
-
 use crate::common::*;
 
 #[test]
--- a/crates/routing/tests/facade.rs
+++ b/crates/routing/tests/facade.rs
@@ -1,3 +1,5 @@
+//! The facade of network code: what it says of a request, and what it does where clients leave.
+
 mod common;
 
 use common::{READ, WRITE, listed, statement, terms};
--- a/crates/routing/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -310,7 +310,7 @@
     assert!(asked > 0);
     for _ in 0..20 {
         (0..4).for_each(|h| {
-            world.router.on_health_check(world.now, h, ending, LoadReport::default(), &mut world.book)
+            world.router.on_health_check(world.now, h, ending, LoadReport::default(), &mut world.book);
         });
     }
     assert_eq!(probes(&world), asked, "no time has passed");
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -13,7 +13,7 @@
     match stdio::run(&mut io::stdin().lock(), &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("{}: {error}", PROGRAM);
+            eprintln!("{PROGRAM}: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sim-adapter/tests/conversation.rs
+++ b/crates/sim-adapter/tests/conversation.rs
@@ -40,6 +40,7 @@
 
 /// Start, an empty list, probes, a write and reads, a miss, a hangup, a kill and a new start, reply by reply.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one conversation, reply by reply")]
 fn a_conversation_of_one_instance() {
     let beat = r#"{"notify_me":{"sleep_for_ms":20,"name":"beat"}}"#;
     let probes = r#"{"sound_out":{"host":"heron"}},{"sound_out":{"host":"otter"}}"#;
@@ -125,6 +126,7 @@
 
 /// Every event, in members of any order and names with escapes, and the actions that the first conversation lacks.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one conversation, reply by reply")]
 fn a_conversation_of_two_instances() {
     let beat = r#"{"notify_me":{"sleep_for_ms":20,"name":"beat"}}"#;
     let reminder = r#"{"reminder":{"name":"beat"}}"#;
--- a/crates/statement/benches/fingerprints.rs
+++ b/crates/statement/benches/fingerprints.rs
@@ -1,5 +1,7 @@
 //! What a known fingerprint costs beside a parse, in one run: `cargo bench -p ottersill-statement`.
 
+#![allow(missing_docs, reason = "the macro that names the benchmarks makes a public function")]
+
 use criterion::{Criterion, criterion_group, criterion_main};
 use ottersill_statement::classify;
 use ottersill_statement::fingerprint::{self, Key};
--- a/crates/statement/src/builtin_catalog.rs
+++ b/crates/statement/src/builtin_catalog.rs
@@ -17,6 +17,7 @@
     list.binary_search_by(|known| known.as_bytes().cmp(name)).is_ok()
 }
 
+/// Functions that only read, sorted by bytes.
 pub static READS: &[&str] = &[
     "abs",
     "acos",
@@ -488,6 +489,7 @@
     "xml",
 ];
 
+/// Operators that have no side effect, sorted by bytes.
 pub static OPERATORS: &[&str] = &[
     "!!", "!=", "!~", "!~*", "!~~", "!~~*", "#", "##", "#-", "#=", "#>", "#>>", "%", "&", "&&", "&<", "&<|",
     "&>", "*", "+", "-", "->", "->>", "-|-", "/", ":=", "<", "<#>", "<->", "<<", "<<=", "<<|", "<=", "<>",
--- a/crates/statement/src/classify.rs
+++ b/crates/statement/src/classify.rs
@@ -22,7 +22,9 @@
 /// What a statement is to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StatementKind {
+    /// Nothing in it can write, as far as a text can tell.
     Read,
+    /// Changes rows or tables, locks, or calls what is known to.
     Write,
     /// Changes the session or holds something of it, and so makes no sense where connections are shared.
     Session,
@@ -31,6 +33,7 @@
 }
 
 impl StatementKind {
+    /// Its name in logs and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             StatementKind::Read => "read",
@@ -44,13 +47,17 @@
 /// Names are in lower case unless they were quoted, and keep their schema.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Classification {
+    /// What it is.
     pub kind: StatementKind,
+    /// What decided that, for operators.
     pub why: Box<str>,
     /// More than one statement in one query.
     pub several: bool,
     /// Rows are locked.
     pub locks: bool,
+    /// Tables that it names, bounded in number and length.
     pub tables: Box<[Box<str>]>,
+    /// Functions that it calls, bounded in number and length.
     pub functions: Box<[Box<str>]>,
 }
 
@@ -172,12 +179,12 @@
 
 /// Reads a text of that fingerprint. What it gives is the same for every text of the fingerprint, as only its plain form is read;
 /// bounded in time by the bounds above.
-pub fn classify(text: &[u8]) -> Classification {
-    let first = prescan(text);
+pub fn classify(client_text: &[u8]) -> Classification {
+    let first = prescan(client_text);
     if is_conclusive(&first) {
-        return classify_by_prescan(text, &first);
+        return classify_by_prescan(client_text, &first);
     }
-    let plain = fingerprint::plain(text);
+    let plain = fingerprint::plain(client_text);
     let text = plain.as_bytes();
     let prescan = prescan(text);
     if plain.len() > MAX_PARSED_BYTES
@@ -505,11 +512,10 @@
 
 impl TreeFindings {
     fn sample(&mut self, sample: Option<&TableSampleKind>) {
-        let sample = match sample {
-            Some(TableSampleKind::BeforeTableAlias(sample) | TableSampleKind::AfterTableAlias(sample)) => {
-                sample
-            }
-            None => return,
+        let Some(TableSampleKind::BeforeTableAlias(sample) | TableSampleKind::AfterTableAlias(sample)) =
+            sample
+        else {
+            return;
         };
         if sample.bucket.is_some() || sample.offset.is_some() {
             self.doubt("grammar of another dialect");
--- a/crates/statement/src/fingerprint.rs
+++ b/crates/statement/src/fingerprint.rs
@@ -33,6 +33,7 @@
 
 /// Where the walk over a text's tokens goes: into the hash, or into a text of the same fingerprint.
 pub trait Sink {
+    /// Takes the next item in.
     fn put(&mut self, item: Item);
 }
 
@@ -43,13 +44,19 @@
     Value,
     /// A value behind a word, of which grammar knows the kind: `DATE '…'`, `FIRST 5`.
     Text,
+    /// A number where its being one matters.
     Number,
+    /// `$1` and the like where that matters.
     Parameter,
     /// Unquoted, in whatever case; and as [`Token::word`] has it.
     Word(&'a [u8], u64),
+    /// A quoted name, with its quotes.
     Name(&'a [u8]),
+    /// An operator or a mark, as it is written.
     Other(&'a [u8]),
+    /// A literal whose end depends on a setting of the server.
     Doubtful,
+    /// What is no SQL.
     Bad(&'a [u8]),
 }
 
@@ -197,6 +204,7 @@
 /// What one pass over a statement's text finds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scan {
+    /// Of the whole text.
     pub fingerprint: Fingerprint,
     /// The last block comment, with its marks: one in a literal, a quoted name or another comment is none.
     pub comment: Option<Range<usize>>,
@@ -236,6 +244,7 @@
     shaper.finish()
 }
 
+/// A builder that is handed token after token and ends in a fingerprint.
 pub fn hashing(key: Key) -> FingerprintBuilder<impl Sink + Finish> {
     FingerprintBuilder::new(Hash {
         hasher: SipHasher13::new_with_keys(key.0, key.1),
@@ -254,6 +263,7 @@
 
 /// Ends in a fingerprint.
 pub trait Finish {
+    /// The fingerprint of all that was taken in.
     fn finish(self) -> Fingerprint;
 }
 
@@ -265,6 +275,7 @@
 }
 
 impl<S: Sink + Finish> FingerprintBuilder<S> {
+    /// The fingerprint of all tokens taken in.
     pub fn finish(mut self) -> Fingerprint {
         self.end();
         self.sink.finish()
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -19,7 +19,9 @@
 /// whose values differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CacheKey {
+    /// The statement's fingerprint.
     pub fingerprint: Fingerprint,
+    /// The workload's index.
     pub workload: u32,
 }
 
@@ -92,16 +94,20 @@
 pub struct StatementInfo {
     /// The entry, if the statement has one.
     pub key: Option<CacheKey>,
+    /// What it is.
     pub kind: StatementKind,
     /// Why it can't be accepted at all.
     pub refusal: Option<&'static str>,
+    /// Its expected work, once enough is known.
     pub estimate: Option<Estimate>,
 }
 
-/// How fingerprints were counts, for the counters.
+/// How statements were classified, for the counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LookupCounts {
+    /// Found in the cache.
     pub known: u64,
+    /// Parsed, as they were not in the cache.
     pub parsed: u64,
     /// Classified by their tokens alone: a parse could tell no more, or the parse budget was used up.
     pub prescanned: u64,
@@ -109,6 +115,7 @@
     pub denied: u64,
 }
 
+/// Classification and cost of each fingerprint, within a budget of bytes.
 pub struct FingerprintCache {
     key: Key,
     entries: Cache<CacheKey, CacheEntry, WeightInBytes, BuildHasherDefault<FoldingHasher>>,
@@ -117,6 +124,7 @@
     typical: Vec<TypicalWork>,
     /// One for each endpoint that ever completed an attempt.
     delays: Vec<QueueingDelay>,
+    /// What lookups have found so far.
     pub counts: LookupCounts,
 }
 
@@ -162,7 +170,7 @@
         }
     }
 
-    /// WeightInBytes that the cache holds, as it counts them.
+    /// Bytes that the cache holds, as it counts them.
     pub fn bytes(&self) -> u64 {
         self.entries.weight()
     }
--- a/crates/statement/src/lexer.rs
+++ b/crates/statement/src/lexer.rs
@@ -8,6 +8,7 @@
 
 use memchr::memchr3;
 
+/// What a token is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A key word or an unquoted name.
@@ -20,9 +21,11 @@
     Literal,
     /// `$tag$…$tag$`.
     Dollar,
+    /// `1`, `1.5`, `1e-3`, `0xFF`.
     Number,
     /// `$1`.
     Parameter,
+    /// Operator characters, as many as belong together.
     Operator,
     /// One of `( ) [ ] , ; :` or `.`
     Mark,
@@ -34,9 +37,12 @@
     Bad,
 }
 
+/// A token and its place in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
+    /// What it is.
     pub kind: Kind,
+    /// Its bytes in the text.
     pub at: Range<usize>,
     /// A word of up to eight bytes as one number, in lower case, so that it is compared at once; zero for all else.
     pub word: u64,
@@ -45,10 +51,16 @@
 }
 
 impl Token {
+    /// Its bytes, out of the text that it was read from.
+    ///
+    /// # Panics
+    ///
+    /// If that text is shorter than the one it was read from.
     pub fn bytes<'a>(&self, text: &'a [u8]) -> &'a [u8] {
         &text[self.at.clone()]
     }
 
+    /// Whether it is a comment of either kind.
     pub fn is_comment(&self) -> bool {
         matches!(self.kind, Kind::LineComment | Kind::BlockComment)
     }
@@ -59,6 +71,7 @@
     }
 }
 
+/// Cuts a text into tokens, as an iterator; white space is passed over.
 #[derive(Clone, Debug)]
 pub struct Lexer<'a> {
     text: &'a [u8],
@@ -159,6 +172,7 @@
 }
 
 impl<'a> Lexer<'a> {
+    /// Begins at the start of the text.
     pub fn new(text: &'a [u8]) -> Lexer<'a> {
         Lexer { text, at: 0 }
     }
@@ -379,7 +393,7 @@
             b'.' if self.peek(1).is_ascii_digit() => self.number(from),
             b'-' if self.peek(1) == b'-' => {
                 let rest = &self.text[from..];
-                let end = rest.iter().position(|byte| matches!(byte, b'\n' | b'\r' | 0));
+                let end = rest.iter().position(|other| matches!(other, b'\n' | b'\r' | 0));
                 self.token(Kind::LineComment, from, from + end.unwrap_or(rest.len()))
             }
             b'/' if self.peek(1) == b'*' => self.block_comment(from),
--- a/crates/statement/src/prescan.rs
+++ b/crates/statement/src/prescan.rs
@@ -13,26 +13,38 @@
 /// What speaks against a read, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Doubt {
+    /// What it is.
     pub cause: Cause,
+    /// Its bytes in the text.
     pub at: Range<usize>,
 }
 
+/// What can speak against a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// Not SQL, or unfinished.
     Bad,
     /// A literal whose end depends on a setting of the server.
     Doubtful,
+    /// More than one statement.
     Several,
+    /// Parentheses nested too deep to be followed.
     Deep,
+    /// A key word that writes, such as `INSERT` or `DELETE`.
     Writes,
+    /// `SELECT … INTO`.
     Into,
+    /// Locks rows, such as `FOR UPDATE`.
     Locks,
     /// A function that is known to write.
     WritingCall,
+    /// A function that changes the session or holds something of it.
     SessionCall,
+    /// A function that is on no list.
     UnknownCall,
+    /// An operator that is not known to have no side effect.
     UnknownOperator,
+    /// A type whose input is not known to have no side effect.
     UnknownType,
 }
 
@@ -41,11 +53,17 @@
 pub enum Opening {
     /// A query, if nothing speaks against it.
     Query,
+    /// `EXPLAIN`.
     Explain,
+    /// `COPY`.
     Copy,
+    /// `SHOW`.
     Show,
+    /// A word that begins a write.
     Write,
+    /// A word that begins a statement which belongs to a session.
     Session,
+    /// Any other word, or none yet.
     #[default]
     Unknown,
 }
@@ -58,12 +76,15 @@
 /// Taken in token by token; fixed in size.
 #[derive(Clone, Debug, Default)]
 pub struct Prescan {
+    /// What the first word says.
     pub opening: Opening,
+    /// The first word's bytes in the text.
     pub opened_by: Range<usize>,
     /// The first that was found.
     pub doubt: Option<Doubt>,
     /// Names before a parenthesis that no list has.
     pub calls: [Range<usize>; MAX_UNRESOLVED_CALLS],
+    /// How many places of `calls` are filled.
     pub called: usize,
     /// `EXPLAIN` alone runs nothing, and what it explains is not doubted for writing.
     pub dml: Option<Doubt>,
@@ -128,6 +149,7 @@
         self.dml.get_or_insert(doubt);
     }
 
+    /// Takes the next token of the text in.
     pub fn take(&mut self, token: &Token, text: &[u8]) {
         if token.is_comment() {
             return;
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -207,7 +207,7 @@
             0,
             *took,
             true,
-        )
+        );
     });
     let later = (0..400)
         .filter_map(|_| cache.lookup(now + 40.0, 0, text, fingerprint).estimate)
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -52,6 +52,14 @@
             Whole::Rate { units, .. } | Whole::InHand { units, .. } => units,
         }
     }
+
+    /// Seconds within which a thing in hand ends.
+    fn hold(self) -> f64 {
+        match self {
+            Whole::InHand { hold, .. } => hold,
+            Whole::Rate { .. } => 0.0,
+        }
+    }
 }
 
 /// What an audit found.
@@ -117,80 +125,111 @@
     }
 }
 
-/// Holds what was written down against the wholes.
-pub fn audit(entries: &[Entry], wholes: &BTreeMap<String, Whole>) -> Verdict {
-    let mut entries: Vec<&Entry> = entries.iter().collect();
-    entries.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let mut verdict = Verdict::default();
-    let mut processes = BTreeSet::new();
-    type Holders = BTreeMap<(String, u64), Holder>;
-    let mut budgets: BTreeMap<(String, u64), Holders> = BTreeMap::new();
-    let mut spends: BTreeMap<(String, u64), Vec<f64>> = BTreeMap::new();
-    for entry in entries {
-        processes.insert((entry.process.clone(), entry.incarnation));
+/// Whose budget it is: its name, and the endpoint where there is one for each.
+type BudgetKey = (String, u64);
+
+/// A process: its name and incarnation.
+type ProcessKey = (String, u64);
+
+/// What is known while the entries are gone through by time.
+#[derive(Default)]
+struct Audit {
+    verdict: Verdict,
+    processes: BTreeSet<ProcessKey>,
+    holders: BTreeMap<BudgetKey, BTreeMap<ProcessKey, Holder>>,
+    /// When units of rates were spent.
+    spends: BTreeMap<BudgetKey, Vec<f64>>,
+}
+
+impl Audit {
+    /// Takes an entry in, and checks what its process and all together then have of that budget.
+    fn record(&mut self, entry: &Entry, wholes: &BTreeMap<String, Whole>) {
+        self.processes.insert((entry.process.clone(), entry.incarnation));
         let Some(whole) = wholes.get(&entry.budget).copied() else {
-            verdict.faults.push(format!("a budget that nobody set: {}", entry.budget));
-            continue;
+            self.verdict.faults.push(format!("a budget that nobody set: {}", entry.budget));
+            return;
         };
-        let hold = match whole {
-            Whole::InHand { hold, .. } => hold,
-            Whole::Rate { .. } => 0.0,
-        };
-        let holders = budgets.entry((entry.budget.clone(), entry.subject)).or_default();
+        self.apply(entry, whole);
+        self.check_sum(entry, whole);
+    }
+
+    fn apply(&mut self, entry: &Entry, whole: Whole) {
+        let budget = (entry.budget.clone(), entry.subject);
         let name = (entry.process.clone(), entry.incarnation);
-        let holder = holders.entry(name.clone()).or_default();
+        let holder = self.holders.entry(budget.clone()).or_default().entry(name.clone()).or_default();
         match entry.what.as_str() {
             "right" => {
-                verdict.grants += 1;
+                self.verdict.grants += 1;
                 holder.rights = entry.until.unwrap_or_default();
             }
             "take" => {
-                verdict.spent += 1;
-                if let Whole::InHand { .. } = whole {
-                    holder.in_hand.push_back(entry.at);
-                    if holder.in_use(entry.at, hold) > holder.right(entry.at) {
-                        verdict
-                            .faults
-                            .push(format!("{:.4}: {name:?} takes beyond its right: {entry:?}", entry.at));
+                self.verdict.spent += 1;
+                let fault = match whole {
+                    Whole::InHand { hold, .. } => {
+                        holder.in_hand.push_back(entry.at);
+                        let is_beyond = holder.in_use(entry.at, hold) > holder.right(entry.at);
+                        is_beyond.then_some("takes beyond its right")
                     }
-                } else {
-                    spends.entry((entry.budget.clone(), entry.subject)).or_default().push(entry.at);
-                    if holder.right(entry.at) == 0 {
-                        verdict
-                            .faults
-                            .push(format!("{:.4}: {name:?} spends without a right: {entry:?}", entry.at));
+                    Whole::Rate { .. } => {
+                        self.spends.entry(budget).or_default().push(entry.at);
+                        (holder.right(entry.at) == 0).then_some("spends without a right")
                     }
+                };
+                if let Some(fault) = fault {
+                    self.verdict.faults.push(format!("{:.4}: {name:?} {fault}: {entry:?}", entry.at));
                 }
             }
             "put" => drop(holder.in_hand.pop_front()),
             "put unproved" => {
                 holder.in_hand.pop_front();
-                holder.lingering.push(entry.at + hold);
+                holder.lingering.push(entry.at + whole.hold());
             }
-            other => verdict.faults.push(format!("an entry of no kind: {other}")),
+            other => self.verdict.faults.push(format!("an entry of no kind: {other}")),
         }
-        let sum: u64 = holders.values().map(|h| h.right(entry.at).max(h.in_use(entry.at, hold))).sum();
+    }
+
+    /// All that have some of a budget must not have more than the whole of it.
+    fn check_sum(&mut self, entry: &Entry, whole: Whole) {
+        let holders = self.holders.entry((entry.budget.clone(), entry.subject)).or_default();
+        let has = |holder: &Holder| holder.right(entry.at).max(holder.in_use(entry.at, whole.hold()));
+        let sum: u64 = holders.values().map(has).sum();
         let part = sum as f64 / whole.units() as f64;
-        let highest = verdict.highest.entry(entry.budget.clone()).or_default();
+        let highest = self.verdict.highest.entry(entry.budget.clone()).or_default();
         *highest = highest.max(part);
         if sum > whole.units() {
-            verdict.faults.push(format!("{:.4}: {} has {sum} of {}", entry.at, entry.budget, whole.units()));
+            let fault = format!("{:.4}: {} has {sum} of {}", entry.at, entry.budget, whole.units());
+            self.verdict.faults.push(fault);
         }
     }
-    for ((budget, _), times) in &spends {
-        if let Some(Whole::Rate { units, every }) = wholes.get(budget) {
+
+    /// In any span no more may be spent of a rate than was saved up and came back in it.
+    fn check_rates(&mut self, wholes: &BTreeMap<String, Whole>) {
+        for ((budget, _), times) in &self.spends {
+            let Some(Whole::Rate { units, every }) = wholes.get(budget) else { continue };
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first).step_by(1 + times.len() / 400) {
                     let may = *units as f64 * (1.0 + (to - from) / every);
-                    if (last - first + 1) as f64 > may + 0.5 {
-                        verdict.faults.push(format!("{budget}: {} in {:.3} s", last - first + 1, to - from));
+                    let spent = last - first + 1;
+                    if spent as f64 > may + 0.5 {
+                        self.verdict.faults.push(format!("{budget}: {spent} in {:.3} s", to - from));
                     }
                 }
             }
         }
     }
-    verdict.processes = processes.len();
-    verdict
+}
+
+/// Holds what was written down against the wholes.
+pub fn audit(entries: &[Entry], wholes: &BTreeMap<String, Whole>) -> Verdict {
+    let mut by_time: Vec<&Entry> = entries.iter().collect();
+    by_time.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let mut audit = Audit::default();
+    for entry in by_time {
+        audit.record(entry, wholes);
+    }
+    audit.check_rates(wholes);
+    audit.verdict.processes = audit.processes.len();
+    audit.verdict
 }
 
 /// No statement that may take effect once did so twice, by what the hosts wrote down.
--- a/crates/testkit/src/fault_proxy/stream.rs
+++ b/crates/testkit/src/fault_proxy/stream.rs
@@ -105,18 +105,18 @@
         }
         let control = control.clone();
         // An error on a connection concerns its two ends only.
-        thread::spawn(move || connect(client, target, control));
+        thread::spawn(move || connect(client, target, &control));
     }
 }
 
 /// Forwards one connection, both ways.
-fn connect(client: TcpStream, target: SocketAddr, control: Control) -> io::Result<()> {
+fn connect(client: TcpStream, target: SocketAddr, control: &Control) -> io::Result<()> {
     client.set_nonblocking(false)?;
     let server = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     let (from_client, to_server) = (client.try_clone()?, server.try_clone()?);
     let of_requests = control.clone();
     thread::spawn(move || forward(from_client, to_server, &of_requests, |faults| faults.cut_requests));
-    forward(server, client, &control, |faults| faults.cut_responses)
+    forward(server, client, control, |faults| faults.cut_responses)
 }
 
 /// Forwards bytes one way until either end closes, then closes both.
--- a/crates/testkit/src/scripted_peer/discovery.rs
+++ b/crates/testkit/src/scripted_peer/discovery.rs
@@ -37,7 +37,7 @@
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
                 let sender = sender.clone();
-                thread::spawn(move || receive(socket, sender));
+                thread::spawn(move || receive(socket, &sender));
             }
         });
         Ok(ScriptedDiscovery { at, calls })
@@ -59,7 +59,7 @@
 }
 
 /// Waits for one request, which takes the connection with it.
-fn receive(socket: TcpStream, calls: Sender<DiscoveryCall>) -> io::Result<()> {
+fn receive(socket: TcpStream, calls: &Sender<DiscoveryCall>) -> io::Result<()> {
     let mut lines = BufReader::new(&socket).lines();
     let Some(path) = lines.next().transpose()? else { return Ok(()) };
     while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
@@ -80,7 +80,7 @@
     pub fn answer(mut self, list: &str) {
         self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
         let DiscoveryCall { socket, calls, .. } = self;
-        thread::spawn(move || receive(socket, calls));
+        thread::spawn(move || receive(socket, &calls));
     }
 
     /// Resets the connection.
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -101,9 +101,9 @@
         let of_listener = Arc::clone(&shared);
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (shared, sender) = (Arc::clone(&of_listener), sender.clone());
+                let (of_connection, received) = (Arc::clone(&of_listener), sender.clone());
                 // An error on a connection concerns the router only.
-                thread::spawn(move || greet(socket, shared, sender));
+                thread::spawn(move || greet(socket, &of_connection, &received));
             }
         });
         Ok(ScriptedEndpoint { at, shared, statements })
@@ -171,12 +171,12 @@
 /// Takes a new connection up to its first statement.
 fn greet(
     mut socket: TcpStream,
-    shared: Arc<Shared>,
-    statements: Sender<ReceivedStatement>,
+    shared: &Arc<Shared>,
+    statements: &Sender<ReceivedStatement>,
 ) -> io::Result<()> {
     socket.set_nodelay(true)?;
     read_startup(&mut socket)?;
-    let greeting = wait_for_greeting(&shared);
+    let greeting = wait_for_greeting(shared);
     // Where nobody reads it any more, the next read tells.
     let _ = socket.write_all(&greeting);
     lock(&shared.state).being_greeted -= 1;
@@ -197,15 +197,15 @@
 }
 
 /// Reads from an idle connection until a statement comes, which takes the connection with it, or until it is to be closed.
-fn serve(mut socket: TcpStream, shared: Arc<Shared>, statements: Sender<ReceivedStatement>) {
+fn serve(mut socket: TcpStream, shared: &Arc<Shared>, statements: &Sender<ReceivedStatement>) {
     lock(&shared.state).idle += 1;
-    match next_statement(&mut socket, &shared) {
+    match next_statement(&mut socket, shared) {
         Some(text) => {
             let statement = ReceivedStatement {
                 text,
                 came: Instant::now(),
                 socket,
-                shared: Arc::clone(&shared),
+                shared: Arc::clone(shared),
                 statements: statements.clone(),
             };
             // A test that is over receives no more.
@@ -285,6 +285,6 @@
         // Where nobody reads it any more, the next read tells.
         let _ = self.socket.write_all(&answer);
         let ReceivedStatement { socket, shared, statements, .. } = self;
-        thread::spawn(move || serve(socket, shared, statements));
+        thread::spawn(move || serve(socket, &shared, &statements));
     }
 }
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -25,10 +25,10 @@
     /// can't be bound.
     pub fn add_endpoint(&self, address: &str) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
-        let address = listener.local_addr()?;
-        let index = self.lock().add_endpoint(address);
+        let bound_to = listener.local_addr()?;
+        let index = self.lock().add_endpoint(bound_to);
         self.accept(listener, move |store, client| database::serve(store, index, client));
-        Ok(address)
+        Ok(bound_to)
     }
 
     /// Starts a discovery service at that address and returns where it listens. Fails if the address can't be bound.
@@ -39,10 +39,10 @@
     /// The same, but it lists each endpoint that has an address in `proxied`, by index, under that one.
     pub fn add_discovery_via(&self, address: &str, proxied: Vec<SocketAddr>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
-        let address = listener.local_addr()?;
+        let bound_to = listener.local_addr()?;
         let proxied: Arc<[SocketAddr]> = proxied.into();
         self.accept(listener, move |store, client| discovery::serve(store, client, &proxied));
-        Ok(address)
+        Ok(bound_to)
     }
 
     /// Changes what an endpoint does from now on.
