--- a/crates/routing/src/consistency.rs
+++ b/crates/routing/src/consistency.rs
@@ -113,7 +113,10 @@
 
     /// A position in the group has moved, or a member has come, gone or returned.
     pub(crate) fn record_change_of(&mut self, group: GroupId) {
-        self.changed_groups.insert(group);
+        // A write marks its group when it ends: what changed before it does not matter.
+        if !self.sessions.is_empty() {
+            self.changed_groups.insert(group);
+        }
     }
 
     /// Forgets the watermarks that no endpoint of the group lacks, or all that may be forgotten if they are too many.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -193,9 +193,9 @@
     /// were there no result until then.
     fn adjust_write_throttle(&mut self, now: f64, group: GroupId, limit: f64) -> bool {
         self.work.groups += 1;
-        let lagging = self.lagging_share(now, group, limit);
+        let is_current = self.replica_sets[group].is_heard_often(now);
+        let lagging = if is_current { self.lagging_share(now, group, limit) } else { 0.0 };
         let replica_set = &mut self.replica_sets[group];
-        let is_current = replica_set.is_heard_often(now);
         replica_set.write_throttle.tick(lagging, &self.demands, group, is_current);
         is_current || !replica_set.write_throttle.admits_all()
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -10,7 +10,7 @@
 use crate::consistency::SessionWatermarks;
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
-use crate::ids::{EndpointId, GroupId, RequestId, Table};
+use crate::ids::{EndpointId, GroupId, Id, RequestId, Table};
 use crate::interface::{RoutingConfig, Work};
 use crate::replica_set::ReplicaSet;
 use crate::request::{RequestState, Requests};
@@ -69,7 +69,8 @@
     pub(crate) fn replica_set_mut(&mut self, group: GroupId) -> &mut ReplicaSet {
         let known = self.replica_sets.len();
         self.replica_sets.grow_to(group, ReplicaSet::new);
-        self.throttled_or_heard.extend(self.replica_sets.ids().skip(known));
+        let new = known..self.replica_sets.len();
+        self.throttled_or_heard.extend(new.map(GroupId::new));
         &mut self.replica_sets[group]
     }
 
