--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether a check is paid for.
-    fn is_available(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         self.credit >= 1.0
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -305,6 +305,8 @@
 pub struct Work {
     /// Groups visited by timer calls, and by endpoint lists and quotas for what waits there.
     pub groups: u64,
+    /// Groups whose members were looked at for a health check.
+    pub polls: u64,
     /// Requests looked at by timer calls.
     pub requests: u64,
     /// Watermarks of sessions looked at by timer calls.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -72,9 +72,12 @@
     /// Health-checks the members of a group that polls, and those whose next report decides something (departure 12 of
     /// docs/design.md).
     pub(crate) fn poll(&mut self, now: f64, group: GroupId, transport: &mut impl Transport) {
-        if !self.terms.may_probe {
+        // Where nothing waits each check has to be paid for: no member needs a look while nothing is left for that.
+        let may_check = !self.requests.waiting(group).is_empty() || self.health_checks.is_available();
+        if !self.terms.may_probe || !may_check {
             return;
         }
+        self.work.polls += 1;
         let asked_for = selection::replica_to_check(View::new(now, self), group);
         let members = self.members_by_last_check(group);
         let roles = members.iter().map(|member| &self.endpoints[*member].role);
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -345,3 +345,23 @@
     assert!(looked_at >= writes as u64, "{looked_at} for {writes} writes");
     assert!(looked_at <= 2 * changes as u64, "{looked_at} for {changes} changes");
 }
+
+/// Guards against looking at members for health checks that nothing can pay for.
+#[test]
+fn members_are_looked_at_only_where_a_health_check_may_be_sent() {
+    let mut fleet = Fleet::new(3200, 900);
+    let polls = |fleet: &mut Fleet| {
+        let before = fleet.router.work().polls;
+        (0..10).for_each(|_| fleet.router.on_tick(START, &mut fleet.asked));
+        fleet.router.work().polls - before
+    };
+    assert!(polls(&mut fleet) > 0, "new endpoints bring some checks");
+    for _ in 0..1000 {
+        fleet.step += STEPS_PER_TICK;
+        fleet.router.on_tick(fleet.now(), &mut fleet.asked);
+    }
+    assert!(!fleet.asked.health_checks.is_empty());
+    assert_eq!(polls(&mut fleet), 0, "all of them are spent, and nobody has asked for anything");
+    fleet.ask();
+    assert!(polls(&mut fleet) > 0, "a request waits");
+}
