--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -84,11 +84,6 @@
         }
     }
 
-    /// All identifiers, in order; the table may change while they are gone through.
-    pub(crate) fn ids(&self) -> impl Iterator<Item = I> + use<I, T> {
-        (0..self.entries.len()).map(I::new)
-    }
-
     /// All entries, in the order of their identifiers.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, T> {
         self.entries.iter()
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -72,9 +72,12 @@
     /// Health-checks the members of a group that polls, and those whose next report decides something (departure 12 of
     /// docs/design.md).
     pub(crate) fn poll(&mut self, now: f64, group: GroupId, transport: &mut impl Transport) {
-        if !self.terms.may_probe {
+        // Where nothing waits each check has to be paid for: no member needs a look while nothing is left for that.
+        let may_check = !self.requests.waiting(group).is_empty() || self.health_checks.is_available();
+        if !self.terms.may_probe || !may_check {
             return;
         }
+        self.work.polls += 1;
         let asked_for = selection::replica_to_check(View::new(now, self), group);
         let members = self.members_by_last_check(group);
         let roles = members.iter().map(|member| &self.endpoints[*member].role);
@@ -186,18 +189,18 @@
         let mut groups = std::mem::take(&mut self.throttled_or_heard);
         groups.retain(|group| self.adjust_write_throttle(now, *group, bound * LAGGING));
         self.throttled_or_heard = groups;
-        self.demand_ticks.advance();
+        self.demands.tick();
     }
 
     /// The same for one group; replicas lag from `limit` seconds on. Returns whether the next tick may change it again,
     /// were there no result until then.
     fn adjust_write_throttle(&mut self, now: f64, group: GroupId, limit: f64) -> bool {
         self.work.groups += 1;
-        let lagging = self.lagging_share(now, group, limit);
-        let group = &mut self.replica_sets[group];
-        let is_current = group.is_heard_often(now);
-        group.write_throttle.tick(lagging, &group.demand, self.demand_ticks, is_current);
-        is_current || !group.write_throttle.admits_all()
+        let is_current = self.replica_sets[group].is_heard_often(now);
+        let lagging = if is_current { self.lagging_share(now, group, limit) } else { 0.0 };
+        let replica_set = &mut self.replica_sets[group];
+        replica_set.write_throttle.tick(lagging, &self.demands, group, is_current);
+        is_current || !replica_set.write_throttle.admits_all()
     }
 
     /// The part of a group's usable replicas that lag by more than so many seconds.
--- a/crates/routing/src/replica_set.rs
+++ b/crates/routing/src/replica_set.rs
@@ -1,6 +1,6 @@
 //! A replicated group of endpoints.
 
-use crate::admission::{AdmitRatio, Demand, WriteThrottle};
+use crate::admission::{AdmitRatio, WriteThrottle};
 use crate::ids::EndpointId;
 use crate::primary::PrimaryTracker;
 use crate::throughput::Throughput;
@@ -9,7 +9,7 @@
 /// concurrency limits; where routers are many no group is.
 const RECENTLY_HEARD: f64 = 0.2;
 
-/// One group: its members, its primary, and what it is asked for.
+/// One group: its members, its primary, and what it admits.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicaSet {
     members: Vec<EndpointId>,
@@ -18,7 +18,6 @@
     pub(crate) tracker: PrimaryTracker,
     pub(crate) admit_ratio: AdmitRatio,
     pub(crate) write_throttle: WriteThrottle,
-    pub(crate) demand: Demand,
     pub(crate) throughput: Throughput,
 }
 
@@ -31,7 +30,6 @@
             tracker: PrimaryTracker::default(),
             admit_ratio: AdmitRatio::new(),
             write_throttle: WriteThrottle::default(),
-            demand: Demand::default(),
             throughput: Throughput::default(),
         }
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -5,12 +5,12 @@
 
 use std::collections::BTreeSet;
 
-use crate::admission::{LatencyPressure, TenantQuotas};
+use crate::admission::{Demands, LatencyPressure, TenantQuotas};
 use crate::clock::{StallDetector, TickCount};
 use crate::consistency::SessionWatermarks;
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
-use crate::ids::{EndpointId, GroupId, RequestId, Table};
+use crate::ids::{EndpointId, GroupId, Id, RequestId, Table};
 use crate::interface::{RoutingConfig, Work};
 use crate::replica_set::ReplicaSet;
 use crate::request::{RequestState, Requests};
@@ -29,8 +29,7 @@
     /// The groups of which an attempt ended a moment ago, that reject some writes, or that are new: the write throttle of
     /// all others stays as it is.
     pub(crate) throttled_or_heard: BTreeSet<GroupId>,
-    /// Ticks by which the demand of all groups decays.
-    pub(crate) demand_ticks: TickCount,
+    pub(crate) demands: Demands,
     /// Ticks by which the groups' counts of answers and rejections decay.
     pub(crate) throughput_ticks: TickCount,
     pub(crate) requests: Requests,
@@ -54,7 +53,7 @@
             endpoints: Table::default(),
             replica_sets: Table::default(),
             throttled_or_heard: BTreeSet::new(),
-            demand_ticks: TickCount::default(),
+            demands: Demands::default(),
             throughput_ticks: TickCount::default(),
             requests: Requests::default(),
             watermarks: SessionWatermarks::default(),
@@ -73,7 +72,8 @@
     pub(crate) fn replica_set_mut(&mut self, group: GroupId) -> &mut ReplicaSet {
         let known = self.replica_sets.len();
         self.replica_sets.grow_to(group, ReplicaSet::new);
-        self.throttled_or_heard.extend(self.replica_sets.ids().skip(known));
+        let new = known..self.replica_sets.len();
+        self.throttled_or_heard.extend(new.map(GroupId::new));
         &mut self.replica_sets[group]
     }
 
