--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -25,6 +25,7 @@
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
+use crate::fleet_link::error::FleetLinkError;
 use crate::fleet_link::link::FleetLink;
 use crate::in_flight::InFlightRequests;
 use crate::reactor::{self, Context, ReactorHandle, Readiness, Source};
@@ -302,14 +303,17 @@
         step(&mut self.control, &report, &mut context);
     }
 
-    /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
-    pub fn open_control(&mut self) -> Result<(), String> {
+    /// Answers operators where the fleet's configuration says so.
+    ///
+    /// # Errors
+    /// If the address can't be had.
+    pub fn open_control(&mut self) -> Result<(), FleetLinkError> {
         let Some(address) = self.fleet_link.as_ref().and_then(|link| link.file.control) else {
             return Ok(());
         };
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
-        opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
+        opened.map_err(|source| FleetLinkError::ControlListener { address, source })?;
         info!(self.log, "control listener open"; "control" => %address);
         Ok(())
     }
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -9,10 +9,10 @@
 use socket2::SockAddr;
 
 use crate::event_loop::EventLoop;
+use crate::fleet_link::error::FleetLinkError;
 use crate::fleet_link::link::{FleetLink, MembershipState};
 use crate::protocol::socket;
 use crate::reactor::Source;
-use crate::timers::Timer;
 
 /// Datagrams read in one turn, so that a flood of them holds up no statement.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
@@ -58,7 +58,7 @@
                 Err(e) => {
                     warn!(self.log, "fleet datagrams"; "fault" => %e);
                     if let Some(link) = &mut self.fleet_link {
-                        link.read_again = true;
+                        link.read_again_later();
                     }
                     return self.flush_fleet();
                 }
@@ -75,13 +75,13 @@
             Some(MembershipState::Joined { fleet, .. }) => fleet.tick(now),
             _ => {}
         }
-        if self.fleet_link.as_mut().is_some_and(|link| std::mem::take(&mut link.read_again)) {
+        if self.fleet_link.as_mut().is_some_and(FleetLink::take_read_again) {
             self.wake(Source::Fleet);
         }
         self.flush_fleet();
     }
 
-    /// Sends what is to be sent, says what changed, and sets the alarm anew.
+    /// Sends what is to be sent, says what changed, and sets the timer anew.
     pub fn flush_fleet(&mut self) {
         let now = self.clock.now();
         let Some(link) = &mut self.fleet_link else { return };
@@ -97,11 +97,7 @@
                 let _ = socket.send_to(&datagram.bytes, &SockAddr::from(at));
             }
         }
-        self.timers.clear(link.timer.take());
-        let next = link.next_at();
-        if next.is_finite() {
-            link.timer = Some(self.timers.set(next, Timer::Fleet));
-        }
+        link.reset_timer(&mut self.timers);
         for event in events {
             self.log_fleet_event(event);
         }
@@ -167,7 +163,7 @@
             Ok(changed) => info!(self.log, "the fleet's file read again"; "changed" => changed.join(", ")),
             Err(fault) => {
                 self.counters.reloads_failed += 1;
-                warn!(self.log, "the fleet's file not taken, all goes on as it was"; "fault" => fault);
+                warn!(self.log, "the fleet's file not taken, all goes on as it was"; "fault" => %fault);
             }
         }
         self.flush_fleet();
@@ -180,8 +176,11 @@
     matches!(kind, ConnectionRefused | HostUnreachable | Interrupted | NetworkUnreachable)
 }
 
-/// Joins the fleet, and answers operators about it; the error is one line for the operator.
-pub fn begin(event_loop: &mut EventLoop, link: FleetLink) -> Result<(), String> {
+/// Joins the fleet, and answers operators about it.
+///
+/// # Errors
+/// If the address for operators can't be had.
+pub fn begin(event_loop: &mut EventLoop, link: FleetLink) -> Result<(), FleetLinkError> {
     event_loop.fleet_link = Some(link);
     event_loop.open_control()?;
     event_loop.join_fleet();
--- a/crates/ottersill/src/fleet_link/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -16,7 +16,8 @@
 use socket2::Socket;
 
 use crate::fleet_link::audit_file::AuditFile;
-use crate::timers::TimerHandle;
+use crate::fleet_link::error::{FleetLinkError, MIN_KEY_BYTES};
+use crate::timers::{Timer, TimerHandle, Timers};
 
 /// Where the link stands.
 pub enum MembershipState {
@@ -46,10 +47,10 @@
     audit: Option<AuditFile>,
     /// Lines of it that could not be written.
     pub unwritten: u64,
-    pub timer: Option<TimerHandle>,
+    timer: Option<TimerHandle>,
     /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
     /// come already.
-    pub read_again: bool,
+    read_again: bool,
     pub quota: FleetQuota,
     /// Spent and turned away, by what for.
     pub refused: u64,
@@ -80,15 +81,14 @@
         name: &str,
         longest_statement_timeout: f64,
         seed: u64,
-    ) -> Result<FleetLink, String> {
+    ) -> Result<FleetLink, FleetLinkError> {
         let file = read(path, name, longest_statement_timeout)?;
         let secret = secret(&file.key_file)?;
         let audit = match &file.audit_file {
             None => None,
-            Some(file) => {
-                let opened = AuditFile::open(file);
-                Some(opened.map_err(|e| format!("{path}: audit_file: {file}: {e}"))?)
-            }
+            Some(audit_file) => Some(AuditFile::open(audit_file).map_err(|source| {
+                FleetLinkError::AuditFile { path: path.to_string(), audit_file: audit_file.clone(), source }
+            })?),
         };
         Ok(FleetLink {
             path: path.to_string(),
@@ -206,13 +206,13 @@
     }
 
     /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
-    pub fn reload(&mut self, now: f64) -> Result<Vec<String>, String> {
+    pub fn reload(&mut self, now: f64) -> Result<Vec<String>, FleetLinkError> {
         let new = read(&self.path, &self.name, self.longest_statement_timeout)?;
         if let Some(field) = self.file.restart_required(&new) {
-            return Err(format!(
-                "{}: {field}: differs, and is alike at all members as long as any runs",
-                self.path
-            ));
+            return Err(FleetLinkError::RestartRequired {
+                path: self.path.clone(),
+                field: field.to_string(),
+            });
         }
         let (old, new) = (&self.file.fleet.budgets, new.fleet.budgets);
         let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
@@ -230,6 +230,26 @@
         self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
     }
 
+    /// Sets the timer for what the fleet has to do next.
+    pub fn reset_timer(&mut self, timers: &mut Timers) {
+        timers.clear(self.timer.take());
+        let next = self.next_at();
+        if next.is_finite() {
+            self.timer = Some(timers.set(next, Timer::Fleet));
+        }
+    }
+
+    /// Has the socket read again with the next timer.
+    pub fn read_again_later(&mut self) {
+        self.read_again = true;
+    }
+
+    /// Whether the socket is to be read again; asked once.
+    pub fn take_read_again(&mut self) -> bool {
+        std::mem::take(&mut self.read_again)
+    }
+
+    /// When the fleet has something to do, in Unix seconds; infinite if never.
     pub fn next_at(&self) -> f64 {
         match &self.state {
             MembershipState::AddressTaken { retry_at } => *retry_at,
@@ -239,25 +259,23 @@
     }
 }
 
-fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
+fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, FleetLinkError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| FleetLinkError::Unreadable { path: path.to_string(), source })?;
     FleetFile::from_textproto(&text, name, longest_statement_timeout)
-        .map_err(|fault| format!("{path}: {fault}"))
+        .map_err(|source| FleetLinkError::Invalid { path: path.to_string(), source })
 }
 
 /// Who has read the key is a member, so a file that others may read is refused.
-fn secret(path: &str) -> Result<Vec<u8>, String> {
-    let told = |e: std::io::Error| format!("key_file: {path}: {e}");
-    let mode = std::fs::metadata(path).map_err(told)?.permissions().mode();
+fn secret(path: &str) -> Result<Vec<u8>, FleetLinkError> {
+    let unreadable = |source| FleetLinkError::KeyFile { path: path.to_string(), source };
+    let mode = std::fs::metadata(path).map_err(unreadable)?.permissions().mode() & 0o777;
     if mode & 0o077 != 0 {
-        return Err(format!(
-            "key_file: {path}: others than its owner may use it ({:o}); chmod 600",
-            mode & 0o777
-        ));
+        return Err(FleetLinkError::KeyFileNotPrivate { path: path.to_string(), mode });
     }
-    let secret = std::fs::read(path).map_err(told)?;
-    if secret.len() < 16 {
-        return Err(format!("key_file: {path}: expected 16 bytes at least, found {}", secret.len()));
+    let secret = std::fs::read(path).map_err(unreadable)?;
+    if secret.len() < MIN_KEY_BYTES {
+        return Err(FleetLinkError::KeyTooShort { path: path.to_string(), found: secret.len() });
     }
     Ok(secret)
 }
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -7,83 +7,89 @@
 use ottersill_routing::interface::EndpointQuota;
 
 use crate::event_loop::EventLoop;
-use crate::timers::Timer;
+use crate::fleet_link::link::FleetLink;
 
 impl EventLoop {
-    /// Tells the module what its parts are now, and the fleet what waits for more.
+    /// Tells the routing module what this router may spend now, and the fleet what waits for more.
     pub fn update_fleet_quota(&mut self) {
         let Some(mut link) = self.fleet_link.take() else { return };
         let now = self.clock.now();
         link.quota.hosts.clear();
-        let in_flight = self.requests.count();
-        for (index, host) in self.endpoints.all.iter().enumerate() {
-            let waiting = self.facade.waiting(host.listed.group) as u64;
-            let units = link.budget_key(BudgetKind::AttemptsPerEndpoint, &host.name).map(|key| {
-                link.fleet().map_or(0, |fleet| {
-                    fleet.track(now, key);
-                    if waiting > 0 && !fleet.is_available(now, key) {
-                        fleet.note_waiting(now, key, waiting);
-                    }
-                    fleet.spendable(now, key).saturating_sub(fleet.lingering(key))
-                })
-            });
-            // One budget a host that is cold; what a warm one had of it is given back when nobody asks for it.
-            let cold = self.facade.is_cold(self.now, index);
-            let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, &host.name).filter(|_| cold);
-            let tokens = key.map(|key| {
-                link.fleet().map_or(0.0, |fleet| {
-                    let tokens = fleet.tokens(now, key);
-                    // Nothing waits for a cold host as long as a warm one has room: who has traffic wants a part.
-                    if in_flight > 0 && tokens < 1.0 {
-                        fleet.note_waiting(now, key, 1);
-                    }
-                    tokens
-                })
-            });
-            let units = units.map(|units| units as f64);
+        for endpoint in 0..self.endpoints.all.len() {
+            let units = self.attempt_units(&mut link, now, endpoint);
+            let tokens = self.warming_tokens(&mut link, now, endpoint);
             if units.is_some() || tokens.is_some() {
-                link.quota.hosts.push(EndpointQuota { host: index, units, tokens });
+                link.quota.hosts.push(EndpointQuota { host: endpoint, units, tokens });
             }
         }
-        let here = |fleet: &mut FleetNode| fleet.members().filter(|m| m.presence == Presence::Here).count();
-        link.quota.routers = link.fleet().map(here);
-        link.quota.second_tries = link
-            .budget_key(BudgetKind::Retries, "")
-            .map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        link.quota.routers = link.fleet().map(present_members);
+        let retries = link.budget_key(BudgetKind::Retries, "");
+        link.quota.second_tries = retries.map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.facade.report(self.now, RoutingEvent::Quota(&link.quota));
-        let next = link.next_at();
-        self.timers.clear(link.timer.take());
-        if next.is_finite() {
-            link.timer = Some(self.timers.set(next, Timer::Fleet));
-        }
+        link.reset_timer(&mut self.timers);
         self.fleet_link = Some(link);
     }
 
-    /// Whether the fleet's budgets let an execution go out to that host now, and counts it if they do.
-    pub fn acquire_attempt_quota(&mut self, stmt: usize, host: usize) -> bool {
+    /// How many attempts this router may have in flight at an endpoint; none where no budget limits that.
+    fn attempt_units(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
+        let endpoint = &self.endpoints.all[endpoint];
+        let key = link.budget_key(BudgetKind::AttemptsPerEndpoint, &endpoint.name)?;
+        let Some(fleet) = link.fleet() else { return Some(0.0) };
+        fleet.track(now, key);
+        let waiting = self.facade.waiting(endpoint.listed.group) as u64;
+        if waiting > 0 && !fleet.is_available(now, key) {
+            fleet.note_waiting(now, key, waiting);
+        }
+        Some(fleet.spendable(now, key).saturating_sub(fleet.lingering(key)) as f64)
+    }
+
+    /// How many attempts this router may send to an endpoint that warms up; none where it is warm, or no budget limits that.
+    /// What a warm one had of the budget is given back when nobody asks for it.
+    fn warming_tokens(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
+        let name = &self.endpoints.all[endpoint].name;
+        let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
+        if !self.facade.is_cold(self.now, endpoint) {
+            return None;
+        }
+        let Some(fleet) = link.fleet() else { return Some(0.0) };
+        let tokens = fleet.tokens(now, key);
+        // Nothing waits for a warming endpoint as long as a warm one has room: who has traffic wants a share.
+        if self.requests.count() > 0 && tokens < 1.0 {
+            fleet.note_waiting(now, key, 1);
+        }
+        Some(tokens)
+    }
+
+    /// Whether the fleet's budgets let an attempt go out to that endpoint now, and counts it if they do.
+    pub fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
         let now = self.clock.now();
-        let again = self.requests.get(stmt).is_some_and(|request| request.may_have_run);
+        let is_retry = self.requests.get(request_id).is_some_and(|request| request.may_have_run);
         let Some(link) = &mut self.fleet_link else { return true };
-        let name = &self.endpoints.all[host].name;
-        if again && !link.acquire(now, BudgetKind::Retries, "") {
+        let name = &self.endpoints.all[endpoint].name;
+        if is_retry && !link.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
-        let cold = self.facade.is_cold(self.now, host);
-        (!cold || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
+        let is_warming = self.facade.is_cold(self.now, endpoint);
+        (!is_warming || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
             && link.acquire(now, BudgetKind::AttemptsPerEndpoint, name)
     }
 
+    /// Whether the fleet's budget for that lets one more be begun now, and counts it if it does.
     pub fn acquire_quota(&mut self, of: BudgetKind) -> bool {
         let now = self.clock.now();
         self.fleet_link.as_mut().is_none_or(|link| link.acquire(now, of, ""))
     }
 
-    /// An execution that was counted is over; `proved` if it is known to run no more.
-    pub fn release_attempt_quota(&mut self, host: usize, proved: bool) {
+    /// An attempt that was counted is over; `is_over` if it is known to run no more.
+    pub fn release_attempt_quota(&mut self, endpoint: usize, is_over: bool) {
         let now = self.clock.now();
         if let Some(link) = &mut self.fleet_link {
-            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[host].name, proved);
+            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[endpoint].name, is_over);
         }
     }
 }
+
+fn present_members(fleet: &mut FleetNode) -> usize {
+    fleet.members().filter(|member| member.presence == Presence::Here).count()
+}
--- a/crates/ottersill/src/lifecycle/error.rs
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -6,6 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 
+use crate::fleet_link::error::FleetLinkError;
 use crate::lifecycle::config::ConfigError;
 
 /// Why a router does not start, or does not go on. Its text is one line for the operator.
@@ -13,8 +14,8 @@
 pub enum RunError {
     /// The configuration is not taken.
     Config(ConfigError),
-    /// The configuration of the fleet; the text says file, field and reason.
-    Fleet(String),
+    /// The link to the fleet can't be set up.
+    Fleet(FleetLinkError),
     /// The event loop failed.
     EventLoop(calloop::Error),
     /// The signals can't be had.
@@ -32,7 +33,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             RunError::Config(error) => error.fmt(f),
-            RunError::Fleet(text) => f.write_str(text),
+            RunError::Fleet(error) => error.fmt(f),
             RunError::EventLoop(error) => write!(f, "event loop: {error}"),
             RunError::Signals(error) => write!(f, "signals: {error}"),
             RunError::Listen { address, source } => write!(f, "listen on {address}: {source}"),
@@ -44,7 +45,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             RunError::Config(error) => Some(error),
-            RunError::Fleet(_) => None,
+            RunError::Fleet(error) => Some(error),
             RunError::EventLoop(error) | RunError::Signals(error) => Some(error),
             RunError::Listen { source, .. } => Some(source),
         }
