--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -19,7 +19,7 @@
 
 impl EventLoop {
     /// Every change of a connection's state, with the time by which it has to change again.
-    pub(crate) fn set_backend_state(&mut self, id: usize, next: ConnectionState, until: f64) {
+    pub(crate) fn set_backend_state(&mut self, id: usize, next: ConnectionState, deadline: f64) {
         let connection = &mut self.backends[id];
         self.counters.check_invariant(
             connection.state.may_become(next),
@@ -28,7 +28,7 @@
         connection.state = next;
         self.timers.clear(connection.timer.take());
         if next != ConnectionState::Closed {
-            connection.timer = Some(self.timers.set(until, Timer::Backend(id)));
+            connection.timer = Some(self.timers.set(deadline, Timer::Backend(id)));
         }
     }
 
@@ -139,36 +139,41 @@
         }
     }
 
-    pub(crate) fn set_assignment(&mut self, id: usize, load: Assignment, until: f64) {
-        let line = &mut self.backends[id];
-        (line.assignment, line.assigned_at, line.deadline) = (Some(load), self.now, until);
+    /// Gives a connection what it is to carry.
+    pub(crate) fn set_assignment(&mut self, id: usize, assignment: Assignment, deadline: f64) {
+        let connection = &mut self.backends[id];
+        (connection.assignment, connection.assigned_at, connection.deadline) =
+            (Some(assignment), self.now, deadline);
     }
 
+    /// Keeps a connection for the next assignment.
     pub(crate) fn make_idle(&mut self, id: usize) {
-        // Half of what the host allows: one that ends at both sides at once would be a reset.
+        // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
         self.set_backend_state(id, ConnectionState::Idle, self.now + self.timeouts.idle / 2.0);
-        let line = &mut self.backends[id];
-        line.idle_since = self.now;
-        if line.inbox.is_empty() {
+        let connection = &mut self.backends[id];
+        connection.idle_since = self.now;
+        if connection.inbox.is_empty() {
             // What is left of it would hold on to all that was read with it.
-            line.inbox = BytesMut::new();
+            connection.inbox = BytesMut::new();
         }
         self.backends.push_idle(id);
     }
 
+    /// Closes a connection that carries nothing.
     pub(crate) fn close_backend(&mut self, id: usize) {
         self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
-        let line = self.backends.remove(id);
-        self.handle.remove(line.token);
+        let connection = self.backends.remove(id);
+        self.handle.remove(connection.token);
     }
 
-    pub fn close_idle_backends_of(&mut self, host: usize) {
-        while let Some(id) = self.backends.pop_idle(host) {
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle_backends_of(&mut self, endpoint: usize) {
+        while let Some(id) = self.backends.pop_idle(endpoint) {
             self.close_backend(id);
         }
     }
 
-    /// Closes the line that has stood idle for longest, for the sake of another connection.
+    /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
     pub fn close_longest_idle_backend(&mut self) -> bool {
         let oldest = self.backends.longest_idle();
         if let Some(id) = oldest {
--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -1,17 +1,20 @@
-//! A host's answer, gathered message by message as slices of the buffer that they were read into.
+//! An endpoint's answer, gathered message by message as slices of the buffer that they were read into.
 
 use bytes::Bytes;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 
 use crate::protocol::frame::{Message, ProtocolError};
 
+/// An answer as far as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     description: Option<Bytes>,
     row: Option<Message>,
     complete: Option<Bytes>,
     code: Option<[u8; 5]>,
+    /// Role and position that came in parameters beside the answer.
     pub piggybacked: LoadReport,
+    /// The load report that came beside the answer.
     pub load_report: Option<LoadReport>,
 }
 
@@ -38,7 +41,7 @@
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         let Some(value) = value.parse::<f64>().ok().filter(|value| value.is_finite()) else { continue };
         match name {
-            // None is known where a host has just started.
+            // None is known where an endpoint has just started.
             "x0" => report.lsn = (value > 0.0).then_some(value),
             "utilization" => report.busy = Some(value),
             "x1" => report.role = Some(if value > 0.5 { Role::Primary } else { Role::Replica }),
@@ -90,7 +93,7 @@
         read_parameter(&mut self.piggybacked, name, value);
     }
 
-    /// Nothing but notices and parameters, which a host may send at any time.
+    /// Nothing but notices and parameters, which an endpoint may send at any time.
     pub fn is_empty(&self) -> bool {
         self.code.is_none() && self.description.is_none() && self.complete.is_none()
     }
@@ -100,7 +103,7 @@
         self.code.is_none() && self.row.is_some() && self.complete.is_some()
     }
 
-    /// What an execution has come to. 53300 promises that nothing ran, and no other code does but the misses.
+    /// How an attempt has ended. 53300 promises that nothing ran; of the other codes only 72000 and 25006 do.
     pub fn outcome(&self) -> AttemptOutcome {
         match self.code.as_ref() {
             Some(b"53300") => AttemptOutcome::Full,
@@ -113,13 +116,13 @@
         }
     }
 
-    /// What the setting up of a connection has come to, if the host said no: nothing was sent on it.
+    /// How the startup of a connection has ended, if the endpoint refused it: nothing was sent on it.
     pub fn connection_refusal(&self) -> Option<AttemptOutcome> {
         let code = self.code.as_ref()?;
         Some(if code == b"53300" { AttemptOutcome::Full } else { AttemptOutcome::ConnectFailed })
     }
 
-    /// What a probe has come to, and what it reports; 57P03 turns a probe away.
+    /// How a health check has ended, and what it reports; 57P03 refuses one.
     pub fn health_check_result(&self) -> (AttemptOutcome, LoadReport) {
         match (self.code.as_ref(), self.health()) {
             (Some(b"53300" | b"57P03"), _) => (AttemptOutcome::Full, LoadReport::default()),
@@ -128,7 +131,7 @@
         }
     }
 
-    /// What a client is sent, just as the host gave it.
+    /// What a client is sent, just as the endpoint gave it.
     pub fn take_client_messages(&mut self) -> [Bytes; 3] {
         let row = self.row.take().map(|row| row.0);
         [self.description.take(), row, self.complete.take()].map(Option::unwrap_or_default)
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -99,6 +99,7 @@
         Ok(bound_to)
     }
 
+    /// The listener became ready.
     pub fn on_listener_ready(&mut self) {
         if self.accept_clients(MAX_ACCEPTS_PER_WAKE) {
             self.wake(Source::Listener);
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -11,24 +11,27 @@
 use crate::reactor::Source;
 
 impl EventLoop {
+    /// Answers a request with the result of an endpoint.
     pub fn complete(&mut self, request_id: usize, [description, row, complete]: [Bytes; 3]) {
         self.counters.completed += 1;
         self.answer(request_id, [description, row, complete, frame::READY_FOR_QUERY.clone()]);
     }
 
+    /// Answers a request by a rejection, with when to come again, in seconds; 0 for no such time.
     pub fn reject(&mut self, request_id: usize, retry_after: f64) {
         self.counters.rejected += 1;
         let error = self.rejection(retry_after, "rejected: nothing ran");
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
 
+    /// Answers a request by an abort.
     pub fn abort(&mut self, request_id: usize) {
         self.counters.aborted += 1;
         let error = frame::error("ERROR", ErrorCode::CompletionUnknown, "aborted: it may have run", None);
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
 
-    /// The one final answer of a statement that is not orphaned.
+    /// The one final answer of a request that is not abandoned.
     fn answer<const N: usize>(&mut self, request_id: usize, slices: [Bytes; N]) {
         let Some(request) = self.requests.get(request_id) else { return };
         let client = request.client;
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -32,7 +32,7 @@
         self.finish_close(id);
     }
 
-    /// A client that was dismissed is heard no more; only its last answer has to go out.
+    /// A client that was rejected is read no more; only its last answer has to go out.
     pub(crate) fn flush_rejected(&mut self, id: usize) {
         let client = &mut self.clients[id];
         match client.outbox.flush(&client.socket) {
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Closes the connections that idle.
     pub fn close_idle_clients(&mut self) {
         let all: Vec<usize> = self.clients.iter().map(|(id, _)| id).collect();
         // Each gets a last look, as what has come by now counts as taken.
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -10,17 +10,18 @@
 use crate::protocol::socket::Outbox;
 use crate::timers::TimerHandle;
 
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
     /// The startup message is awaited.
     AwaitingStartup,
-    /// Between statements; `since` is when it last had something to do.
+    /// Between statements.
     Idle,
-    /// That statement is in hand.
+    /// The request with that number is in flight.
     Busy(usize),
     /// The client has said that it ends: the connection is shut.
     Terminated,
-    /// Told that it ends: the last words go out.
+    /// Rejected with an error, which is still being written.
     Rejected,
     /// Shut for writing. Nothing is read any more, so that what the client still sends counts as not read; the connection is
     /// closed once the client has ended too, or after a bounded time.
@@ -28,6 +29,7 @@
 }
 
 impl ConnectionPhase {
+    /// Whether a connection in this phase may go over to the next.
     pub fn may_become(self, next: ConnectionPhase) -> bool {
         use ConnectionPhase::*;
         matches!(
@@ -43,22 +45,29 @@
 
 /// A connection that was accepted and that the event loop does not watch yet; nothing of it is read.
 pub struct UnwatchedClient {
+    /// Does not block.
     pub socket: Rc<Socket>,
     /// When it was accepted.
     pub since: f64,
 }
 
+/// A connection of a client. Times are Unix seconds.
 pub struct ClientConnection {
+    /// Changed by `set_client_phase` alone.
     pub phase: ConnectionPhase,
+    /// When its phase began.
     pub phase_since: f64,
     /// When the connection began.
     pub connected_at: f64,
+    /// When it is looked at next, though nothing comes.
     pub timer: Option<TimerHandle>,
     /// When it was last looked at for bytes, or its end.
     pub last_read_at: f64,
-    /// False if it was let in only to be told that there is no room.
+    /// False if it was accepted only to be told that there is no room.
     pub is_admitted: bool,
+    /// Does not block.
     pub socket: Rc<Socket>,
+    /// Of its registration at the event loop.
     pub token: RegistrationToken,
     /// May hold further queries that a client sent ahead.
     pub inbox: BytesMut,
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -11,16 +11,17 @@
 /// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// For clients and lines together.
+    /// For client and backend connections together.
     pub total: usize,
+    /// For clients.
     pub clients: usize,
-    /// With more than this of those that have asked, the longest idle ones are closed as others come.
+    /// With more than this of those that have queried, the longest idle ones are closed as others come.
     pub established_clients: usize,
-    /// Beside all these, for clients that are let in to be told that there is no room.
+    /// Beside all these, for clients that are accepted to be told that there is no room.
     pub rejected_clients: usize,
     /// For statements of clients, whole or not.
     pub statement_bytes: usize,
-    /// For what is known of the shapes of statements.
+    /// For the cache of fingerprints.
     pub fingerprint_bytes: usize,
 }
 
@@ -43,7 +44,7 @@
     pub(crate) fn make_room_for_client(&mut self) -> bool {
         // Those that are being closed hold spare descriptors, and give them up first.
         let open = self.clients.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering).count();
-        // Who has said nothing yet goes first: a crowd of those must not cost the others their connections.
+        // Who has said nothing yet goes first: many of those must not cost the others their connections.
         (open < self.limits.clients || self.close_idle_client(false) || self.close_idle_client(true))
             && (self.clients.len() + self.backends.len() < self.limits.total
                 || self.close_one_lingering()
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -146,7 +146,7 @@
         let reading = info.key.and_then(|key| self.fingerprints.classification(&key).cloned());
         let reading =
             reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
-        // What a host said of it is not in the text.
+        // What an endpoint said of it is not in the text.
         let why = if reading.kind == StatementKind::Read {
             "hosts that only read turn it away"
         } else {
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -27,6 +27,7 @@
 const MAX_READ_AHEAD_BYTES: usize = MAX_PIPELINED * frame::MAX_MESSAGE_BYTES;
 
 impl EventLoop {
+    /// A connection became ready: writes what is left to write, and reads.
     pub fn on_client_ready(&mut self, id: usize) {
         let memory_is_plentiful = self.clients.stored_statement_bytes() < self.limits.statement_bytes / 2;
         let Some(client) = self.clients.get_mut(id) else { return };
@@ -123,7 +124,7 @@
             };
             match step {
                 Ok(Some(())) => {}
-                // A long statement that there is no room for is turned away before it is whole.
+                // A long statement that there is no room for is rejected before it is whole.
                 Ok(None)
                     if self.clients.stored_statement_bytes() > self.limits.statement_bytes
                         && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
@@ -137,7 +138,7 @@
         }
     }
 
-    /// All that arrived_at whole is answered by now; a part of a message may be left, whose rest is waited for.
+    /// All that came whole is answered by now; a part of a message may be left, whose rest is waited for.
     fn await_more_input(&mut self, id: usize) {
         let client = &self.clients[id];
         if client.may_have_unread {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Every change of a client connection's session.
+    /// Every change of a client connection's phase.
     pub(crate) fn set_client_phase(&mut self, id: usize, next: ConnectionPhase) {
         let client = &mut self.clients[id];
         self.counters
--- a/crates/ottersill/src/clock.rs
+++ b/crates/ottersill/src/clock.rs
@@ -23,6 +23,7 @@
 }
 
 impl Clock {
+    /// Unix seconds.
     pub fn now(&self) -> f64 {
         self.unix + self.started.elapsed().as_secs_f64()
     }
--- a/crates/ottersill/src/command/mod.rs
+++ b/crates/ottersill/src/command/mod.rs
@@ -1,7 +1,5 @@
 //! The command line. Without a command the router runs.
 
-#![warn(missing_docs)]
-
 pub mod explain;
 pub mod fleet;
 
--- a/crates/ottersill/src/counters.rs
+++ b/crates/ottersill/src/counters.rs
@@ -1,7 +1,5 @@
 //! What was accepted, sent and answered, logged on SIGUSR1 and at the exit. All counters only rise; their number is fixed.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 
 /// Declares the counters: the name, under which operators read it too, and what it counts.
--- a/crates/ottersill/src/discovery/mod.rs
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -1,7 +1,5 @@
 //! Discovery: the endpoint list that it serves, the watch kept on it, and what is known of each endpoint.
 
-#![warn(missing_docs)]
-
 pub mod call;
 pub mod client;
 pub mod endpoint_list;
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! Where the wire, the memory and the module meet: what became ready is read, told to the facade, and what the
-//! facade says is carried out. Nothing here decides.
+//! The event loop: hands what became ready and which timers expired to the part that owns it, and carries out what the
+//! routing module decides. Nothing here decides.
 
 use std::io;
 use std::rc::Rc;
@@ -35,9 +35,10 @@
 /// connection comes up is no measure for it: a customer's settings may give that any length.
 pub const TIMING_MARGIN: f64 = 0.25;
 
-/// Sockets that are found ready within so many seconds after a turn may have been ready during it.
+/// Sockets that are found ready within so many seconds after an iteration may have been ready during it.
 const NO_WAIT: f64 = 0.001;
 
+/// The parts of a router, and what they share. Times are Unix seconds.
 pub struct EventLoop {
     pub(crate) facade: Facade,
     pub(crate) requests: InFlightRequests,
@@ -46,13 +47,13 @@
     pub(crate) backends: BackendTable,
     discovery: DiscoveryClient,
     pub(crate) timers: Timers,
-    /// The tie to the other routers; none where there is no talk.
+    /// The link to the other routers; none without a fleet.
     pub(crate) fleet_link: Option<FleetLink>,
     control: ControlServer,
     pub(crate) counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
     pub(crate) fingerprints: FingerprintCache,
-    /// When a line last said why a statement was taken for one that may write.
+    /// When the log last said why a statement was taken for one that may write.
     pub(crate) write_classification_logged_at: f64,
     pub(crate) catalog: Catalog,
     pub(crate) timeouts: BackendTimeouts,
@@ -62,23 +63,24 @@
     pub(crate) clock: Clock,
     /// When the sockets were last found ready.
     pub(crate) now: f64,
-    /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
-    /// bytes then may have lain there while that turn was held up.
+    /// What is read in this iteration has come since then: since the one before, if sockets were found ready without waiting
+    /// after it, as bytes then may have arrived while that iteration was held up.
     pub(crate) arrivals_since: f64,
     iteration_ended_at: f64,
     pub(crate) started_at: f64,
-    /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
+    /// When a client may come again that finds no endpoint list here; 0 where no time may be named.
     pub(crate) max_retry_after: f64,
     pub(crate) listener: ClientListener,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
     pub(crate) is_draining: bool,
-    /// What is taken in is answered by then; never, unless the router has been told to stop.
+    /// What is accepted is answered by then; infinite, unless the router has been told to stop.
     pub(crate) answers_by: f64,
     /// What the event loop notes while it waits.
     pub(crate) readiness: Readiness,
 }
 
 impl EventLoop {
+    /// Nothing is connected yet, and no endpoint is known.
     pub fn new(
         terms: RoutingConfig,
         catalog: Catalog,
@@ -151,17 +153,18 @@
         reactor::register_shared(&self.handle, socket, source)
     }
 
-    /// Sees to that source in the next turn.
+    /// Has that source handled in the next iteration.
     pub fn wake(&mut self, source: Source) {
         self.readiness.wake(source);
     }
 
-    /// When the next turn is due though no socket becomes ready.
+    /// When the next iteration is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
         let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
         self.timers.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
+    /// One iteration: handles what became ready, then the timers that have expired.
     pub fn poll_once(&mut self) {
         self.begin_iteration(self.clock.now());
         self.update_fleet_quota();
@@ -212,7 +215,7 @@
         self.now = time;
     }
 
-    /// Does what the facade names, until it names nothing more.
+    /// Does what the routing module asks for, until it asks for nothing more.
     pub fn run_routing_actions(&mut self) {
         loop {
             let actions = self.facade.tick(self.now);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Opens a statement at the facade; `inserted` is told the number that it got.
+    /// Hands a new request to the routing module; `inserted` is called with its number before the decision is carried out.
     pub fn start_request(&mut self, request: Request, inserted: impl FnOnce(&mut EventLoop, usize)) {
         let (request_id, choice) = self.facade.pick(self.now, PickRequest::New(request));
         inserted(self, request_id);
@@ -249,6 +252,7 @@
         }
     }
 
+    /// Reports an event to the routing module.
     pub fn report(&mut self, event: RoutingEvent) {
         self.facade.report(self.now, event);
     }
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
+    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
         self.counters.endpoint_lists += 1;
         let change = self.endpoints.apply(list);
@@ -318,9 +322,9 @@
         Ok(())
     }
 
-    /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
+    /// Accepts who waits in the accept backlog, closes the listener, and from now on closes client connections once they idle.
     pub fn drain(&mut self) {
-        // Whom the machine has let in may have sent a statement, which then counts as taken.
+        // Whose connection the system has accepted may have sent a statement, which then counts as accepted.
         self.accept_clients(usize::MAX);
         self.is_draining = true;
         self.close_listener_if_drained();
@@ -328,12 +332,12 @@
         self.run_routing_actions();
     }
 
-    /// Nobody is in hand or at the door.
+    /// No client is connected, and none can connect.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty() && !self.listener.is_open()
     }
 
-    /// Everything that must hold, wherever it is counted.
+    /// Invariants that did not hold, wherever they are counted.
     pub fn invariant_violations(&self) -> u64 {
         self.counters.invariant_violations + self.facade.breaches()
     }
--- a/crates/ottersill/src/fleet_link/audit_file.rs
+++ b/crates/ottersill/src/fleet_link/audit_file.rs
@@ -4,6 +4,7 @@
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 
+/// The audit file, open for appending.
 pub struct AuditFile {
     file: File,
     /// The file ends within a line, as a write failed or the process that wrote it was killed. That line is ended before the
@@ -12,6 +13,10 @@
 }
 
 impl AuditFile {
+    /// Opens the file, and creates it if it is not there.
+    ///
+    /// # Errors
+    /// If the system refuses.
     pub fn open(path: &str) -> io::Result<AuditFile> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         // Where it can't be read an empty line comes first, which counts as a torn one.
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -1,5 +1,4 @@
-//! The other members of the fleet: datagrams out and in, and what the module hears of the budgets. What may be spent is
-//! said by `ottersill-fleet`; nothing here decides.
+//! The other members of the fleet: datagrams out and in, and log lines about them. `ottersill-fleet` decides.
 
 use std::io::ErrorKind;
 
@@ -14,7 +13,7 @@
 use crate::protocol::socket;
 use crate::reactor::Source;
 
-/// Datagrams read in one turn, so that a flood of them holds up no statement.
+/// Datagrams read in one iteration, so that a flood of them holds up no statement.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 /// Between two tries to have the member's address; seconds.
 const BIND_RETRY_DELAY: f64 = 0.5;
@@ -41,6 +40,7 @@
         }
     }
 
+    /// The socket for datagrams became ready.
     pub fn on_fleet_ready(&mut self) {
         let mut space = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_WAKE {
@@ -68,6 +68,7 @@
         self.wake(Source::Fleet);
     }
 
+    /// The fleet has something to do, or its address is tried again.
     pub fn on_fleet_timer(&mut self) {
         let now = self.clock.now();
         match self.fleet_link.as_mut().map(|link| &mut link.state) {
@@ -134,12 +135,13 @@
         }
     }
 
+    /// The name of a budget, or its identifier where the file names none.
     pub fn budget_name(&self, id: u64) -> String {
         let budget = self.fleet_link.as_ref().and_then(|link| link.file.fleet.budget(id));
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
-    /// The host that a label stands for, as far as it is known here.
+    /// The endpoint that a label stands for, as far as it is known here.
     pub fn subject_name(&self, label: u64) -> String {
         if label == 0 {
             return String::new();
@@ -148,6 +150,7 @@
         host.map_or_else(|| format!("{label:x}"), |host| host.name.clone())
     }
 
+    /// Gives back all quota, and says so to the others.
     pub fn leave_fleet(&mut self) {
         let now = self.clock.now();
         if let Some(fleet) = self.fleet_link.as_mut().and_then(FleetLink::fleet) {
@@ -156,6 +159,7 @@
         self.flush_fleet();
     }
 
+    /// Reads the fleet's file again.
     pub fn reload_fleet(&mut self) {
         let now = self.clock.now();
         let Some(link) = &mut self.fleet_link else { return };
--- a/crates/ottersill/src/fleet_link/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -24,24 +24,32 @@
     /// Another process holds the member's address: whoever has it is the member. Tried again at `retry_at`; until then
     /// this router has no part of any budget.
     AddressTaken {
+        /// When binding it is tried again, in Unix seconds.
         retry_at: f64,
     },
+    /// This process is the member.
     Joined {
+        /// Its part in the protocol of the fleet.
         fleet: Box<FleetNode>,
+        /// For datagrams.
         socket: Rc<Socket>,
+        /// Of its registration at the event loop.
         token: RegistrationToken,
     },
     /// Everything was given back.
     Left,
 }
 
+/// The link to the other routers.
 pub struct FleetLink {
     path: String,
     name: String,
     longest_statement_timeout: f64,
+    /// The configuration in force.
     pub file: FleetFile,
     secret: Vec<u8>,
     seed: u64,
+    /// Whether this process is the member.
     pub state: MembershipState,
     /// What is written for whoever adds up; each line is written before what it tells of is done.
     audit: Option<AuditFile>,
@@ -51,8 +59,9 @@
     /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
     /// come already.
     read_again: bool,
+    /// What the routing module was last told.
     pub quota: FleetQuota,
-    /// Spent and turned away, by what for.
+    /// Acquisitions that were refused.
     pub refused: u64,
 }
 
@@ -75,7 +84,10 @@
 }
 
 impl FleetLink {
-    /// Reads the file at `path`; the error is one line for the operator.
+    /// Reads the file at `path`.
+    ///
+    /// # Errors
+    /// If the file, its key file or its audit file can't be used.
     pub fn open(
         path: &str,
         name: &str,
@@ -124,6 +136,7 @@
         self.state = MembershipState::Joined { fleet, socket, token };
     }
 
+    /// The member, once it has joined.
     pub fn fleet(&mut self) -> Option<&mut FleetNode> {
         match &mut self.state {
             MembershipState::Joined { fleet, .. } => Some(fleet),
@@ -131,7 +144,7 @@
         }
     }
 
-    /// The budget for that, if there is one, and its subject: a host's name, or nothing.
+    /// The budget for that, if there is one, and its subject: an endpoint's name, or nothing.
     pub fn budget_key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
         let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
         let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
@@ -205,7 +218,10 @@
         self.unwritten += u64::from(!wrote);
     }
 
-    /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
+    /// Reads the file again, and takes over the totals of budgets; gives which have changed.
+    ///
+    /// # Errors
+    /// If the file is wrong, or something has changed in it that needs a restart; nothing is taken over then.
     pub fn reload(&mut self, now: f64) -> Result<Vec<String>, FleetLinkError> {
         let new = read(&self.path, &self.name, self.longest_statement_timeout)?;
         if let Some(field) = self.file.restart_required(&new) {
@@ -226,6 +242,7 @@
         Ok(told)
     }
 
+    /// Where the member of that name is reached.
     pub fn address(&self, to: &str) -> Option<SocketAddr> {
         self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
     }
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -8,6 +8,8 @@
 //! [`fleet_link`] (the other routers), [`control`] (answers to operators), [`counters`]. `docs/architecture.md` says who
 //! owns which state.
 
+#![warn(missing_docs)]
+
 pub mod backend;
 pub mod client;
 pub mod clock;
--- a/crates/ottersill/src/lifecycle/error.rs
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -1,7 +1,5 @@
 //! Why a router ends with an error.
 
-#![warn(missing_docs)]
-
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/ottersill/src/lifecycle/log.rs
+++ b/crates/ottersill/src/lifecycle/log.rs
@@ -26,6 +26,7 @@
     Json,
 }
 
+/// The log of this process.
 #[derive(Clone, Default)]
 pub struct Log {
     form: Form,
@@ -112,10 +113,12 @@
 }
 
 impl Log {
+    /// A log in that form.
     pub fn new(form: Form) -> Log {
         Log { form, ..Log::default() }
     }
 
+    /// A logger whose lines name the router.
     pub fn logger(&self, name: &str) -> Logger {
         Logger::root(self.clone().fuse(), o!("router" => name.to_string()))
     }
@@ -141,6 +144,7 @@
         }
     }
 
+    /// How many lines were dropped.
     pub fn dropped(&self) -> u64 {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).dropped
     }
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -1,7 +1,5 @@
 //! SIGHUP: the configuration is read again, and discovery is asked where it names it now.
 
-#![warn(missing_docs)]
-
 use slog::{info, warn};
 
 use crate::event_loop::EventLoop;
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -1,7 +1,5 @@
 //! The main loop: waits for events, has them handled, and carries out what the phases of the router's life ask for.
 
-#![warn(missing_docs)]
-
 use std::io;
 use std::mem;
 use std::net::SocketAddr;
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -1,7 +1,5 @@
 //! Builds a router from its configuration.
 
-#![warn(missing_docs)]
-
 use calloop::signals::{Signal, Signals};
 use slog::info;
 
--- a/crates/ottersill/src/protocol/frame.rs
+++ b/crates/ottersill/src/protocol/frame.rs
@@ -21,10 +21,12 @@
 pub struct Message(pub Bytes);
 
 impl Message {
+    /// Its type.
     pub fn tag(&self) -> u8 {
         self.0[0]
     }
 
+    /// What follows type and length.
     pub fn body(&self) -> &[u8] {
         &self.0[5..]
     }
@@ -93,15 +95,20 @@
     }
 }
 
+/// What a client says first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Startup {
+    /// Version 3 of the protocol.
     Version3,
     /// Asks for encryption, which is not spoken here; another startup follows.
     Encryption,
+    /// Asks to cancel a query of another connection.
     Cancel,
+    /// A version that is not spoken here.
     OtherVersion,
 }
 
+/// The next startup message, once it is there whole.
 pub fn take_startup(inbox: &mut BytesMut) -> Result<Option<Startup>, ProtocolError> {
     if inbox.len() < 4 {
         return Ok(None);
@@ -132,16 +139,21 @@
     out.freeze()
 }
 
+/// ReadyForQuery, outside of a transaction.
 pub static READY_FOR_QUERY: Bytes = Bytes::from_static(b"Z\0\0\0\x05I");
+/// EmptyQueryResponse.
 pub static EMPTY_QUERY_RESPONSE: Bytes = Bytes::from_static(b"I\0\0\0\x04");
+/// The answer to a request for encryption.
 pub static ENCRYPTION_REFUSED: Bytes = Bytes::from_static(b"N");
+/// The query of a health check.
 pub static SHOW_HEALTH: Bytes = Bytes::from_static(b"Q\0\0\0\x10SHOW health\0");
+/// Terminate.
 pub static TERMINATE: Bytes = Bytes::from_static(b"X\0\0\0\x04");
 /// AuthenticationOk, two parameters that drivers insist on, ReadyForQuery.
 pub static AUTHENTICATION_OK: Bytes = Bytes::from_static(
     b"R\0\0\0\x08\0\0\0\0S\0\0\0\x19client_encoding\0UTF8\0S\0\0\0\x18server_version\x0016.0\0Z\0\0\0\x05I",
 );
-/// What a router says first to a host.
+/// The startup message that a router sends to an endpoint.
 pub static STARTUP: Bytes = Bytes::from_static(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0");
 
 /// The head of a Query whose text, with the zero at its end, has that length.
@@ -150,15 +162,19 @@
     [b'Q', length[0], length[1], length[2], length[3]]
 }
 
+/// The errors that clients are answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCode {
-    /// A rejection: nothing ran, trying again is harmless. Said only for the module's rejections and for
+    /// A rejection: nothing ran, trying again is harmless. Said only for the routing module's rejections and for
     /// connections that no descriptor is left for.
     TooMany,
     /// An abort: whether it ran is not known.
     CompletionUnknown,
+    /// The client broke the protocol.
     ProtocolViolation,
+    /// Of the protocol or of SQL, but not served here.
     NotSupported,
+    /// A name that is not known here.
     Unknown,
 }
 
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -17,6 +17,7 @@
 /// Slices written at once.
 const MAX_SLICES_PER_WRITE: usize = 16;
 
+/// How reading has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// All that was there.
@@ -80,12 +81,14 @@
 }
 
 impl Outbox {
+    /// Adds a slice to be written after the others.
     pub fn push(&mut self, slice: Bytes) {
         if !slice.is_empty() {
             self.slices.push_back(slice);
         }
     }
 
+    /// Nothing is left to write.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty()
     }
@@ -154,6 +157,7 @@
     }
 }
 
+/// Listens for connections.
 pub fn listen(at: SocketAddr, backlog: usize) -> io::Result<Socket> {
     let socket = open(at)?;
     socket.set_reuse_address(true)?;
--- a/crates/ottersill/src/protocol/socket_failure.rs
+++ b/crates/ottersill/src/protocol/socket_failure.rs
@@ -22,6 +22,7 @@
 }
 
 impl AcceptFailure {
+    /// What to do after this error of `accept`.
     pub fn of(error: &io::Error) -> AcceptFailure {
         const TAKE_NEXT: [Errno; 13] = [
             Errno::INTR,
@@ -60,6 +61,7 @@
 }
 
 impl ConnectFailure {
+    /// Whom this error of `connect` is blamed on.
     pub fn of_connect(error: io::Error) -> ConnectFailure {
         const LOCAL: [Errno; 12] = [
             Errno::ADDRNOTAVAIL,
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -10,13 +10,13 @@
 use crate::protocol::frame;
 use crate::protocol::socket::Outbox;
 
-/// Subtracted from the time left that a host is told; seconds. What is told may exceed what the client has left by 0.15 s when
+/// Subtracted from the time left that an endpoint is told; seconds. What is told may exceed what the client has left by 0.15 s when
 /// it arrives, and that much is used up by a router that is held up between reading its clock and writing.
 pub const DEADLINE_MARGIN: f64 = 0.05;
 /// Slices of a written query that follow the digits of `d`.
 const SLICES_AFTER_DIGITS: usize = 2;
 
-/// The milliseconds that a host is told when the client has so many seconds left. Where that is little, half of it is kept.
+/// The milliseconds that an endpoint is told when the client has so many seconds left. Where that is little, half of it is kept.
 pub fn advertised_time_left(left: f64) -> u64 {
     let margin = DEADLINE_MARGIN.min(left / 2.0);
     ((left - margin) * 1000.0).max(1.0) as u64
@@ -29,17 +29,22 @@
     digits: Range<usize>,
 }
 
+/// What the comment of a statement says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StatementComment<'a> {
     /// A number for the statement's `id`.
     pub id: u64,
+    /// The name of its workload.
     pub workload: &'a str,
+    /// The number of its group of endpoints.
     pub cluster: u64,
     /// Seconds for which the client waits.
     pub time_left: f64,
     /// The position that a session's read has to see, in Unix seconds.
     pub after: Option<f64>,
+    /// The client has sent it before.
     pub repeat: bool,
+    /// A number for the session that it belongs to.
     pub session: Option<u64>,
 }
 
@@ -102,10 +107,12 @@
         Ok((StatementText { whole: whole.clone(), digits }, parsed))
     }
 
+    /// Its length in bytes.
     pub fn len(&self) -> usize {
         self.whole.len()
     }
 
+    /// It has no bytes.
     pub fn is_empty(&self) -> bool {
         self.whole.is_empty()
     }
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -1,8 +1,6 @@
 //! What the parts of the program see of the event loop: registration of sockets, which of them became ready, and the
 //! context in which a part handles an event.
 
-#![warn(missing_docs)]
-
 use std::io;
 use std::mem;
 use std::rc::Rc;
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -1,7 +1,5 @@
 //! Timers of the event loop: at most one for each connection, and one each for discovery, fleet and listener.
 
-#![warn(missing_docs)]
-
 use std::collections::BTreeSet;
 
 /// Whose time has come.
