--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -93,7 +93,7 @@
         let endpoint_capacity = view.capacity(id);
         let group_capacity = view.group_capacity(request.group).max(endpoint_capacity);
         let throughput = &mut self.replica_sets[request.group].throughput;
-        throughput.record_answer(needs_primary, endpoint_capacity, group_capacity);
+        throughput.record_answer(self.throughput_ticks, needs_primary, endpoint_capacity, group_capacity);
     }
 
     /// Guards against overload that no router sees by itself: adjusts the group's admission ratio (departure 18 of
@@ -117,6 +117,7 @@
         };
         let is_late = outcome.ending == AttemptOutcome::Full || outcome.took.min(latency) > slo_time;
         let group = self.endpoints[EndpointId::new(outcome.host)].group();
+        self.throttled_or_heard.insert(group);
         let group = &mut self.replica_sets[group];
         let since_result = group.record_result(now);
         if indicates_load && !self.stalls.has_stalled_since(request.sent_at) {
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -25,6 +25,7 @@
         let position = report.lsn.filter(|position| *position <= now);
         if let Some(position) = position {
             endpoint.position.record(now, position, in_answer);
+            self.watermarks.record_change_of(endpoint.member_of());
         }
         if let Some(role) = report.role {
             let at = if in_answer { now } else { position.unwrap_or(0.0) };
@@ -53,6 +54,7 @@
 
     /// Ejects the endpoints that take attempts and answer none (departure 5 of docs/design.md).
     pub(crate) fn eject_silent(&mut self, now: f64) {
+        self.work.requests += self.requests.in_flight_ids().len() as u64;
         let mut detector = SilenceDetector::default();
         for (request, id) in self.requests.in_flight() {
             let endpoint = &self.endpoints[id];
@@ -159,7 +161,9 @@
         if id.index() == self.endpoints.len() {
             self.add_endpoint(now, listing, initial_limit);
         }
-        self.endpoints[id].apply_update(listing, initial_limit);
+        let endpoint = &mut self.endpoints[id];
+        endpoint.apply_update(listing, initial_limit);
+        self.watermarks.record_change_of(endpoint.member_of());
         if self.is_excluded(id) {
             self.unseat(id);
         }
@@ -175,16 +179,25 @@
         self.replica_set_mut(GroupId::new(listing.group)).add(id);
     }
 
-    /// Adjusts what writes each group admits while its replicas lag (departure 4 of docs/design.md).
+    /// Adjusts what writes each group admits while its replicas lag (departure 4 of docs/design.md). Looks only at groups
+    /// where that may change.
     pub(crate) fn adjust_write_throttles(&mut self, now: f64) {
         let Some(bound) = self.tightest_bound else { return };
-        for group in self.replica_sets.ids() {
-            let lagging = self.lagging_share(now, group, bound * LAGGING);
-            let group = &mut self.replica_sets[group];
-            let is_current = group.is_heard_often(now);
-            group.write_throttle.tick(lagging, &group.demand, is_current);
-            group.demand.tick();
-        }
+        let mut groups = std::mem::take(&mut self.throttled_or_heard);
+        groups.retain(|group| self.adjust_write_throttle(now, *group, bound * LAGGING));
+        self.throttled_or_heard = groups;
+        self.demand_ticks.advance();
+    }
+
+    /// The same for one group; replicas lag from `limit` seconds on. Returns whether the next tick may change it again,
+    /// were there no result until then.
+    fn adjust_write_throttle(&mut self, now: f64, group: GroupId, limit: f64) -> bool {
+        self.work.groups += 1;
+        let lagging = self.lagging_share(now, group, limit);
+        let group = &mut self.replica_sets[group];
+        let is_current = group.is_heard_often(now);
+        group.write_throttle.tick(lagging, &group.demand, self.demand_ticks, is_current);
+        is_current || !group.write_throttle.admits_all()
     }
 
     /// The part of a group's usable replicas that lag by more than so many seconds.
@@ -204,12 +217,13 @@
     /// Forgets the watermarks of sessions that every endpoint of their group has come up to.
     pub(crate) fn forget_watermarks(&mut self) {
         let mut watermarks = std::mem::take(&mut self.watermarks);
-        watermarks.forget(|group, position| {
+        let looked_at = watermarks.forget(|group, position| {
             let is_behind = |member: &EndpointId| {
                 !self.is_excluded(*member) && self.endpoints[*member].position.known() < position
             };
             self.replica_sets[group].members().iter().any(is_behind)
         });
         self.watermarks = watermarks;
+        self.work.watermarks += looked_at;
     }
 }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -5,6 +5,7 @@
 //! lets through its capacity fraction, with a margin; where rejected clients come back, no more than a part of what the
 //! group answers. Where the fleet has a budget for it, that goes before any sample.
 
+use crate::clock::TickCount;
 use crate::interface::RoutingConfig;
 use crate::throughput::Throughput;
 
@@ -36,6 +37,8 @@
     pub(crate) members: Members,
     /// What its group answers and rejects.
     pub(crate) throughput: &'a Throughput,
+    /// The ticks by which these counts have decayed.
+    pub(crate) ticks: TickCount,
 }
 
 impl SlowStart {
@@ -84,7 +87,7 @@
             share_by_size(candidate.size, candidate.members)
         };
         let of_offered = SLOW_START_MARGIN / 2.0 * share * prompt;
-        let of_answered = candidate.throughput.share(candidate.to_primary, candidate.size);
+        let of_answered = candidate.throughput.share(candidate.ticks, candidate.to_primary, candidate.size);
         sample() < terms.fall_multiple * capacity * of_offered.min(of_answered)
     }
 }
--- a/crates/routing/src/throughput.rs
+++ b/crates/routing/src/throughput.rs
@@ -5,7 +5,9 @@
 //! sample of its own. What a group answers, divided by what its members can do, can't exceed what one of them can do, whatever
 //! is offered; and the counts of all routers add up to the count of all.
 
-use crate::clock::decayed;
+use std::cell::Cell;
+
+use crate::clock::{TickCount, decayed};
 
 /// Part of what a warming endpoint is allowed that it may be sent where more is offered than its group answers.
 const CROWDED_FRACTION: f64 = 0.4;
@@ -20,9 +22,16 @@
     (size * capacity_fraction).max(MIN_CAPACITY)
 }
 
-/// Requests of a group that were answered and rejected of late.
+/// Requests of a group that were answered and rejected of late. The counts decay with each tick, and are brought up to date
+/// when they are read or changed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Throughput {
+    counts: Cell<Counts>,
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct Counts {
+    decayed_until: TickCount,
     /// Rejected requests that replicas may answer.
     rejected_reads: f64,
     /// Rejected requests that need the primary.
@@ -35,41 +44,71 @@
 
 impl Throughput {
     /// A request was rejected, so its client may come back.
-    pub(crate) fn record_rejection(&mut self, needs_primary: bool) {
+    pub(crate) fn record_rejection(&mut self, ticks: TickCount, needs_primary: bool) {
+        let mut counts = self.counts_at(ticks);
         if needs_primary {
-            self.rejected_writes += 1.0;
+            counts.rejected_writes += 1.0;
         } else {
-            self.rejected_reads += 1.0;
+            counts.rejected_reads += 1.0;
         }
+        self.counts.set(counts);
     }
 
     /// A request was answered by an endpoint of that capacity, in a group of that capacity.
-    pub(crate) fn record_answer(&mut self, needs_primary: bool, endpoint_capacity: f64, group_capacity: f64) {
-        self.answers += 1.0 / group_capacity;
+    pub(crate) fn record_answer(
+        &mut self,
+        ticks: TickCount,
+        needs_primary: bool,
+        endpoint_capacity: f64,
+        group_capacity: f64,
+    ) {
+        let mut counts = self.counts_at(ticks);
+        counts.answers += 1.0 / group_capacity;
         if needs_primary {
-            self.primary_answers += 1.0 / endpoint_capacity;
+            counts.primary_answers += 1.0 / endpoint_capacity;
         }
-    }
-
-    /// Lets all counts decay by one tick.
-    pub(crate) fn tick(&mut self) {
-        self.rejected_reads = decayed(self.rejected_reads, THROUGHPUT_MEMORY);
-        self.rejected_writes = decayed(self.rejected_writes, THROUGHPUT_MEMORY);
-        self.answers = decayed(self.answers, THROUGHPUT_MEMORY);
-        self.primary_answers = decayed(self.primary_answers, THROUGHPUT_MEMORY);
+        self.counts.set(counts);
     }
 
     /// The part of requests that an endpoint of that size may be sent, for each unit of what it can do. Summed over all
     /// routers, this sends it so much of what an endpoint with as much of its capacity answers.
-    pub(crate) fn share(&self, needs_primary: bool, size: f64) -> f64 {
+    pub(crate) fn share(&self, ticks: TickCount, needs_primary: bool, size: f64) -> f64 {
+        let counts = self.counts_at(ticks);
         let (rejected, answers) = if needs_primary {
             // Replicas may have little to do.
-            (self.rejected_writes, self.answers.max(self.primary_answers))
+            (counts.rejected_writes, counts.answers.max(counts.primary_answers))
         } else {
-            (self.rejected_reads, self.answers)
+            (counts.rejected_reads, counts.answers)
         };
         // Where nothing was rejected of late nobody comes back, and what is offered stands for itself.
         let offered = 1.0 + rejected;
         CROWDED_FRACTION * size * (answers + offered.powi(-2)) / offered
     }
+
+    /// The counts after so many ticks.
+    fn counts_at(&self, ticks: TickCount) -> Counts {
+        let counts = self.counts.get().decayed(ticks);
+        self.counts.set(counts);
+        counts
+    }
+}
+
+impl Counts {
+    /// The counts after so many ticks, bit for bit as if they had been written down at each.
+    fn decayed(mut self, ticks: TickCount) -> Counts {
+        let missed = ticks.since(self.decayed_until);
+        self.decayed_until = ticks;
+        for _ in 0..missed {
+            let before = self;
+            self.rejected_reads = decayed(self.rejected_reads, THROUGHPUT_MEMORY);
+            self.rejected_writes = decayed(self.rejected_writes, THROUGHPUT_MEMORY);
+            self.answers = decayed(self.answers, THROUGHPUT_MEMORY);
+            self.primary_answers = decayed(self.primary_answers, THROUGHPUT_MEMORY);
+            if self == before {
+                // Nothing is left, or too little to decay: no later tick changes it.
+                break;
+            }
+        }
+        self
+    }
 }
