--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -169,39 +169,11 @@
         self.begin_iteration(self.clock.now());
         self.update_fleet_quota();
         for source in self.readiness.take() {
-            match source {
-                Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
-                Source::Fleet => {
-                    self.on_fleet_ready();
-                    self.update_fleet_quota();
-                }
-                Source::Control => self.with_control(ControlServer::on_ready),
-                Source::ControlClient(id) => {
-                    self.with_control(|control, report, context| {
-                        control.on_client_ready(id, report, context)
-                    });
-                }
-                Source::Backend(id) => self.on_backend_ready(id),
-                Source::Client(id) => self.on_client_ready(id),
-                Source::Listener => self.on_listener_ready(),
-            }
+            self.on_ready(source);
             self.run_routing_actions();
         }
         while let Some(timer) = self.timers.expired(self.now) {
-            match timer {
-                Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
-                Timer::Fleet => self.on_fleet_timer(),
-                Timer::ControlClient(id) => {
-                    self.with_control(|control, _, context| control.close_client(id, context));
-                }
-                Timer::Control => self.wake(Source::Control),
-                Timer::Listener => {
-                    self.listener.on_retry_timer();
-                    self.wake(Source::Listener);
-                }
-                Timer::Backend(id) => self.on_backend_timer(id),
-                Timer::Client(id) => self.on_client_timer(id),
-            }
+            self.on_timer(timer);
             self.run_routing_actions();
         }
         self.run_routing_actions();
@@ -209,6 +181,40 @@
         self.iteration_ended_at = self.clock.now();
     }
 
+    fn on_ready(&mut self, source: Source) {
+        match source {
+            Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
+            Source::Fleet => {
+                self.on_fleet_ready();
+                self.update_fleet_quota();
+            }
+            Source::Control => self.with_control(ControlServer::on_ready),
+            Source::ControlClient(id) => {
+                self.with_control(|control, report, context| control.on_client_ready(id, report, context));
+            }
+            Source::Backend(id) => self.on_backend_ready(id),
+            Source::Client(id) => self.on_client_ready(id),
+            Source::Listener => self.on_listener_ready(),
+        }
+    }
+
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
+            Timer::Fleet => self.on_fleet_timer(),
+            Timer::ControlClient(id) => {
+                self.with_control(|control, _, context| control.close_client(id, context));
+            }
+            Timer::Control => self.wake(Source::Control),
+            Timer::Listener => {
+                self.listener.on_retry_timer();
+                self.wake(Source::Listener);
+            }
+            Timer::Backend(id) => self.on_backend_timer(id),
+            Timer::Client(id) => self.on_client_timer(id),
+        }
+    }
+
     fn begin_iteration(&mut self, time: f64) {
         let waited = time - self.iteration_ended_at;
         self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -48,8 +48,65 @@
     pub session: Option<u64>,
 }
 
+/// The fields of a comment that are known here, as far as it has them.
+#[derive(Default)]
+struct CommentFields<'a> {
+    id: Option<&'a str>,
+    workload: Option<&'a str>,
+    cluster: Option<u64>,
+    time_left: Option<f64>,
+    /// Where the digits of `d` stand in the text.
+    time_left_digits: Range<usize>,
+    after: Option<f64>,
+    repeat: bool,
+}
+
+impl<'a> CommentFields<'a> {
+    /// Reads the pairs of name and value within that part of the text. Unknown names are passed over.
+    fn read(text: &'a str, part: Range<usize>) -> Result<CommentFields<'a>, &'static str> {
+        let mut fields = CommentFields::default();
+        let mut seen = BTreeSet::new();
+        let mut at = part.start;
+        for pair in text[part].split(',') {
+            let start = at + pair.len() - pair.trim_start().len();
+            at += pair.len() + 1;
+            let Some((name, value)) = pair.trim().split_once('=') else { continue };
+            if !seen.insert(name) {
+                return Err("the comment says something twice");
+            }
+            fields.set(name, value, start + name.len() + 1);
+        }
+        Ok(fields)
+    }
+
+    /// Takes over one pair, whose value stands at `value_at` in the text.
+    fn set(&mut self, name: &str, value: &'a str, value_at: usize) {
+        match name {
+            "id" => self.id = Some(value),
+            "c" => self.workload = Some(value),
+            "cluster" => self.cluster = value.parse().ok(),
+            "d" => {
+                self.time_left = value.parse::<u32>().ok().map(|ms| f64::from(ms) / 1000.0);
+                self.time_left_digits = value_at..value_at + value.len();
+            }
+            "after" => self.after = position(value),
+            "r" => self.repeat = value == "1",
+            _ => {}
+        }
+    }
+}
+
+/// A position in Unix milliseconds, as Unix seconds.
+fn position(value: &str) -> Option<f64> {
+    let ms = value.parse::<f64>().ok()?;
+    (ms.is_finite() && ms > 0.0).then_some(ms / 1000.0)
+}
+
 impl StatementText {
-    /// Reads the comment at the end of a query's text, of which `scan` tells where it is; the error says what it lacks.
+    /// Reads the comment at the end of a query's text, of which `scan` tells where it is.
+    ///
+    /// # Errors
+    /// What the text lacks, in a few words for the client.
     pub fn parse<'a>(
         whole: &'a Bytes,
         scan: &Scan,
@@ -62,49 +119,18 @@
         if scan.behind {
             return Err("something stands behind the comment");
         }
-        let (open, close) = (comment.start + 2, comment.end - 2);
-        let mut seen = BTreeSet::new();
-        let (mut id, mut workload, mut cluster, mut time_left) = (None, None, None, None);
-        let (mut after, mut repeat, mut digits) = (None, false, 0..0);
-        let mut at = open;
-        for pair in text[open..close].split(',') {
-            let start = at + pair.len() - pair.trim_start().len();
-            at += pair.len() + 1;
-            let Some((name, value)) = pair.trim().split_once('=') else { continue };
-            if !seen.insert(name) {
-                return Err("the comment says something twice");
-            }
-            match name {
-                "id" => id = Some(value),
-                "c" => workload = Some(value),
-                "cluster" => cluster = value.parse().ok(),
-                "d" => {
-                    time_left = value.parse::<u32>().ok().map(|ms| f64::from(ms) / 1000.0);
-                    let from = start + 2;
-                    digits = from..from + value.len();
-                }
-                "after" => {
-                    after = value
-                        .parse::<f64>()
-                        .ok()
-                        .filter(|ms| ms.is_finite() && *ms > 0.0)
-                        .map(|ms| ms / 1000.0)
-                }
-                "r" => repeat = value == "1",
-                _ => {}
-            }
-        }
-        let id = id.filter(|id| !id.is_empty()).ok_or("the comment has no id")?;
+        let fields = CommentFields::read(text, comment.start + 2..comment.end - 2)?;
+        let id = fields.id.filter(|id| !id.is_empty()).ok_or("the comment has no id")?;
         let parsed = StatementComment {
             id: number(id),
-            workload: workload.ok_or("the comment has no c")?,
-            cluster: cluster.ok_or("the comment has no cluster, or one that is no number")?,
-            time_left: time_left.ok_or("the comment has no d, or one that is no number")?,
-            after,
-            repeat,
+            workload: fields.workload.ok_or("the comment has no c")?,
+            cluster: fields.cluster.ok_or("the comment has no cluster, or one that is no number")?,
+            time_left: fields.time_left.ok_or("the comment has no d, or one that is no number")?,
+            after: fields.after,
+            repeat: fields.repeat,
             session: scan.literal.as_ref().and_then(|at| session(&text[at.clone()])),
         };
-        Ok((StatementText { whole: whole.clone(), digits }, parsed))
+        Ok((StatementText { whole: whole.clone(), digits: fields.time_left_digits }, parsed))
     }
 
     /// Its length in bytes.
