--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -23,11 +23,11 @@
             "a request has one attempt in flight at a time",
         );
         let deadline =
-            if time_out > 0.0 { request.deadline.min(self.now + time_out) } else { request.deadline };
+            if time_out > 0.0 { request.deadline.min(self.clock.now() + time_out) } else { request.deadline };
         let client = request.client;
         // If it was read in this iteration, it is looked at as the bytes go (`send_assignment`).
         let last_read_at = self.clients.get(client).map_or(0.0, |client| client.last_read_at);
-        if last_read_at < self.now && !self.client_still_waits(request_id, client) {
+        if last_read_at < self.clock.now() && !self.client_still_waits(request_id, client) {
             return self.report_attempt(
                 request_id,
                 endpoint,
@@ -66,9 +66,11 @@
         }
         self.counters.health_checks += 1;
         // The settings name no other time after which an endpoint counts as unreachable.
-        if let Err(outcome) =
-            self.assign_to_endpoint(endpoint, Assignment::HealthCheck, self.now + self.timeouts.connect)
-        {
+        if let Err(outcome) = self.assign_to_endpoint(
+            endpoint,
+            Assignment::HealthCheck,
+            self.clock.now() + self.timeouts.connect,
+        ) {
             self.report_health_check(endpoint, outcome, LoadReport::default());
         }
     }
@@ -76,7 +78,7 @@
     /// Writes the connection's assignment. The clock is read here, and the client looked at last: the iteration may have been held up since it
     /// began.
     pub(crate) fn send_assignment(&mut self, id: usize) {
-        let time = self.clock.now();
+        let time = self.clock.read();
         let connection = &mut self.backends[id];
         connection.reply = Reply::default();
         connection.time_left_sent_at = time;
@@ -107,7 +109,7 @@
 
     /// Updates the time left in a partly written statement; false if it is out of date and can't be changed any more.
     pub(crate) fn refresh_deadline(&mut self, id: usize) -> bool {
-        let time = self.clock.now();
+        let time = self.clock.read();
         let connection = &mut self.backends[id];
         let Some(Assignment::Request(request_id)) = connection.assignment else { return true };
         let Some(request) = self.requests.get(request_id) else { return false };
@@ -147,9 +149,9 @@
         match connection.assignment {
             Some(Assignment::Request(request_id)) => {
                 let client = self.requests.get(request_id).map(|request| request.client);
-                self.clock.now() < deadline
+                self.clock.read() < deadline
                     && client.is_some_and(|client| self.client_still_waits(request_id, client))
-                    && self.facade.may_begin(self.now, request_id, endpoint)
+                    && self.facade.may_begin(self.clock.now(), request_id, endpoint)
             }
             Some(Assignment::HealthCheck) => self.facade.may_probe(endpoint),
             None => false,
@@ -163,7 +165,7 @@
         };
         let is_disallowed = |connection: &BackendConnection| match connection.assignment {
             Some(Assignment::Request(request_id)) => {
-                !self.facade.may_begin(self.now, request_id, connection.endpoint)
+                !self.facade.may_begin(self.clock.now(), request_id, connection.endpoint)
             }
             Some(Assignment::HealthCheck) => !self.facade.may_probe(connection.endpoint),
             None => false,
--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/backend/outcome.rs
@@ -36,7 +36,7 @@
         outcome: AttemptOutcome,
         mut reply: Reply,
     ) {
-        let took = self.now - assigned_at;
+        let took = self.clock.now() - assigned_at;
         let request = self.requests.get(request_id);
         let is_known = request.is_some();
         let is_abandoned = request.is_some_and(|request| matches!(request.phase, RequestPhase::Abandoned(_)));
@@ -72,7 +72,7 @@
         let at_replica = reply.piggybacked.role == Some(Role::Replica);
         match outcome {
             AttemptOutcome::Completed => {
-                self.fingerprints.record_completion(self.now, cache_key, endpoint, took, at_replica);
+                self.fingerprints.record_completion(self.clock.now(), cache_key, endpoint, took, at_replica);
             }
             AttemptOutcome::ReadOnly if at_replica => self.fingerprints.record_read_only_rejection(cache_key),
             _ => {}
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -97,18 +97,18 @@
         let opened = socket::connect(address)
             .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
         let (socket, token) = opened.map_err(|failure| self.on_connect_failed(endpoint, &failure))?;
-        self.endpoints.connect_begun(endpoint, self.now);
+        self.endpoints.connect_begun(endpoint, self.clock.now());
         self.counters.backend_connections_opened += 1;
-        let connected_by = self.now + self.timeouts.connect;
+        let connected_by = self.clock.now() + self.timeouts.connect;
         let timer = self.timers.set(deadline.min(connected_by), Timer::Backend(id));
         self.backends.insert(BackendConnection {
             endpoint,
             state: ConnectionState::Dialing,
             assignment: Some(assignment),
-            assigned_at: self.now,
+            assigned_at: self.clock.now(),
             deadline,
-            time_left_sent_at: self.now,
-            idle_since: self.now,
+            time_left_sent_at: self.clock.now(),
+            idle_since: self.clock.now(),
             socket,
             token,
             timer: Some(timer),
@@ -123,7 +123,8 @@
     fn on_connect_failed(&mut self, endpoint: usize, failure: &ConnectFailure) -> AttemptOutcome {
         self.counters.backend_connections_failed += 1;
         self.log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string());
-        let counts = self.endpoints.connect_failed(endpoint, self.now, self.timeouts.connect, failure);
+        let counts =
+            self.endpoints.connect_failed(endpoint, self.clock.now(), self.timeouts.connect, failure);
         if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
     }
 
@@ -132,10 +133,10 @@
     pub(crate) fn log_connection_failure(&mut self, endpoint: usize, state: ConnectionState, why: &str) {
         let endpoint = &mut self.endpoints.all[endpoint];
         endpoint.broken += 1;
-        if self.now - endpoint.logged_at >= 1.0 {
+        if self.clock.now() - endpoint.logged_at >= 1.0 {
             info!(self.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
                 "why" => why, "since_last_line" => endpoint.broken);
-            (endpoint.logged_at, endpoint.broken) = (self.now, 0);
+            (endpoint.logged_at, endpoint.broken) = (self.clock.now(), 0);
         }
     }
 
@@ -143,15 +144,15 @@
     pub(crate) fn set_assignment(&mut self, id: usize, assignment: Assignment, deadline: f64) {
         let connection = &mut self.backends[id];
         (connection.assignment, connection.assigned_at, connection.deadline) =
-            (Some(assignment), self.now, deadline);
+            (Some(assignment), self.clock.now(), deadline);
     }
 
     /// Keeps a connection for the next assignment.
     pub(crate) fn make_idle(&mut self, id: usize) {
         // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
-        self.set_backend_state(id, ConnectionState::Idle, self.now + self.timeouts.idle / 2.0);
+        self.set_backend_state(id, ConnectionState::Idle, self.clock.now() + self.timeouts.idle / 2.0);
         let connection = &mut self.backends[id];
-        connection.idle_since = self.now;
+        connection.idle_since = self.clock.now();
         if connection.inbox.is_empty() {
             // What is left of it would hold on to all that was read with it.
             connection.inbox = BytesMut::new();
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -146,7 +146,7 @@
                 self.close_backend(id);
             }
             ConnectionState::Dialing | ConnectionState::Greeting
-                if self.now < connection.deadline
+                if self.clock.now() < connection.deadline
                     || connection.assignment == Some(Assignment::HealthCheck) =>
             {
                 self.fail_backend(id, "not up in time");
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -152,7 +152,7 @@
 
     /// Has accepting tried again after a delay; false, as nobody else is accepted before.
     fn accept_later(&mut self) -> bool {
-        self.listener.retry_at(self.now + ACCEPT_RETRY_DELAY, &mut self.timers);
+        self.listener.retry_at(self.clock.now() + ACCEPT_RETRY_DELAY, &mut self.timers);
         false
     }
 
@@ -162,7 +162,7 @@
             return Ok(Some(waiting));
         }
         let accepted = socket::accept(listener)?;
-        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.now }))
+        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.clock.now() }))
     }
 
     /// Takes a client on. One for whom there is no room is let in all the same, to be told so once its statement is read: an
@@ -172,7 +172,7 @@
         let id = self.clients.next_id();
         let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
         match self.register_shared(&next.socket, Source::Client(id)) {
-            Err(fault) if self.now < deadline => {
+            Err(fault) if self.clock.now() < deadline => {
                 warn!(self.log, "client not watched yet"; "fault" => %fault);
                 self.listener.keep_unwatched(next);
                 return false;
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -23,7 +23,7 @@
     /// Ends a connection on which nothing is in hand and all is written.
     pub(crate) fn begin_close(&mut self, id: usize) {
         self.set_client_phase(id, ConnectionPhase::Lingering);
-        self.set_client_timer(id, self.now + LINGER_TIMEOUT);
+        self.set_client_timer(id, self.clock.now() + LINGER_TIMEOUT);
         let client = &mut self.clients[id];
         client.discard_input();
         // It fails where the client has reset the connection, which is seen next.
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -54,7 +54,7 @@
     /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
     pub(crate) fn close_idle_client(&mut self, asked: bool) -> bool {
         // One that is new has its first statement on the way.
-        let new_since = self.now - TIMING_MARGIN;
+        let new_since = self.clock.now() - TIMING_MARGIN;
         let idle = |c: &ClientConnection| {
             matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
                 && c.has_queried == asked
@@ -88,7 +88,8 @@
         oldest.sort_by(|a, b| a.1.phase_since.total_cmp(&b.1.phase_since));
         oldest.truncate(MAX_LINGERING_CANDIDATES);
         let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
-        let first = oldest.first().filter(|(_, client)| client.phase_since < self.now - TIMING_MARGIN);
+        let first =
+            oldest.first().filter(|(_, client)| client.phase_since < self.clock.now() - TIMING_MARGIN);
         let chosen = clean.or(first).map(|(id, _)| *id);
         chosen.into_iter().for_each(|id| self.close_client(id));
         chosen.is_some()
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -45,7 +45,7 @@
             let reason = "a statement with this id is open";
             return self.reject_query(client, ErrorCode::ProtocolViolation, reason);
         }
-        let info = self.fingerprints.lookup(self.now, workload, text, scan.fingerprint);
+        let info = self.fingerprints.lookup(self.clock.now(), workload, text, scan.fingerprint);
         if let Some(reason) = info.refusal {
             self.counters.session_queries += 1;
             return self.reject_query(client, ErrorCode::NotSupported, reason);
@@ -104,8 +104,8 @@
             group,
             tenant: None,
             session: comment.session,
-            time_left: (deadline - self.now).max(0.0),
-            since_write: comment.after.map(|after| (self.now - after).max(0.0)),
+            time_left: (deadline - self.clock.now()).max(0.0),
+            since_write: comment.after.map(|after| (self.clock.now() - after).max(0.0)),
             repeat: comment.repeat,
             writes: info.kind != StatementKind::Read,
             work: info.estimate.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
@@ -124,13 +124,13 @@
     /// and one that waits for a longer one would come after its time.
     fn earliest_pipelined_deadline(&mut self, id: usize) -> f64 {
         let Some(client) = self.clients.get_mut(id) else { return f64::INFINITY };
-        client.match_arrivals(self.arrivals_since);
+        client.match_arrivals(self.clock.arrivals_since());
         let (mut at, mut due) = (0, f64::INFINITY);
         for _ in 0..MAX_PIPELINED {
             let Ok(Some(whole)) = frame::message_length(&client.inbox[at..]) else { break };
             let text = &client.inbox[at + 5..at + whole];
             if let Some(time_left) = peek_time_left(text) {
-                due = due.min(client.arrived(at, self.now) + time_left);
+                due = due.min(client.arrived(at, self.clock.now()) + time_left);
             }
             at += whole;
         }
@@ -139,10 +139,10 @@
 
     /// Why a statement of a reading workload goes to the primary: one line a second tells as much as all would.
     fn log_write_classification(&mut self, workload: usize, text: &[u8], info: &StatementInfo) {
-        if self.now - self.write_classification_logged_at < 1.0 {
+        if self.clock.now() - self.write_classification_logged_at < 1.0 {
             return;
         }
-        self.write_classification_logged_at = self.now;
+        self.write_classification_logged_at = self.clock.now();
         let reading = info.key.and_then(|key| self.fingerprints.classification(&key).cloned());
         let reading =
             reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -36,7 +36,7 @@
             ConnectionPhase::Lingering => return self.finish_close(id),
             _ => {}
         }
-        client.last_read_at = self.now;
+        client.last_read_at = self.clock.now();
         let busy = matches!(client.phase, ConnectionPhase::Busy(_));
         // One message ahead of the one in hand at least.
         let most = if busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
@@ -74,10 +74,10 @@
             return;
         }
         if client.may_have_unread && client.outbox.is_empty() {
-            return self.set_client_timer(id, self.now + TIMING_MARGIN);
+            return self.set_client_timer(id, self.clock.now() + TIMING_MARGIN);
         }
         let due_at = self.client_deadline(client);
-        if due_at > self.now {
+        if due_at > self.clock.now() {
             if due_at.is_finite() {
                 self.set_client_timer(id, due_at);
             }
@@ -107,11 +107,11 @@
         loop {
             self.count_stored_bytes(id);
             let Some(client) = self.clients.get_mut(id) else { return };
-            client.match_arrivals(self.arrivals_since);
+            client.match_arrivals(self.clock.arrivals_since());
             if !client.outbox.is_empty() {
                 return;
             }
-            let arrived_at = client.arrived(0, self.arrivals_since);
+            let arrived_at = client.arrived(0, self.clock.arrivals_since());
             let step = match client.phase {
                 ConnectionPhase::Busy(_) => return,
                 ConnectionPhase::Terminated | ConnectionPhase::Rejected => return self.begin_close(id),
@@ -133,7 +133,7 @@
                     self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
                 }
                 Ok(None) => return self.await_more_input(id),
-                Err(nonsense) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, nonsense),
+                Err(reason) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason),
             }
         }
     }
@@ -199,9 +199,9 @@
         self.counters
             .check_invariant(client.phase.may_become(next), "a client connection goes its ways only");
         client.phase = next;
-        client.phase_since = self.now;
+        client.phase_since = self.clock.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
-            client.timer = Some(self.timers.set(self.now + IDLE_TIMEOUT, Timer::Client(id)));
+            client.timer = Some(self.timers.set(self.clock.now() + IDLE_TIMEOUT, Timer::Client(id)));
         }
     }
 
@@ -219,7 +219,7 @@
                 client.connected_at + INCOMPLETE_INPUT_TIMEOUT
             }
             ConnectionPhase::Idle if halfway => {
-                let due_at = client.arrived(0, self.now) + INCOMPLETE_INPUT_TIMEOUT;
+                let due_at = client.arrived(0, self.clock.now()) + INCOMPLETE_INPUT_TIMEOUT;
                 due_at.max(client.phase_since + REMAINDER_TIMEOUT).min(self.answers_by)
             }
             ConnectionPhase::Idle if !client.outbox.is_empty() => {
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -18,7 +18,7 @@
 use crate::client::accept::ClientListener;
 use crate::client::limits::ConnectionLimits;
 use crate::client::table::ClientTable;
-use crate::clock::Clock;
+use crate::clock::LoopClock;
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
 use crate::counters::Counters;
@@ -35,9 +35,6 @@
 /// connection comes up is no measure for it: a customer's settings may give that any length.
 pub const TIMING_MARGIN: f64 = 0.25;
 
-/// Sockets that are found ready within so many seconds after an iteration may have been ready during it.
-const NO_WAIT: f64 = 0.001;
-
 /// The parts of a router, and what they share. Times are Unix seconds.
 pub struct EventLoop {
     pub(crate) facade: Facade,
@@ -60,14 +57,7 @@
     pub(crate) limits: ConnectionLimits,
     pub(crate) log: Logger,
     pub(crate) handle: ReactorHandle,
-    pub(crate) clock: Clock,
-    /// When the sockets were last found ready.
-    pub(crate) now: f64,
-    /// What is read in this iteration has come since then: since the one before, if sockets were found ready without waiting
-    /// after it, as bytes then may have arrived while that iteration was held up.
-    pub(crate) arrivals_since: f64,
-    iteration_ended_at: f64,
-    pub(crate) started_at: f64,
+    pub(crate) clock: LoopClock,
     /// When a client may come again that finds no endpoint list here; 0 where no time may be named.
     pub(crate) max_retry_after: f64,
     pub(crate) listener: ClientListener,
@@ -90,7 +80,7 @@
         log: Logger,
         handle: ReactorHandle,
     ) -> EventLoop {
-        let clock = Clock::default();
+        let clock = LoopClock::default();
         let now = clock.now();
         let max_retry_after = terms.max_retry_after;
         let typical_work = terms.workloads.iter().map(Router::typical).collect();
@@ -115,10 +105,6 @@
             log,
             handle,
             clock,
-            now,
-            arrivals_since: now,
-            iteration_ended_at: now,
-            started_at: now,
             max_retry_after,
             listener: ClientListener::default(),
             is_draining: false,
@@ -160,25 +146,25 @@
 
     /// When the next iteration is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
-        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
+        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.clock.now() };
         self.timers.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
     /// One iteration: handles what became ready, then the timers that have expired.
     pub fn poll_once(&mut self) {
-        self.begin_iteration(self.clock.now());
+        self.clock.begin_iteration();
         self.update_fleet_quota();
         for source in self.readiness.take() {
             self.on_ready(source);
             self.run_routing_actions();
         }
-        while let Some(timer) = self.timers.expired(self.now) {
+        while let Some(timer) = self.timers.expired(self.clock.now()) {
             self.on_timer(timer);
             self.run_routing_actions();
         }
         self.run_routing_actions();
         self.flush_fleet();
-        self.iteration_ended_at = self.clock.now();
+        self.clock.end_iteration();
     }
 
     fn on_ready(&mut self, source: Source) {
@@ -215,16 +201,10 @@
         }
     }
 
-    fn begin_iteration(&mut self, time: f64) {
-        let waited = time - self.iteration_ended_at;
-        self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
-        self.now = time;
-    }
-
     /// Does what the routing module asks for, until it asks for nothing more.
     pub fn run_routing_actions(&mut self) {
         loop {
-            let actions = self.facade.tick(self.now);
+            let actions = self.facade.tick(self.clock.now());
             if actions.is_empty() {
                 return;
             }
@@ -232,7 +212,7 @@
                 match action {
                     RoutingAction::Pick(request_id) => {
                         let (request_id, choice) =
-                            self.facade.pick(self.now, PickRequest::Waiting(request_id));
+                            self.facade.pick(self.clock.now(), PickRequest::Waiting(request_id));
                         self.apply_decision(request_id, choice);
                     }
                     RoutingAction::CancelAttempt(request_id) => self.cancel_attempt(request_id),
@@ -244,7 +224,7 @@
 
     /// Hands a new request to the routing module; `inserted` is called with its number before the decision is carried out.
     pub fn start_request(&mut self, request: Request, inserted: impl FnOnce(&mut EventLoop, usize)) {
-        let (request_id, choice) = self.facade.pick(self.now, PickRequest::New(request));
+        let (request_id, choice) = self.facade.pick(self.clock.now(), PickRequest::New(request));
         inserted(self, request_id);
         self.apply_decision(request_id, choice);
     }
@@ -260,13 +240,13 @@
 
     /// Reports an event to the routing module.
     pub fn report(&mut self, event: RoutingEvent) {
-        self.facade.report(self.now, event);
+        self.facade.report(self.clock.now(), event);
     }
 
     /// Has the discovery client do something, and carries out what it says.
     pub fn with_discovery(&mut self, step: impl FnOnce(&mut DiscoveryClient, &mut Context)) {
         let mut context = Context {
-            now: self.now,
+            now: self.clock.now(),
             handle: &self.handle,
             readiness: &mut self.readiness,
             timers: &mut self.timers,
@@ -300,10 +280,13 @@
 
     /// Has the control listener do something.
     pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
-        let report =
-            FleetReport { now: self.clock.now(), link: self.fleet_link.as_ref(), endpoints: &self.endpoints };
+        let report = FleetReport {
+            now: self.clock.read(),
+            link: self.fleet_link.as_ref(),
+            endpoints: &self.endpoints,
+        };
         let mut context = Context {
-            now: self.now,
+            now: self.clock.now(),
             handle: &self.handle,
             readiness: &mut self.readiness,
             timers: &mut self.timers,
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -27,7 +27,7 @@
         let Some(link) = &mut self.fleet_link else { return };
         match opened {
             Ok((socket, token)) => {
-                link.join(self.now, socket, token);
+                link.join(self.clock.now(), socket, token);
                 info!(self.log, "joined the fleet"; "listen" => %listen);
             }
             Err(fault) => {
@@ -35,7 +35,7 @@
                     warn!(self.log, "no part of the fleet's budgets: its address can't be had"; "listen" => %listen,
                         "fault" => %fault);
                 }
-                link.state = MembershipState::AddressTaken { retry_at: self.now + BIND_RETRY_DELAY };
+                link.state = MembershipState::AddressTaken { retry_at: self.clock.now() + BIND_RETRY_DELAY };
             }
         }
     }
@@ -51,7 +51,7 @@
             };
             match socket::receive_datagram(socket, &mut space) {
                 // Each by the clock as it is when it is read: what is granted counts from then.
-                Ok(Some(length)) => fleet.handle_datagram(self.clock.now(), &space[..length]),
+                Ok(Some(length)) => fleet.handle_datagram(self.clock.read(), &space[..length]),
                 Ok(None) => return self.flush_fleet(),
                 // An earlier datagram found nobody, or no way; the next may be in order.
                 Err(e) if is_of_one_datagram(e.kind()) => {}
@@ -70,7 +70,7 @@
 
     /// The fleet has something to do, or its address is tried again.
     pub fn on_fleet_timer(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         match self.fleet_link.as_mut().map(|link| &mut link.state) {
             Some(MembershipState::AddressTaken { retry_at }) if now >= *retry_at => self.join_fleet(),
             Some(MembershipState::Joined { fleet, .. }) => fleet.tick(now),
@@ -84,7 +84,7 @@
 
     /// Sends what is to be sent, says what changed, and sets the timer anew.
     pub fn flush_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         let Some(link) = &mut self.fleet_link else { return };
         let (datagrams, events) =
             link.fleet().map_or_else(Default::default, |fleet| (fleet.take_datagrams(), fleet.take_events()));
@@ -152,7 +152,7 @@
 
     /// Gives back all quota, and says so to the others.
     pub fn leave_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         if let Some(fleet) = self.fleet_link.as_mut().and_then(FleetLink::fleet) {
             FleetNode::leave(fleet, now);
         }
@@ -161,7 +161,7 @@
 
     /// Reads the fleet's file again.
     pub fn reload_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         let Some(link) = &mut self.fleet_link else { return };
         match link.reload(now) {
             Ok(changed) => info!(self.log, "the fleet's file read again"; "changed" => changed.join(", ")),
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -13,7 +13,7 @@
     /// Tells the routing module what this router may spend now, and the fleet what waits for more.
     pub fn update_fleet_quota(&mut self) {
         let Some(mut link) = self.fleet_link.take() else { return };
-        let now = self.clock.now();
+        let now = self.clock.read();
         link.quota.hosts.clear();
         for endpoint in 0..self.endpoints.all.len() {
             let units = self.attempt_units(&mut link, now, endpoint);
@@ -25,7 +25,7 @@
         link.quota.routers = link.fleet().map(present_members);
         let retries = link.budget_key(BudgetKind::Retries, "");
         link.quota.second_tries = retries.map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
-        self.facade.report(self.now, RoutingEvent::Quota(&link.quota));
+        self.facade.report(self.clock.now(), RoutingEvent::Quota(&link.quota));
         link.reset_timer(&mut self.timers);
         self.fleet_link = Some(link);
     }
@@ -48,7 +48,7 @@
     fn warming_tokens(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
         let name = &self.endpoints.all[endpoint].name;
         let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
-        if !self.facade.is_cold(self.now, endpoint) {
+        if !self.facade.is_cold(self.clock.now(), endpoint) {
             return None;
         }
         let Some(fleet) = link.fleet() else { return Some(0.0) };
@@ -62,7 +62,7 @@
 
     /// Whether the fleet's budgets let an attempt go out to that endpoint now, and counts it if they do.
     pub fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
-        let now = self.clock.now();
+        let now = self.clock.read();
         let is_retry = self.requests.get(request_id).is_some_and(|request| request.may_have_run);
         let Some(link) = &mut self.fleet_link else { return true };
         let name = &self.endpoints.all[endpoint].name;
@@ -70,20 +70,20 @@
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
-        let is_warming = self.facade.is_cold(self.now, endpoint);
+        let is_warming = self.facade.is_cold(self.clock.now(), endpoint);
         (!is_warming || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
             && link.acquire(now, BudgetKind::AttemptsPerEndpoint, name)
     }
 
     /// Whether the fleet's budget for that lets one more be begun now, and counts it if it does.
     pub fn acquire_quota(&mut self, of: BudgetKind) -> bool {
-        let now = self.clock.now();
+        let now = self.clock.read();
         self.fleet_link.as_mut().is_none_or(|link| link.acquire(now, of, ""))
     }
 
     /// An attempt that was counted is over; `is_over` if it is known to run no more.
     pub fn release_attempt_quota(&mut self, endpoint: usize, is_over: bool) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         if let Some(link) = &mut self.fleet_link {
             link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[endpoint].name, is_over);
         }
--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -28,7 +28,7 @@
         match (self, next) {
             (Vacant, Waiting) | (Waiting, Vacant | Executing(_)) => true,
             (Executing(_), Waiting | Vacant) | (Abandoned(_), Vacant) => true,
-            (Executing(line), Abandoned(same)) => line == same,
+            (Executing(connection), Abandoned(same)) => connection == same,
             _ => false,
         }
     }
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -47,7 +47,7 @@
 
     /// Tries to reload if that is due.
     pub fn poll_once(&mut self, event_loop: &mut EventLoop) {
-        let now = event_loop.now;
+        let now = event_loop.clock.now();
         let State::Requested { at, next_try_at } = self.state else { return };
         if now < next_try_at {
             return;
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -74,14 +74,14 @@
 
     fn wait_for_events(&mut self) -> Result<(), RunError> {
         let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
-        let wait = (next_at - self.event_loop.clock.now()).clamp(0.0, MAX_WAIT);
+        let wait = (next_at - self.event_loop.clock.read()).clamp(0.0, MAX_WAIT);
         let wait = Some(Duration::from_secs_f64(wait));
         self.events.dispatch(wait, &mut self.event_loop.readiness).map_err(RunError::EventLoop)
     }
 
     fn reload_if_asked(&mut self) {
         if mem::take(&mut self.event_loop.readiness.signals.reload) {
-            self.reload.request(self.event_loop.now);
+            self.reload.request(self.event_loop.clock.now());
             self.event_loop.reload_fleet();
         }
         self.reload.poll_once(&mut self.event_loop);
@@ -91,8 +91,8 @@
     fn advance_phase(&mut self) -> Result<(), RunError> {
         let event_loop = &mut self.event_loop;
         let observed = Observation {
-            now: event_loop.now,
-            started_at: event_loop.started_at,
+            now: event_loop.clock.now(),
+            started_at: event_loop.clock.started_at(),
             shutdown_requested: event_loop.readiness.signals.shutdown,
             knows_endpoints: !event_loop.endpoints.all.is_empty(),
             has_no_clients: event_loop.is_empty(),
