--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -99,6 +99,7 @@
         Ok(bound_to)
     }
 
+    /// The listener became ready.
     pub fn on_listener_ready(&mut self) {
         if self.accept_clients(MAX_ACCEPTS_PER_WAKE) {
             self.wake(Source::Listener);
@@ -151,7 +152,7 @@
 
     /// Has accepting tried again after a delay; false, as nobody else is accepted before.
     fn accept_later(&mut self) -> bool {
-        self.listener.retry_at(self.now + ACCEPT_RETRY_DELAY, &mut self.timers);
+        self.listener.retry_at(self.clock.now() + ACCEPT_RETRY_DELAY, &mut self.timers);
         false
     }
 
@@ -161,7 +162,7 @@
             return Ok(Some(waiting));
         }
         let accepted = socket::accept(listener)?;
-        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.now }))
+        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.clock.now() }))
     }
 
     /// Takes a client on. One for whom there is no room is let in all the same, to be told so once its statement is read: an
@@ -171,7 +172,7 @@
         let id = self.clients.next_id();
         let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
         match self.register_shared(&next.socket, Source::Client(id)) {
-            Err(fault) if self.now < deadline => {
+            Err(fault) if self.clock.now() < deadline => {
                 warn!(self.log, "client not watched yet"; "fault" => %fault);
                 self.listener.keep_unwatched(next);
                 return false;
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -23,7 +23,7 @@
     /// Ends a connection on which nothing is in hand and all is written.
     pub(crate) fn begin_close(&mut self, id: usize) {
         self.set_client_phase(id, ConnectionPhase::Lingering);
-        self.set_client_timer(id, self.now + LINGER_TIMEOUT);
+        self.set_client_timer(id, self.clock.now() + LINGER_TIMEOUT);
         let client = &mut self.clients[id];
         client.discard_input();
         // It fails where the client has reset the connection, which is seen next.
@@ -32,7 +32,7 @@
         self.finish_close(id);
     }
 
-    /// A client that was dismissed is heard no more; only its last answer has to go out.
+    /// A client that was rejected is read no more; only its last answer has to go out.
     pub(crate) fn flush_rejected(&mut self, id: usize) {
         let client = &mut self.clients[id];
         match client.outbox.flush(&client.socket) {
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Closes the connections that idle.
     pub fn close_idle_clients(&mut self) {
         let all: Vec<usize> = self.clients.iter().map(|(id, _)| id).collect();
         // Each gets a last look, as what has come by now counts as taken.
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -11,16 +11,17 @@
 /// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// For clients and lines together.
+    /// For client and backend connections together.
     pub total: usize,
+    /// For clients.
     pub clients: usize,
-    /// With more than this of those that have asked, the longest idle ones are closed as others come.
+    /// With more than this of those that have queried, the longest idle ones are closed as others come.
     pub established_clients: usize,
-    /// Beside all these, for clients that are let in to be told that there is no room.
+    /// Beside all these, for clients that are accepted to be told that there is no room.
     pub rejected_clients: usize,
     /// For statements of clients, whole or not.
     pub statement_bytes: usize,
-    /// For what is known of the shapes of statements.
+    /// For the cache of fingerprints.
     pub fingerprint_bytes: usize,
 }
 
@@ -43,7 +44,7 @@
     pub(crate) fn make_room_for_client(&mut self) -> bool {
         // Those that are being closed hold spare descriptors, and give them up first.
         let open = self.clients.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering).count();
-        // Who has said nothing yet goes first: a crowd of those must not cost the others their connections.
+        // Who has said nothing yet goes first: many of those must not cost the others their connections.
         (open < self.limits.clients || self.close_idle_client(false) || self.close_idle_client(true))
             && (self.clients.len() + self.backends.len() < self.limits.total
                 || self.close_one_lingering()
@@ -53,7 +54,7 @@
     /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
     pub(crate) fn close_idle_client(&mut self, asked: bool) -> bool {
         // One that is new has its first statement on the way.
-        let new_since = self.now - TIMING_MARGIN;
+        let new_since = self.clock.now() - TIMING_MARGIN;
         let idle = |c: &ClientConnection| {
             matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
                 && c.has_queried == asked
@@ -87,7 +88,8 @@
         oldest.sort_by(|a, b| a.1.phase_since.total_cmp(&b.1.phase_since));
         oldest.truncate(MAX_LINGERING_CANDIDATES);
         let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
-        let first = oldest.first().filter(|(_, client)| client.phase_since < self.now - TIMING_MARGIN);
+        let first =
+            oldest.first().filter(|(_, client)| client.phase_since < self.clock.now() - TIMING_MARGIN);
         let chosen = clean.or(first).map(|(id, _)| *id);
         chosen.into_iter().for_each(|id| self.close_client(id));
         chosen.is_some()
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -27,6 +27,7 @@
 const MAX_READ_AHEAD_BYTES: usize = MAX_PIPELINED * frame::MAX_MESSAGE_BYTES;
 
 impl EventLoop {
+    /// A connection became ready: writes what is left to write, and reads.
     pub fn on_client_ready(&mut self, id: usize) {
         let memory_is_plentiful = self.clients.stored_statement_bytes() < self.limits.statement_bytes / 2;
         let Some(client) = self.clients.get_mut(id) else { return };
@@ -35,7 +36,7 @@
             ConnectionPhase::Lingering => return self.finish_close(id),
             _ => {}
         }
-        client.last_read_at = self.now;
+        client.last_read_at = self.clock.now();
         let busy = matches!(client.phase, ConnectionPhase::Busy(_));
         // One message ahead of the one in hand at least.
         let most = if busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
@@ -73,10 +74,10 @@
             return;
         }
         if client.may_have_unread && client.outbox.is_empty() {
-            return self.set_client_timer(id, self.now + TIMING_MARGIN);
+            return self.set_client_timer(id, self.clock.now() + TIMING_MARGIN);
         }
         let due_at = self.client_deadline(client);
-        if due_at > self.now {
+        if due_at > self.clock.now() {
             if due_at.is_finite() {
                 self.set_client_timer(id, due_at);
             }
@@ -106,11 +107,11 @@
         loop {
             self.count_stored_bytes(id);
             let Some(client) = self.clients.get_mut(id) else { return };
-            client.match_arrivals(self.arrivals_since);
+            client.match_arrivals(self.clock.arrivals_since());
             if !client.outbox.is_empty() {
                 return;
             }
-            let arrived_at = client.arrived(0, self.arrivals_since);
+            let arrived_at = client.arrived(0, self.clock.arrivals_since());
             let step = match client.phase {
                 ConnectionPhase::Busy(_) => return,
                 ConnectionPhase::Terminated | ConnectionPhase::Rejected => return self.begin_close(id),
@@ -119,11 +120,11 @@
                     frame::take_startup(&mut client.inbox).map(|s| s.map(|s| self.on_startup(id, s)))
                 }
                 ConnectionPhase::Idle => frame::take_message(&mut client.inbox)
-                    .map(|m| m.map(|m| self.on_query(id, m, arrived_at))),
+                    .map(|m| m.map(|m| self.on_query(id, &m, arrived_at))),
             };
             match step {
                 Ok(Some(())) => {}
-                // A long statement that there is no room for is turned away before it is whole.
+                // A long statement that there is no room for is rejected before it is whole.
                 Ok(None)
                     if self.clients.stored_statement_bytes() > self.limits.statement_bytes
                         && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
@@ -132,12 +133,12 @@
                     self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
                 }
                 Ok(None) => return self.await_more_input(id),
-                Err(nonsense) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, nonsense),
+                Err(reason) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason),
             }
         }
     }
 
-    /// All that arrived_at whole is answered by now; a part of a message may be left, whose rest is waited for.
+    /// All that came whole is answered by now; a part of a message may be left, whose rest is waited for.
     fn await_more_input(&mut self, id: usize) {
         let client = &self.clients[id];
         if client.may_have_unread {
@@ -158,15 +159,15 @@
                 self.send_to_client(id, [frame::AUTHENTICATION_OK.clone()]);
             }
             Startup::Encryption => self.send_to_client(id, [frame::ENCRYPTION_REFUSED.clone()]),
-            // Cancelling is not offered; the protocol has this end without a info.
+            // Cancelling is not offered; the protocol has this end without a message.
             Startup::Cancel => self.set_client_phase(id, ConnectionPhase::Terminated),
             Startup::OtherVersion => {
-                self.reject_protocol_violation(id, ErrorCode::NotSupported, "only version 3 is spoken here")
+                self.reject_protocol_violation(id, ErrorCode::NotSupported, "only version 3 is spoken here");
             }
         }
     }
 
-    fn on_query(&mut self, id: usize, message: frame::Message, arrived_at: f64) {
+    fn on_query(&mut self, id: usize, message: &frame::Message, arrived_at: f64) {
         match message.tag() {
             b'Q' => match message.query() {
                 Some(text) if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') => {
@@ -192,15 +193,15 @@
         }
     }
 
-    /// Every change of a client connection's session.
+    /// Every change of a client connection's phase.
     pub(crate) fn set_client_phase(&mut self, id: usize, next: ConnectionPhase) {
         let client = &mut self.clients[id];
         self.counters
             .check_invariant(client.phase.may_become(next), "a client connection goes its ways only");
         client.phase = next;
-        client.phase_since = self.now;
+        client.phase_since = self.clock.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
-            client.timer = Some(self.timers.set(self.now + IDLE_TIMEOUT, Timer::Client(id)));
+            client.timer = Some(self.timers.set(self.clock.now() + IDLE_TIMEOUT, Timer::Client(id)));
         }
     }
 
@@ -218,7 +219,7 @@
                 client.connected_at + INCOMPLETE_INPUT_TIMEOUT
             }
             ConnectionPhase::Idle if halfway => {
-                let due_at = client.arrived(0, self.now) + INCOMPLETE_INPUT_TIMEOUT;
+                let due_at = client.arrived(0, self.clock.now()) + INCOMPLETE_INPUT_TIMEOUT;
                 due_at.max(client.phase_since + REMAINDER_TIMEOUT).min(self.answers_by)
             }
             ConnectionPhase::Idle if !client.outbox.is_empty() => {
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! Where the wire, the memory and the module meet: what became ready is read, told to the facade, and what the
-//! facade says is carried out. Nothing here decides.
+//! The event loop: hands what became ready and which timers expired to the part that owns it, and carries out what the
+//! routing module decides. Nothing here decides.
 
 use std::io;
 use std::rc::Rc;
@@ -18,13 +18,14 @@
 use crate::client::accept::ClientListener;
 use crate::client::limits::ConnectionLimits;
 use crate::client::table::ClientTable;
-use crate::clock::Clock;
+use crate::clock::LoopClock;
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
 use crate::counters::Counters;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
+use crate::fleet_link::error::FleetLinkError;
 use crate::fleet_link::link::FleetLink;
 use crate::in_flight::InFlightRequests;
 use crate::reactor::{self, Context, ReactorHandle, Readiness, Source};
@@ -34,9 +35,7 @@
 /// connection comes up is no measure for it: a customer's settings may give that any length.
 pub const TIMING_MARGIN: f64 = 0.25;
 
-/// Sockets that are found ready within so many seconds after a turn may have been ready during it.
-const NO_WAIT: f64 = 0.001;
-
+/// The parts of a router, and what they share. Times are Unix seconds.
 pub struct EventLoop {
     pub(crate) facade: Facade,
     pub(crate) requests: InFlightRequests,
@@ -45,39 +44,33 @@
     pub(crate) backends: BackendTable,
     discovery: DiscoveryClient,
     pub(crate) timers: Timers,
-    /// The tie to the other routers; none where there is no talk.
+    /// The link to the other routers; none without a fleet.
     pub(crate) fleet_link: Option<FleetLink>,
     control: ControlServer,
     pub(crate) counters: Counters,
     /// What is known of the shapes of statements; keeps to its own budget of bytes.
     pub(crate) fingerprints: FingerprintCache,
-    /// When a line last said why a statement was taken for one that may write.
+    /// When the log last said why a statement was taken for one that may write.
     pub(crate) write_classification_logged_at: f64,
     pub(crate) catalog: Catalog,
     pub(crate) timeouts: BackendTimeouts,
     pub(crate) limits: ConnectionLimits,
     pub(crate) log: Logger,
     pub(crate) handle: ReactorHandle,
-    pub(crate) clock: Clock,
-    /// When the sockets were last found ready.
-    pub(crate) now: f64,
-    /// What is read in this turn has come since then: the turn before, if sockets were found ready without waiting after it, as
-    /// bytes then may have lain there while that turn was held up.
-    pub(crate) arrivals_since: f64,
-    iteration_ended_at: f64,
-    pub(crate) started_at: f64,
-    /// When a client may come again that finds no list of hosts here; 0 where no time may be named.
+    pub(crate) clock: LoopClock,
+    /// When a client may come again that finds no endpoint list here; 0 where no time may be named.
     pub(crate) max_retry_after: f64,
     pub(crate) listener: ClientListener,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
     pub(crate) is_draining: bool,
-    /// What is taken in is answered by then; never, unless the router has been told to stop.
+    /// What is accepted is answered by then; infinite, unless the router has been told to stop.
     pub(crate) answers_by: f64,
     /// What the event loop notes while it waits.
     pub(crate) readiness: Readiness,
 }
 
 impl EventLoop {
+    /// Nothing is connected yet, and no endpoint is known.
     pub fn new(
         terms: RoutingConfig,
         catalog: Catalog,
@@ -87,7 +80,7 @@
         log: Logger,
         handle: ReactorHandle,
     ) -> EventLoop {
-        let clock = Clock::default();
+        let clock = LoopClock::default();
         let now = clock.now();
         let max_retry_after = terms.max_retry_after;
         let typical_work = terms.workloads.iter().map(Router::typical).collect();
@@ -112,10 +105,6 @@
             log,
             handle,
             clock,
-            now,
-            arrivals_since: now,
-            iteration_ended_at: now,
-            started_at: now,
             max_retry_after,
             listener: ClientListener::default(),
             is_draining: false,
@@ -150,71 +139,72 @@
         reactor::register_shared(&self.handle, socket, source)
     }
 
-    /// Sees to that source in the next turn.
+    /// Has that source handled in the next iteration.
     pub fn wake(&mut self, source: Source) {
         self.readiness.wake(source);
     }
 
-    /// When the next turn is due though no socket becomes ready.
+    /// When the next iteration is due though no socket becomes ready.
     pub fn next_at(&self) -> f64 {
-        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now };
+        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.clock.now() };
         self.timers.next_at().unwrap_or(f64::INFINITY).min(self.facade.wake_at()).min(next)
     }
 
+    /// One iteration: handles what became ready, then the timers that have expired.
     pub fn poll_once(&mut self) {
-        self.begin_iteration(self.clock.now());
+        self.clock.begin_iteration();
         self.update_fleet_quota();
         for source in self.readiness.take() {
-            match source {
-                Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
-                Source::Fleet => {
-                    self.on_fleet_ready();
-                    self.update_fleet_quota();
-                }
-                Source::Control => self.with_control(ControlServer::on_ready),
-                Source::ControlClient(id) => {
-                    self.with_control(|control, report, context| {
-                        control.on_client_ready(id, report, context)
-                    });
-                }
-                Source::Backend(id) => self.on_backend_ready(id),
-                Source::Client(id) => self.on_client_ready(id),
-                Source::Listener => self.on_listener_ready(),
-            }
+            self.on_ready(source);
             self.run_routing_actions();
         }
-        while let Some(timer) = self.timers.expired(self.now) {
-            match timer {
-                Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
-                Timer::Fleet => self.on_fleet_timer(),
-                Timer::ControlClient(id) => {
-                    self.with_control(|control, _, context| control.close_client(id, context));
-                }
-                Timer::Control => self.wake(Source::Control),
-                Timer::Listener => {
-                    self.listener.on_retry_timer();
-                    self.wake(Source::Listener);
-                }
-                Timer::Backend(id) => self.on_backend_timer(id),
-                Timer::Client(id) => self.on_client_timer(id),
-            }
+        while let Some(timer) = self.timers.expired(self.clock.now()) {
+            self.on_timer(timer);
             self.run_routing_actions();
         }
         self.run_routing_actions();
         self.flush_fleet();
-        self.iteration_ended_at = self.clock.now();
+        self.clock.end_iteration();
+    }
+
+    fn on_ready(&mut self, source: Source) {
+        match source {
+            Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
+            Source::Fleet => {
+                self.on_fleet_ready();
+                self.update_fleet_quota();
+            }
+            Source::Control => self.with_control(ControlServer::on_ready),
+            Source::ControlClient(id) => {
+                self.with_control(|control, report, context| control.on_client_ready(id, report, context));
+            }
+            Source::Backend(id) => self.on_backend_ready(id),
+            Source::Client(id) => self.on_client_ready(id),
+            Source::Listener => self.on_listener_ready(),
+        }
     }
 
-    fn begin_iteration(&mut self, time: f64) {
-        let waited = time - self.iteration_ended_at;
-        self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
-        self.now = time;
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
+            Timer::Fleet => self.on_fleet_timer(),
+            Timer::ControlClient(id) => {
+                self.with_control(|control, _, context| control.close_client(id, context));
+            }
+            Timer::Control => self.wake(Source::Control),
+            Timer::Listener => {
+                self.listener.on_retry_timer();
+                self.wake(Source::Listener);
+            }
+            Timer::Backend(id) => self.on_backend_timer(id),
+            Timer::Client(id) => self.on_client_timer(id),
+        }
     }
 
-    /// Does what the facade names, until it names nothing more.
+    /// Does what the routing module asks for, until it asks for nothing more.
     pub fn run_routing_actions(&mut self) {
         loop {
-            let actions = self.facade.tick(self.now);
+            let actions = self.facade.tick(self.clock.now());
             if actions.is_empty() {
                 return;
             }
@@ -222,7 +212,7 @@
                 match action {
                     RoutingAction::Pick(request_id) => {
                         let (request_id, choice) =
-                            self.facade.pick(self.now, PickRequest::Waiting(request_id));
+                            self.facade.pick(self.clock.now(), PickRequest::Waiting(request_id));
                         self.apply_decision(request_id, choice);
                     }
                     RoutingAction::CancelAttempt(request_id) => self.cancel_attempt(request_id),
@@ -232,9 +222,9 @@
         }
     }
 
-    /// Opens a statement at the facade; `inserted` is told the number that it got.
+    /// Hands a new request to the routing module; `inserted` is called with its number before the decision is carried out.
     pub fn start_request(&mut self, request: Request, inserted: impl FnOnce(&mut EventLoop, usize)) {
-        let (request_id, choice) = self.facade.pick(self.now, PickRequest::New(request));
+        let (request_id, choice) = self.facade.pick(self.clock.now(), PickRequest::New(request));
         inserted(self, request_id);
         self.apply_decision(request_id, choice);
     }
@@ -248,14 +238,15 @@
         }
     }
 
+    /// Reports an event to the routing module.
     pub fn report(&mut self, event: RoutingEvent) {
-        self.facade.report(self.now, event);
+        self.facade.report(self.clock.now(), event);
     }
 
     /// Has the discovery client do something, and carries out what it says.
     pub fn with_discovery(&mut self, step: impl FnOnce(&mut DiscoveryClient, &mut Context)) {
         let mut context = Context {
-            now: self.now,
+            now: self.clock.now(),
             handle: &self.handle,
             readiness: &mut self.readiness,
             timers: &mut self.timers,
@@ -271,7 +262,7 @@
         }
     }
 
-    /// Takes over an endpoint list: tells the module what has changed, and takes back what may no longer go out.
+    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
         self.counters.endpoint_lists += 1;
         let change = self.endpoints.apply(list);
@@ -289,10 +280,13 @@
 
     /// Has the control listener do something.
     pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
-        let report =
-            FleetReport { now: self.clock.now(), link: self.fleet_link.as_ref(), endpoints: &self.endpoints };
+        let report = FleetReport {
+            now: self.clock.read(),
+            link: self.fleet_link.as_ref(),
+            endpoints: &self.endpoints,
+        };
         let mut context = Context {
-            now: self.now,
+            now: self.clock.now(),
             handle: &self.handle,
             readiness: &mut self.readiness,
             timers: &mut self.timers,
@@ -302,21 +296,24 @@
         step(&mut self.control, &report, &mut context);
     }
 
-    /// Answers operators where the fleet's configuration says so; the error is one line for the operator.
-    pub fn open_control(&mut self) -> Result<(), String> {
+    /// Answers operators where the fleet's configuration says so.
+    ///
+    /// # Errors
+    /// If the address can't be had.
+    pub fn open_control(&mut self) -> Result<(), FleetLinkError> {
         let Some(address) = self.fleet_link.as_ref().and_then(|link| link.file.control) else {
             return Ok(());
         };
         let mut opened = Ok(());
         self.with_control(|control, _, context| opened = control.open(address, context));
-        opened.map_err(|e| format!("control: listen on {address}: {e}"))?;
+        opened.map_err(|source| FleetLinkError::ControlListener { address, source })?;
         info!(self.log, "control listener open"; "control" => %address);
         Ok(())
     }
 
-    /// Takes in who is at the door, closes it, and from now on ends client connections once they idle.
+    /// Accepts who waits in the accept backlog, closes the listener, and from now on closes client connections once they idle.
     pub fn drain(&mut self) {
-        // Whom the machine has let in may have sent a statement, which then counts as taken.
+        // Whose connection the system has accepted may have sent a statement, which then counts as accepted.
         self.accept_clients(usize::MAX);
         self.is_draining = true;
         self.close_listener_if_drained();
@@ -324,12 +321,12 @@
         self.run_routing_actions();
     }
 
-    /// Nobody is in hand or at the door.
+    /// No client is connected, and none can connect.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty() && !self.listener.is_open()
     }
 
-    /// Everything that must hold, wherever it is counted.
+    /// Invariants that did not hold, wherever they are counted.
     pub fn invariant_violations(&self) -> u64 {
         self.counters.invariant_violations + self.facade.breaches()
     }
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -1,5 +1,4 @@
-//! The other members of the fleet: datagrams out and in, and what the module hears of the budgets. What may be spent is
-//! said by `ottersill-fleet`; nothing here decides.
+//! The other members of the fleet: datagrams out and in, and log lines about them. `ottersill-fleet` decides.
 
 use std::io::ErrorKind;
 
@@ -9,12 +8,12 @@
 use socket2::SockAddr;
 
 use crate::event_loop::EventLoop;
+use crate::fleet_link::error::FleetLinkError;
 use crate::fleet_link::link::{FleetLink, MembershipState};
 use crate::protocol::socket;
 use crate::reactor::Source;
-use crate::timers::Timer;
 
-/// Datagrams read in one turn, so that a flood of them holds up no statement.
+/// Datagrams read in one iteration, so that a flood of them holds up no statement.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 /// Between two tries to have the member's address; seconds.
 const BIND_RETRY_DELAY: f64 = 0.5;
@@ -28,7 +27,7 @@
         let Some(link) = &mut self.fleet_link else { return };
         match opened {
             Ok((socket, token)) => {
-                link.join(self.now, socket, token);
+                link.join(self.clock.now(), socket, token);
                 info!(self.log, "joined the fleet"; "listen" => %listen);
             }
             Err(fault) => {
@@ -36,11 +35,12 @@
                     warn!(self.log, "no part of the fleet's budgets: its address can't be had"; "listen" => %listen,
                         "fault" => %fault);
                 }
-                link.state = MembershipState::AddressTaken { retry_at: self.now + BIND_RETRY_DELAY };
+                link.state = MembershipState::AddressTaken { retry_at: self.clock.now() + BIND_RETRY_DELAY };
             }
         }
     }
 
+    /// The socket for datagrams became ready.
     pub fn on_fleet_ready(&mut self) {
         let mut space = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_WAKE {
@@ -51,14 +51,14 @@
             };
             match socket::receive_datagram(socket, &mut space) {
                 // Each by the clock as it is when it is read: what is granted counts from then.
-                Ok(Some(length)) => fleet.handle_datagram(self.clock.now(), &space[..length]),
+                Ok(Some(length)) => fleet.handle_datagram(self.clock.read(), &space[..length]),
                 Ok(None) => return self.flush_fleet(),
                 // An earlier datagram found nobody, or no way; the next may be in order.
                 Err(e) if is_of_one_datagram(e.kind()) => {}
                 Err(e) => {
                     warn!(self.log, "fleet datagrams"; "fault" => %e);
                     if let Some(link) = &mut self.fleet_link {
-                        link.read_again = true;
+                        link.read_again_later();
                     }
                     return self.flush_fleet();
                 }
@@ -68,22 +68,23 @@
         self.wake(Source::Fleet);
     }
 
+    /// The fleet has something to do, or its address is tried again.
     pub fn on_fleet_timer(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         match self.fleet_link.as_mut().map(|link| &mut link.state) {
             Some(MembershipState::AddressTaken { retry_at }) if now >= *retry_at => self.join_fleet(),
             Some(MembershipState::Joined { fleet, .. }) => fleet.tick(now),
             _ => {}
         }
-        if self.fleet_link.as_mut().is_some_and(|link| std::mem::take(&mut link.read_again)) {
+        if self.fleet_link.as_mut().is_some_and(FleetLink::take_read_again) {
             self.wake(Source::Fleet);
         }
         self.flush_fleet();
     }
 
-    /// Sends what is to be sent, says what changed, and sets the alarm anew.
+    /// Sends what is to be sent, says what changed, and sets the timer anew.
     pub fn flush_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         let Some(link) = &mut self.fleet_link else { return };
         let (datagrams, events) =
             link.fleet().map_or_else(Default::default, |fleet| (fleet.take_datagrams(), fleet.take_events()));
@@ -97,11 +98,7 @@
                 let _ = socket.send_to(&datagram.bytes, &SockAddr::from(at));
             }
         }
-        self.timers.clear(link.timer.take());
-        let next = link.next_at();
-        if next.is_finite() {
-            link.timer = Some(self.timers.set(next, Timer::Fleet));
-        }
+        link.reset_timer(&mut self.timers);
         for event in events {
             self.log_fleet_event(event);
         }
@@ -138,12 +135,13 @@
         }
     }
 
+    /// The name of a budget, or its identifier where the file names none.
     pub fn budget_name(&self, id: u64) -> String {
         let budget = self.fleet_link.as_ref().and_then(|link| link.file.fleet.budget(id));
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
-    /// The host that a label stands for, as far as it is known here.
+    /// The endpoint that a label stands for, as far as it is known here.
     pub fn subject_name(&self, label: u64) -> String {
         if label == 0 {
             return String::new();
@@ -152,22 +150,24 @@
         host.map_or_else(|| format!("{label:x}"), |host| host.name.clone())
     }
 
+    /// Gives back all quota, and says so to the others.
     pub fn leave_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         if let Some(fleet) = self.fleet_link.as_mut().and_then(FleetLink::fleet) {
             FleetNode::leave(fleet, now);
         }
         self.flush_fleet();
     }
 
+    /// Reads the fleet's file again.
     pub fn reload_fleet(&mut self) {
-        let now = self.clock.now();
+        let now = self.clock.read();
         let Some(link) = &mut self.fleet_link else { return };
         match link.reload(now) {
             Ok(changed) => info!(self.log, "the fleet's file read again"; "changed" => changed.join(", ")),
             Err(fault) => {
                 self.counters.reloads_failed += 1;
-                warn!(self.log, "the fleet's file not taken, all goes on as it was"; "fault" => fault);
+                warn!(self.log, "the fleet's file not taken, all goes on as it was"; "fault" => %fault);
             }
         }
         self.flush_fleet();
@@ -180,8 +180,11 @@
     matches!(kind, ConnectionRefused | HostUnreachable | Interrupted | NetworkUnreachable)
 }
 
-/// Joins the fleet, and answers operators about it; the error is one line for the operator.
-pub fn begin(event_loop: &mut EventLoop, link: FleetLink) -> Result<(), String> {
+/// Joins the fleet, and answers operators about it.
+///
+/// # Errors
+/// If the address for operators can't be had.
+pub fn begin(event_loop: &mut EventLoop, link: FleetLink) -> Result<(), FleetLinkError> {
     event_loop.fleet_link = Some(link);
     event_loop.open_control()?;
     event_loop.join_fleet();
--- a/crates/ottersill/src/fleet_link/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -16,42 +16,52 @@
 use socket2::Socket;
 
 use crate::fleet_link::audit_file::AuditFile;
-use crate::timers::TimerHandle;
+use crate::fleet_link::error::{FleetLinkError, MIN_KEY_BYTES};
+use crate::timers::{Timer, TimerHandle, Timers};
 
 /// Where the link stands.
 pub enum MembershipState {
     /// Another process holds the member's address: whoever has it is the member. Tried again at `retry_at`; until then
     /// this router has no part of any budget.
     AddressTaken {
+        /// When binding it is tried again, in Unix seconds.
         retry_at: f64,
     },
+    /// This process is the member.
     Joined {
+        /// Its part in the protocol of the fleet.
         fleet: Box<FleetNode>,
+        /// For datagrams.
         socket: Rc<Socket>,
+        /// Of its registration at the event loop.
         token: RegistrationToken,
     },
     /// Everything was given back.
     Left,
 }
 
+/// The link to the other routers.
 pub struct FleetLink {
     path: String,
     name: String,
     longest_statement_timeout: f64,
+    /// The configuration in force.
     pub file: FleetFile,
     secret: Vec<u8>,
     seed: u64,
+    /// Whether this process is the member.
     pub state: MembershipState,
     /// What is written for whoever adds up; each line is written before what it tells of is done.
     audit: Option<AuditFile>,
     /// Lines of it that could not be written.
     pub unwritten: u64,
-    pub timer: Option<TimerHandle>,
+    timer: Option<TimerHandle>,
     /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
     /// come already.
-    pub read_again: bool,
+    read_again: bool,
+    /// What the routing module was last told.
     pub quota: FleetQuota,
-    /// Spent and turned away, by what for.
+    /// Acquisitions that were refused.
     pub refused: u64,
 }
 
@@ -74,21 +84,23 @@
 }
 
 impl FleetLink {
-    /// Reads the file at `path`; the error is one line for the operator.
+    /// Reads the file at `path`.
+    ///
+    /// # Errors
+    /// If the file, its key file or its audit file can't be used.
     pub fn open(
         path: &str,
         name: &str,
         longest_statement_timeout: f64,
         seed: u64,
-    ) -> Result<FleetLink, String> {
+    ) -> Result<FleetLink, FleetLinkError> {
         let file = read(path, name, longest_statement_timeout)?;
         let secret = secret(&file.key_file)?;
         let audit = match &file.audit_file {
             None => None,
-            Some(file) => {
-                let opened = AuditFile::open(file);
-                Some(opened.map_err(|e| format!("{path}: audit_file: {file}: {e}"))?)
-            }
+            Some(audit_file) => Some(AuditFile::open(audit_file).map_err(|source| {
+                FleetLinkError::AuditFile { path: path.to_string(), audit_file: audit_file.clone(), source }
+            })?),
         };
         Ok(FleetLink {
             path: path.to_string(),
@@ -124,6 +136,7 @@
         self.state = MembershipState::Joined { fleet, socket, token };
     }
 
+    /// The member, once it has joined.
     pub fn fleet(&mut self) -> Option<&mut FleetNode> {
         match &mut self.state {
             MembershipState::Joined { fleet, .. } => Some(fleet),
@@ -131,7 +144,7 @@
         }
     }
 
-    /// The budget for that, if there is one, and its subject: a host's name, or nothing.
+    /// The budget for that, if there is one, and its subject: an endpoint's name, or nothing.
     pub fn budget_key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
         let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
         let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
@@ -205,14 +218,17 @@
         self.unwritten += u64::from(!wrote);
     }
 
-    /// Reads the file again. Wholes are taken over; the error says what is wrong with it, or needs a restart.
-    pub fn reload(&mut self, now: f64) -> Result<Vec<String>, String> {
+    /// Reads the file again, and takes over the totals of budgets; gives which have changed.
+    ///
+    /// # Errors
+    /// If the file is wrong, or something has changed in it that needs a restart; nothing is taken over then.
+    pub fn reload(&mut self, now: f64) -> Result<Vec<String>, FleetLinkError> {
         let new = read(&self.path, &self.name, self.longest_statement_timeout)?;
         if let Some(field) = self.file.restart_required(&new) {
-            return Err(format!(
-                "{}: {field}: differs, and is alike at all members as long as any runs",
-                self.path
-            ));
+            return Err(FleetLinkError::RestartRequired {
+                path: self.path.clone(),
+                field: field.to_string(),
+            });
         }
         let (old, new) = (&self.file.fleet.budgets, new.fleet.budgets);
         let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
@@ -226,10 +242,31 @@
         Ok(told)
     }
 
+    /// Where the member of that name is reached.
     pub fn address(&self, to: &str) -> Option<SocketAddr> {
         self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
     }
 
+    /// Sets the timer for what the fleet has to do next.
+    pub fn reset_timer(&mut self, timers: &mut Timers) {
+        timers.clear(self.timer.take());
+        let next = self.next_at();
+        if next.is_finite() {
+            self.timer = Some(timers.set(next, Timer::Fleet));
+        }
+    }
+
+    /// Has the socket read again with the next timer.
+    pub fn read_again_later(&mut self) {
+        self.read_again = true;
+    }
+
+    /// Whether the socket is to be read again; asked once.
+    pub fn take_read_again(&mut self) -> bool {
+        std::mem::take(&mut self.read_again)
+    }
+
+    /// When the fleet has something to do, in Unix seconds; infinite if never.
     pub fn next_at(&self) -> f64 {
         match &self.state {
             MembershipState::AddressTaken { retry_at } => *retry_at,
@@ -239,25 +276,23 @@
     }
 }
 
-fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
+fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, FleetLinkError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| FleetLinkError::Unreadable { path: path.to_string(), source })?;
     FleetFile::from_textproto(&text, name, longest_statement_timeout)
-        .map_err(|fault| format!("{path}: {fault}"))
+        .map_err(|source| FleetLinkError::Invalid { path: path.to_string(), source })
 }
 
 /// Who has read the key is a member, so a file that others may read is refused.
-fn secret(path: &str) -> Result<Vec<u8>, String> {
-    let told = |e: std::io::Error| format!("key_file: {path}: {e}");
-    let mode = std::fs::metadata(path).map_err(told)?.permissions().mode();
+fn secret(path: &str) -> Result<Vec<u8>, FleetLinkError> {
+    let unreadable = |source| FleetLinkError::KeyFile { path: path.to_string(), source };
+    let mode = std::fs::metadata(path).map_err(unreadable)?.permissions().mode() & 0o777;
     if mode & 0o077 != 0 {
-        return Err(format!(
-            "key_file: {path}: others than its owner may use it ({:o}); chmod 600",
-            mode & 0o777
-        ));
+        return Err(FleetLinkError::KeyFileNotPrivate { path: path.to_string(), mode });
     }
-    let secret = std::fs::read(path).map_err(told)?;
-    if secret.len() < 16 {
-        return Err(format!("key_file: {path}: expected 16 bytes at least, found {}", secret.len()));
+    let secret = std::fs::read(path).map_err(unreadable)?;
+    if secret.len() < MIN_KEY_BYTES {
+        return Err(FleetLinkError::KeyTooShort { path: path.to_string(), found: secret.len() });
     }
     Ok(secret)
 }
