--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -196,8 +196,10 @@
     /// Every change of a client connection's phase.
     pub(crate) fn set_client_phase(&mut self, id: usize, next: ConnectionPhase) {
         let client = &mut self.clients[id];
-        self.counters
-            .check_invariant(client.phase.may_become(next), "a client connection goes its ways only");
+        self.counters.check_invariant(
+            client.phase.may_become(next),
+            "a client connection changes its phase as allowed",
+        );
         client.phase = next;
         client.phase_since = self.clock.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// When this client connection has had its time; never while a statement is in hand.
+    /// When the time of this client connection is over; never while a request is in flight.
     pub(crate) fn client_deadline(&self, client: &ClientConnection) -> f64 {
         let halfway = !client.inbox.is_empty();
         match client.phase {
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -37,29 +37,45 @@
 
 /// The parts of a router, and what they share. Times are Unix seconds.
 pub struct EventLoop {
+    /// The routing module, which alone decides.
     pub(crate) facade: Facade,
+    /// The requests in flight.
     pub(crate) requests: InFlightRequests,
+    /// The endpoints that discovery has named.
     pub(crate) endpoints: EndpointRegistry,
+    /// Client connections.
     pub(crate) clients: ClientTable,
+    /// Backend connections.
     pub(crate) backends: BackendTable,
+    /// Keeps the watch on discovery.
     discovery: DiscoveryClient,
+    /// All timers that are set.
     pub(crate) timers: Timers,
     /// The link to the other routers; none without a fleet.
     pub(crate) fleet_link: Option<FleetLink>,
+    /// Answers operators.
     control: ControlServer,
+    /// What operators read.
     pub(crate) counters: Counters,
-    /// What is known of the shapes of statements; keeps to its own budget of bytes.
+    /// What is known of statements by their fingerprint; keeps to its own budget of bytes.
     pub(crate) fingerprints: FingerprintCache,
     /// When the log last said why a statement was taken for one that may write.
     pub(crate) write_classification_logged_at: f64,
+    /// Names and terms of the workloads.
     pub(crate) catalog: Catalog,
+    /// Time limits of backend connections.
     pub(crate) timeouts: BackendTimeouts,
+    /// Limits of connections and memory.
     pub(crate) limits: ConnectionLimits,
+    /// Where log lines go.
     pub(crate) log: Logger,
+    /// Registers and deregisters sockets.
     pub(crate) handle: ReactorHandle,
+    /// The time of this iteration, and the clock itself.
     pub(crate) clock: LoopClock,
     /// When a client may come again that finds no endpoint list here; 0 where no time may be named.
     pub(crate) max_retry_after: f64,
+    /// Where clients connect.
     pub(crate) listener: ClientListener,
     /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
     pub(crate) is_draining: bool,
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -40,7 +40,7 @@
     /// In service.
     Serving,
     /// Asked to shut down. Clients still come, and go on on the connections they have: where several routers restart,
-    /// clients that are turned away at once would find nobody.
+    /// clients that are rejected at once would find nobody.
     LameDuck {
         /// When this phase ends.
         until: f64,
