--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -69,9 +69,16 @@
         }
         log_counters(&self.event_loop);
         self.log.flush();
+        self.keep_signals_blocked();
         Ok(())
     }
 
+    /// Dropping the signal source would unblock its signals, and another SIGTERM would then end the process by its default
+    /// action, as if the shutdown had failed. The source belongs to the reactor, which is therefore left to the system.
+    fn keep_signals_blocked(self) {
+        mem::forget(self.events);
+    }
+
     fn wait_for_events(&mut self) -> Result<(), RunError> {
         let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
         let wait = (next_at - self.event_loop.clock.read()).clamp(0.0, MAX_WAIT);
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
+use rustix::process::{Pid, Signal, kill_process};
 use support::*;
 
 /// From SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
@@ -71,3 +72,22 @@
     let end = client.hear().expect_err("the connection goes on until it is idle");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
 }
+
+/// Signals that come while the program ends, up to its last instruction, change nothing of how it ended. Once the loop was over
+/// they were unblocked, and a SIGTERM then killed it, as its status said.
+#[test]
+fn signals_that_come_as_it_ends_do_not_kill_it() {
+    let mut fixture = Fixture::start(&[]);
+    let process = Pid::from_child(&fixture.router.process);
+    let started = Instant::now();
+    let status = loop {
+        for _ in 0..100 {
+            kill_process(process, Signal::TERM).expect("a signal");
+        }
+        if let Some(status) = fixture.router.process.try_wait().expect("a status") {
+            break status;
+        }
+        assert!(started.elapsed() < PATIENCE, "it goes on");
+    };
+    assert_eq!(status.code(), Some(0), "{status:?}");
+}
