--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -53,8 +53,10 @@
 
     /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
     pub(crate) fn close_idle_client(&mut self, asked: bool) -> bool {
-        // One that is new has its first statement on the way.
-        let new_since = self.clock.now() - TIMING_MARGIN;
+        // One that is new has its first statement on the way. After a delay of this router a whole crowd is new, which must not
+        // take the places of those that have asked: the oldest of it has to go where the crowd has more than its own places.
+        let new_since =
+            if self.has_silent_crowd() { f64::INFINITY } else { self.clock.now() - TIMING_MARGIN };
         let idle = |c: &ClientConnection| {
             matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
                 && c.has_queried == asked
@@ -80,6 +82,13 @@
         false
     }
 
+    /// Whether connections that have not queried hold all the places that those that have may not hold.
+    fn has_silent_crowd(&self) -> bool {
+        let is_silent = |c: &ClientConnection| !c.has_queried && c.phase != ConnectionPhase::Lingering;
+        let silent = self.clients.iter().filter(|(_, client)| is_silent(client)).count();
+        silent + self.limits.established_clients >= self.limits.clients
+    }
+
     /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
     /// resets has had the time of a round trip at least.
     pub fn close_one_lingering(&mut self) -> bool {
--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -138,3 +138,50 @@
     assert!(asked.ask(&read(2000)).expect("its connection is kept").starts_with("row:"));
     drop(crowd);
 }
+
+/// Guards against a router that was held up while a crowd came: all of the crowd was new to it then, and it closed clients that
+/// had asked in place of those that said nothing.
+#[rstest]
+#[case::for_a_moment(40, 55, Duration::from_millis(10))]
+#[case::all_the_while(0, 80, Duration::ZERO)]
+fn a_silent_crowd_of_a_stopped_router_costs_no_client_its_connection(
+    #[case] stopped_before: usize,
+    #[case] continued_before: usize,
+    #[case] gap: Duration,
+) {
+    let service = service(80);
+    let mut asked = service.client();
+    assert!(asked.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    let connect = |number| {
+        if number == stopped_before {
+            service.router.signal("-STOP");
+        }
+        if number == continued_before {
+            service.router.signal("-CONT");
+        }
+        thread::sleep(gap);
+        TcpStream::connect(service.router.at).expect("a connection")
+    };
+    let crowd: Vec<TcpStream> = (0..80).map(connect).collect();
+    service.router.signal("-CONT");
+    // A request that was there when the crowd is accepted would be read first.
+    thread::sleep(Duration::from_millis(200));
+    assert!(asked.ask(&read(2000)).expect("its connection is kept").starts_with("row:"));
+    drop(crowd);
+}
+
+/// Guards against taking a client for a silent one whose first request came while the router was held up: what is there is read
+/// before anybody is closed.
+#[test]
+fn a_request_that_came_to_a_stopped_router_is_read_before_the_silent_go() {
+    let service = service(80);
+    let mut client = service.client();
+    thread::sleep(Duration::from_millis(300));
+    service.router.signal("-STOP");
+    let crowd: Vec<TcpStream> =
+        (0..80).map(|_| TcpStream::connect(service.router.at).expect("a connection")).collect();
+    client.send(&read(2000)).expect("a query");
+    service.router.signal("-CONT");
+    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
+    drop(crowd);
+}
