--- a/crates/config/src/deployment/mod.rs
+++ b/crates/config/src/deployment/mod.rs
@@ -7,8 +7,8 @@
 mod backend_timeouts;
 mod catalog;
 mod error;
+mod routing_config;
 mod schema;
-mod terms;
 mod workload;
 
 pub use backend_timeouts::BackendTimeouts;
--- a/crates/config/src/deployment/terms.rs
+++ b/crates/config/src/deployment/routing_config.rs
@@ -9,13 +9,13 @@
 const ROLE_FIELD: &str = "x1";
 
 impl DeploymentSettings {
-    /// The terms that routing decides by. `seed` is the seed of the router's random choices.
+    /// The configuration of routing. `seed` is the seed of the router's random choices.
     ///
     /// # Errors
     ///
     /// [`SettingsError::UnknownValue`] if a field has a word that is not defined for it, and
     /// [`SettingsError::EntryCount`] if `domain` does not describe each of `profiles`.
-    pub fn terms(&self, seed: u64) -> Result<RoutingConfig, SettingsError> {
+    pub fn routing_config(&self, seed: u64) -> Result<RoutingConfig, SettingsError> {
         let (limits, rules) = (&self.policy_limits, &self.rules);
         Ok(RoutingConfig {
             seed,
@@ -25,18 +25,18 @@
             tenant_rates: self.accounts.iter().map(|account| account.quota_per_s).collect(),
             over_share: self.over_share_worth,
             reports: self.reports()?,
-            members_check_reads: self.endpoints_check_reads()?,
+            endpoints_check_reads: self.endpoints_check_reads()?,
             remembers_writes: self.remembers_writes()?,
             list_on_request: self.list_on_request()?,
-            may_probe: limits.probes,
-            may_cancel: limits.cancelling,
-            max_executions: limits.send_cap,
+            may_check_health: limits.probes,
+            may_cancel_attempts: limits.cancelling,
+            max_attempts: limits.send_cap,
             max_retry_after: if limits.retry_after { seconds(limits.max_retry_after_ms) } else { 0.0 },
             only_draining_bars: rules.soft_removal,
-            cold_part: rules.cold_from,
-            warm_after: seconds(rules.ramp_time_ms),
-            fall_multiple: rules.fall_multiple,
-            fall_span: seconds(rules.overload_for_ms),
+            initial_capacity_fraction: rules.cold_from,
+            warmup: seconds(rules.ramp_time_ms),
+            overload_multiple: rules.fall_multiple,
+            overload_span: seconds(rules.overload_for_ms),
         })
     }
 
@@ -46,19 +46,20 @@
             return Err(SettingsError::EntryCount);
         }
         let consistency = domain.class_read.iter().zip(&domain.oldest_data_ms);
-        let rows = profiles.iter().zip(consistency).enumerate();
-        rows.map(|(index, (profile, (class_read, oldest_data_ms)))| {
-            workload(index, profile, class_read, *oldest_data_ms)
-        })
-        .collect()
+        let classes = profiles.iter().zip(consistency).enumerate();
+        classes
+            .map(|(index, (profile, (class_read, oldest_data_ms)))| {
+                workload(index, profile, class_read, *oldest_data_ms)
+            })
+            .collect()
     }
 
-    /// ReportSource are of use only where they tell the role of the endpoint.
+    /// Load reports are of use only where they tell the role of the endpoint.
     fn reports(&self) -> Result<ReportSource, SettingsError> {
         let tell_role = self.stats.fields.iter().any(|field| field == ROLE_FIELD);
         match self.stats.how.as_str() {
             "answers" if tell_role => Ok(ReportSource::WithAnswers),
-            "probe" if tell_role => Ok(ReportSource::WithProbes),
+            "probe" if tell_role => Ok(ReportSource::WithHealthChecks),
             "answers" | "probe" | "none" => Ok(ReportSource::Nowhere),
             found => Err(unknown_value("stats.how", "stats.how", "answers, probe or none", found)),
         }
--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -15,7 +15,7 @@
     Ok(RequestClass {
         needs: needs(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
-        importance: profile.credit,
+        priority_weight: profile.credit,
         late_share: profile.late_value,
         slo_time: seconds(profile.aim_ms),
         statement_timeout: seconds(profile.deadline_ms),
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -74,42 +74,42 @@
             format!("deduplicated {within} for {window} s")
         }
     };
-    let (importance, late) = (workload.importance, workload.late_share);
+    let (priority_weight, late) = (workload.priority_weight, workload.late_share);
     let (aim, limit) = (workload.slo_time, workload.statement_timeout);
-    format!("{needs}, {effect}, importance {importance}, late {late}, aim {aim} s, limit {limit} s")
+    format!("{needs}, {effect}, importance {priority_weight}, late {late}, aim {aim} s, limit {limit} s")
 }
 
-fn describe(terms: &RoutingConfig, names: &Catalog) -> Vec<String> {
-    let reports = match terms.reports {
+fn describe(config: &RoutingConfig, names: &Catalog) -> Vec<String> {
+    let reports = match config.reports {
         ReportSource::WithAnswers => "with answers",
-        ReportSource::WithProbes => "with probes",
+        ReportSource::WithHealthChecks => "with probes",
         ReportSource::Nowhere => "nowhere",
     };
     let mut lines = vec![
-        format!("seed {} routers {} site {:?}", terms.seed, terms.routers, terms.site),
-        format!("tenants {:?} over share {}", terms.tenant_rates, terms.over_share),
+        format!("seed {} routers {} site {:?}", config.seed, config.routers, config.site),
+        format!("tenants {:?} over share {}", config.tenant_rates, config.over_share),
         format!("reports {reports}"),
-        format!("members check reads {}", terms.members_check_reads),
-        format!("remembers writes {}", terms.remembers_writes),
-        format!("list on request {}", terms.list_on_request),
-        format!("may probe {} may cancel {}", terms.may_probe, terms.may_cancel),
-        format!("at most {} attempts, {} s until retry", terms.max_executions, terms.max_retry_after),
-        format!("only draining bars {}", terms.only_draining_bars),
-        format!("cold {} warm after {} s", terms.cold_part, terms.warm_after),
-        format!("falls at {} for {} s", terms.fall_multiple, terms.fall_span),
+        format!("members check reads {}", config.endpoints_check_reads),
+        format!("remembers writes {}", config.remembers_writes),
+        format!("list on request {}", config.list_on_request),
+        format!("may probe {} may cancel {}", config.may_check_health, config.may_cancel_attempts),
+        format!("at most {} attempts, {} s until retry", config.max_attempts, config.max_retry_after),
+        format!("only draining bars {}", config.only_draining_bars),
+        format!("cold {} warm after {} s", config.initial_capacity_fraction, config.warmup),
+        format!("falls at {} for {} s", config.overload_multiple, config.overload_span),
         format!("names {:?} {:?} {:?}", names.workloads, names.tenants, names.sites),
         format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.zero),
     ];
-    lines.extend(terms.workloads.iter().map(describe_workload));
+    lines.extend(config.workloads.iter().map(describe_workload));
     lines
 }
 
 #[test]
 fn the_example_maps_to_these_terms() {
     let settings = parse(&example());
-    let (terms, names) = (settings.terms(77).expect("terms"), settings.catalog());
+    let (config, names) = (settings.routing_config(77).expect("terms"), settings.catalog());
     assert_eq!(
-        describe(&terms, &names),
+        describe(&config, &names),
         [
             "seed 77 routers 1 site Some(0)",
             "tenants [] over share 1",
@@ -135,9 +135,9 @@
 #[test]
 fn every_key_maps_to_these_terms() {
     let settings = parse(&every_key());
-    let (terms, names) = (settings.terms(u64::MAX).expect("terms"), settings.catalog());
+    let (config, names) = (settings.routing_config(u64::MAX).expect("terms"), settings.catalog());
     assert_eq!(
-        describe(&terms, &names),
+        describe(&config, &names),
         [
             "seed 18446744073709551615 routers 300 site Some(1)",
             "tenants [12.5, 40.0] over share 0.25",
@@ -180,8 +180,8 @@
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = value;
     let settings = parse(&settings);
-    let terms = settings.terms(5).expect("terms");
-    assert_eq!(describe(&terms, &settings.catalog())[line], expected);
+    let config = settings.routing_config(5).expect("terms");
+    assert_eq!(describe(&config, &settings.catalog())[line], expected);
 }
 
 #[rstest]
@@ -197,7 +197,7 @@
 fn unknown_values_are_rejected(#[case] key: &str, #[case] value: Value, #[case] expected: &str) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = value;
-    let error = parse(&settings).terms(5).expect_err("an error");
+    let error = parse(&settings).routing_config(5).expect_err("an error");
     assert_eq!(error.to_string(), expected);
 }
 
@@ -208,7 +208,7 @@
     let mut settings = every_key();
     settings["policy_limits"].as_object_mut().expect("an object").remove(key);
     let settings = parse(&settings);
-    assert!(settings.terms(5).is_ok());
+    assert!(settings.routing_config(5).is_ok());
     assert_eq!(settings.backend_timeouts().expect_err("an error").to_string(), expected);
 }
 
@@ -221,5 +221,5 @@
 fn errors_have_the_full_path(#[case] key: &str, #[case] path: &str) {
     let mut settings = every_key();
     *settings.pointer_mut(key).expect("a key of the settings") = json!("odd");
-    assert_eq!(parse(&settings).terms(5).expect_err("an error").path(), path);
+    assert_eq!(parse(&settings).routing_config(5).expect_err("an error").path(), path);
 }
--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -14,16 +14,16 @@
 use crate::reactor::Source;
 
 impl EventLoop {
-    /// Sends a request that waits to an endpoint, as the routing module has decided. `time_out` is in seconds; 0 for none but the
+    /// Sends a request that waits to an endpoint, as the routing module has decided. `timeout` is in seconds; 0 for none but the
     /// request's own.
-    pub fn start_attempt(&mut self, request_id: usize, endpoint: usize, time_out: f64) {
+    pub fn start_attempt(&mut self, request_id: usize, endpoint: usize, timeout: f64) {
         let Some(request) = self.requests.get(request_id) else { return };
         self.counters.check_invariant(
             request.phase == RequestPhase::Waiting,
             "a request has one attempt in flight at a time",
         );
         let deadline =
-            if time_out > 0.0 { request.deadline.min(self.clock.now() + time_out) } else { request.deadline };
+            if timeout > 0.0 { request.deadline.min(self.clock.now() + timeout) } else { request.deadline };
         let client = request.client;
         // If it was read in this iteration, it is looked at as the bytes go (`send_assignment`).
         let last_read_at = self.clients.get(client).map_or(0.0, |client| client.last_read_at);
@@ -153,7 +153,7 @@
                     && client.is_some_and(|client| self.client_still_waits(request_id, client))
                     && self.facade.may_begin(self.clock.now(), request_id, endpoint)
             }
-            Some(Assignment::HealthCheck) => self.facade.may_probe(endpoint),
+            Some(Assignment::HealthCheck) => self.facade.may_check_health(endpoint),
             None => false,
         }
     }
@@ -167,7 +167,7 @@
             Some(Assignment::Request(request_id)) => {
                 !self.facade.may_begin(self.clock.now(), request_id, connection.endpoint)
             }
-            Some(Assignment::HealthCheck) => !self.facade.may_probe(connection.endpoint),
+            Some(Assignment::HealthCheck) => !self.facade.may_check_health(connection.endpoint),
             None => false,
         };
         let back = self
--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/backend/outcome.rs
@@ -36,12 +36,12 @@
         outcome: AttemptOutcome,
         mut reply: Reply,
     ) {
-        let took = self.clock.now() - assigned_at;
+        let elapsed = self.clock.now() - assigned_at;
         let request = self.requests.get(request_id);
         let is_known = request.is_some();
         let is_abandoned = request.is_some_and(|request| matches!(request.phase, RequestPhase::Abandoned(_)));
         if let Some(cache_key) = request.and_then(|request| request.cache_key) {
-            self.record_for_fingerprint(cache_key, endpoint, took, outcome, &reply);
+            self.record_for_fingerprint(cache_key, endpoint, elapsed, outcome, &reply);
         }
         // Otherwise it may run on.
         let is_over =
@@ -57,7 +57,7 @@
         } else {
             self.requests.transition(request_id, RequestPhase::Waiting, &mut self.counters);
         }
-        self.report_attempt(request_id, endpoint, outcome, took, &reply);
+        self.report_attempt(request_id, endpoint, outcome, elapsed, &reply);
     }
 
     /// Notes for later statements of the same text what this attempt tells of them.
@@ -65,14 +65,20 @@
         &mut self,
         cache_key: CacheKey,
         endpoint: usize,
-        took: f64,
+        elapsed: f64,
         outcome: AttemptOutcome,
         reply: &Reply,
     ) {
         let at_replica = reply.piggybacked.role == Some(Role::Replica);
         match outcome {
             AttemptOutcome::Completed => {
-                self.fingerprints.record_completion(self.clock.now(), cache_key, endpoint, took, at_replica);
+                self.fingerprints.record_completion(
+                    self.clock.now(),
+                    cache_key,
+                    endpoint,
+                    elapsed,
+                    at_replica,
+                );
             }
             AttemptOutcome::ReadOnly if at_replica => self.fingerprints.record_read_only_rejection(cache_key),
             _ => {}
@@ -81,7 +87,7 @@
 
     fn finish_health_check(&mut self, endpoint: usize, outcome: AttemptOutcome, reply: &Reply) {
         match outcome {
-            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Full => {
+            AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Refused => {
                 let (outcome, report) = reply.health_check_result();
                 self.report_health_check(endpoint, outcome, report);
             }
@@ -95,28 +101,28 @@
         request_id: usize,
         endpoint: usize,
         outcome: AttemptOutcome,
-        took: f64,
+        elapsed: f64,
         reply: &Reply,
     ) {
         let counter = match outcome {
             AttemptOutcome::Completed => &mut self.counters.attempts_completed,
             AttemptOutcome::Error => &mut self.counters.attempts_error,
-            AttemptOutcome::Full => &mut self.counters.attempts_refused,
+            AttemptOutcome::Refused => &mut self.counters.attempts_refused,
             AttemptOutcome::TimedOut => &mut self.counters.attempts_timed_out,
             AttemptOutcome::ConnectFailed => &mut self.counters.attempts_connect_failed,
             AttemptOutcome::Reset => &mut self.counters.attempts_connection_reset,
             AttemptOutcome::Cancelled => &mut self.counters.attempts_cancelled,
             AttemptOutcome::NeverSent => &mut self.counters.attempts_not_sent,
-            AttemptOutcome::Miss => &mut self.counters.attempts_wrong_endpoint,
+            AttemptOutcome::WrongEndpoint => &mut self.counters.attempts_wrong_endpoint,
             AttemptOutcome::ReadOnly => &mut self.counters.attempts_read_only,
         };
         *counter += 1;
         self.report(RoutingEvent::AttemptEnded {
-            stmt: request_id,
-            host: endpoint,
-            ending: outcome,
-            took,
-            note: reply.piggybacked,
+            request: request_id,
+            endpoint,
+            outcome,
+            elapsed,
+            observed: reply.piggybacked,
             report: reply.load_report,
         });
     }
@@ -129,6 +135,6 @@
         report: LoadReport,
     ) {
         self.counters.health_checks_failed += u64::from(outcome != AttemptOutcome::Completed);
-        self.report(RoutingEvent::HealthCheckEnded { host: endpoint, ending: outcome, report });
+        self.report(RoutingEvent::HealthCheckEnded { endpoint, outcome, report });
     }
 }
--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -44,7 +44,7 @@
         match name {
             // None is known where an endpoint has just started.
             "x0" => report.lsn = (value > 0.0).then_some(value),
-            "utilization" => report.busy = Some(value),
+            "utilization" => report.utilization = Some(value),
             "x1" => report.role = Some(if value > 0.5 { Role::Primary } else { Role::Replica }),
             _ => {}
         }
@@ -107,8 +107,8 @@
     /// How an attempt has ended. 53300 promises that nothing ran; of the other codes only 72000 and 25006 do.
     pub fn outcome(&self) -> AttemptOutcome {
         match self.code.as_ref() {
-            Some(b"53300") => AttemptOutcome::Full,
-            Some(b"72000") => AttemptOutcome::Miss,
+            Some(b"53300") => AttemptOutcome::Refused,
+            Some(b"72000") => AttemptOutcome::WrongEndpoint,
             Some(b"25006") => AttemptOutcome::ReadOnly,
             Some(_) => AttemptOutcome::Error,
             None if self.is_completed() => AttemptOutcome::Completed,
@@ -120,13 +120,13 @@
     /// How the startup of a connection has ended, if the endpoint refused it: nothing was sent on it.
     pub fn connection_refusal(&self) -> Option<AttemptOutcome> {
         let code = self.code.as_ref()?;
-        Some(if code == b"53300" { AttemptOutcome::Full } else { AttemptOutcome::ConnectFailed })
+        Some(if code == b"53300" { AttemptOutcome::Refused } else { AttemptOutcome::ConnectFailed })
     }
 
     /// How a health check has ended, and what it reports; 57P03 refuses one.
     pub fn health_check_result(&self) -> (AttemptOutcome, LoadReport) {
         match (self.code.as_ref(), self.health()) {
-            (Some(b"53300" | b"57P03"), _) => (AttemptOutcome::Full, LoadReport::default()),
+            (Some(b"53300" | b"57P03"), _) => (AttemptOutcome::Refused, LoadReport::default()),
             (None, Some(report)) => (AttemptOutcome::Completed, report),
             _ => (AttemptOutcome::Error, LoadReport::default()),
         }
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -101,12 +101,13 @@
         return Ok(None);
     }
     let config = Config::load().map_err(|error| error.to_string())?;
-    let terms = config.settings.terms(config.seed).map_err(|error| ConfigError::from(error).to_string())?;
+    let routing_config =
+        config.settings.routing_config(config.seed).map_err(|error| ConfigError::from(error).to_string())?;
     let names = config.settings.catalog();
     let index = names.workloads.iter().position(|known| known == name).ok_or_else(|| {
         format!("--workload: no workload {name:?}; there are {}", names.workloads.join(", "))
     })?;
-    Ok(terms.workloads.get(index).cloned())
+    Ok(routing_config.workloads.get(index).cloned())
 }
 
 fn read_input(file: &str) -> io::Result<Vec<u8>> {
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -120,7 +120,7 @@
         if list.is_complete {
             let missing = seen.iter().zip(&self.all).filter(|(seen, _)| !**seen);
             let gone =
-                |endpoint: &Endpoint| EndpointUpdate { standing: EndpointState::Removed, ..endpoint.listed };
+                |endpoint: &Endpoint| EndpointUpdate { state: EndpointState::Removed, ..endpoint.listed };
             change.updates.extend(missing.map(|(_, endpoint)| gone(endpoint)));
         }
         change
@@ -133,12 +133,12 @@
         let group = *self.groups.entry(entry.group).or_insert(next_group);
         let index = self.by_name.get(entry.name.as_str()).copied().unwrap_or(self.all.len());
         let listed = EndpointUpdate {
-            host: index,
+            endpoint: index,
             order: name_hash(&entry.name),
             group,
             site: self.sites.iter().position(|site| *site == entry.site),
             size: entry.size,
-            standing: entry.health.into(),
+            state: entry.health.into(),
             started_at: (entry.started_at_ms > 0.0).then_some(entry.started_at_ms / 1000.0),
         };
         if let Some(endpoint) = self.all.get_mut(index) {
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -88,7 +88,7 @@
 impl EventLoop {
     /// Nothing is connected yet, and no endpoint is known.
     pub fn new(
-        terms: RoutingConfig,
+        routing_config: RoutingConfig,
         catalog: Catalog,
         timeouts: BackendTimeouts,
         limits: ConnectionLimits,
@@ -98,12 +98,16 @@
     ) -> EventLoop {
         let clock = LoopClock::default();
         let now = clock.now();
-        let max_retry_after = terms.max_retry_after;
-        let typical_work = terms.workloads.iter().map(Router::typical).collect();
-        let fingerprints =
-            FingerprintCache::new(now, Key::from_seed(terms.seed), limits.fingerprint_bytes, typical_work);
+        let max_retry_after = routing_config.max_retry_after;
+        let typical_work = routing_config.workloads.iter().map(Router::typical).collect();
+        let fingerprints = FingerprintCache::new(
+            now,
+            Key::from_seed(routing_config.seed),
+            limits.fingerprint_bytes,
+            typical_work,
+        );
         EventLoop {
-            facade: Facade::start(now, terms),
+            facade: Facade::start(now, routing_config),
             requests: InFlightRequests::default(),
             endpoints: EndpointRegistry::new(catalog.sites.clone()),
             clients: ClientTable::default(),
@@ -248,7 +252,7 @@
     fn apply_decision(&mut self, request_id: usize, choice: Decision) {
         match choice {
             Decision::Wait => {}
-            Decision::Dispatch { host, time_out } => self.start_attempt(request_id, host, time_out),
+            Decision::Dispatch { endpoint, timeout } => self.start_attempt(request_id, endpoint, timeout),
             Decision::Reject { retry_after } => self.reject(request_id, retry_after),
             Decision::Abort => self.abort(request_id),
         }
@@ -286,8 +290,8 @@
             self.close_idle_backends_of(endpoint);
         }
         for listed in &change.updates {
-            let name = self.endpoints.all[listed.host].name.as_str();
-            info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.standing),
+            let name = self.endpoints.all[listed.endpoint].name.as_str();
+            info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.state),
                 "started_at" => listed.started_at.unwrap_or(0.0));
         }
         self.report(RoutingEvent::EndpointList(&change.updates));
@@ -344,6 +348,6 @@
 
     /// Invariants that did not hold, wherever they are counted.
     pub fn invariant_violations(&self) -> u64 {
-        self.counters.invariant_violations + self.facade.breaches()
+        self.counters.invariant_violations + self.facade.invariant_violations()
     }
 }
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -14,17 +14,17 @@
     pub fn update_fleet_quota(&mut self) {
         let Some(mut link) = self.fleet_link.take() else { return };
         let now = self.clock.read();
-        link.quota.hosts.clear();
+        link.quota.endpoints.clear();
         for endpoint in 0..self.endpoints.all.len() {
             let units = self.attempt_units(&mut link, now, endpoint);
             let tokens = self.warming_tokens(&mut link, now, endpoint);
             if units.is_some() || tokens.is_some() {
-                link.quota.hosts.push(EndpointQuota { host: endpoint, units, tokens });
+                link.quota.endpoints.push(EndpointQuota { endpoint, units, tokens });
             }
         }
         link.quota.routers = link.fleet().map(present_members);
         let retries = link.budget_key(BudgetKind::Retries, "");
-        link.quota.second_tries = retries.map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        link.quota.retries = retries.map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.facade.report(self.clock.now(), RoutingEvent::Quota(&link.quota));
         link.reset_timer(&mut self.timers);
         self.fleet_link = Some(link);
@@ -48,7 +48,7 @@
     fn warming_tokens(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
         let name = &self.endpoints.all[endpoint].name;
         let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
-        if !self.facade.is_cold(self.clock.now(), endpoint) {
+        if !self.facade.is_warming(self.clock.now(), endpoint) {
             return None;
         }
         let Some(fleet) = link.fleet() else { return Some(0.0) };
@@ -70,7 +70,7 @@
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
-        let is_warming = self.facade.is_cold(self.clock.now(), endpoint);
+        let is_warming = self.facade.is_warming(self.clock.now(), endpoint);
         (!is_warming || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
             && link.acquire(now, BudgetKind::AttemptsPerEndpoint, name)
     }
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -26,16 +26,17 @@
 fn build(config: Config, fleet_file: Option<&str>, log: Log) -> Result<Program, RunError> {
     let limits = config.limits.connection_limits().map_err(ConfigError::from)?;
     let timeouts = config.settings.backend_timeouts().map_err(ConfigError::from)?;
-    let terms = config.settings.terms(config.seed).map_err(ConfigError::from)?;
+    let routing_config = config.settings.routing_config(config.seed).map_err(ConfigError::from)?;
     let names = config.settings.catalog();
-    let longest_statement_timeout = terms.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
+    let longest_statement_timeout =
+        routing_config.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
     let open_link = |path| FleetLink::open(path, &config.name, longest_statement_timeout, config.seed);
     let link = fleet_file.map(open_link).transpose().map_err(RunError::Fleet)?;
     let events = Reactor::try_new().map_err(RunError::EventLoop)?;
     listen_to_signals(&events.handle())?;
     let logger = log.logger(&config.name);
     let mut event_loop =
-        EventLoop::new(terms, names, timeouts, limits, config.discovery, logger, events.handle());
+        EventLoop::new(routing_config, names, timeouts, limits, config.discovery, logger, events.handle());
     if let Some(known) = &config.known {
         event_loop.apply_endpoint_list(known);
     }
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -163,8 +163,8 @@
 #[case::served(&ROW, AttemptOutcome::Completed)]
 #[case::row_then_error(&[ROW[0], ROW[1], (b'E', "CXX000\0\0")], AttemptOutcome::Error)]
 #[case::read_only(&[(b'E', "SERROR\0C25006\0Mno\0\0")], AttemptOutcome::ReadOnly)]
-#[case::too_far_behind(&[(b'E', "C72000\0\0")], AttemptOutcome::Miss)]
-#[case::turned_away(&[(b'E', "C53300\0\0")], AttemptOutcome::Full)]
+#[case::too_far_behind(&[(b'E', "C72000\0\0")], AttemptOutcome::WrongEndpoint)]
+#[case::turned_away(&[(b'E', "C53300\0\0")], AttemptOutcome::Refused)]
 #[case::not_now_proves_nothing(&[(b'E', "C57P03\0\0")], AttemptOutcome::Error)]
 fn what_comes_back(#[case] parts: &[Part], #[case] expected: AttemptOutcome) {
     assert_eq!(reply(parts).outcome(), expected);
@@ -207,7 +207,7 @@
     let parameter = format!("health\0{text}\0");
     assert_eq!(reply.add(Message(message(b'S', parameter.as_bytes()).into())), Ok(false));
     let said = reply.load_report.expect("a report");
-    assert_eq!((said.lsn, said.role, said.busy), (lsn, Some(Role::Replica), Some(0.25)));
+    assert_eq!((said.lsn, said.role, said.utilization), (lsn, Some(Role::Replica), Some(0.25)));
 }
 
 /// A load report that can't be read is none, and the answer that it came with is as good as any.
@@ -238,7 +238,7 @@
         (ending, report.role, report.lsn),
         (AttemptOutcome::Completed, Some(Role::Replica), Some(2.5))
     );
-    assert_eq!(reply(&[(b'E', "C57P03\0\0")]).health_check_result().0, AttemptOutcome::Full);
+    assert_eq!(reply(&[(b'E', "C57P03\0\0")]).health_check_result().0, AttemptOutcome::Refused);
 }
 
 /// The proof line: until the last byte is handed over nothing can have run, from then on it may have.
@@ -292,7 +292,7 @@
     let mut hosts = EndpointRegistry::new(Vec::new());
     hosts.apply(&self::list(true, &[("a", "127.0.0.1:1", "active"), ("b", "127.0.0.1:2", "active")]));
     let RegistryChange { updates: listed, readdressed: elsewhere } = hosts.apply(&list);
-    assert_eq!(listed.iter().map(|l| (l.host, l.standing)).collect::<Vec<_>>(), told);
+    assert_eq!(listed.iter().map(|l| (l.endpoint, l.state)).collect::<Vec<_>>(), told);
     assert_eq!((elsewhere.as_slice(), hosts.group(7), hosts.group(8)), (moved, Some(0), None));
     assert!(listed.iter().all(|l| l.started_at == Some(1.5)));
 }
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -38,12 +38,13 @@
         let config = Config::parse(text.as_bytes()).expect("a configuration");
         let limits = config.limits.connection_limits().expect("limits");
         let timeouts = config.settings.backend_timeouts().expect("settings");
-        let terms = config.settings.terms(config.seed).expect("settings");
+        let routing_config = config.settings.routing_config(config.seed).expect("settings");
         let names = config.settings.catalog();
         let events = Reactor::try_new().expect("a loop");
         let log = Logger::root(Discard, o!());
         let handle = events.handle();
-        let mut event_loop = EventLoop::new(terms, names, timeouts, limits, config.discovery, log, handle);
+        let mut event_loop =
+            EventLoop::new(routing_config, names, timeouts, limits, config.discovery, log, handle);
         let hosts = endpoint_list(1, &[("one", primary.at, "active"), ("two", replica.at, "active")]);
         event_loop.apply_endpoint_list(&serde_json::from_str(&hosts).expect("a list"));
         let at = event_loop.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("a listener");
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -20,11 +20,11 @@
 const SECONDS: f64 = if cfg!(debug_assertions) { 5.0 } else { 12.0 };
 const SEEDS: u64 = if cfg!(debug_assertions) { 2 } else { 4 };
 
-fn terms(seed: u64) -> RoutingConfig {
+fn config(seed: u64) -> RoutingConfig {
     let workload = RequestClass {
         needs: Consistency::Bounded(1.0),
         effect: Effect::Idempotent,
-        importance: 1.0,
+        priority_weight: 1.0,
         late_share: 0.3,
         slo_time: SLO,
         statement_timeout: TIMEOUT,
@@ -37,24 +37,24 @@
         tenant_rates: Vec::new(),
         over_share: 1.0,
         reports: ReportSource::WithAnswers,
-        members_check_reads: true,
+        endpoints_check_reads: true,
         remembers_writes: false,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        max_executions: 4,
+        may_check_health: true,
+        may_cancel_attempts: true,
+        max_attempts: 4,
         max_retry_after: 0.5,
         only_draining_bars: false,
-        cold_part: 1.0,
-        warm_after: 1.0,
-        fall_multiple: 3.0,
-        fall_span: 1.0,
+        initial_capacity_fraction: 1.0,
+        warmup: 1.0,
+        overload_multiple: 3.0,
+        overload_span: 1.0,
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ended { stmt: usize, host: usize, completed: bool, sent: u64 },
+    Ended { request: usize, endpoint: usize, completed: bool, sent: u64 },
     Arrives,
 }
 
@@ -92,11 +92,11 @@
     }
 
     fn play(seed: u64, load: f64, knows: bool) -> Day {
-        let terms = terms(seed);
-        let usual = terms.workloads.iter().map(Router::typical).collect();
+        let config = config(seed);
+        let usual = config.workloads.iter().map(Router::typical).collect();
         let book = FingerprintCache::new(0.0, Key::from_seed(seed), 1 << 20, usual);
         let mut day = Day {
-            facade: Facade::start(0.0, terms),
+            facade: Facade::start(0.0, config),
             book,
             knows,
             now: 0.0,
@@ -110,7 +110,12 @@
             late: [0.0; 2],
         };
         let list: Vec<EndpointUpdate> = (0..HOSTS)
-            .map(|host| EndpointUpdate { host, size: 1.0, order: host as u64, ..EndpointUpdate::default() })
+            .map(|endpoint| EndpointUpdate {
+                endpoint,
+                size: 1.0,
+                order: endpoint as u64,
+                ..EndpointUpdate::default()
+            })
             .collect();
         day.facade.report(0.0, RoutingEvent::EndpointList(&list));
         day.events.push(Reverse((micros(0.1), Event::Arrives)));
@@ -128,7 +133,9 @@
                         day.events.push(Reverse((micros(day.now + gap), Event::Arrives)));
                         day.arrive();
                     }
-                    Event::Ended { stmt, host, completed, sent } => day.end(stmt, host, completed, sent),
+                    Event::Ended { request, endpoint, completed, sent } => {
+                        day.end(request, endpoint, completed, sent);
+                    }
                 }
             }
             day.carry_out();
@@ -148,7 +155,7 @@
         let shape = self.book.scan(text).fingerprint;
         let word = self.book.lookup(self.now, 0, text, shape);
         let known = word.estimate.filter(|_| self.knows);
-        let stmt = Request {
+        let request = Request {
             workload: 0,
             group: 0,
             tenant: None,
@@ -160,48 +167,55 @@
             work: known.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
         };
         self.asked[usize::from(heavy)] += 1.0;
-        let (index, choice) = self.facade.pick(self.now, PickRequest::New(stmt));
+        let (index, choice) = self.facade.pick(self.now, PickRequest::New(request));
         let held = (self.now, work, word.key);
         self.held.resize(self.held.len().max(index + 1), held);
         self.held[index] = held;
         self.act(index, choice);
     }
 
-    fn act(&mut self, stmt: usize, choice: Decision) {
-        let Decision::Dispatch { host, time_out } = choice else { return };
-        let (arrived, work, _) = self.held[stmt];
-        let cores = &mut self.free_at[host];
+    fn act(&mut self, request: usize, choice: Decision) {
+        let Decision::Dispatch { endpoint, timeout } = choice else { return };
+        let (arrived, work, _) = self.held[request];
+        let cores = &mut self.free_at[endpoint];
         let core = (0..CORES).min_by(|a, b| cores[*a].total_cmp(&cores[*b])).unwrap_or(0);
         let ended = self.now.max(cores[core]) + work;
         // A host goes on with what nobody waits for any more.
         cores[core] = ended;
         let patience = arrived + TIMEOUT;
-        let until = if time_out > 0.0 { patience.min(self.now + time_out) } else { patience };
-        let event = Event::Ended { stmt, host, completed: ended <= until, sent: micros(self.now) };
+        let until = if timeout > 0.0 { patience.min(self.now + timeout) } else { patience };
+        let event = Event::Ended { request, endpoint, completed: ended <= until, sent: micros(self.now) };
         self.events.push(Reverse((micros(ended.min(until)), event)));
     }
 
-    fn end(&mut self, stmt: usize, host: usize, completed: bool, sent: u64) {
-        let (arrived, work, place) = self.held[stmt];
-        let took = self.now - sent as f64 / 1e6;
-        let ending = if completed { AttemptOutcome::Completed } else { AttemptOutcome::TimedOut };
+    fn end(&mut self, request: usize, endpoint: usize, completed: bool, sent: u64) {
+        let (arrived, work, place) = self.held[request];
+        let elapsed = self.now - sent as f64 / 1e6;
+        let outcome = if completed { AttemptOutcome::Completed } else { AttemptOutcome::TimedOut };
         if completed {
             let (heavy, in_time) = (usize::from(work > 10.0 * CHEAP), self.now - arrived <= SLO);
             *if in_time { &mut self.in_time[heavy] } else { &mut self.late[heavy] } += 1.0;
             if let Some(place) = place {
-                self.book.record_completion(self.now, place, host, took, true);
+                self.book.record_completion(self.now, place, endpoint, elapsed, true);
             }
         }
-        let note = self.note(host);
+        let observed = self.observed(endpoint);
         self.facade.report(
             self.now,
-            RoutingEvent::AttemptEnded { stmt, host, ending, took, note, report: Some(note) },
+            RoutingEvent::AttemptEnded {
+                request,
+                endpoint,
+                outcome,
+                elapsed,
+                observed,
+                report: Some(observed),
+            },
         );
     }
 
-    fn note(&self, host: usize) -> LoadReport {
-        let role = if host == 0 { Role::Primary } else { Role::Replica };
-        LoadReport { role: Some(role), lsn: Some(self.now), busy: None }
+    fn observed(&self, endpoint: usize) -> LoadReport {
+        let role = if endpoint == 0 { Role::Primary } else { Role::Replica };
+        LoadReport { role: Some(role), lsn: Some(self.now), utilization: None }
     }
 
     fn carry_out(&mut self) {
@@ -212,19 +226,19 @@
             }
             for due in due {
                 match due {
-                    RoutingAction::Pick(stmt) => {
-                        let (stmt, choice) = self.facade.pick(self.now, PickRequest::Waiting(stmt));
-                        self.act(stmt, choice);
+                    RoutingAction::Pick(request) => {
+                        let (request, choice) = self.facade.pick(self.now, PickRequest::Waiting(request));
+                        self.act(request, choice);
                     }
                     // Its end comes by itself.
                     RoutingAction::CancelAttempt(_) => {}
-                    RoutingAction::HealthCheck(host) => {
-                        let report = self.note(host);
+                    RoutingAction::HealthCheck(endpoint) => {
+                        let report = self.observed(endpoint);
                         self.facade.report(
                             self.now,
                             RoutingEvent::HealthCheckEnded {
-                                host,
-                                ending: AttemptOutcome::Completed,
+                                endpoint,
+                                outcome: AttemptOutcome::Completed,
                                 report,
                             },
                         );
--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -37,7 +37,7 @@
         let extra_work = statement.work.map_or(0.0, believable_extra_work);
         let estimate = class.estimate(extra_work);
         let time_left = useful_time(class, statement, client);
-        let importance = class.settings().importance;
+        let priority_weight = class.settings().priority_weight;
         let share_factor = self.tenant_factor(now, statement.tenant);
         TrackedRequest {
             class: class_id,
@@ -48,9 +48,9 @@
             start_by: latest_start(now, time_left, estimate),
             watermark: statement.since_write.map_or(0.0, |since| now - since),
             extra_work,
-            priority: admission::priority(importance, estimate, share_factor),
+            priority: admission::priority(priority_weight, estimate, share_factor),
             sample_counter: self.sampler.counter(),
-            weight: if client.is_retry { 0.0 } else { importance },
+            weight: if client.is_retry { 0.0 } else { priority_weight },
             attempts: 0,
             sent_at: now,
             last_endpoint: None,
@@ -69,8 +69,8 @@
     /// docs/design.md).
     fn tenant_factor(&mut self, now: f64, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
-        let rate = self.terms.tenant_rates[tenant] / self.terms.routers as f64;
-        if self.tenants.take(now, tenant, rate) { 1.0 } else { self.terms.over_share }
+        let rate = self.config.tenant_rates[tenant] / self.config.routers as f64;
+        if self.tenants.take(now, tenant, rate) { 1.0 } else { self.config.over_share }
     }
 
     /// Counts the request among those that its group is asked for.
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -56,7 +56,7 @@
         let request = *self.requests.get(id);
         let class = self.classes.get(request.class);
         let is_trial = self.endpoints[endpoint].outlier.is_ejected();
-        let time_out = if is_trial { class.settings().slo_time * TRIAL_TIME } else { 0.0 };
+        let timeout = if is_trial { class.settings().slo_time * TRIAL_TIME } else { 0.0 };
         self.endpoints[endpoint].outlier.record_attempt(now);
         if request.possible_effect.is_some() {
             self.retries.withdraw();
@@ -66,12 +66,12 @@
         }
         self.requests.get_mut(id).record_attempt(now, endpoint);
         self.transition(id, RequestState::Executing(endpoint));
-        transport.start_attempt(id.index(), endpoint.index(), time_out);
+        transport.start_attempt(id.index(), endpoint.index(), timeout);
     }
 
     /// The session of a write, where the router has to remember what sessions have written.
     pub(crate) fn remembered_session(&self, request: &TrackedRequest) -> Option<u64> {
-        let is_remembered = self.terms.remembers_writes && self.classes.get(request.class).is_write();
+        let is_remembered = self.config.remembers_writes && self.classes.get(request.class).is_write();
         request.session.filter(|_| is_remembered)
     }
 
@@ -95,7 +95,7 @@
         self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
         // A client that comes back after its SLO time only adds load; until then the sooner the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
-        let max_retry_after = self.terms.max_retry_after;
+        let max_retry_after = self.config.max_retry_after;
         let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER) };
         transport.reject(id.index(), retry_after);
     }
@@ -107,7 +107,7 @@
         let may_have_run = request.possible_effect.is_some();
         // Retries must not feed the overload that made them needed.
         let is_refused = may_have_run && (effect == Effect::NonIdempotent || !self.retries.is_available());
-        !is_refused && request.attempts < self.terms.max_executions
+        !is_refused && request.attempts < self.config.max_attempts
     }
 
     /// Cancels reads at ejected endpoints that have fallen silent, at the last moment for another endpoint to answer in
@@ -120,7 +120,7 @@
             if let RequestState::Executing(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
                 && self.is_last_moment(now, request)
-                && self.may_cancel(request)
+                && self.may_cancel_attempts(request)
             {
                 let attempt = request.attempts - 1;
                 self.transition(id, RequestState::Cancelling(endpoint));
@@ -142,10 +142,10 @@
     }
 
     /// Whether the attempt may be cancelled and followed by another one.
-    fn may_cancel(&self, request: &TrackedRequest) -> bool {
+    fn may_cancel_attempts(&self, request: &TrackedRequest) -> bool {
         let may_repeat = self.classes.get(request.class).effect() == Effect::Idempotent;
-        let has_attempts_left = request.attempts < self.terms.max_executions;
-        self.terms.may_cancel && has_attempts_left && may_repeat && self.retries.is_available()
+        let has_attempts_left = request.attempts < self.config.max_attempts;
+        self.config.may_cancel_attempts && has_attempts_left && may_repeat && self.retries.is_available()
     }
 }
 
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -48,7 +48,7 @@
 
     /// Whether the endpoint has told its role, where it can be asked for that.
     fn was_heard(&self, endpoint: EndpointId) -> bool {
-        !self.endpoint(endpoint).role.is_unknown() || !self.state.terms.may_probe
+        !self.endpoint(endpoint).role.is_unknown() || !self.state.config.may_check_health
     }
 
     /// The position that an endpoint needs to serve the request from its own data; infinite where only the primary will do.
@@ -73,7 +73,7 @@
     fn has_position(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         let target = self.endpoint(endpoint);
         let is_primary = self.state.replica_sets[target.group()].tracker.is_primary(endpoint);
-        self.state.terms.members_check_reads
+        self.state.config.endpoints_check_reads
             || is_primary
             || target.position.known() >= self.required_position(request)
     }
@@ -109,7 +109,7 @@
 
     /// The part of its capacity that the endpoint has at least.
     pub(crate) fn capacity_fraction(&self, endpoint: EndpointId) -> f64 {
-        self.endpoint(endpoint).slow_start.capacity_fraction(self.now, &self.state.terms)
+        self.endpoint(endpoint).slow_start.capacity_fraction(self.now, &self.state.config)
     }
 
     /// What the endpoint can do now, in sizes of warm ones.
@@ -146,6 +146,6 @@
         // Each attempt of a request has a sample of its own.
         let counter = request.sample_counter + u64::from(request.attempts);
         let sample = || self.state.sampler.sample(counter, endpoint.index());
-        target.slow_start.allows(self.now, &self.state.terms, candidate, sample)
+        target.slow_start.allows(self.now, &self.state.config, candidate, sample)
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -67,7 +67,7 @@
             self.slow_start.begin(started_at);
             self.limit.reset(initial_limit);
         }
-        match listing.standing {
+        match listing.state {
             EndpointState::Ready => self.is_drained = false,
             EndpointState::Draining => self.is_drained = true,
             // One that drained before it left still counts as draining.
@@ -77,9 +77,9 @@
     }
 
     /// Whether nothing may be sent to it: it drains, or it is gone from the list where that is binding.
-    pub(crate) fn is_excluded(&self, terms: &RoutingConfig) -> bool {
-        let is_gone = self.listing.standing == EndpointState::Removed;
-        self.is_drained || is_gone && !terms.only_draining_bars
+    pub(crate) fn is_excluded(&self, config: &RoutingConfig) -> bool {
+        let is_gone = self.listing.state == EndpointState::Removed;
+        self.is_drained || is_gone && !config.only_draining_bars
     }
 
     /// The group that it is listed in.
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -25,9 +25,9 @@
     /// Send an attempt.
     Dispatch {
         /// To that endpoint.
-        host: usize,
+        endpoint: usize,
         /// Seconds after which it counts as not answered; 0 means when its client gives up.
-        time_out: f64,
+        timeout: f64,
     },
     /// Wait until [`Facade::tick`] names the request.
     Wait,
@@ -45,24 +45,24 @@
     /// An attempt ended.
     AttemptEnded {
         /// The request.
-        stmt: usize,
+        request: usize,
         /// The endpoint.
-        host: usize,
+        endpoint: usize,
         /// How it ended.
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         /// Seconds from its start to its end.
-        took: f64,
+        elapsed: f64,
         /// What the answer itself showed.
-        note: LoadReport,
+        observed: LoadReport,
         /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
     /// A health check ended.
     HealthCheckEnded {
         /// The endpoint.
-        host: usize,
+        endpoint: usize,
         /// How it ended.
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         /// What the endpoint said, if it answered.
         report: LoadReport,
     },
@@ -121,9 +121,9 @@
 impl Facade {
     /// A router that knows no endpoint yet.
     #[must_use]
-    pub fn start(now: f64, terms: RoutingConfig) -> Facade {
+    pub fn start(now: f64, config: RoutingConfig) -> Facade {
         let mut pending = Pending { now, ..Pending::default() };
-        let router = Router::start(now, terms, &mut pending);
+        let router = Router::start(now, config, &mut pending);
         Facade { router, pending }
     }
 
@@ -131,10 +131,10 @@
     pub fn pick(&mut self, now: f64, ask: PickRequest) -> (usize, Decision) {
         self.pending.now = now;
         let index = match ask {
-            PickRequest::New(stmt) => {
+            PickRequest::New(request) => {
                 let index = self.pending.allocate();
                 self.pending.picking = Some(index);
-                self.router.on_request(now, index, stmt, &mut self.pending);
+                self.router.on_request(now, index, request, &mut self.pending);
                 self.pending.picking = None;
                 index
             }
@@ -156,51 +156,59 @@
     pub fn report(&mut self, now: f64, news: RoutingEvent) {
         self.pending.now = now;
         match news {
-            RoutingEvent::AttemptEnded { stmt, host, ending, took, note, report } => {
-                let slot = &mut self.pending.slots[stmt];
+            RoutingEvent::AttemptEnded { request, endpoint, outcome, elapsed, observed, report } => {
+                let slot = &mut self.pending.slots[request];
                 let known = slot.is_taken && slot.in_flight > 0;
                 self.pending.check_invariant(known, "an execution that was picked ends once");
                 if known {
-                    let slot = &mut self.pending.slots[stmt];
+                    let slot = &mut self.pending.slots[request];
                     slot.in_flight -= 1;
-                    slot.is_over |= ending == AttemptOutcome::Completed;
+                    slot.is_over |= outcome == AttemptOutcome::Completed;
                     let closed = slot.is_over;
-                    let outcome = AttemptResult { stmt, host, ending, took, closed, note, report };
-                    self.router.on_attempt_result(now, &outcome, &mut self.pending);
-                    self.pending.free_if_over(stmt);
+                    let result =
+                        AttemptResult { request, endpoint, outcome, elapsed, closed, observed, report };
+                    self.router.on_attempt_result(now, &result, &mut self.pending);
+                    self.pending.free_if_over(request);
                 }
             }
-            RoutingEvent::HealthCheckEnded { host, ending, report } => {
-                self.router.on_health_check(now, host, ending, report, &mut self.pending);
+            RoutingEvent::HealthCheckEnded { endpoint, outcome, report } => {
+                self.router.on_health_check(now, endpoint, outcome, report, &mut self.pending);
             }
             RoutingEvent::EndpointList(list) => self.router.on_endpoint_list(now, list, &mut self.pending),
             RoutingEvent::Quota(parts) => self.router.on_quota(now, parts, &mut self.pending),
             RoutingEvent::EndpointListFailed => self.router.on_endpoint_list_failed(),
-            RoutingEvent::ClientGone(stmt) => self.client_gone(now, stmt),
+            RoutingEvent::ClientGone(request) => self.client_gone(now, request),
         }
     }
 
     /// The client left before its answer.
-    fn client_gone(&mut self, now: f64, stmt: usize) {
-        let slot = self.pending.slots[stmt];
+    fn client_gone(&mut self, now: f64, request: usize) {
+        let slot = self.pending.slots[request];
         self.pending.check_invariant(slot.is_taken && !slot.is_over, "a client leaves before its answer");
         if !slot.is_taken || slot.is_over {
             return;
         }
-        self.pending.slots[stmt].is_over = true;
-        match self.pending.slots[stmt].choice.take() {
+        self.pending.slots[request].is_over = true;
+        match self.pending.slots[request].choice.take() {
             // Decided, and not picked up: the router no longer holds it.
             Some(Decision::Reject { .. } | Decision::Abort) => {}
-            Some(Decision::Dispatch { host, .. }) => {
-                self.router.on_client_gone(stmt);
-                let (ending, note) = (AttemptOutcome::NeverSent, LoadReport::default());
-                let outcome =
-                    AttemptResult { stmt, host, ending, took: 0.0, closed: true, note, report: None };
-                self.router.on_attempt_result(now, &outcome, &mut self.pending);
+            Some(Decision::Dispatch { endpoint, .. }) => {
+                self.router.on_client_gone(request);
+                let (outcome, observed) = (AttemptOutcome::NeverSent, LoadReport::default());
+                let result = AttemptResult {
+                    request,
+                    endpoint,
+                    outcome,
+                    elapsed: 0.0,
+                    closed: true,
+                    observed,
+                    report: None,
+                };
+                self.router.on_attempt_result(now, &result, &mut self.pending);
             }
-            Some(Decision::Wait) | None => self.router.on_client_gone(stmt),
+            Some(Decision::Wait) | None => self.router.on_client_gone(request),
         }
-        self.pending.free_if_over(stmt);
+        self.pending.free_if_over(request);
     }
 
     /// What is due now; nothing is named twice for the same reason.
@@ -215,20 +223,20 @@
 
     /// Whether an endpoint is taken for one that is not warm yet.
     #[must_use]
-    pub fn is_cold(&self, now: f64, host: usize) -> bool {
-        self.router.is_cold(now, host)
+    pub fn is_warming(&self, now: f64, endpoint: usize) -> bool {
+        self.router.is_warming(now, endpoint)
     }
 
     /// Whether an attempt that was picked may still be sent; to be asked when its bytes are about to go out.
     #[must_use]
-    pub fn may_begin(&self, now: f64, stmt: usize, host: usize) -> bool {
-        self.router.may_begin(now, stmt, host)
+    pub fn may_begin(&self, now: f64, request: usize, endpoint: usize) -> bool {
+        self.router.may_begin(now, request, endpoint)
     }
 
     /// The same of a health check.
     #[must_use]
-    pub fn may_probe(&self, host: usize) -> bool {
-        self.router.may_probe(host)
+    pub fn may_check_health(&self, endpoint: usize) -> bool {
+        self.router.may_check_health(endpoint)
     }
 
     /// Requests that wait in a group for an endpoint that may take them.
@@ -245,7 +253,7 @@
 
     /// How often something that must hold did not.
     #[must_use]
-    pub fn breaches(&self) -> u64 {
+    pub fn invariant_violations(&self) -> u64 {
         self.pending.violations
     }
 }
@@ -286,24 +294,24 @@
 }
 
 impl Transport for Pending {
-    fn start_attempt(&mut self, stmt: usize, host: usize, time_out: f64) {
-        self.record_choice(stmt, Decision::Dispatch { host, time_out });
+    fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
+        self.record_choice(request, Decision::Dispatch { endpoint, timeout });
     }
 
-    fn reject(&mut self, stmt: usize, retry_after: f64) {
-        self.record_choice(stmt, Decision::Reject { retry_after });
+    fn reject(&mut self, request: usize, retry_after: f64) {
+        self.record_choice(request, Decision::Reject { retry_after });
     }
 
-    fn abort(&mut self, stmt: usize) {
-        self.record_choice(stmt, Decision::Abort);
+    fn abort(&mut self, request: usize) {
+        self.record_choice(request, Decision::Abort);
     }
 
-    fn cancel_attempt(&mut self, stmt: usize, _execution: u32) {
-        self.due.push_back(RoutingAction::CancelAttempt(stmt));
+    fn cancel_attempt(&mut self, request: usize, _execution: u32) {
+        self.due.push_back(RoutingAction::CancelAttempt(request));
     }
 
-    fn start_health_check(&mut self, host: usize) {
-        self.due.push_back(RoutingAction::HealthCheck(host));
+    fn start_health_check(&mut self, endpoint: usize) {
+        self.due.push_back(RoutingAction::HealthCheck(endpoint));
     }
 
     fn schedule_tick(&mut self, after: f64) {
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -11,56 +11,56 @@
 impl RouterState {
     /// Notes what a result says of the effects of its request: an attempt that may have run, a text that writes, a write
     /// of a session.
-    pub(crate) fn record_effect(&mut self, now: f64, id: RequestId, outcome: &AttemptResult) {
-        let endpoint = EndpointId::new(outcome.host);
-        let had_no_effect = outcome.ending.had_no_effect();
+    pub(crate) fn record_effect(&mut self, now: f64, id: RequestId, result: &AttemptResult) {
+        let endpoint = EndpointId::new(result.endpoint);
+        let had_no_effect = result.outcome.had_no_effect();
         let request = *self.requests.get(id);
         if let Some(session) = self.remembered_session(&request) {
             // An answer that broke off behind its row, or before, names no commit; it was no later than now.
-            let told = outcome.note.lsn.filter(|_| outcome.ending == AttemptOutcome::Completed);
+            let told = result.observed.lsn.filter(|_| result.outcome == AttemptOutcome::Completed);
             let commit = (!had_no_effect).then(|| told.unwrap_or(now));
             self.watermarks.end_write(request.group, session, commit);
         }
         let request = self.requests.get_mut(id);
-        if !had_no_effect && outcome.ending != AttemptOutcome::Completed {
+        if !had_no_effect && result.outcome != AttemptOutcome::Completed {
             request.record_possible_effect(endpoint);
         }
-        if outcome.ending == AttemptOutcome::ReadOnly {
+        if result.outcome == AttemptOutcome::ReadOnly {
             // The text writes, which its classification missed; the endpoint is not at fault.
             request.class = self.classes.as_write(request.class);
         }
     }
 
     /// Notes what a result says of the roles and positions of its endpoint; `request` is as it was before.
-    pub(crate) fn update_role(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult) {
-        let id = EndpointId::new(outcome.host);
+    pub(crate) fn update_role(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
+        let id = EndpointId::new(result.endpoint);
         let needs_primary = self.classes.get(request.class).needs() == Consistency::Primary;
-        let is_refused = matches!(outcome.ending, AttemptOutcome::Miss | AttemptOutcome::ReadOnly);
-        if outcome.ending == AttemptOutcome::Miss && !needs_primary {
+        let is_refused = matches!(result.outcome, AttemptOutcome::WrongEndpoint | AttemptOutcome::ReadOnly);
+        if result.outcome == AttemptOutcome::WrongEndpoint && !needs_primary {
             // It would reject the next read too, and where it waits first that read would come late.
             self.endpoints[id].position.record_rejected_read();
         }
-        self.apply_report(now, id, outcome.note, true);
-        if let Some(report) = outcome.report {
+        self.apply_report(now, id, result.observed, true);
+        if let Some(report) = result.report {
             if report.role.is_some() {
                 self.endpoints[id].role.record_sends_reports();
             }
             self.apply_report(now, id, report, false);
         }
         // One that calls itself the primary in the same answer refused what the text asks for.
-        let claims_primary = outcome.note.role == Some(Role::Primary);
+        let claims_primary = result.observed.role == Some(Role::Primary);
         if is_refused && needs_primary && !claims_primary {
             self.deny_primary(now, id);
-        } else if self.may_be_lost(request, outcome) {
+        } else if self.may_be_lost(request, result) {
             self.unseat(id);
         }
     }
 
     /// Whether the result may mean that the endpoint is lost as a primary. One that has answered others since is not: that
     /// time-out is due to load (departure 7 of docs/design.md).
-    fn may_be_lost(&self, request: &TrackedRequest, outcome: &AttemptResult) -> bool {
-        let endpoint = &self.endpoints[EndpointId::new(outcome.host)];
-        match outcome.ending {
+    fn may_be_lost(&self, request: &TrackedRequest, result: &AttemptResult) -> bool {
+        let endpoint = &self.endpoints[EndpointId::new(result.endpoint)];
+        match result.outcome {
             AttemptOutcome::TimedOut => endpoint.last_answer_at() < request.sent_at,
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => true,
             _ => false,
@@ -68,25 +68,25 @@
     }
 
     /// Learns from a result; `request` is as it was before.
-    pub(crate) fn record_result(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult) {
+    pub(crate) fn record_result(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
         // A request that is long itself is no sign of overload; one that is short could hide it.
-        let latency = (outcome.took - request.extra_work).max(0.0);
-        self.update_throughput(now, request, outcome);
-        self.update_admission(now, request, outcome, latency);
-        self.update_endpoint(now, request, outcome, latency);
-        self.update_class(request, outcome, latency);
+        let latency = (result.elapsed - request.extra_work).max(0.0);
+        self.update_throughput(now, request, result);
+        self.update_admission(now, request, result, latency);
+        self.update_endpoint(now, request, result, latency);
+        self.update_class(request, result, latency);
         // A retry that was answered in full is not counted.
-        if outcome.ending == AttemptOutcome::Completed && request.possible_effect.is_some() {
+        if result.outcome == AttemptOutcome::Completed && request.possible_effect.is_some() {
             self.retries.refund();
         }
     }
 
     /// Counts an answer by what its endpoint and its group can do now (departure 30 of docs/design.md).
-    fn update_throughput(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult) {
-        if outcome.ending != AttemptOutcome::Completed {
+    fn update_throughput(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
+        if result.outcome != AttemptOutcome::Completed {
             return;
         }
-        let id = EndpointId::new(outcome.host);
+        let id = EndpointId::new(result.endpoint);
         let needs = self.classes.get(request.class).needs();
         let needs_primary = matches!(needs, Consistency::Primary | Consistency::Fresh);
         let view = View::new(now, self);
@@ -98,25 +98,19 @@
 
     /// Guards against overload that no router sees by itself: adjusts the group's admission ratio (departure 18 of
     /// docs/design.md).
-    fn update_admission(
-        &mut self,
-        now: f64,
-        request: &TrackedRequest,
-        outcome: &AttemptResult,
-        latency: f64,
-    ) {
+    fn update_admission(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
         let slo_time = self.classes.get(request.class).settings().slo_time;
-        if outcome.ending == AttemptOutcome::Completed {
+        if result.outcome == AttemptOutcome::Completed {
             self.latency_pressure.record(latency / slo_time);
         }
-        let indicates_load = match outcome.ending {
-            AttemptOutcome::Completed | AttemptOutcome::Full => true,
+        let indicates_load = match result.outcome {
+            AttemptOutcome::Completed | AttemptOutcome::Refused => true,
             // A time-out indicates load only if answers take long too; else an answer was lost.
             AttemptOutcome::TimedOut => self.latency_pressure.is_high(),
             _ => false,
         };
-        let is_late = outcome.ending == AttemptOutcome::Full || outcome.took.min(latency) > slo_time;
-        let group = self.endpoints[EndpointId::new(outcome.host)].group();
+        let is_late = result.outcome == AttemptOutcome::Refused || result.elapsed.min(latency) > slo_time;
+        let group = self.endpoints[EndpointId::new(result.endpoint)].group();
         self.throttled_or_heard.insert(group);
         let group = &mut self.replica_sets[group];
         let since_result = group.record_result(now);
@@ -127,16 +121,16 @@
 
     /// Adjusts the concurrency limit of the endpoint, and ejects it if its connections fail (departures 1, 5 and 7 of
     /// docs/design.md).
-    fn update_endpoint(&mut self, now: f64, request: &TrackedRequest, outcome: &AttemptResult, latency: f64) {
-        let id = EndpointId::new(outcome.host);
+    fn update_endpoint(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
+        let id = EndpointId::new(result.endpoint);
         let slo_time = self.classes.get(request.class).settings().slo_time;
         let has_stalled = self.stalls.has_stalled_since(request.sent_at);
         let endpoint = &mut self.endpoints[id];
         let since_answer = now - endpoint.last_answer_at();
         let has_answered_others = endpoint.last_answer_at() > request.sent_at;
         let relative_latency = (!has_stalled).then_some(latency / slo_time);
-        let observation = endpoint.limit.observe(since_answer, relative_latency, self.terms.routers);
-        match outcome.ending {
+        let observation = endpoint.limit.observe(since_answer, relative_latency, self.config.routers);
+        match result.outcome {
             AttemptOutcome::Completed => {
                 endpoint.record_answer(now);
                 self.record_success_at(id, &observation);
@@ -145,11 +139,11 @@
                 endpoint.record_answer(now);
                 endpoint.limit.record_failure(&observation);
             }
-            AttemptOutcome::Full => {
+            AttemptOutcome::Refused => {
                 endpoint.record_answer(now);
                 endpoint.limit.record_full(now, &observation);
             }
-            AttemptOutcome::Miss | AttemptOutcome::ReadOnly => endpoint.record_answer(now),
+            AttemptOutcome::WrongEndpoint | AttemptOutcome::ReadOnly => endpoint.record_answer(now),
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 endpoint.outlier.record_no_answer();
                 if has_answered_others {
@@ -180,15 +174,15 @@
     }
 
     /// Adjusts the expected latency of the class and its part of all work.
-    fn update_class(&mut self, request: &TrackedRequest, outcome: &AttemptResult, latency: f64) {
+    fn update_class(&mut self, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
         let has_stalled = self.stalls.has_stalled_since(request.sent_at);
         let class = self.classes.get_mut(request.class);
-        if outcome.ending == AttemptOutcome::Completed {
+        if result.outcome == AttemptOutcome::Completed {
             class.record_work(Some(latency));
             if !has_stalled {
                 class.record_latency(latency);
             }
-        } else if !outcome.ending.had_no_effect() {
+        } else if !result.outcome.had_no_effect() {
             class.record_work(None);
         }
     }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,8 +1,8 @@
 //! What passes between [`Router`](crate::Router) and its caller. Nothing here decides.
 //!
 //! All times are seconds. `now` is any clock that never goes back; a position in the replication log (`lsn`) is the time on
-//! that same clock up to which an endpoint has every commit. Endpoints (`host`), groups, workloads, sites, tenants and
-//! requests (`stmt`) are small, dense indices that the caller hands out; a request's index is free again once the request
+//! that same clock up to which an endpoint has every commit. Endpoints, groups, workloads, sites, tenants and
+//! requests are small, dense indices that the caller hands out; a request's index is free again once the request
 //! has its final answer and no attempt of it is in flight.
 
 /// How often a request may take effect.
@@ -55,8 +55,8 @@
     /// How often a request of it may take effect.
     pub effect: Effect,
     /// Priority weight: what an answer in time is worth.
-    pub importance: f64,
-    /// Share of the importance that an answer after the SLO time still earns.
+    pub priority_weight: f64,
+    /// Share of the priority weight that an answer after the SLO time still earns.
     pub late_share: f64,
     /// Seconds from a client's first try within which an answer is in time.
     pub slo_time: f64,
@@ -81,7 +81,7 @@
     /// With answers, and with health checks.
     WithAnswers,
     /// With health checks alone.
-    WithProbes,
+    WithHealthChecks,
     /// There are none.
     Nowhere,
 }
@@ -99,34 +99,34 @@
     pub workloads: Vec<RequestClass>,
     /// Requests a second, over all routers, that lie within each tenant's share.
     pub tenant_rates: Vec<f64>,
-    /// What a request above its tenant's share is worth, as a part of its importance.
+    /// What a request above its tenant's share is worth, as a part of its priority weight.
     pub over_share: f64,
     /// Where load reports travel.
     pub reports: ReportSource,
     /// Endpoints reject a read for which they lag too far, rather than answer it from old data.
-    pub members_check_reads: bool,
+    pub endpoints_check_reads: bool,
     /// A session's last write is not told with its reads: the router has to remember it.
     pub remembers_writes: bool,
     /// The endpoint list comes only on asking.
     pub list_on_request: bool,
     /// Health checks may be sent.
-    pub may_probe: bool,
+    pub may_check_health: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub may_cancel_attempts: bool,
     /// Most attempts of one request.
-    pub max_executions: u32,
+    pub max_attempts: u32,
     /// Most seconds that a rejected client may be told to stay away.
     pub max_retry_after: f64,
     /// Only an endpoint seen draining is excluded; one that is merely gone from the list is not.
     pub only_draining_bars: bool,
     /// An endpoint that was just started has at least this part of its capacity.
-    pub cold_part: f64,
+    pub initial_capacity_fraction: f64,
     /// Seconds after its start from which on an endpoint has all of its capacity.
-    pub warm_after: f64,
+    pub warmup: f64,
     /// A warming endpoint that is sent this multiple of what it can do, for `fall_span`, falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Seconds, see `fall_multiple`.
-    pub fall_span: f64,
+    pub overload_span: f64,
 }
 
 /// What requests with one fingerprint are known to cost, in seconds of an endpoint's work.
@@ -180,7 +180,7 @@
     /// It was answered with an error that proves nothing of its effect.
     Error,
     /// The endpoint rejected it because it was full.
-    Full,
+    Refused,
     /// It was not answered in time.
     TimedOut,
     /// No connection came up.
@@ -192,20 +192,20 @@
     /// It never left this router.
     NeverSent,
     /// The endpoint is not the one for it: no primary, or too far behind.
-    Miss,
-    /// The endpoint only reads, and the text writes. An endpoint that tells no difference says `Miss`.
+    WrongEndpoint,
+    /// The endpoint only reads, and the text writes. An endpoint that tells no difference says `WrongEndpoint`.
     ReadOnly,
 }
 
 impl AttemptOutcome {
-    /// Whether the ending proves that the attempt had no effect.
+    /// Whether the outcome proves that the attempt had no effect.
     #[must_use]
     pub fn had_no_effect(self) -> bool {
         match self {
-            AttemptOutcome::Full
+            AttemptOutcome::Refused
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::NeverSent
-            | AttemptOutcome::Miss
+            | AttemptOutcome::WrongEndpoint
             | AttemptOutcome::ReadOnly => true,
             AttemptOutcome::Completed
             | AttemptOutcome::Error
@@ -224,24 +224,24 @@
     /// Its position in the replication log.
     pub lsn: Option<f64>,
     /// Its utilization: the part of its cores that is busy, by all that it does.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 /// The result of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// The request.
-    pub stmt: usize,
+    pub request: usize,
     /// The endpoint that the attempt was sent to.
-    pub host: usize,
+    pub endpoint: usize,
     /// How it ended.
-    pub ending: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     /// Seconds from its start to its end.
-    pub took: f64,
+    pub elapsed: f64,
     /// The request has its final answer, by this result or an earlier one.
     pub closed: bool,
     /// What the answer itself showed; for a completed write the position is its commit.
-    pub note: LoadReport,
+    pub observed: LoadReport,
     /// The load report that came with the answer.
     pub report: Option<LoadReport>,
 }
@@ -262,7 +262,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointUpdate {
     /// The endpoint.
-    pub host: usize,
+    pub endpoint: usize,
     /// An opaque number, the same for an endpoint at every router, as the indices are not.
     pub order: u64,
     /// Its group.
@@ -272,7 +272,7 @@
     /// Its capacity relative to others.
     pub size: f64,
     /// Its state.
-    pub standing: EndpointState,
+    pub state: EndpointState,
     /// When the endpoint last started; `None` means long ago.
     pub started_at: Option<f64>,
 }
@@ -281,7 +281,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointQuota {
     /// The endpoint.
-    pub host: usize,
+    pub endpoint: usize,
     /// Attempts that it may have in flight there.
     pub units: Option<f64>,
     /// Attempts that it may send there now while the endpoint warms up.
@@ -292,11 +292,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetQuota {
     /// Its parts at endpoints.
-    pub hosts: Vec<EndpointQuota>,
+    pub endpoints: Vec<EndpointQuota>,
     /// Routers that are there, as the fleet knows them.
     pub routers: Option<usize>,
     /// Retries of attempts that may have run that it may send now, where there is a budget for these.
-    pub second_tries: Option<f64>,
+    pub retries: Option<f64>,
 }
 
 /// What a router has looked at since it started, beside what each call names. It goes by the traffic and by what changes,
@@ -316,15 +316,15 @@
 /// Carries out what a [`Router`](crate::Router) decides.
 pub trait Transport {
     /// Sends an attempt; after `time_out` seconds it counts as not answered, 0 means when its client gives up.
-    fn start_attempt(&mut self, stmt: usize, host: usize, time_out: f64);
+    fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64);
     /// Final answer: nothing took effect, trying again in `retry_after` seconds is harmless.
-    fn reject(&mut self, stmt: usize, retry_after: f64);
+    fn reject(&mut self, request: usize, retry_after: f64);
     /// Final answer that promises nothing.
-    fn abort(&mut self, stmt: usize);
+    fn abort(&mut self, request: usize);
     /// Cancels the request's attempt with that number, counted from 0; its result still comes.
-    fn cancel_attempt(&mut self, stmt: usize, execution: u32);
+    fn cancel_attempt(&mut self, request: usize, attempt: u32);
     /// Sends a health check.
-    fn start_health_check(&mut self, host: usize);
+    fn start_health_check(&mut self, endpoint: usize);
     /// Asks for one call of `Router::timer`, in `after` seconds.
     fn schedule_tick(&mut self, after: f64);
     /// Asks that the endpoint list and its changes be sent from now on.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -19,7 +19,7 @@
     pub(crate) fn apply_report(&mut self, now: f64, id: EndpointId, report: LoadReport, in_answer: bool) {
         let is_excluded = self.is_excluded(id);
         let endpoint = &mut self.endpoints[id];
-        if let Some(utilization) = report.busy {
+        if let Some(utilization) = report.utilization {
             endpoint.record_utilization(now, utilization);
         }
         let position = report.lsn.filter(|position| *position <= now);
@@ -48,7 +48,7 @@
 
     /// Ejects an endpoint; it may have been lost as a primary too.
     pub(crate) fn eject(&mut self, now: f64, id: EndpointId, connection_failed: bool) {
-        self.endpoints[id].outlier.eject(now, connection_failed, self.terms.may_probe);
+        self.endpoints[id].outlier.eject(now, connection_failed, self.config.may_check_health);
         self.unseat(id);
     }
 
@@ -74,7 +74,7 @@
     pub(crate) fn poll(&mut self, now: f64, group: GroupId, transport: &mut impl Transport) {
         // Where nothing waits each check has to be paid for: no member needs a look while nothing is left for that.
         let may_check = !self.requests.waiting(group).is_empty() || self.health_checks.is_available();
-        if !self.terms.may_probe || !may_check {
+        if !self.config.may_check_health || !may_check {
             return;
         }
         self.work.polls += 1;
@@ -131,16 +131,16 @@
     /// reads themselves.
     fn ageing_limit(&self) -> f64 {
         match self.tightest_bound {
-            Some(bound) if !self.terms.members_check_reads => bound - 2.0 * URGENT_INTERVAL,
+            Some(bound) if !self.config.endpoints_check_reads => bound - 2.0 * URGENT_INTERVAL,
             _ => f64::INFINITY,
         }
     }
 
     /// A health check ended in any way but not being sent (departure 5 of docs/design.md).
-    pub(crate) fn record_health_check(&mut self, now: f64, id: EndpointId, ending: AttemptOutcome) {
+    pub(crate) fn record_health_check(&mut self, now: f64, id: EndpointId, outcome: AttemptOutcome) {
         let endpoint = &self.endpoints[id];
         let answered = !matches!(
-            ending,
+            outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset
         );
         let checked_at = endpoint.health_check.sent_at();
@@ -152,15 +152,15 @@
         if endpoint.outlier.record_health_check(answered) == Verdict::Restarted {
             endpoint.restart(now);
         }
-        if ending == AttemptOutcome::Full {
+        if outcome == AttemptOutcome::Refused {
             endpoint.health_check.retry_sooner(sample);
         }
     }
 
     /// Takes over an entry of the endpoint list.
     pub(crate) fn apply_update(&mut self, now: f64, listing: &EndpointUpdate) {
-        let id = EndpointId::new(listing.host);
-        let initial_limit = ConcurrencyLimit::initial(self.terms.routers);
+        let id = EndpointId::new(listing.endpoint);
+        let initial_limit = ConcurrencyLimit::initial(self.config.routers);
         if id.index() == self.endpoints.len() {
             self.add_endpoint(now, listing, initial_limit);
         }
@@ -174,11 +174,11 @@
 
     /// Adds an endpoint that was not listed before.
     fn add_endpoint(&mut self, now: f64, listing: &EndpointUpdate, initial_limit: f64) {
-        let id = EndpointId::new(listing.host);
+        let id = EndpointId::new(listing.endpoint);
         // Spreads the first health checks of many endpoints over an interval.
         let checked_at = now - POLL_INTERVAL * self.sampler.current(id.index());
         self.endpoints.push(Endpoint::new(*listing, initial_limit, checked_at));
-        self.health_checks.deposit_for_new_endpoint(self.terms.routers);
+        self.health_checks.deposit_for_new_endpoint(self.config.routers);
         self.replica_set_mut(GroupId::new(listing.group)).add(id);
     }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -27,12 +27,12 @@
 
 impl Router {
     /// A router that knows no endpoint yet; asks `transport` for the first timer call.
-    pub fn start(now: f64, terms: RoutingConfig, transport: &mut impl Transport) -> Router {
+    pub fn start(now: f64, config: RoutingConfig, transport: &mut impl Transport) -> Router {
         transport.schedule_tick(TICK);
         Router {
-            must_request_list: terms.list_on_request,
+            must_request_list: config.list_on_request,
             idle_group: 0,
-            state: RouterState::new(now, terms),
+            state: RouterState::new(now, config),
         }
     }
 
@@ -43,28 +43,28 @@
     }
 
     /// A request arrives; `index` is its own until it has its final answer and no attempt is in flight.
-    pub fn on_request(&mut self, now: f64, index: usize, stmt: Request, transport: &mut impl Transport) {
+    pub fn on_request(&mut self, now: f64, index: usize, request: Request, transport: &mut impl Transport) {
         let id = RequestId::new(index);
-        self.state.register(now, id, &stmt);
+        self.state.register(now, id, &request);
         if !self.state.is_admitted(now, id) {
             self.state.shed(now, id, transport);
             return;
         }
         self.state.try_dispatch(now, id, transport);
-        self.state.poll(now, GroupId::new(stmt.group), transport);
+        self.state.poll(now, GroupId::new(request.group), transport);
     }
 
     /// An attempt ended.
-    pub fn on_attempt_result(&mut self, now: f64, outcome: &AttemptResult, transport: &mut impl Transport) {
+    pub fn on_attempt_result(&mut self, now: f64, result: &AttemptResult, transport: &mut impl Transport) {
         let state = &mut self.state;
-        let id = RequestId::new(outcome.stmt);
+        let id = RequestId::new(result.request);
         let before = *state.requests.get(id);
         state.stalls.record_call(now);
-        state.record_result(now, &before, outcome);
-        state.record_effect(now, id, outcome);
-        state.update_role(now, &before, outcome);
+        state.record_result(now, &before, result);
+        state.record_effect(now, id, result);
+        state.update_role(now, &before, result);
         let is_abandoned = matches!(state.requests.state(id), RequestState::Abandoned(_));
-        if outcome.closed || is_abandoned {
+        if result.closed || is_abandoned {
             state.transition(id, RequestState::Free);
         } else {
             state.transition(id, RequestState::Waiting);
@@ -79,20 +79,20 @@
     pub fn on_health_check(
         &mut self,
         now: f64,
-        host: usize,
-        ending: AttemptOutcome,
+        endpoint: usize,
+        outcome: AttemptOutcome,
         report: LoadReport,
         transport: &mut impl Transport,
     ) {
         let state = &mut self.state;
-        let id = EndpointId::new(host);
+        let id = EndpointId::new(endpoint);
         state.endpoints[id].health_check.end();
-        if ending == AttemptOutcome::NeverSent {
+        if outcome == AttemptOutcome::NeverSent {
             // Its endpoint is not the cause: taken for an answer, it would end an ejection.
             return;
         }
-        state.record_health_check(now, id, ending);
-        if report.role.is_some() && state.terms.reports == ReportSource::WithAnswers {
+        state.record_health_check(now, id, outcome);
+        if report.role.is_some() && state.config.reports == ReportSource::WithAnswers {
             state.endpoints[id].role.record_sends_reports();
         }
         state.apply_report(now, id, report, false);
@@ -110,15 +110,15 @@
     /// What the fleet leaves this router of its budgets; they apply beside the router's own limits.
     pub fn on_quota(&mut self, now: f64, parts: &FleetQuota, transport: &mut impl Transport) {
         let state = &mut self.state;
-        for part in &parts.hosts {
-            let endpoint = &mut state.endpoints[EndpointId::new(part.host)];
+        for part in &parts.endpoints {
+            let endpoint = &mut state.endpoints[EndpointId::new(part.endpoint)];
             endpoint.limit.set_quota(part.units);
             endpoint.slow_start.set_tokens(part.tokens);
         }
         if let Some(routers) = parts.routers {
-            state.terms.routers = routers;
+            state.config.routers = routers;
         }
-        if let Some(retries) = parts.second_tries {
+        if let Some(retries) = parts.retries {
             state.retries.set(retries);
         }
         state.dispatch_all_waiting(now, transport);
@@ -126,7 +126,7 @@
 
     /// The endpoint list was asked for and did not come.
     pub fn on_endpoint_list_failed(&mut self) {
-        self.must_request_list = self.state.terms.list_on_request;
+        self.must_request_list = self.state.config.list_on_request;
     }
 
     /// The client left, or its time is up: no answer is needed any more.
@@ -175,8 +175,8 @@
 
     /// Whether an endpoint is taken for one that is not warm yet.
     #[must_use]
-    pub fn is_cold(&self, now: f64, host: usize) -> bool {
-        View::new(now, &self.state).is_warming(EndpointId::new(host))
+    pub fn is_warming(&self, now: f64, endpoint: usize) -> bool {
+        View::new(now, &self.state).is_warming(EndpointId::new(endpoint))
     }
 
     /// How many requests wait in a group.
@@ -194,15 +194,15 @@
     /// Whether an attempt that was decided on may still be sent, as the list, a role or the time may have changed
     /// meanwhile.
     #[must_use]
-    pub fn may_begin(&self, now: f64, index: usize, host: usize) -> bool {
-        let endpoint = EndpointId::new(host);
+    pub fn may_begin(&self, now: f64, index: usize, endpoint: usize) -> bool {
+        let endpoint = EndpointId::new(endpoint);
         let request = self.state.requests.get(RequestId::new(index));
         !self.state.is_excluded(endpoint) && View::new(now, &self.state).meets_rules(endpoint, request)
     }
 
     /// The same of a health check.
     #[must_use]
-    pub fn may_probe(&self, host: usize) -> bool {
-        !self.state.is_excluded(EndpointId::new(host))
+    pub fn may_check_health(&self, endpoint: usize) -> bool {
+        !self.state.is_excluded(EndpointId::new(endpoint))
     }
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -69,7 +69,7 @@
 /// probability in proportion to its weight.
 fn weighted_sample(view: View<'_>, endpoint: EndpointId) -> f64 {
     let target = view.endpoint(endpoint);
-    let is_near = target.site() == view.state.terms.site;
+    let is_near = target.site() == view.state.config.site;
     let site_weight = if is_near { OWN_SITE_WEIGHT } else { 1.0 };
     let latency = target.limit.latency().max(MIN_WEIGHED_LATENCY);
     let weight = target.size() * site_weight * target.spare_capacity(view.now) / latency.powi(2);
@@ -220,7 +220,7 @@
 
     /// Where endpoints check reads themselves and none is fresh enough, the replica with the newest position.
     fn most_advanced(&self, fresh: &[EndpointId], stale: &[EndpointId]) -> Option<EndpointId> {
-        if !fresh.is_empty() || !self.view.state.terms.members_check_reads {
+        if !fresh.is_empty() || !self.view.state.config.endpoints_check_reads {
             return None;
         }
         let position = |endpoint: &EndpointId| self.view.endpoint(*endpoint).position.known();
@@ -244,7 +244,7 @@
     /// Whether no replica is expected to become fresh enough in a moment.
     fn has_waited(&self, fresh: &[EndpointId]) -> bool {
         let is_known_fresh = |endpoint: &EndpointId| self.view.meets_rules(*endpoint, self.request);
-        self.view.state.terms.members_check_reads
+        self.view.state.config.endpoints_check_reads
             || self.view.now - self.request.arrived_at >= PRIMARY_READ_DELAY
             || fresh.iter().any(is_known_fresh)
     }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -53,10 +53,10 @@
     }
 
     /// The part of its capacity that the endpoint has at least, `1.0` once it is warm.
-    pub(crate) fn capacity_fraction(&self, now: f64, terms: &RoutingConfig) -> f64 {
+    pub(crate) fn capacity_fraction(&self, now: f64, config: &RoutingConfig) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let warmed = ((now - started_at) / terms.warm_after).clamp(0.0, 1.0);
-        terms.cold_part + (1.0 - terms.cold_part) * warmed
+        let warmed = ((now - started_at) / config.warmup).clamp(0.0, 1.0);
+        config.initial_capacity_fraction + (1.0 - config.initial_capacity_fraction) * warmed
     }
 
     /// Guards against pushing over a warming endpoint: whether it may be sent that request. `sample` is drawn only if the
@@ -64,11 +64,11 @@
     pub(crate) fn allows(
         &self,
         now: f64,
-        terms: &RoutingConfig,
+        config: &RoutingConfig,
         candidate: Candidate<impl Iterator<Item = (f64, bool)>>,
         sample: impl FnOnce() -> f64,
     ) -> bool {
-        let capacity = self.capacity_fraction(now, terms);
+        let capacity = self.capacity_fraction(now, config);
         if capacity >= 1.0 {
             return true;
         }
@@ -80,7 +80,7 @@
             return tokens >= 1.0;
         }
         // What waited for it, as for a new primary, would come from all routers at once: few of that.
-        let prompt = (1.0 - candidate.waited / (terms.fall_span / 2.0)).max(0.0);
+        let prompt = (1.0 - candidate.waited / (config.overload_span / 2.0)).max(0.0);
         let share = if candidate.to_primary {
             PRIMARY_SHARE
         } else {
@@ -88,7 +88,7 @@
         };
         let of_offered = SLOW_START_MARGIN / 2.0 * share * prompt;
         let of_answered = candidate.throughput.share(candidate.ticks, candidate.to_primary, candidate.size);
-        sample() < terms.fall_multiple * capacity * of_offered.min(of_answered)
+        sample() < config.overload_multiple * capacity * of_offered.min(of_answered)
     }
 }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -20,7 +20,7 @@
 
 /// The state of one router.
 pub(crate) struct RouterState {
-    pub(crate) terms: RoutingConfig,
+    pub(crate) config: RoutingConfig,
     /// The tightest staleness bound of all workloads, in seconds.
     pub(crate) tightest_bound: Option<f64>,
     pub(crate) classes: Classes,
@@ -45,11 +45,11 @@
 
 impl RouterState {
     /// The state of a router that has just started.
-    pub(crate) fn new(now: f64, terms: RoutingConfig) -> RouterState {
-        let bounds = terms.workloads.iter().filter_map(super::interface::RequestClass::bound);
+    pub(crate) fn new(now: f64, config: RoutingConfig) -> RouterState {
+        let bounds = config.workloads.iter().filter_map(super::interface::RequestClass::bound);
         RouterState {
             tightest_bound: bounds.reduce(f64::min),
-            classes: Classes::new(&terms),
+            classes: Classes::new(&config),
             endpoints: Table::default(),
             replica_sets: Table::default(),
             throttled_or_heard: BTreeSet::new(),
@@ -57,14 +57,14 @@
             throughput_ticks: TickCount::default(),
             requests: Requests::default(),
             watermarks: SessionWatermarks::default(),
-            tenants: TenantQuotas::new(now, terms.tenant_rates.len()),
+            tenants: TenantQuotas::new(now, config.tenant_rates.len()),
             retries: RetryBudget::new(),
             health_checks: HealthCheckBudget::default(),
             latency_pressure: LatencyPressure::default(),
             stalls: StallDetector::new(now),
-            sampler: Sampler::new(terms.seed),
+            sampler: Sampler::new(config.seed),
             work: Work::default(),
-            terms,
+            config,
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// Whether nothing may be sent to the endpoint.
     pub(crate) fn is_excluded(&self, endpoint: EndpointId) -> bool {
-        self.endpoints[endpoint].is_excluded(&self.terms)
+        self.endpoints[endpoint].is_excluded(&self.config)
     }
 
     /// Changes a request's state, and keeps count of the attempts in flight at its endpoints.
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -102,17 +102,17 @@
 
 impl Classes {
     /// The classes of these settings.
-    pub(crate) fn new(terms: &RoutingConfig) -> Classes {
-        let declared = terms.workloads.iter().cloned();
+    pub(crate) fn new(config: &RoutingConfig) -> Classes {
+        let declared = config.workloads.iter().cloned();
         // A text that may write goes by the strictest terms, whatever its workload says.
         let as_write = |workload: &RequestClass| RequestClass {
             needs: Consistency::Primary,
             effect: Effect::NonIdempotent,
             ..workload.clone()
         };
-        let twins = terms.workloads.iter().map(as_write);
+        let twins = config.workloads.iter().map(as_write);
         let table = Table::of(declared.chain(twins).map(ClassStats::new).collect());
-        Classes { table, declared: terms.workloads.len() }
+        Classes { table, declared: config.workloads.len() }
     }
 
     /// The class.
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -17,20 +17,20 @@
 pub struct Book(pub Vec<Done>);
 
 impl Transport for Book {
-    fn start_attempt(&mut self, stmt: usize, host: usize, _time_out: f64) {
-        self.0.push(Done::Execute(stmt, host));
+    fn start_attempt(&mut self, request: usize, endpoint: usize, _time_out: f64) {
+        self.0.push(Done::Execute(request, endpoint));
     }
-    fn reject(&mut self, stmt: usize, _retry_after: f64) {
-        self.0.push(Done::Reject(stmt));
+    fn reject(&mut self, request: usize, _retry_after: f64) {
+        self.0.push(Done::Reject(request));
     }
-    fn abort(&mut self, stmt: usize) {
-        self.0.push(Done::Abort(stmt));
+    fn abort(&mut self, request: usize) {
+        self.0.push(Done::Abort(request));
     }
-    fn cancel_attempt(&mut self, stmt: usize, _execution: u32) {
-        self.0.push(Done::Cancel(stmt));
+    fn cancel_attempt(&mut self, request: usize, _execution: u32) {
+        self.0.push(Done::Cancel(request));
     }
-    fn start_health_check(&mut self, host: usize) {
-        self.0.push(Done::Probe(host));
+    fn start_health_check(&mut self, endpoint: usize) {
+        self.0.push(Done::Probe(endpoint));
     }
     fn schedule_tick(&mut self, _after: f64) {}
     fn request_endpoint_list(&mut self) {}
@@ -43,10 +43,10 @@
 pub const MARKED: usize = 3;
 
 pub fn terms(checks: bool) -> RoutingConfig {
-    let row = |needs, effect, importance, slo_time, statement_timeout| RequestClass {
+    let row = |needs, effect, priority_weight, slo_time, statement_timeout| RequestClass {
         needs,
         effect,
-        importance,
+        priority_weight,
         late_share: 0.0,
         slo_time,
         statement_timeout,
@@ -65,18 +65,18 @@
         tenant_rates: Vec::new(),
         over_share: 0.1,
         reports: ReportSource::WithAnswers,
-        members_check_reads: checks,
+        endpoints_check_reads: checks,
         remembers_writes: false,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        max_executions: 8,
+        may_check_health: true,
+        may_cancel_attempts: true,
+        max_attempts: 8,
         max_retry_after: 1.0,
         only_draining_bars: false,
-        cold_part: 0.2,
-        warm_after: 10.0,
-        fall_multiple: 2.5,
-        fall_span: 1.0,
+        initial_capacity_fraction: 0.2,
+        warmup: 10.0,
+        overload_multiple: 2.5,
+        overload_span: 1.0,
     }
 }
 
@@ -94,9 +94,9 @@
     }
 }
 
-pub fn listed(host: usize, standing: EndpointState) -> EndpointUpdate {
-    let order = [3, 1, 0, 2, 4][host];
-    EndpointUpdate { host, order, group: 0, site: Some(0), size: 1.0, standing, started_at: None }
+pub fn listed(endpoint: usize, state: EndpointState) -> EndpointUpdate {
+    let order = [3, 1, 0, 2, 4][endpoint];
+    EndpointUpdate { endpoint, order, group: 0, site: Some(0), size: 1.0, state, started_at: None }
 }
 
 pub struct World {
@@ -112,7 +112,7 @@
         let mut book = Book::default();
         let router = Router::start(100.0, terms, &mut book);
         let mut world = World { router, book, now: 100.0, next: 0 };
-        (0..4).for_each(|host| world.list(host, EndpointState::Ready, None));
+        (0..4).for_each(|endpoint| world.list(endpoint, EndpointState::Ready, None));
         world
     }
 
@@ -120,19 +120,19 @@
     pub fn settled(checks: bool, lags: [f64; 3]) -> World {
         let mut world = World::new(terms(checks));
         world.report(0, Role::Primary, 0.0);
-        (1..4).for_each(|host| world.report(host, Role::Replica, lags[host - 1]));
+        (1..4).for_each(|endpoint| world.report(endpoint, Role::Replica, lags[endpoint - 1]));
         world.book.0.clear();
         world
     }
 
-    pub fn list(&mut self, host: usize, standing: EndpointState, started_at: Option<f64>) {
-        let listed = EndpointUpdate { started_at, ..listed(host, standing) };
+    pub fn list(&mut self, endpoint: usize, state: EndpointState, started_at: Option<f64>) {
+        let listed = EndpointUpdate { started_at, ..listed(endpoint, state) };
         self.router.on_endpoint_list(self.now, &[listed], &mut self.book);
     }
 
-    pub fn report(&mut self, host: usize, role: Role, lag: f64) {
-        let report = LoadReport { role: Some(role), lsn: Some(self.now - lag), busy: None };
-        self.router.on_health_check(self.now, host, AttemptOutcome::Completed, report, &mut self.book);
+    pub fn report(&mut self, endpoint: usize, role: Role, lag: f64) {
+        let report = LoadReport { role: Some(role), lsn: Some(self.now - lag), utilization: None };
+        self.router.on_health_check(self.now, endpoint, AttemptOutcome::Completed, report, &mut self.book);
     }
 
     pub fn ask(&mut self, workload: usize) -> usize {
@@ -141,25 +141,26 @@
     }
 
     pub fn ask_and_place(&mut self, workload: usize) -> Vec<usize> {
-        let stmt = self.ask(workload);
-        self.sent_to(stmt)
+        let request = self.ask(workload);
+        self.sent_to(request)
     }
 
     pub fn ask_with(&mut self, workload: usize, time_left: f64) -> usize {
         self.ask_for(statement(workload, time_left))
     }
 
-    pub fn ask_for(&mut self, stmt: Request) -> usize {
+    pub fn ask_for(&mut self, request: Request) -> usize {
         self.next += 1;
-        self.router.on_request(self.now, self.next - 1, stmt, &mut self.book);
+        self.router.on_request(self.now, self.next - 1, request, &mut self.book);
         self.next - 1
     }
 
-    pub fn end(&mut self, stmt: usize, host: usize, ending: AttemptOutcome, role: Option<Role>) {
-        let note = LoadReport { role, lsn: None, busy: None };
-        let closed = ending == AttemptOutcome::Completed;
-        let outcome = AttemptResult { stmt, host, ending, took: 0.05, closed, note, report: None };
-        self.router.on_attempt_result(self.now, &outcome, &mut self.book);
+    pub fn end(&mut self, request: usize, endpoint: usize, outcome: AttemptOutcome, role: Option<Role>) {
+        let observed = LoadReport { role, lsn: None, utilization: None };
+        let closed = outcome == AttemptOutcome::Completed;
+        let result =
+            AttemptResult { request, endpoint, outcome, elapsed: 0.05, closed, observed, report: None };
+        self.router.on_attempt_result(self.now, &result, &mut self.book);
     }
 
     /// Lets time pass, beat by beat.
@@ -171,9 +172,9 @@
         }
     }
 
-    pub fn sent_to(&self, stmt: usize) -> Vec<usize> {
+    pub fn sent_to(&self, request: usize) -> Vec<usize> {
         let sent = |done: &Done| match done {
-            Done::Execute(sent, host) if *sent == stmt => Some(*host),
+            Done::Execute(sent, endpoint) if *sent == request => Some(*endpoint),
             _ => None,
         };
         self.book.0.iter().filter_map(sent).collect()
@@ -185,9 +186,9 @@
 }
 
 /// How many of so many statements, asked at once, go to that host before they wait.
-pub fn held_at(world: &mut World, workload: usize, host: usize) -> usize {
+pub fn held_at(world: &mut World, workload: usize, endpoint: usize) -> usize {
     let asked: Vec<usize> = (0..60).map(|_| world.ask(workload)).collect();
-    asked.iter().filter(|stmt| world.sent_to(**stmt) == [host]).count()
+    asked.iter().filter(|request| world.sent_to(**request) == [endpoint]).count()
 }
 
 pub fn work(own: f64, usual: f64, spread: f64) -> Option<WorkEstimate> {
--- a/crates/routing/tests/decisions/admission.rs
+++ b/crates/routing/tests/decisions/admission.rs
@@ -15,10 +15,10 @@
 #[case(MARKED, 2.0)]
 fn nothing_is_lost(#[case] workload: usize, #[case] time_left: f64) {
     let mut world = World::settled(false, [5.0; 3]);
-    (0..4).for_each(|host| world.list(host, EndpointState::Removed, None));
-    let stmt = world.ask_with(workload, time_left);
+    (0..4).for_each(|endpoint| world.list(endpoint, EndpointState::Removed, None));
+    let request = world.ask_with(workload, time_left);
     world.pass(time_left);
-    assert_eq!((world.count(Done::Reject(stmt)), world.sent_to(stmt).len()), (1, 0));
+    assert_eq!((world.count(Done::Reject(request)), world.sent_to(request).len()), (1, 0));
 }
 
 /// Found on overloaded days: with the log applied slowly all replicas fell behind for good.
@@ -36,13 +36,13 @@
         if round % 4 == 0 {
             let write = world.ask(WRITE);
             rejected += world.count(Done::Reject(write));
-            for host in world.sent_to(write) {
-                world.end(write, host, AttemptOutcome::Completed, Some(Primary));
+            for endpoint in world.sent_to(write) {
+                world.end(write, endpoint, AttemptOutcome::Completed, Some(Primary));
             }
         }
         if round % 10 == 0 {
             world.report(0, Primary, 0.0);
-            (1..4).for_each(|host| world.report(host, Replica, lags[host - 1]));
+            (1..4).for_each(|endpoint| world.report(endpoint, Replica, lags[endpoint - 1]));
         }
     }
     assert_eq!(rejected > 20, held_back, "{rejected}");
@@ -88,8 +88,8 @@
     #[case] tried: bool,
 ) {
     let mut world = World::settled(true, [0.0; 3]);
-    let stmt = world.ask_for(Request { work, ..statement(workload, left) });
-    assert_eq!(!world.sent_to(stmt).is_empty(), tried, "{:?}", world.book.0);
+    let request = world.ask_for(Request { work, ..statement(workload, left) });
+    assert_eq!(!world.sent_to(request).is_empty(), tried, "{:?}", world.book.0);
 }
 
 /// Where all members are full, the cheap one goes out before the dear one that came later.
@@ -97,12 +97,12 @@
 fn what_waits_goes_out_by_its_own_work() {
     let mut world = World::settled(true, [0.0; 3]);
     let all: Vec<usize> = (0..200).map(|_| world.ask(READ)).collect();
-    let full: Vec<usize> = all.into_iter().filter(|stmt| !world.sent_to(*stmt).is_empty()).collect();
+    let full: Vec<usize> = all.into_iter().filter(|request| !world.sent_to(*request).is_empty()).collect();
     let light = world.ask_for(Request { work: work(0.005, 0.05, 0.05), ..statement(READ, 0.75) });
     let heavy = world.ask_for(Request { work: work(0.15, 0.05, 0.05), ..statement(READ, 0.75) });
     assert!(world.sent_to(light).is_empty() && world.sent_to(heavy).is_empty());
-    for stmt in full {
-        world.end(stmt, world.sent_to(stmt)[0], AttemptOutcome::Completed, None);
+    for request in full {
+        world.end(request, world.sent_to(request)[0], AttemptOutcome::Completed, None);
         if !world.sent_to(light).is_empty() {
             break;
         }
--- a/crates/routing/tests/decisions/concurrency_limit.rs
+++ b/crates/routing/tests/decisions/concurrency_limit.rs
@@ -10,23 +10,23 @@
 /// Found at full size: a limit of one at each of hundreds of routers is hundreds for a host. And with a list
 /// that names hosts which do not exist: a member never heard of gets nothing.
 #[rstest]
-#[case::always_full(Some(AttemptOutcome::Full), 2..30)]
+#[case::always_full(Some(AttemptOutcome::Refused), 2..30)]
 #[case::quick(Some(AttemptOutcome::Completed), 40..41)]
 #[case::never_heard(None, 0..1)]
 fn a_host_gets_what_it_can_take(
-    #[case] ending: Option<AttemptOutcome>,
+    #[case] outcome: Option<AttemptOutcome>,
     #[case] expected: std::ops::Range<usize>,
 ) {
     let mut world = World::new(RoutingConfig { routers: 200, ..terms(true) });
-    if ending.is_some() {
+    if outcome.is_some() {
         world.report(1, Replica, 0.0);
     }
     let mut sent = 0;
     for _ in 0..40 {
         let read = world.ask_with(READ, 0.1);
         let mut ended = 0;
-        while let (Some(ending), true) = (ending, ended < world.sent_to(read).len()) {
-            world.end(read, 1, ending, None);
+        while let (Some(outcome), true) = (outcome, ended < world.sent_to(read).len()) {
+            world.end(read, 1, outcome, None);
             ended += 1;
         }
         sent += ended;
@@ -40,7 +40,7 @@
 #[test]
 fn a_primary_that_answers_reads_quickly_is_lent_more_of_them() {
     let mut world = World::settled(true, [0.0; 3]);
-    (1..4).for_each(|host| world.list(host, EndpointState::Draining, None));
+    (1..4).for_each(|endpoint| world.list(endpoint, EndpointState::Draining, None));
     let mut asked = Vec::new();
     for round in 0..160 {
         let more = if round < 150 { 12 } else { 0 };
@@ -48,8 +48,8 @@
         world.pass(0.02);
         // What waits is sent as others end, or given up.
         let (out, waits): (Vec<usize>, Vec<usize>) =
-            asked.into_iter().partition(|stmt| world.sent_to(*stmt) == [0]);
-        out.into_iter().for_each(|stmt| world.end(stmt, 0, AttemptOutcome::Completed, Some(Primary)));
+            asked.into_iter().partition(|request| world.sent_to(*request) == [0]);
+        out.into_iter().for_each(|request| world.end(request, 0, AttemptOutcome::Completed, Some(Primary)));
         asked = waits;
     }
     let held = held_at(&mut world, READ, 0);
@@ -63,7 +63,7 @@
 #[case::answers_nothing(false, 0)]
 fn time_outs_close_a_member_only_if_it_answers_nothing(#[case] answers: bool, #[case] least: usize) {
     let mut world = World::settled(true, [0.0; 3]);
-    (0..3).for_each(|host| world.list(host, EndpointState::Draining, None));
+    (0..3).for_each(|endpoint| world.list(endpoint, EndpointState::Draining, None));
     for _ in 0..30 {
         let (long, quick) = (world.ask(READ), world.ask(READ));
         world.pass(0.1);
@@ -71,9 +71,9 @@
             world.end(quick, 3, AttemptOutcome::Completed, Some(Replica));
         }
         world.pass(0.7);
-        for stmt in [long].into_iter().chain((!answers).then_some(quick)) {
-            if world.sent_to(stmt) == [3] {
-                world.end(stmt, 3, AttemptOutcome::TimedOut, None);
+        for request in [long].into_iter().chain((!answers).then_some(quick)) {
+            if world.sent_to(request) == [3] {
+                world.end(request, 3, AttemptOutcome::TimedOut, None);
             }
         }
     }
@@ -88,19 +88,19 @@
 fn heavy_shapes_close_no_member(#[case] work: Option<WorkEstimate>, #[case] open: bool) {
     let mut world = World::settled(true, [0.0; 3]);
     for _ in 0..100 {
-        let stmt = world.ask_for(Request { work, ..statement(READ, 0.75) });
-        let Some(host) = world.sent_to(stmt).first().copied() else { continue };
-        let note = LoadReport::default();
-        let outcome = AttemptResult {
-            stmt,
-            host,
-            ending: AttemptOutcome::Completed,
-            took: 0.29,
+        let request = world.ask_for(Request { work, ..statement(READ, 0.75) });
+        let Some(endpoint) = world.sent_to(request).first().copied() else { continue };
+        let observed = LoadReport::default();
+        let result = AttemptResult {
+            request,
+            endpoint,
+            outcome: AttemptOutcome::Completed,
+            elapsed: 0.29,
             closed: true,
-            note,
+            observed,
             report: None,
         };
-        world.router.on_attempt_result(world.now, &outcome, &mut world.book);
+        world.router.on_attempt_result(world.now, &result, &mut world.book);
         world.pass(0.04);
     }
     let placed = (0..50).filter(|_| !world.ask_and_place(READ).is_empty()).count();
--- a/crates/routing/tests/decisions/consistency.rs
+++ b/crates/routing/tests/decisions/consistency.rs
@@ -65,11 +65,19 @@
     let ask = |world: &mut World, workload, session| {
         world.ask_for(Request { session: Some(session), ..statement(workload, 2.0) })
     };
-    let ended = |world: &mut World, write, ending, lsn| {
-        let note = LoadReport { role: Some(Primary), lsn, busy: None };
-        let closed = ending == AttemptOutcome::Completed;
-        let outcome = AttemptResult { stmt: write, host: 0, ending, took: 0.05, closed, note, report: None };
-        world.router.on_attempt_result(world.now, &outcome, &mut world.book);
+    let ended = |world: &mut World, write, outcome, lsn| {
+        let observed = LoadReport { role: Some(Primary), lsn, utilization: None };
+        let closed = outcome == AttemptOutcome::Completed;
+        let result = AttemptResult {
+            request: write,
+            endpoint: 0,
+            outcome,
+            elapsed: 0.05,
+            closed,
+            observed,
+            report: None,
+        };
+        world.router.on_attempt_result(world.now, &result, &mut world.book);
     };
     let write = ask(&mut world, MARKED, 77);
     assert_eq!(world.sent_to(write), [0]);
@@ -82,7 +90,7 @@
         Between::TurnedAway => {
             // With its client gone it is not tried again.
             world.router.on_client_gone(write);
-            ended(&mut world, write, AttemptOutcome::Full, None);
+            ended(&mut world, write, AttemptOutcome::Refused, None);
         }
         Between::Overtaken => {
             let later = ask(&mut world, MARKED, 77);
@@ -92,7 +100,7 @@
         Between::Joined => {
             ended(&mut world, write, AttemptOutcome::Completed, Some(now));
             world.now += 0.1;
-            (1..4).for_each(|host| world.report(host, Replica, 0.0));
+            (1..4).for_each(|endpoint| world.report(endpoint, Replica, 0.0));
             world.pass(0.1);
             world.list(1, EndpointState::Removed, None);
             world.list(4, EndpointState::Ready, None);
@@ -112,7 +120,7 @@
     world.pass(0.02);
     assert_eq!(world.sent_to(read).contains(&replica), taken, "{:?}", world.sent_to(read));
     // A read of data from a second ago is another matter.
-    assert!(world.sent_to(read).iter().all(|host| *host == replica || *host == 0));
+    assert!(world.sent_to(read).iter().all(|endpoint| *endpoint == replica || *endpoint == 0));
 }
 
 /// Rule: no stale read. Reads of a second at most, from members that do not check.
@@ -132,7 +140,7 @@
 fn a_member_that_turned_a_read_away_is_asked_again_once_it_tells_its_position() {
     let mut world = World::settled(true, [1.5, 2.0, 2.0]);
     let first = world.ask(READ);
-    world.end(first, 1, AttemptOutcome::Miss, Some(Replica));
+    world.end(first, 1, AttemptOutcome::WrongEndpoint, Some(Replica));
     let second = world.ask(READ);
     assert_ne!(world.sent_to(second), [1]);
     world.report(1, Replica, 1.4);
@@ -152,11 +160,11 @@
     for _ in 0..100 {
         world.pass(0.02);
         for done in std::mem::take(&mut world.book.0) {
-            if let Done::Probe(host) = done {
+            if let Done::Probe(endpoint) = done {
                 world.router.on_health_check(
                     world.now,
-                    host,
-                    AttemptOutcome::Full,
+                    endpoint,
+                    AttemptOutcome::Refused,
                     LoadReport::default(),
                     &mut world.book,
                 );
@@ -168,10 +176,10 @@
     let read = world.ask(READ);
     assert_eq!(world.sent_to(read), []);
     for _ in 0..4 {
-        let probed: Vec<usize> = (1..4).filter(|host| world.count(Done::Probe(*host)) > 0).collect();
+        let probed: Vec<usize> = (1..4).filter(|endpoint| world.count(Done::Probe(*endpoint)) > 0).collect();
         assert!(world.count(Done::Probe(0)) == 0, "the primary is fresh by itself");
         if let Some(lag) = lag {
-            probed.iter().for_each(|host| world.report(*host, Replica, lag));
+            probed.iter().for_each(|endpoint| world.report(*endpoint, Replica, lag));
         }
         world.pass(0.02);
     }
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -12,11 +12,11 @@
 #[case::gone(EndpointState::Removed, false, false)]
 #[case::gone_does_not_bind(EndpointState::Removed, true, true)]
 #[case::draining_binds_anyway(EndpointState::Draining, true, false)]
-fn drains_are_kept(#[case] standing: EndpointState, #[case] only_draining_bars: bool, #[case] still: bool) {
+fn drains_are_kept(#[case] state: EndpointState, #[case] only_draining_bars: bool, #[case] still: bool) {
     let mut world = World::new(RoutingConfig { only_draining_bars, ..terms(false) });
     world.report(0, Primary, 0.0);
     world.report(1, Replica, 0.0);
-    world.list(1, standing, None);
+    world.list(1, state, None);
     let read = world.ask(READ);
     assert_eq!(world.sent_to(read) == [1], still);
 }
@@ -39,15 +39,15 @@
     #[case] may: bool,
 ) {
     let mut world = World::settled(checks, [0.0; 3]);
-    let stmt = world.ask_with(workload, 2.0);
-    let mut host = world.sent_to(stmt)[0];
+    let request = world.ask_with(workload, 2.0);
+    let mut endpoint = world.sent_to(request)[0];
     if workload == MARKED {
         // It may have run once, and is on its way again.
-        world.end(stmt, host, AttemptOutcome::Error, Some(Primary));
-        host = world.sent_to(stmt)[1];
+        world.end(request, endpoint, AttemptOutcome::Error, Some(Primary));
+        endpoint = world.sent_to(request)[1];
     }
-    told.into_iter().for_each(|standing| world.list(host, standing, None));
+    told.into_iter().for_each(|state| world.list(endpoint, state, None));
     world.now += later;
-    assert_eq!(world.router.may_begin(world.now, stmt, host), may);
-    assert_eq!(world.router.may_probe(host), told.is_none());
+    assert_eq!(world.router.may_begin(world.now, request, endpoint), may);
+    assert_eq!(world.router.may_check_health(endpoint), told.is_none());
 }
--- a/crates/routing/tests/decisions/health_checks.rs
+++ b/crates/routing/tests/decisions/health_checks.rs
@@ -12,14 +12,14 @@
 #[case::one_is_silent(false, 1)]
 fn polling_stops_once_all_report(#[case] all: bool, #[case] least: usize) {
     let mut world = World::new(terms(false));
-    (0..if all { 4 } else { 3 }).for_each(|host| {
-        world.report(host, if host == 0 { Primary } else { Replica }, 0.0);
+    (0..if all { 4 } else { 3 }).for_each(|endpoint| {
+        world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
     world.book.0.clear();
     world.pass(0.4);
     world.now += 0.8;
-    (0..if all { 4 } else { 3 }).for_each(|host| {
-        world.report(host, if host == 0 { Primary } else { Replica }, 0.0);
+    (0..if all { 4 } else { 3 }).for_each(|endpoint| {
+        world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
     world.pass(0.1);
     assert!(world.count(Done::Probe(0)) >= least);
@@ -30,7 +30,7 @@
 #[rstest]
 #[case::never_sent(AttemptOutcome::NeverSent, false)]
 #[case::answered(AttemptOutcome::Completed, true)]
-fn a_probe_that_was_not_sent_clears_nobody(#[case] ending: AttemptOutcome, #[case] clears: bool) {
+fn a_probe_that_was_not_sent_clears_nobody(#[case] outcome: AttemptOutcome, #[case] clears: bool) {
     let mut world = World::settled(true, [0.0, 9.0, 9.0]);
     let lost = world.ask(READ);
     world.now += 1.0;
@@ -40,7 +40,7 @@
     world.router.on_health_check(
         world.now,
         1,
-        ending,
+        outcome,
         LoadReport { lsn: Some(world.now), ..LoadReport::default() },
         &mut world.book,
     );
@@ -53,21 +53,21 @@
 #[case::nothing_asked(0, 4)]
 #[case::some_reads(20, 9)]
 fn probes_follow_statements(#[case] reads: usize, #[case] most: usize) {
-    let mut world = World::new(RoutingConfig { reports: ReportSource::WithProbes, ..terms(true) });
+    let mut world = World::new(RoutingConfig { reports: ReportSource::WithHealthChecks, ..terms(true) });
     for round in 0..500 {
         world.pass(0.02);
-        let probed: Vec<usize> = (0..4).filter(|host| world.count(Done::Probe(*host)) > 0).collect();
+        let probed: Vec<usize> = (0..4).filter(|endpoint| world.count(Done::Probe(*endpoint)) > 0).collect();
         probed
             .into_iter()
-            .for_each(|host| world.report(host, if host == 0 { Primary } else { Replica }, 0.0));
+            .for_each(|endpoint| world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0));
         if reads > 0 && round % (500 / reads) == 0 {
             let read = world.ask(READ);
             world
                 .sent_to(read)
                 .into_iter()
-                .for_each(|host| world.end(read, host, AttemptOutcome::Completed, None));
+                .for_each(|endpoint| world.end(read, endpoint, AttemptOutcome::Completed, None));
         }
     }
-    let probes = (0..4).map(|host| world.count(Done::Probe(host))).sum::<usize>();
+    let probes = (0..4).map(|endpoint| world.count(Done::Probe(endpoint))).sum::<usize>();
     assert!((4..=most).contains(&probes), "{probes}");
 }
--- a/crates/routing/tests/decisions/outlier.rs
+++ b/crates/routing/tests/decisions/outlier.rs
@@ -15,7 +15,7 @@
     assert!(reads.iter().all(|read| world.sent_to(*read) == [1]));
     for _ in 0..10 {
         world.pass(0.02);
-        (1..4).for_each(|host| world.report(host, Replica, 0.0));
+        (1..4).for_each(|endpoint| world.report(endpoint, Replica, 0.0));
     }
     assert_eq!(world.count(Done::Cancel(reads[0])), 1);
     world.end(reads[0], 1, AttemptOutcome::Cancelled, None);
@@ -48,16 +48,16 @@
 /// member was eased in as cold. Only a probe that is not answered tells of an absence.
 #[rstest]
 #[case::refused_under_a_cap(AttemptOutcome::ConnectFailed, AttemptOutcome::Completed, true)]
-#[case::answer_reset(AttemptOutcome::Reset, AttemptOutcome::Full, true)]
+#[case::answer_reset(AttemptOutcome::Reset, AttemptOutcome::Refused, true)]
 #[case::away(AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, false)]
 fn only_absence_makes_a_member_cold(
-    #[case] ending: AttemptOutcome,
+    #[case] outcome: AttemptOutcome,
     #[case] probe: AttemptOutcome,
     #[case] warm: bool,
 ) {
     let mut world = World::settled(true, [0.0, 9.0, 9.0]);
     let read = world.ask(READ);
-    world.end(read, 1, ending, None);
+    world.end(read, 1, outcome, None);
     world.router.on_health_check(world.now, 1, probe, LoadReport::default(), &mut world.book);
     world.report(1, Replica, 0.0);
     let sent = (0..40).filter(|_| {
@@ -66,7 +66,7 @@
         world
             .sent_to(read)
             .into_iter()
-            .for_each(|host| world.end(read, host, AttemptOutcome::Completed, None));
+            .for_each(|endpoint| world.end(read, endpoint, AttemptOutcome::Completed, None));
         there
     });
     assert_eq!(sent.count() > 30, warm);
@@ -89,9 +89,9 @@
 #[case::answered_long_ago(2.0, false)]
 fn a_refused_connection_weighs_little_against_an_answer(#[case] since: f64, #[case] trusted: bool) {
     let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    for (wait, ending) in [(since, AttemptOutcome::Completed), (0.0, AttemptOutcome::ConnectFailed)] {
+    for (wait, outcome) in [(since, AttemptOutcome::Completed), (0.0, AttemptOutcome::ConnectFailed)] {
         let read = world.ask(READ);
-        world.end(read, 1, ending, None);
+        world.end(read, 1, outcome, None);
         world.now += wait;
     }
     assert_eq!(world.ask_and_place(READ) == [1], trusted);
--- a/crates/routing/tests/decisions/primary.rs
+++ b/crates/routing/tests/decisions/primary.rs
@@ -17,20 +17,20 @@
 #[case::late_news_of_a_replica_undoes_nothing(&[(1, Primary, 0.1), (1, Replica, 0.2)], Some(1))]
 fn pointer_follows_news(#[case] news: &[(usize, Role, f64)], #[case] expected: Option<usize>) {
     let mut world = World::new(terms(true));
-    for (host, role, age) in news {
-        world.report(*host, *role, *age);
+    for (endpoint, role, age) in news {
+        world.report(*endpoint, *role, *age);
     }
     let write = world.ask(WRITE);
     assert_eq!(world.sent_to(write).first().copied(), expected);
 }
 
 #[rstest]
-#[case::miss(AttemptOutcome::Miss, Some(Replica), false)]
+#[case::miss(AttemptOutcome::WrongEndpoint, Some(Replica), false)]
 #[case::lost_connection(AttemptOutcome::ConnectFailed, None, false)]
-#[case::time_out(AttemptOutcome::TimedOut, None, false)]
+#[case::timeout(AttemptOutcome::TimedOut, None, false)]
 #[case::completed(AttemptOutcome::Completed, Some(Primary), true)]
 fn a_failed_write_takes_the_role_and_reopens_polling(
-    #[case] ending: AttemptOutcome,
+    #[case] outcome: AttemptOutcome,
     #[case] role: Option<Role>,
     #[case] keeps: bool,
 ) {
@@ -38,7 +38,7 @@
     let write = world.ask(WRITE);
     world.pass(0.3);
     world.book.0.clear();
-    world.end(write, 0, ending, role);
+    world.end(write, 0, outcome, role);
     let next = world.ask(WRITE);
     assert_eq!(world.sent_to(next) == [0], keeps);
     world.pass(0.26);
@@ -80,8 +80,8 @@
 #[case::says_nothing(None, false)]
 fn a_text_that_the_primary_refuses_costs_it_no_role(#[case] role: Option<Role>, #[case] keeps: bool) {
     let mut world = World::settled(true, [0.0; 3]);
-    let stmt = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
-    world.end(stmt, 0, AttemptOutcome::ReadOnly, role);
+    let request = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
+    world.end(request, 0, AttemptOutcome::ReadOnly, role);
     let write = world.ask(WRITE);
     assert_eq!(world.sent_to(write) == [0], keeps);
 }
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -11,30 +11,30 @@
 #[rstest]
 #[case::write_may_have_run(WRITE, AttemptOutcome::Error, 0.0, Some(Done::Abort(0)), 1)]
 #[case::write_lost(WRITE, AttemptOutcome::Reset, 0.0, Some(Done::Abort(0)), 1)]
-#[case::write_turned_away(WRITE, AttemptOutcome::Miss, 0.0, None, 2)]
+#[case::write_turned_away(WRITE, AttemptOutcome::WrongEndpoint, 0.0, None, 2)]
 #[case::marked_in_its_window(MARKED, AttemptOutcome::Error, 0.0, None, 2)]
 #[case::marked_after_its_window(MARKED, AttemptOutcome::Error, 0.51, Some(Done::Abort(0)), 1)]
 #[case::read_may_run_again(READ, AttemptOutcome::Error, 0.0, None, 2)]
 fn effects_are_not_repeated(
     #[case] workload: usize,
-    #[case] ending: AttemptOutcome,
+    #[case] outcome: AttemptOutcome,
     #[case] after: f64,
     #[case] last: Option<Done>,
     #[case] executions: usize,
 ) {
     let mut world = World::settled(true, [0.0; 3]);
-    let stmt = world.ask_with(workload, 2.0);
-    let host = world.sent_to(stmt)[0];
+    let request = world.ask_with(workload, 2.0);
+    let endpoint = world.sent_to(request)[0];
     world.now += after;
-    world.end(stmt, host, ending, None);
+    world.end(request, endpoint, outcome, None);
     world.report(0, Primary, -0.01);
     world.now += 0.1;
     world.report(0, Primary, 0.0);
     if last.is_some() {
         world.pass(2.0);
     }
-    assert_eq!(world.sent_to(stmt).len(), executions);
-    let finals = world.count(Done::Abort(stmt)) + world.count(Done::Reject(stmt));
+    assert_eq!(world.sent_to(request).len(), executions);
+    let finals = world.count(Done::Abort(request)) + world.count(Done::Reject(request));
     assert_eq!((finals, last.is_none_or(|done| world.count(done) == 1)), (usize::from(last.is_some()), true));
 }
 
@@ -47,7 +47,7 @@
 fn late_tries_are_told_by_their_time(#[case] time_left: f64, #[case] failed: usize, #[case] late: bool) {
     let mut world = World::new(terms(true));
     let earlier: Vec<usize> = (0..9).map(|_| world.ask_with(READ, 0.53)).collect();
-    earlier.iter().take(failed).for_each(|stmt| world.router.on_client_gone(*stmt));
+    earlier.iter().take(failed).for_each(|request| world.router.on_client_gone(*request));
     let read = world.ask_with(READ, time_left);
     assert_eq!(world.count(Done::Reject(read)), usize::from(late));
 }
@@ -56,13 +56,13 @@
 #[rstest]
 #[case::answered_with_an_error(AttemptOutcome::Error, Done::Abort(0))]
 #[case::lost(AttemptOutcome::Reset, Done::Abort(0))]
-fn a_text_that_may_write_goes_by_stricter_terms(#[case] ending: AttemptOutcome, #[case] last: Done) {
+fn a_text_that_may_write_goes_by_stricter_terms(#[case] outcome: AttemptOutcome, #[case] last: Done) {
     let mut world = World::settled(true, [0.0; 3]);
-    let stmt = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
-    assert_eq!(world.sent_to(stmt), [0]);
-    world.end(stmt, 0, ending, None);
+    let request = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
+    assert_eq!(world.sent_to(request), [0]);
+    world.end(request, 0, outcome, None);
     world.pass(0.3);
-    assert_eq!((world.sent_to(stmt).len(), world.count(last)), (1, 1));
+    assert_eq!((world.sent_to(request).len(), world.count(last)), (1, 1));
     let read = world.ask(READ);
     assert_ne!(world.sent_to(read), [0]);
 }
@@ -72,14 +72,14 @@
 fn a_read_that_turns_out_to_write_takes_no_member_away() {
     let mut world = World::settled(true, [0.0; 3]);
     for _ in 0..6 {
-        let stmt = world.ask(READ);
-        let host = world.sent_to(stmt)[0];
-        assert_ne!(host, 0, "{:?}", world.book.0);
-        world.end(stmt, host, AttemptOutcome::ReadOnly, Some(Replica));
-        assert_eq!(world.sent_to(stmt), [host, 0]);
-        world.end(stmt, 0, AttemptOutcome::Error, None);
-        assert_eq!((world.count(Done::Abort(stmt)), world.sent_to(stmt).len()), (1, 2));
+        let request = world.ask(READ);
+        let endpoint = world.sent_to(request)[0];
+        assert_ne!(endpoint, 0, "{:?}", world.book.0);
+        world.end(request, endpoint, AttemptOutcome::ReadOnly, Some(Replica));
+        assert_eq!(world.sent_to(request), [endpoint, 0]);
+        world.end(request, 0, AttemptOutcome::Error, None);
+        assert_eq!((world.count(Done::Abort(request)), world.sent_to(request).len()), (1, 2));
     }
     let reads: Vec<usize> = (0..6).flat_map(|_| world.ask_and_place(READ)).collect();
-    assert!((1..4).all(|host| reads.contains(&host)), "{reads:?}");
+    assert!((1..4).all(|endpoint| reads.contains(&endpoint)), "{reads:?}");
 }
--- a/crates/routing/tests/decisions/selection.rs
+++ b/crates/routing/tests/decisions/selection.rs
@@ -6,7 +6,7 @@
 fn reads_spread_by_executions_in_flight() {
     let mut world = World::settled(false, [0.0; 3]);
     let mut hosts: Vec<usize> = (0..6).map(|_| world.ask(READ)).collect();
-    hosts = hosts.into_iter().map(|stmt| world.sent_to(stmt)[0]).collect();
+    hosts = hosts.into_iter().map(|request| world.sent_to(request)[0]).collect();
     hosts.sort_unstable();
     assert_eq!(hosts, [1, 1, 2, 2, 3, 3]);
 }
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -16,10 +16,10 @@
 const ANY_READ: usize = 9;
 
 pub fn workloads() -> Vec<RequestClass> {
-    let workload = |needs, effect, importance, slo_time, statement_timeout| RequestClass {
+    let workload = |needs, effect, priority_weight, slo_time, statement_timeout| RequestClass {
         needs,
         effect,
-        importance,
+        priority_weight,
         late_share: 0.0,
         slo_time,
         statement_timeout,
@@ -48,18 +48,18 @@
         tenant_rates: Vec::new(),
         over_share: 0.1,
         reports: ReportSource::WithAnswers,
-        members_check_reads: false,
+        endpoints_check_reads: false,
         remembers_writes: false,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        max_executions: 8,
+        may_check_health: true,
+        may_cancel_attempts: true,
+        max_attempts: 8,
         max_retry_after: 1.0,
         only_draining_bars: false,
-        cold_part: 0.2,
-        warm_after: 10.0,
-        fall_multiple: 2.5,
-        fall_span: 1.0,
+        initial_capacity_fraction: 0.2,
+        warmup: 10.0,
+        overload_multiple: 2.5,
+        overload_span: 1.0,
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 pub fn checked_reads() -> Scenario {
-    let terms = RoutingConfig { members_check_reads: true, ..terms(2) };
+    let terms = RoutingConfig { endpoints_check_reads: true, ..terms(2) };
     Scenario { terms, lag: 1.6, requests_per_second: 120.0, failures: 10, ..calm(2) }
 }
 
@@ -155,7 +155,7 @@
 }
 
 pub fn no_health_checks() -> Scenario {
-    let terms = RoutingConfig { may_probe: false, ..terms(7) };
+    let terms = RoutingConfig { may_check_health: false, ..terms(7) };
     let changes = vec![Change::Hang, Change::Recover, Change::Crash, Change::Recover];
     Scenario { terms, failures: 20, lag: 0.6, changes, ..calm(7) }
 }
@@ -170,7 +170,7 @@
 }
 
 pub fn no_cancelling() -> Scenario {
-    let terms = RoutingConfig { may_cancel: false, max_executions: 2, ..terms(9) };
+    let terms = RoutingConfig { may_cancel_attempts: false, max_attempts: 2, ..terms(9) };
     Scenario { terms, ..hung_endpoints() }
 }
 
@@ -207,8 +207,12 @@
 }
 
 pub fn hundreds_of_routers() -> Scenario {
-    let terms =
-        RoutingConfig { routers: 300, list_on_request: true, reports: ReportSource::WithProbes, ..terms(16) };
+    let terms = RoutingConfig {
+        routers: 300,
+        list_on_request: true,
+        reports: ReportSource::WithHealthChecks,
+        ..terms(16)
+    };
     Scenario {
         terms,
         groups: 6,
@@ -222,7 +226,7 @@
 }
 
 pub fn hundreds_of_checking_routers() -> Scenario {
-    let terms = RoutingConfig { routers: 200, members_check_reads: true, ..terms(17) };
+    let terms = RoutingConfig { routers: 200, endpoints_check_reads: true, ..terms(17) };
     Scenario { terms, tells_utilization: true, lag: 1.3, service_time: 0.3, ..hundreds_of_routers() }
 }
 
@@ -288,7 +292,7 @@
 
 /// Few requests for each of many groups, most of them late.
 pub fn slow_answers_at_many_routers() -> Scenario {
-    let terms = RoutingConfig { routers: 40, reports: ReportSource::WithProbes, ..terms(25) };
+    let terms = RoutingConfig { routers: 40, reports: ReportSource::WithHealthChecks, ..terms(25) };
     Scenario {
         terms,
         weights: weights(&[(SHORT_READ, 8), (ANY_READ, 2), (WRITE, 2)]),
@@ -307,8 +311,8 @@
 pub fn reads_near_their_bound() -> Scenario {
     let terms = RoutingConfig {
         routers: 40,
-        members_check_reads: true,
-        reports: ReportSource::WithProbes,
+        endpoints_check_reads: true,
+        reports: ReportSource::WithHealthChecks,
         ..terms(26)
     };
     Scenario { terms, lag: 1.1, groups: 4, requests_per_second: 80.0, ..calm(26) }
--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -31,7 +31,7 @@
     /// Refuses connections.
     Down,
     /// Rejects attempts.
-    Full,
+    Refused,
     Slow,
 }
 
@@ -108,8 +108,8 @@
 struct Attempt {
     endpoint: usize,
     sent: f64,
-    time_out: f64,
-    ending: AttemptOutcome,
+    timeout: f64,
+    outcome: AttemptOutcome,
     serial: u64,
 }
 
@@ -181,12 +181,12 @@
 
     fn add_endpoint(&mut self, group: usize, started_at: Option<f64>) {
         let listed = EndpointUpdate {
-            host: self.endpoints.len(),
+            endpoint: self.endpoints.len(),
             order: self.random.next(),
             group,
             site: Some(self.random.below(self.scenario.sites)),
             size: [1.0, 1.0, 2.0, 0.5][self.random.below(4)],
-            standing: EndpointState::Ready,
+            state: EndpointState::Ready,
             started_at,
         };
         self.endpoints.push(Endpoint { listed, health: Health::Up, lag: 0.0, attempts: 0 });
@@ -230,7 +230,7 @@
     fn carry_out(&mut self) {
         for action in std::mem::take(&mut self.recorder.actions) {
             match action {
-                Action::Send { request, endpoint, time_out } => self.send(request, endpoint, time_out),
+                Action::Send { request, endpoint, timeout } => self.send(request, endpoint, timeout),
                 Action::Final { request } => {
                     self.requests[request].over = true;
                     self.settle(request);
@@ -330,11 +330,11 @@
         unreachable!("the weights add up to their total")
     }
 
-    fn send(&mut self, request: usize, endpoint: usize, time_out: f64) {
+    fn send(&mut self, request: usize, endpoint: usize, timeout: f64) {
         self.serial += 1;
         let serial = self.serial;
         let attempt =
-            Attempt { endpoint, sent: self.now, time_out, ending: AttemptOutcome::NeverSent, serial };
+            Attempt { endpoint, sent: self.now, timeout, outcome: AttemptOutcome::NeverSent, serial };
         self.requests[request].attempt = Some(attempt);
         self.endpoints[endpoint].attempts += 1;
         // A connection has to come up first, at times.
@@ -353,14 +353,14 @@
         if !may {
             return self.end(request, serial);
         }
-        let (ending, took) = self.draw_ending(request, &attempt);
-        let time_out = if attempt.time_out > 0.0 { attempt.time_out } else { f64::INFINITY };
-        let (ending, took) =
-            if took > time_out { (AttemptOutcome::TimedOut, time_out) } else { (ending, took) };
+        let (outcome, elapsed) = self.draw_ending(request, &attempt);
+        let timeout = if attempt.timeout > 0.0 { attempt.timeout } else { f64::INFINITY };
+        let (outcome, elapsed) =
+            if elapsed > timeout { (AttemptOutcome::TimedOut, timeout) } else { (outcome, elapsed) };
         if let Some(attempt) = self.attempt(request, serial) {
-            attempt.ending = ending;
+            attempt.outcome = outcome;
         }
-        self.schedule(took, Event::End { request, serial });
+        self.schedule(elapsed, Event::End { request, serial });
     }
 
     fn draw_ending(&mut self, request: usize, attempt: &Attempt) -> (AttemptOutcome, f64) {
@@ -374,36 +374,36 @@
         let quick = 0.001 + 0.002 * self.random.unit();
         match health {
             Health::Down => return (AttemptOutcome::ConnectFailed, quick),
-            Health::Full => return (AttemptOutcome::Full, quick),
+            Health::Refused => return (AttemptOutcome::Refused, quick),
             Health::Hung => return (AttemptOutcome::TimedOut, statement.time_left),
             Health::Up | Health::Slow => {}
         }
         let old = matches!(needs, Consistency::Bounded(bound) if lag > bound)
-            && self.scenario.terms.members_check_reads;
+            && self.scenario.terms.endpoints_check_reads;
         if !is_primary && (needs == Consistency::Primary || statement.writes) || old {
-            return (AttemptOutcome::Miss, quick);
+            return (AttemptOutcome::WrongEndpoint, quick);
         }
         if hidden_write && !is_primary {
             return (AttemptOutcome::ReadOnly, quick);
         }
         let slow = if health == Health::Slow { 6.0 } else { 1.0 };
         let own = statement.work.map_or(slo_time * self.scenario.service_time, |work| work.own);
-        let took = own * crowd * slow * (0.3 + 1.4 * self.random.unit());
+        let elapsed = own * crowd * slow * (0.3 + 1.4 * self.random.unit());
         if self.random.chance(self.scenario.failures) {
             let endings = [
                 AttemptOutcome::Error,
-                AttemptOutcome::Full,
+                AttemptOutcome::Refused,
                 AttemptOutcome::TimedOut,
                 AttemptOutcome::Reset,
                 AttemptOutcome::ConnectFailed,
-                AttemptOutcome::Miss,
+                AttemptOutcome::WrongEndpoint,
             ];
-            return (endings[self.random.below(endings.len())], took);
+            return (endings[self.random.below(endings.len())], elapsed);
         }
-        if took > statement.time_left {
+        if elapsed > statement.time_left {
             (AttemptOutcome::TimedOut, statement.time_left)
         } else {
-            (AttemptOutcome::Completed, took)
+            (AttemptOutcome::Completed, elapsed)
         }
     }
 
@@ -411,11 +411,11 @@
         let Endpoint { listed, lag, .. } = &self.endpoints[endpoint];
         let is_primary = self.primaries[listed.group] == endpoint;
         let lag = if is_primary { 0.0 } else { *lag };
-        let busy = 1.1 * self.random.unit();
+        let utilization = 1.1 * self.random.unit();
         LoadReport {
             role: Some(if is_primary { Role::Primary } else { Role::Replica }),
             lsn: Some(self.now - lag - age),
-            busy: self.scenario.tells_utilization.then_some(busy),
+            utilization: self.scenario.tells_utilization.then_some(utilization),
         }
     }
 
@@ -425,43 +425,43 @@
         self.endpoints[attempt.endpoint].attempts -= 1;
         let SimulatedRequest { statement, over, .. } = self.requests[request];
         let answered = matches!(
-            attempt.ending,
-            AttemptOutcome::Completed | AttemptOutcome::Miss | AttemptOutcome::ReadOnly
+            attempt.outcome,
+            AttemptOutcome::Completed | AttemptOutcome::WrongEndpoint | AttemptOutcome::ReadOnly
         );
-        let mut note = LoadReport::default();
+        let mut observed = LoadReport::default();
         if answered && self.random.chance(900) {
-            note = self.report_of(attempt.endpoint, 0.0);
-            note.busy = None;
+            observed = self.report_of(attempt.endpoint, 0.0);
+            observed.utilization = None;
             let writes = self.scenario.terms.workloads[statement.workload].needs == Consistency::Primary;
             let tells_position =
-                if writes { attempt.ending == AttemptOutcome::Completed } else { self.random.chance(300) };
-            note.lsn = note.lsn.filter(|_| tells_position);
+                if writes { attempt.outcome == AttemptOutcome::Completed } else { self.random.chance(300) };
+            observed.lsn = observed.lsn.filter(|_| tells_position);
         }
         let reports =
             answered && self.scenario.terms.reports == ReportSource::WithAnswers && self.random.chance(700);
         let age = 0.2 * self.random.unit();
         let report = reports.then(|| self.report_of(attempt.endpoint, age));
-        let closed = over || attempt.ending == AttemptOutcome::Completed;
-        let outcome = AttemptResult {
-            stmt: request,
-            host: attempt.endpoint,
-            ending: attempt.ending,
-            took: self.now - attempt.sent,
+        let closed = over || attempt.outcome == AttemptOutcome::Completed;
+        let result = AttemptResult {
+            request,
+            endpoint: attempt.endpoint,
+            outcome: attempt.outcome,
+            elapsed: self.now - attempt.sent,
             closed,
-            note,
+            observed,
             report,
         };
         self.recorder.line(format_args!(
             "result {} {request} {} {} {} {closed} {} {}",
             bits(self.now),
             attempt.endpoint,
-            ending_word(attempt.ending),
-            bits(outcome.took),
-            report_words(&note),
+            ending_word(attempt.outcome),
+            bits(result.elapsed),
+            report_words(&observed),
             report.map_or("-".to_string(), |report| report_words(&report)),
         ));
         self.requests[request].over = closed;
-        self.router.on_attempt_result(self.now, &outcome, &mut self.recorder);
+        self.router.on_attempt_result(self.now, &result, &mut self.recorder);
         self.settle(request);
     }
 
@@ -479,7 +479,7 @@
         let serial = self.serial;
         let Some(attempt) = &mut self.requests[request].attempt else { return };
         attempt.serial = serial;
-        attempt.ending = AttemptOutcome::Cancelled;
+        attempt.outcome = AttemptOutcome::Cancelled;
         self.schedule(0.0005, Event::End { request, serial });
     }
 
@@ -495,30 +495,30 @@
     }
 
     fn check(&mut self, endpoint: usize) {
-        let may = self.router.may_probe(endpoint);
+        let may = self.router.may_check_health(endpoint);
         self.recorder.line(format_args!("may-check {endpoint} {may}"));
         let lost = self.random.chance(self.scenario.failures);
-        let took = match self.endpoints[endpoint].health {
+        let elapsed = match self.endpoints[endpoint].health {
             Health::Down => 0.3,
             _ if lost => 0.5,
             _ => 0.001 + 0.003 * self.random.unit(),
         };
-        self.schedule(took, Event::CheckEnds { endpoint });
+        self.schedule(elapsed, Event::CheckEnds { endpoint });
     }
 
     fn check_ends(&mut self, endpoint: usize) {
         let lost = self.random.chance(self.scenario.failures);
-        let ending = match self.endpoints[endpoint].health {
+        let outcome = match self.endpoints[endpoint].health {
             Health::Down => [AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut][self.random.below(2)],
-            Health::Full => [AttemptOutcome::Full, AttemptOutcome::Completed][self.random.below(2)],
+            Health::Refused => [AttemptOutcome::Refused, AttemptOutcome::Completed][self.random.below(2)],
             _ if lost => [AttemptOutcome::Reset, AttemptOutcome::TimedOut, AttemptOutcome::NeverSent]
                 [self.random.below(3)],
             _ => AttemptOutcome::Completed,
         };
         let told =
-            ending == AttemptOutcome::Completed && self.scenario.terms.reports != ReportSource::Nowhere;
+            outcome == AttemptOutcome::Completed && self.scenario.terms.reports != ReportSource::Nowhere;
         let mut report = self.report_of(endpoint, 0.0);
-        if ending != AttemptOutcome::Completed {
+        if outcome != AttemptOutcome::Completed {
             report = LoadReport::default();
         } else if !told {
             report.lsn = None;
@@ -526,10 +526,10 @@
         self.recorder.line(format_args!(
             "checked {} {endpoint} {} {}",
             bits(self.now),
-            ending_word(ending),
+            ending_word(outcome),
             report_words(&report)
         ));
-        self.router.on_health_check(self.now, endpoint, ending, report, &mut self.recorder);
+        self.router.on_health_check(self.now, endpoint, outcome, report, &mut self.recorder);
     }
 
     fn timer(&mut self) {
@@ -551,7 +551,7 @@
         }
         self.router.on_endpoint_list(self.now, &list, &mut self.recorder);
         for endpoint in endpoints {
-            let cold = self.router.is_cold(self.now, *endpoint);
+            let cold = self.router.is_warming(self.now, *endpoint);
             self.recorder.line(format_args!("warming {endpoint} {cold}"));
         }
     }
@@ -559,24 +559,24 @@
     /// What the fleet leaves this router at some of the endpoints.
     fn parts(&mut self) {
         self.schedule(0.1, Event::FleetQuota);
-        let mut hosts = Vec::new();
-        for host in 0..self.endpoints.len() {
+        let mut endpoints = Vec::new();
+        for endpoint in 0..self.endpoints.len() {
             if self.random.chance(400) {
                 let units = self.random.chance(700).then(|| (12.0 * self.random.unit()).floor());
                 let tokens = self.random.chance(700).then(|| 3.0 * self.random.unit());
-                hosts.push(EndpointQuota { host, units, tokens });
+                endpoints.push(EndpointQuota { endpoint, units, tokens });
             }
         }
         let routers = self.random.chance(100).then(|| 1 + self.random.below(4));
-        let second_tries = self.random.chance(500).then(|| 4.0 * self.random.unit());
-        let words: Vec<String> = hosts
+        let retries = self.random.chance(500).then(|| 4.0 * self.random.unit());
+        let words: Vec<String> = endpoints
             .iter()
-            .map(|part| format!("{} {} {}", part.host, optional(part.units), optional(part.tokens)))
+            .map(|part| format!("{} {} {}", part.endpoint, optional(part.units), optional(part.tokens)))
             .collect();
         let count = routers.map_or("-".to_string(), |routers| routers.to_string());
-        let (words, tries) = (words.join(","), optional(second_tries));
+        let (words, tries) = (words.join(","), optional(retries));
         self.recorder.line(format_args!("quotas {} {count} {tries} {words}", bits(self.now)));
-        self.router.on_quota(self.now, &FleetQuota { hosts, routers, second_tries }, &mut self.recorder);
+        self.router.on_quota(self.now, &FleetQuota { endpoints, routers, retries }, &mut self.recorder);
     }
 
     fn change(&mut self) {
@@ -593,13 +593,13 @@
         match change {
             Change::Hang => target.health = Health::Hung,
             Change::Crash => target.health = Health::Down,
-            Change::Crowd => target.health = Health::Full,
+            Change::Crowd => target.health = Health::Refused,
             Change::Slow => target.health = Health::Slow,
             Change::Recover => self.endpoints.iter_mut().for_each(|endpoint| endpoint.health = Health::Up),
             Change::Failover => self.primaries[group] = endpoint,
-            Change::Drain => target.listed.standing = EndpointState::Draining,
-            Change::Remove => target.listed.standing = EndpointState::Removed,
-            Change::Restore => target.listed.standing = EndpointState::Ready,
+            Change::Drain => target.listed.state = EndpointState::Draining,
+            Change::Remove => target.listed.state = EndpointState::Removed,
+            Change::Restore => target.listed.state = EndpointState::Ready,
             Change::Restart => target.listed.started_at = Some(self.now),
             Change::Join
                 if self.endpoints.len() < 3 * self.scenario.groups * self.scenario.endpoints_in_group =>
--- a/crates/routing/tests/digests/transcript.rs
+++ b/crates/routing/tests/digests/transcript.rs
@@ -6,7 +6,7 @@
 
 /// What the router asked for.
 pub enum Action {
-    Send { request: usize, endpoint: usize, time_out: f64 },
+    Send { request: usize, endpoint: usize, timeout: f64 },
     Final { request: usize },
     Cancel { request: usize },
     Check { endpoint: usize },
@@ -44,9 +44,9 @@
 }
 
 impl Transport for Recorder {
-    fn start_attempt(&mut self, request: usize, endpoint: usize, time_out: f64) {
-        self.line(format_args!("> send {request} {endpoint} {}", bits(time_out)));
-        self.actions.push(Action::Send { request, endpoint, time_out });
+    fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
+        self.line(format_args!("> send {request} {endpoint} {}", bits(timeout)));
+        self.actions.push(Action::Send { request, endpoint, timeout });
     }
     fn reject(&mut self, request: usize, retry_after: f64) {
         self.line(format_args!("> reject {request} {}", bits(retry_after)));
@@ -77,17 +77,17 @@
     }
 }
 
-pub fn ending_word(ending: AttemptOutcome) -> &'static str {
-    match ending {
+pub fn ending_word(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Completed => "completed",
         AttemptOutcome::Error => "error",
-        AttemptOutcome::Full => "full",
+        AttemptOutcome::Refused => "full",
         AttemptOutcome::TimedOut => "timed-out",
         AttemptOutcome::ConnectFailed => "connect-failed",
         AttemptOutcome::Reset => "reset",
         AttemptOutcome::Cancelled => "cancelled",
         AttemptOutcome::NeverSent => "never-sent",
-        AttemptOutcome::Miss => "miss",
+        AttemptOutcome::WrongEndpoint => "miss",
         AttemptOutcome::ReadOnly => "read-only",
     }
 }
@@ -98,16 +98,16 @@
         Some(Role::Replica) => "replica",
         None => "-",
     };
-    format!("{role} {} {}", optional(report.lsn), optional(report.busy))
+    format!("{role} {} {}", optional(report.lsn), optional(report.utilization))
 }
 
 pub fn listed_words(listed: &EndpointUpdate) -> String {
-    let state = match listed.standing {
+    let state = match listed.state {
         EndpointState::Ready => "ready",
         EndpointState::Draining => "draining",
         EndpointState::Removed => "gone",
     };
     let site = listed.site.map_or("-".to_string(), |site| site.to_string());
-    let EndpointUpdate { host, order, group, size, started_at, .. } = *listed;
-    format!("{host} {order} {group} {site} {} {state} {}", bits(size), optional(started_at))
+    let EndpointUpdate { endpoint, order, group, size, started_at, .. } = *listed;
+    format!("{endpoint} {order} {group} {site} {} {state} {}", bits(size), optional(started_at))
 }
--- a/crates/routing/tests/facade.rs
+++ b/crates/routing/tests/facade.rs
@@ -14,28 +14,32 @@
         100.0,
         RoutingEvent::EndpointList(&[listed(0, EndpointState::Ready), listed(1, EndpointState::Ready)]),
     );
-    for (host, role) in heard {
-        tell(&mut facade, 100.0, *host, *role);
+    for (endpoint, role) in heard {
+        tell(&mut facade, 100.0, *endpoint, *role);
     }
     facade.tick(100.0);
     facade
 }
 
-fn tell(facade: &mut Facade, now: f64, host: usize, role: Role) {
-    let report = LoadReport { role: Some(role), lsn: Some(now), busy: None };
-    facade.report(now, RoutingEvent::HealthCheckEnded { host, ending: AttemptOutcome::Completed, report });
+fn tell(facade: &mut Facade, now: f64, endpoint: usize, role: Role) {
+    let report = LoadReport { role: Some(role), lsn: Some(now), utilization: None };
+    facade
+        .report(now, RoutingEvent::HealthCheckEnded { endpoint, outcome: AttemptOutcome::Completed, report });
 }
 
-fn end(facade: &mut Facade, now: f64, stmt: usize, host: usize, ending: AttemptOutcome) {
-    let note = LoadReport::default();
-    facade.report(now, RoutingEvent::AttemptEnded { stmt, host, ending, took: 0.01, note, report: None });
+fn end(facade: &mut Facade, now: f64, request: usize, endpoint: usize, outcome: AttemptOutcome) {
+    let observed = LoadReport::default();
+    facade.report(
+        now,
+        RoutingEvent::AttemptEnded { request, endpoint, outcome, elapsed: 0.01, observed, report: None },
+    );
 }
 
 const BOTH: [(usize, Role); 2] = [(0, Role::Primary), (1, Role::Replica)];
 
 #[rstest]
-#[case::a_write_goes_to_the_primary(&BOTH, WRITE, Decision::Dispatch { host: 0, time_out: 0.0 })]
-#[case::a_read_goes_to_the_replica(&BOTH, READ, Decision::Dispatch { host: 1, time_out: 0.0 })]
+#[case::a_write_goes_to_the_primary(&BOTH, WRITE, Decision::Dispatch { endpoint: 0, timeout: 0.0 })]
+#[case::a_read_goes_to_the_replica(&BOTH, READ, Decision::Dispatch { endpoint: 1, timeout: 0.0 })]
 #[case::a_write_waits_without_a_primary(&BOTH[1..], WRITE, Decision::Wait)]
 #[case::a_read_waits_without_news(&[], READ, Decision::Wait)]
 fn pick_says_what_to_do_now(
@@ -50,17 +54,17 @@
 #[test]
 fn what_waits_is_named_once_it_may_go() {
     let mut facade = facade(&BOTH[1..]);
-    let (stmt, choice) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
+    let (request, choice) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
     assert_eq!(choice, Decision::Wait);
     facade.tick(100.0);
     tell(&mut facade, 100.1, 0, Role::Primary);
-    assert!(facade.tick(100.1).contains(&RoutingAction::Pick(stmt)));
+    assert!(facade.tick(100.1).contains(&RoutingAction::Pick(request)));
     assert_eq!(
-        facade.pick(100.1, PickRequest::Waiting(stmt)).1,
-        Decision::Dispatch { host: 0, time_out: 0.0 }
+        facade.pick(100.1, PickRequest::Waiting(request)).1,
+        Decision::Dispatch { endpoint: 0, timeout: 0.0 }
     );
     assert_eq!(
-        facade.pick(100.1, PickRequest::Waiting(stmt)).1,
+        facade.pick(100.1, PickRequest::Waiting(request)).1,
         Decision::Wait,
         "a choice is handed out once"
     );
@@ -69,23 +73,23 @@
 #[test]
 fn what_waits_too_long_is_rejected_by_a_tick() {
     let mut facade = facade(&[]);
-    let (stmt, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.2)));
+    let (request, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.2)));
     let mut now = 100.0;
     let named = (0..20).any(|_| {
         now = facade.wake_at();
-        facade.tick(now).contains(&RoutingAction::Pick(stmt))
+        facade.tick(now).contains(&RoutingAction::Pick(request))
     });
     assert!(named && now < 100.2, "named at {now}");
-    assert!(matches!(facade.pick(now, PickRequest::Waiting(stmt)).1, Decision::Reject { .. }));
+    assert!(matches!(facade.pick(now, PickRequest::Waiting(request)).1, Decision::Reject { .. }));
 }
 
 #[rstest]
 #[case::completed(AttemptOutcome::Completed, false)]
 #[case::had_no_effect(AttemptOutcome::NeverSent, true)]
-fn a_number_is_free_once_its_statement_is_over(#[case] ending: AttemptOutcome, #[case] goes_on: bool) {
+fn a_number_is_free_once_its_statement_is_over(#[case] outcome: AttemptOutcome, #[case] goes_on: bool) {
     let mut facade = facade(&BOTH);
     let (first, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
-    end(&mut facade, 100.01, first, 1, ending);
+    end(&mut facade, 100.01, first, 1, outcome);
     let (second, _) = facade.pick(100.02, PickRequest::New(statement(READ, 0.75)));
     assert_eq!(second != first, goes_on);
 }
@@ -101,21 +105,21 @@
     end(&mut facade, 100.03, left, 1, AttemptOutcome::Completed);
     let (third, _) = facade.pick(100.04, PickRequest::New(statement(READ, 0.75)));
     assert_eq!(third, left);
-    assert_eq!(facade.breaches(), 0);
+    assert_eq!(facade.invariant_violations(), 0);
 }
 
 /// A client may leave between the naming and the pick; the router must not wait for an execution that never was.
 #[test]
 fn a_client_that_left_before_the_pick_leaves_nothing_out() {
     let mut facade = facade(&BOTH[1..]);
-    let (stmt, _) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
+    let (request, _) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
     tell(&mut facade, 100.1, 0, Role::Primary);
-    facade.report(100.1, RoutingEvent::ClientGone(stmt));
+    facade.report(100.1, RoutingEvent::ClientGone(request));
     facade.tick(100.1);
     let (next, choice) = facade.pick(100.1, PickRequest::New(statement(WRITE, 2.0)));
-    assert_eq!((next, choice), (stmt, Decision::Dispatch { host: 0, time_out: 0.0 }));
+    assert_eq!((next, choice), (request, Decision::Dispatch { endpoint: 0, timeout: 0.0 }));
     end(&mut facade, 100.2, next, 0, AttemptOutcome::Completed);
-    assert_eq!(facade.breaches(), 0);
+    assert_eq!(facade.invariant_violations(), 0);
 }
 
 /// Two ends of one execution would free a number twice; a release build counts it and goes on.
@@ -123,8 +127,8 @@
 #[cfg_attr(debug_assertions, should_panic(expected = "ends once"))]
 fn an_execution_ends_once() {
     let mut facade = facade(&BOTH);
-    let (stmt, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
-    end(&mut facade, 100.1, stmt, 1, AttemptOutcome::Completed);
-    end(&mut facade, 100.1, stmt, 1, AttemptOutcome::Completed);
-    assert_eq!(facade.breaches(), 1);
+    let (request, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
+    end(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
+    end(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
+    assert_eq!(facade.invariant_violations(), 1);
 }
--- a/crates/routing/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -18,21 +18,22 @@
 
 fn tell(world: &mut World, lags: [f64; 3]) {
     world.report(0, Role::Primary, 0.0);
-    (1..4).for_each(|host| world.report(host, Role::Replica, lags[host - 1]));
+    (1..4).for_each(|endpoint| world.report(endpoint, Role::Replica, lags[endpoint - 1]));
 }
 
 /// Ends all that is out of a statement, at once and for good.
-fn end(world: &mut World, stmt: usize, ending: AttemptOutcome, took: f64) -> Option<usize> {
-    let host = world.sent_to(stmt).last().copied()?;
-    let (note, report) = (LoadReport::default(), None);
-    let outcome = AttemptResult { stmt, host, ending, took, closed: true, note, report };
-    world.router.on_attempt_result(world.now, &outcome, &mut world.book);
-    Some(host)
+fn end(world: &mut World, request: usize, outcome: AttemptOutcome, elapsed: f64) -> Option<usize> {
+    let endpoint = world.sent_to(request).last().copied()?;
+    let (observed, report) = (LoadReport::default(), None);
+    let result = AttemptResult { request, endpoint, outcome, elapsed, closed: true, observed, report };
+    world.router.on_attempt_result(world.now, &result, &mut world.book);
+    Some(endpoint)
 }
 
-fn word(world: &mut World, host: usize, busy: f64) {
-    let report = LoadReport { role: Some(Role::Replica), lsn: Some(world.now), busy: Some(busy) };
-    world.router.on_health_check(world.now, host, AttemptOutcome::Completed, report, &mut world.book);
+fn word(world: &mut World, endpoint: usize, utilization: f64) {
+    let report =
+        LoadReport { role: Some(Role::Replica), lsn: Some(world.now), utilization: Some(utilization) };
+    world.router.on_health_check(world.now, endpoint, AttemptOutcome::Completed, report, &mut world.book);
 }
 
 /// One statement tried the same full host eight times within 12 ms.
@@ -46,11 +47,11 @@
     let mut world = rarely_heard(7, lags);
     let read = world.ask(READ);
     for _ in 0..8 {
-        let Some(host) = world.sent_to(read).last().copied() else { break };
-        if world.sent_to(read).len() > world.count(Done::Execute(read, host)) + 3 {
+        let Some(endpoint) = world.sent_to(read).last().copied() else { break };
+        if world.sent_to(read).len() > world.count(Done::Execute(read, endpoint)) + 3 {
             break;
         }
-        world.end(read, host, AttemptOutcome::Full, None);
+        world.end(read, endpoint, AttemptOutcome::Refused, None);
     }
     let sent = world.sent_to(read);
     let hosts: BTreeSet<usize> = sent.iter().copied().collect();
@@ -67,23 +68,23 @@
 #[case::four_ninths(0.8, None, &[1, 2])]
 #[case::four_ninths_and_one_has_left(0.8, Some(3), &[2])]
 fn long_reads_are_kept_on_as_many_replicas_as_their_work_fills(
-    #[case] took: f64,
+    #[case] elapsed: f64,
     #[case] left: Option<usize>,
     #[case] hosts: &[usize],
 ) {
     let mut found = BTreeSet::new();
     for seed in 0..20 {
         let mut world = rarely_heard(seed, [0.0; 3]);
-        left.into_iter().for_each(|host| world.list(host, EndpointState::Removed, None));
+        left.into_iter().for_each(|endpoint| world.list(endpoint, EndpointState::Removed, None));
         for round in 0..30 {
             let reads: Vec<usize> = (0..20).map(|_| world.ask(READ)).collect();
             reads.into_iter().for_each(|read| {
                 end(&mut world, read, AttemptOutcome::Completed, 0.05);
             });
             let report = world.ask(REPORT);
-            let host = end(&mut world, report, AttemptOutcome::Completed, took);
+            let endpoint = end(&mut world, report, AttemptOutcome::Completed, elapsed);
             // What the work is has to be learnt first.
-            found.extend(host.filter(|_| round >= 10));
+            found.extend(endpoint.filter(|_| round >= 10));
             world.pass(1.0);
             tell(&mut world, [0.0; 3]);
         }
@@ -106,7 +107,7 @@
     world.pass(1.5);
     let kept = world.ask_and_place(REPORT);
     let reads: Vec<usize> = (0..20).flat_map(|_| world.ask_and_place(READ)).collect();
-    assert!(!reads.is_empty() && reads.iter().all(|host| !kept.contains(host)), "{kept:?} {reads:?}");
+    assert!(!reads.is_empty() && reads.iter().all(|endpoint| !kept.contains(endpoint)), "{kept:?} {reads:?}");
 }
 
 /// A host that all others keep busy looks idle to a router that has nothing out there; its own word tells.
@@ -118,14 +119,16 @@
     #[case] expected: std::ops::Range<usize>,
 ) {
     let mut world = rarely_heard(7, [0.0; 3]);
-    [(1, 1.0), (2, 0.2), (3, 0.2)].into_iter().for_each(|(host, busy)| word(&mut world, host, busy));
+    [(1, 1.0), (2, 0.2), (3, 0.2)]
+        .into_iter()
+        .for_each(|(endpoint, utilization)| word(&mut world, endpoint, utilization));
     world.now += since;
-    let mut busy = 0;
+    let mut utilization = 0;
     for _ in 0..60 {
         let read = world.ask(READ);
-        busy += usize::from(end(&mut world, read, AttemptOutcome::Completed, 0.05) == Some(1));
+        utilization += usize::from(end(&mut world, read, AttemptOutcome::Completed, 0.05) == Some(1));
     }
-    assert!(expected.contains(&busy), "{busy}");
+    assert!(expected.contains(&utilization), "{utilization}");
 }
 
 /// The log of a replica that was behind when it last told stands elsewhere by now.
@@ -150,7 +153,7 @@
 #[case::as_slow_as_it_may_be(0.49, 0..12)]
 fn a_primary_that_answers_late_gets_few_reads(#[case] share: f64, #[case] expected: std::ops::Range<usize>) {
     let mut world = rarely_heard(7, [0.0; 3]);
-    (1..4).for_each(|host| world.list(host, EndpointState::Removed, None));
+    (1..4).for_each(|endpoint| world.list(endpoint, EndpointState::Removed, None));
     for _ in 0..20 {
         world.pass(0.3);
         let write = world.ask(WRITE);
@@ -177,10 +180,10 @@
     let mut at_primary = 0;
     for round in 0..40 {
         let read = world.ask(READ);
-        let host = end(&mut world, read, AttemptOutcome::Completed, 0.05);
-        at_primary += usize::from(round >= 10 && host == Some(0));
-        let stmt = world.ask(WRITE);
-        end(&mut world, stmt, AttemptOutcome::Completed, write);
+        let endpoint = end(&mut world, read, AttemptOutcome::Completed, 0.05);
+        at_primary += usize::from(round >= 10 && endpoint == Some(0));
+        let request = world.ask(WRITE);
+        end(&mut world, request, AttemptOutcome::Completed, write);
         world.pass(0.5);
         tell(&mut world, [0.0, 9.0, 9.0]);
     }
@@ -192,15 +195,18 @@
 #[rstest]
 #[case::answers_take_long(0.2, true)]
 #[case::answers_get_lost(0.03, false)]
-fn time_outs_tell_of_a_crowd_where_answers_take_long(#[case] took: f64, #[case] crowd: bool) {
+fn time_outs_tell_of_a_crowd_where_answers_take_long(#[case] elapsed: f64, #[case] crowd: bool) {
     let mut world = rarely_heard(7, [0.0; 3]);
     let (mut rejected, mut asked) = (0, 0);
     for round in 0..120 {
         let read = world.ask(READ);
         let at_once = world.count(Done::Reject(read));
-        let (ending, took) =
-            if round % 2 == 0 { (AttemptOutcome::TimedOut, 0.39) } else { (AttemptOutcome::Completed, took) };
-        end(&mut world, read, ending, took);
+        let (outcome, elapsed) = if round % 2 == 0 {
+            (AttemptOutcome::TimedOut, 0.39)
+        } else {
+            (AttemptOutcome::Completed, elapsed)
+        };
+        end(&mut world, read, outcome, elapsed);
         if round >= 40 {
             (rejected, asked) = (rejected + at_once, asked + 1);
         }
@@ -231,7 +237,7 @@
 #[test]
 fn a_cold_host_gets_no_more_for_those_that_left() {
     let mut world = World::new(RoutingConfig { routers: 300, ..terms(true) });
-    [2, 3].into_iter().for_each(|host| world.list(host, EndpointState::Removed, None));
+    [2, 3].into_iter().for_each(|endpoint| world.list(endpoint, EndpointState::Removed, None));
     world.list(1, EndpointState::Ready, Some(world.now));
     let mut sent = 0;
     for _ in 0..400 {
@@ -256,7 +262,7 @@
             let mut late_too = terms(true);
             late_too.workloads[MARKED].late_share = 0.3;
             let mut world = World::new(RoutingConfig { seed, routers: 40, ..late_too });
-            (0..4).for_each(|host| world.report(host, Role::Replica, 0.0));
+            (0..4).for_each(|endpoint| world.report(endpoint, Role::Replica, 0.0));
             world.list(0, EndpointState::Ready, Some(world.now + waited + 0.1 - age));
             let mut sent = 0;
             let mut ask = |world: &mut World| {
@@ -264,9 +270,9 @@
                 world.pass(0.1);
                 let out = std::mem::take(&mut world.book.0);
                 for done in out {
-                    if let Done::Execute(stmt, host) = done {
-                        sent += usize::from(host == 0);
-                        world.end(stmt, host, AttemptOutcome::Completed, None);
+                    if let Done::Execute(request, endpoint) = done {
+                        sent += usize::from(endpoint == 0);
+                        world.end(request, endpoint, AttemptOutcome::Completed, None);
                     }
                 }
             };
@@ -301,16 +307,16 @@
 /// A host that refuses at once was asked again with each refusal while a statement waited: 0.21 of G on a herd day.
 #[rstest]
 #[case::refused(AttemptOutcome::ConnectFailed)]
-#[case::turned_away(AttemptOutcome::Full)]
-fn a_refused_probe_is_not_sent_again_at_once(#[case] ending: AttemptOutcome) {
+#[case::turned_away(AttemptOutcome::Refused)]
+fn a_refused_probe_is_not_sent_again_at_once(#[case] outcome: AttemptOutcome) {
     let mut world = World::new(RoutingConfig { routers: 300, ..terms(true) });
     world.ask(READ);
-    let probes = |world: &World| (0..4).map(|host| world.count(Done::Probe(host))).sum::<usize>();
+    let probes = |world: &World| (0..4).map(|endpoint| world.count(Done::Probe(endpoint))).sum::<usize>();
     let asked = probes(&world);
     assert!(asked > 0);
     for _ in 0..20 {
         (0..4).for_each(|h| {
-            world.router.on_health_check(world.now, h, ending, LoadReport::default(), &mut world.book);
+            world.router.on_health_check(world.now, h, outcome, LoadReport::default(), &mut world.book);
         });
     }
     assert_eq!(probes(&world), asked, "no time has passed");
@@ -320,14 +326,14 @@
 #[test]
 fn a_part_of_the_fleet_s_budget_bounds_what_is_out() {
     let mut world = World::settled(true, [0.0; 3]);
-    let part = |host: usize, units: f64| EndpointQuota { host, units: Some(units), tokens: None };
+    let part = |endpoint: usize, units: f64| EndpointQuota { endpoint, units: Some(units), tokens: None };
     let parts = |units: f64| FleetQuota {
-        hosts: (0..4).map(|host| part(host, units)).collect(),
+        endpoints: (0..4).map(|endpoint| part(endpoint, units)).collect(),
         ..FleetQuota::default()
     };
     world.router.on_quota(world.now, &parts(1.0), &mut world.book);
     let asked: Vec<usize> = (0..9).map(|_| world.ask(READ)).collect();
-    let out = asked.iter().filter(|stmt| !world.sent_to(**stmt).is_empty()).count();
+    let out = asked.iter().filter(|request| !world.sent_to(**request).is_empty()).count();
     assert!((3..=4).contains(&out), "{out}");
     assert_eq!(world.router.waiting(0), 9 - out);
     world.router.on_quota(world.now, &parts(3.0), &mut world.book);
@@ -339,10 +345,10 @@
 fn a_cold_host_gets_what_the_fleet_has_for_it() {
     let mut world = World::settled(true, [0.0; 3]);
     world.list(1, EndpointState::Ready, Some(world.now - 1.0));
-    assert!(world.router.is_cold(world.now, 1) && !world.router.is_cold(world.now, 2));
+    assert!(world.router.is_warming(world.now, 1) && !world.router.is_warming(world.now, 2));
     let hand_over = |world: &mut World, tokens: f64| {
-        let hosts = vec![EndpointQuota { host: 1, units: None, tokens: Some(tokens) }];
-        let parts = FleetQuota { hosts, routers: Some(4), second_tries: None };
+        let endpoints = vec![EndpointQuota { endpoint: 1, units: None, tokens: Some(tokens) }];
+        let parts = FleetQuota { endpoints, routers: Some(4), retries: None };
         world.router.on_quota(world.now, &parts, &mut world.book);
     };
     hand_over(&mut world, 0.0);
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -30,7 +30,7 @@
     let class = |needs, effect| RequestClass {
         needs,
         effect,
-        importance: 3.0,
+        priority_weight: 3.0,
         late_share: 0.0,
         slo_time: 0.3,
         statement_timeout: 1.0,
@@ -46,23 +46,31 @@
         tenant_rates: Vec::new(),
         over_share: 0.1,
         reports: ReportSource::WithAnswers,
-        members_check_reads: false,
+        endpoints_check_reads: false,
         remembers_writes: true,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        max_executions: 8,
+        may_check_health: true,
+        may_cancel_attempts: true,
+        max_attempts: 8,
         max_retry_after: 1.0,
         only_draining_bars: false,
-        cold_part: 0.2,
-        warm_after: 10.0,
-        fall_multiple: 2.5,
-        fall_span: 1.0,
+        initial_capacity_fraction: 0.2,
+        warmup: 10.0,
+        overload_multiple: 2.5,
+        overload_span: 1.0,
     }
 }
 
-fn listed(host: usize, group: usize, standing: EndpointState, started_at: Option<f64>) -> EndpointUpdate {
-    EndpointUpdate { host, order: host as u64 * 7919, group, site: None, size: 1.0, standing, started_at }
+fn listed(endpoint: usize, group: usize, state: EndpointState, started_at: Option<f64>) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint,
+        order: endpoint as u64 * 7919,
+        group,
+        site: None,
+        size: 1.0,
+        state,
+        started_at,
+    }
 }
 
 /// CPU time of this thread.
@@ -86,18 +94,18 @@
 }
 
 impl Transport for Asked {
-    fn start_attempt(&mut self, stmt: usize, host: usize, _time_out: f64) {
-        self.attempts.push((stmt, host));
+    fn start_attempt(&mut self, request: usize, endpoint: usize, _time_out: f64) {
+        self.attempts.push((request, endpoint));
     }
-    fn reject(&mut self, stmt: usize, _retry_after: f64) {
-        self.refused.push(stmt);
+    fn reject(&mut self, request: usize, _retry_after: f64) {
+        self.refused.push(request);
     }
-    fn abort(&mut self, stmt: usize) {
-        self.refused.push(stmt);
+    fn abort(&mut self, request: usize) {
+        self.refused.push(request);
     }
     fn cancel_attempt(&mut self, _stmt: usize, _execution: u32) {}
-    fn start_health_check(&mut self, host: usize) {
-        self.health_checks.push(host);
+    fn start_health_check(&mut self, endpoint: usize) {
+        self.health_checks.push(endpoint);
     }
     fn schedule_tick(&mut self, _after: f64) {}
     fn request_endpoint_list(&mut self) {}
@@ -105,8 +113,8 @@
 }
 
 enum Event {
-    Answer { stmt: usize, host: usize },
-    CheckAnswer { host: usize },
+    Answer { request: usize, endpoint: usize },
+    CheckAnswer { endpoint: usize },
 }
 
 /// What one run took.
@@ -140,7 +148,7 @@
     fn new(endpoints: usize, routers: usize) -> Fleet {
         let mut asked = Asked::default();
         let router = Router::start(START, config(routers), &mut asked);
-        let listed = |host: usize| listed(host, host / GROUP_SIZE, EndpointState::Ready, None);
+        let listed = |endpoint: usize| listed(endpoint, endpoint / GROUP_SIZE, EndpointState::Ready, None);
         let endpoints: Vec<EndpointUpdate> = (0..endpoints).map(listed).collect();
         let groups = endpoints.len() / GROUP_SIZE;
         let mut fleet = Fleet {
@@ -163,13 +171,13 @@
     }
 
     /// What an endpoint says of itself.
-    fn report(&self, host: usize) -> LoadReport {
-        let role = if host < self.groups * GROUP_SIZE && host % GROUP_SIZE == 0 {
+    fn report(&self, endpoint: usize) -> LoadReport {
+        let role = if endpoint < self.groups * GROUP_SIZE && endpoint % GROUP_SIZE == 0 {
             Role::Primary
         } else {
             Role::Replica
         };
-        LoadReport { role: Some(role), lsn: Some(self.now() - 0.01), busy: Some(0.3) }
+        LoadReport { role: Some(role), lsn: Some(self.now() - 0.01), utilization: Some(0.3) }
     }
 
     /// Runs for so many simulated seconds, and some more without new requests.
@@ -222,22 +230,29 @@
     fn take(&mut self, event: &Event) {
         let now = self.now();
         match *event {
-            Event::Answer { stmt, host } => {
-                let note = self.report(host);
-                let ending = AttemptOutcome::Completed;
-                let outcome =
-                    AttemptResult { stmt, host, ending, took: 0.04, closed: true, note, report: Some(note) };
+            Event::Answer { request, endpoint } => {
+                let observed = self.report(endpoint);
+                let outcome = AttemptOutcome::Completed;
+                let result = AttemptResult {
+                    request,
+                    endpoint,
+                    outcome,
+                    elapsed: 0.04,
+                    closed: true,
+                    observed,
+                    report: Some(observed),
+                };
                 let Fleet { router, asked, figures, .. } = self;
-                timed(&mut figures.results, || router.on_attempt_result(now, &outcome, asked));
+                timed(&mut figures.results, || router.on_attempt_result(now, &result, asked));
                 self.figures.answered += 1;
-                self.in_use[stmt] = false;
+                self.in_use[request] = false;
             }
-            Event::CheckAnswer { host } => {
-                let report = self.report(host);
+            Event::CheckAnswer { endpoint } => {
+                let report = self.report(endpoint);
                 let Fleet { router, asked, figures, .. } = self;
-                let ending = AttemptOutcome::Completed;
+                let outcome = AttemptOutcome::Completed;
                 timed(&mut figures.results, || {
-                    router.on_health_check(now, host, ending, report, asked);
+                    router.on_health_check(now, endpoint, outcome, report, asked);
                 });
             }
         }
@@ -254,7 +269,7 @@
         } else {
             listed(self.endpoints.len(), group, EndpointState::Ready, Some(now))
         };
-        if change.host == self.endpoints.len() {
+        if change.endpoint == self.endpoints.len() {
             self.endpoints.push(change);
         }
         let Fleet { router, asked, figures, .. } = self;
@@ -265,10 +280,10 @@
         let Asked { attempts, health_checks, refused } = std::mem::take(&mut self.asked);
         self.figures.health_checks += health_checks.len();
         self.figures.refused += refused.len();
-        refused.into_iter().for_each(|stmt| self.in_use[stmt] = false);
-        let answers = attempts.into_iter().map(|(stmt, host)| Event::Answer { stmt, host });
+        refused.into_iter().for_each(|request| self.in_use[request] = false);
+        let answers = attempts.into_iter().map(|(request, endpoint)| Event::Answer { request, endpoint });
         self.events.entry(self.step + ANSWER_STEPS).or_default().extend(answers);
-        let checked = health_checks.into_iter().map(|host| Event::CheckAnswer { host });
+        let checked = health_checks.into_iter().map(|endpoint| Event::CheckAnswer { endpoint });
         self.events.entry(self.step + CHECK_STEPS).or_default().extend(checked);
     }
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -110,14 +110,15 @@
             seed,
             routers,
             site: None,
-            cold_part: random.between(0.15, 0.4),
-            warm_after: random.between(3.0, 6.0),
-            fall_multiple: random.between(2.0, 3.0),
-            fall_span: random.between(0.8, 1.5),
+            initial_capacity_fraction: random.between(0.15, 0.4),
+            warmup: random.between(3.0, 6.0),
+            overload_multiple: random.between(2.0, 3.0),
+            overload_span: random.between(0.8, 1.5),
             ..terms(true)
         };
         let allowed_at_start = (random.between(3.0_f64.ln(), 400.0_f64.ln())).exp();
-        let capacity = allowed_at_start / (terms.fall_multiple * terms.cold_part * terms.fall_span);
+        let capacity = allowed_at_start
+            / (terms.overload_multiple * terms.initial_capacity_fraction * terms.overload_span);
         let group_capacity = capacity * HOSTS_PER_GROUP as f64;
         let three_times_the_mean = random.chance(0.4);
         let offered = if three_times_the_mean {
@@ -162,22 +163,22 @@
     }
 
     fn end(&self) -> f64 {
-        self.cold_start() + self.terms.warm_after
+        self.cold_start() + self.terms.warmup
     }
 
     /// What the settings allow a host that is so many seconds old.
     fn allowed(&self, age: f64) -> f64 {
-        self.terms.fall_multiple * self.capacity * self.part(age) * self.terms.fall_span
+        self.terms.overload_multiple * self.capacity * self.part(age) * self.terms.overload_span
     }
 
     fn part(&self, age: f64) -> f64 {
-        let grown = (age / self.terms.warm_after).clamp(0.0, 1.0);
-        self.terms.cold_part + (1.0 - self.terms.cold_part) * grown
+        let grown = (age / self.terms.warmup).clamp(0.0, 1.0);
+        self.terms.initial_capacity_fraction + (1.0 - self.terms.initial_capacity_fraction) * grown
     }
 
     fn allowed_in_all(&self) -> f64 {
-        let mean_part = f64::midpoint(self.terms.cold_part, 1.0);
-        self.terms.fall_multiple * self.capacity * mean_part * self.terms.warm_after
+        let mean_part = f64::midpoint(self.terms.initial_capacity_fraction, 1.0);
+        self.terms.overload_multiple * self.capacity * mean_part * self.terms.warmup
     }
 }
 
@@ -188,10 +189,10 @@
 
 #[derive(Clone, Copy)]
 enum Action {
-    Execute { slot: usize, host: usize },
+    Execute { slot: usize, endpoint: usize },
     Reject { slot: usize, retry_after: f64 },
     Abort { slot: usize },
-    Probe { host: usize },
+    Probe { endpoint: usize },
 }
 
 /// Keeps what the module asks for until the simulation carries it out.
@@ -199,8 +200,8 @@
 struct Actions(Vec<Action>);
 
 impl Transport for Actions {
-    fn start_attempt(&mut self, slot: usize, host: usize, _time_out: f64) {
-        self.0.push(Action::Execute { slot, host });
+    fn start_attempt(&mut self, slot: usize, endpoint: usize, _time_out: f64) {
+        self.0.push(Action::Execute { slot, endpoint });
     }
     fn reject(&mut self, slot: usize, retry_after: f64) {
         self.0.push(Action::Reject { slot, retry_after });
@@ -209,8 +210,8 @@
         self.0.push(Action::Abort { slot });
     }
     fn cancel_attempt(&mut self, _slot: usize, _execution: u32) {}
-    fn start_health_check(&mut self, host: usize) {
-        self.0.push(Action::Probe { host });
+    fn start_health_check(&mut self, endpoint: usize) {
+        self.0.push(Action::Probe { endpoint });
     }
     fn schedule_tick(&mut self, _after: f64) {}
     fn request_endpoint_list(&mut self) {}
@@ -268,8 +269,8 @@
     Timers,
     Arrival,
     Retry(ClientRequest),
-    Executed { router: usize, slot: usize, host: usize, ending: AttemptOutcome, took: f64 },
-    Probed { router: usize, host: usize },
+    Executed { router: usize, slot: usize, endpoint: usize, outcome: AttemptOutcome, elapsed: f64 },
+    Probed { router: usize, endpoint: usize },
     ColdStart,
     NewPrimary,
 }
@@ -341,15 +342,15 @@
 impl Simulation {
     fn new(scenario: Scenario) -> Simulation {
         let host_count = scenario.offered.len() * HOSTS_PER_GROUP;
-        let host = |index: usize| Host {
+        let endpoint = |index: usize| Host {
             role: if index % HOSTS_PER_GROUP == 0 { Role::Primary } else { Role::Replica },
             listed: EndpointUpdate {
-                host: index,
+                endpoint: index,
                 order: index as u64,
                 group: index / HOSTS_PER_GROUP,
                 site: None,
                 size: 1.0,
-                standing: EndpointState::Ready,
+                state: EndpointState::Ready,
                 started_at: None,
             },
             free_at: 0.0,
@@ -369,7 +370,7 @@
             random: Random(scenario.terms.seed ^ 0xa5a5),
             now: START,
             instances: (0..scenario.router_weights.len()).map(instance).collect(),
-            hosts: (0..host_count).map(host).collect(),
+            hosts: (0..host_count).map(endpoint).collect(),
             events: BinaryHeap::new(),
             scheduled: 0,
             router_sums: running_sums(&scenario.router_weights),
@@ -385,7 +386,7 @@
         if self.scenario.half_gone {
             [2, 3]
                 .into_iter()
-                .for_each(|host: usize| self.hosts[host].listed.standing = EndpointState::Removed);
+                .for_each(|endpoint: usize| self.hosts[endpoint].listed.state = EndpointState::Removed);
         }
         // Routers that were just restarted find the cold hosts in their first list.
         if self.scenario.restarted {
@@ -407,9 +408,9 @@
             self.handle(next.event);
         }
         let cold = self.scenario.cold_hosts();
-        let sent: usize = cold.iter().map(|host| self.hosts[*host].sent_as_allowed).sum();
+        let sent: usize = cold.iter().map(|endpoint| self.hosts[*endpoint].sent_as_allowed).sum();
         WarmUp {
-            exceeded: cold.iter().any(|host| self.hosts[*host].exceeded),
+            exceeded: cold.iter().any(|endpoint| self.hosts[*endpoint].exceeded),
             nearest: self.nearest,
             given: sent as f64 / (self.scenario.allowed_in_all() * cold.len() as f64),
             answered: self.answered as f64 / self.offered.max(1) as f64,
@@ -432,13 +433,13 @@
             }
             Event::Arrival => self.arrive(),
             Event::Retry(request) => self.offer(request),
-            Event::Executed { router, slot, host, ending, took } => {
-                self.executed(router, slot, host, ending, took);
+            Event::Executed { router, slot, endpoint, outcome, elapsed } => {
+                self.executed(router, slot, endpoint, outcome, elapsed);
             }
-            Event::Probed { router, host } => {
-                let (now, report) = (self.now, self.report(host));
+            Event::Probed { router, endpoint } => {
+                let (now, report) = (self.now, self.report(endpoint));
                 self.call(router, |module, front| {
-                    module.on_health_check(now, host, AttemptOutcome::Completed, report, front);
+                    module.on_health_check(now, endpoint, AttemptOutcome::Completed, report, front);
                 });
             }
             Event::ColdStart => {
@@ -454,19 +455,19 @@
     }
 
     fn cold_start(&mut self) {
-        for host in self.scenario.cold_hosts() {
-            self.hosts[host].listed.started_at = Some(self.now);
-            self.hosts[host].free_at = 0.0;
+        for endpoint in self.scenario.cold_hosts() {
+            self.hosts[endpoint].listed.started_at = Some(self.now);
+            self.hosts[endpoint].free_at = 0.0;
         }
         if self.scenario.cold == Cold::Primary {
-            self.hosts[0].listed.standing = EndpointState::Removed;
+            self.hosts[0].listed.state = EndpointState::Removed;
             self.hosts[0].role = Role::Replica;
             self.schedule(self.scenario.primary_gap, Event::NewPrimary);
         }
     }
 
     fn list(&mut self, hosts: &[usize]) {
-        let list: Vec<EndpointUpdate> = hosts.iter().map(|host| self.hosts[*host].listed).collect();
+        let list: Vec<EndpointUpdate> = hosts.iter().map(|endpoint| self.hosts[*endpoint].listed).collect();
         for router in 0..self.instances.len() {
             let now = self.now;
             self.call(router, |module, front| module.on_endpoint_list(now, &list, front));
@@ -507,12 +508,12 @@
         call(&mut self.instances[router].router, &mut actions);
         for action in actions.0 {
             match action {
-                Action::Execute { slot, host } => self.start_attempt(router, slot, host),
+                Action::Execute { slot, endpoint } => self.start_attempt(router, slot, endpoint),
                 Action::Reject { slot, retry_after } => self.rejected(router, slot, retry_after),
                 Action::Abort { slot } => {
                     self.instances[router].close(slot);
                 }
-                Action::Probe { host } => self.schedule(PROBE_TIME, Event::Probed { router, host }),
+                Action::Probe { endpoint } => self.schedule(PROBE_TIME, Event::Probed { router, endpoint }),
             }
         }
     }
@@ -525,58 +526,65 @@
         }
     }
 
-    fn start_attempt(&mut self, router: usize, slot: usize, host: usize) {
-        self.count(host);
-        let part = self.hosts[host].listed.started_at.map_or(1.0, |at| self.scenario.part(self.now - at));
-        let at = &mut self.hosts[host];
-        let (ending, took) = if at.free_at - self.now > QUEUE_TIME {
-            (AttemptOutcome::Full, PROBE_TIME)
+    fn start_attempt(&mut self, router: usize, slot: usize, endpoint: usize) {
+        self.count(endpoint);
+        let part = self.hosts[endpoint].listed.started_at.map_or(1.0, |at| self.scenario.part(self.now - at));
+        let at = &mut self.hosts[endpoint];
+        let (outcome, elapsed) = if at.free_at - self.now > QUEUE_TIME {
+            (AttemptOutcome::Refused, PROBE_TIME)
         } else {
             at.free_at = at.free_at.max(self.now) + 1.0 / (self.scenario.capacity * part);
             (AttemptOutcome::Completed, at.free_at - self.now + SERVICE_TIME)
         };
-        self.schedule(took, Event::Executed { router, slot, host, ending, took });
+        self.schedule(elapsed, Event::Executed { router, slot, endpoint, outcome, elapsed });
     }
 
     /// Holds an execution against what its host may be sent in a span.
-    fn count(&mut self, host: usize) {
-        let Some(started_at) = self.hosts[host].listed.started_at else { return };
+    fn count(&mut self, endpoint: usize) {
+        let Some(started_at) = self.hosts[endpoint].listed.started_at else { return };
         let age = self.now - started_at;
-        let (allowed, span) = (self.scenario.allowed(age), (age / self.scenario.terms.fall_span) as u64);
+        let (allowed, span) = (self.scenario.allowed(age), (age / self.scenario.terms.overload_span) as u64);
         let limit = bound(allowed);
-        let at = &mut self.hosts[host];
+        let at = &mut self.hosts[endpoint];
         (at.sent_in_span, at.span) = (if at.span == span { at.sent_in_span + 1 } else { 1 }, span);
         at.sent_as_allowed += usize::from(at.sent_in_span as f64 <= allowed);
         at.sent.push_back(self.now);
-        while at.sent.front().is_some_and(|sent| *sent <= self.now - self.scenario.terms.fall_span) {
+        while at.sent.front().is_some_and(|sent| *sent <= self.now - self.scenario.terms.overload_span) {
             at.sent.pop_front();
         }
         at.exceeded |= at.sent.len() as f64 > limit;
         self.nearest = self.nearest.max(at.sent.len() as f64 / limit);
     }
 
-    fn executed(&mut self, router: usize, slot: usize, host: usize, ending: AttemptOutcome, took: f64) {
-        let closed = ending == AttemptOutcome::Completed;
+    fn executed(
+        &mut self,
+        router: usize,
+        slot: usize,
+        endpoint: usize,
+        outcome: AttemptOutcome,
+        elapsed: f64,
+    ) {
+        let closed = outcome == AttemptOutcome::Completed;
         if closed {
             let request = self.instances[router].close(slot);
             self.answered += usize::from(request.group == 0 && self.now >= self.scenario.cold_start());
         }
-        let report = self.report(host);
-        let outcome = AttemptResult {
-            stmt: slot,
-            host,
-            ending,
-            took,
+        let report = self.report(endpoint);
+        let result = AttemptResult {
+            request: slot,
+            endpoint,
+            outcome,
+            elapsed,
             closed,
-            note: report,
+            observed: report,
             report: closed.then_some(report),
         };
         let now = self.now;
-        self.call(router, |module, front| module.on_attempt_result(now, &outcome, front));
+        self.call(router, |module, front| module.on_attempt_result(now, &result, front));
     }
 
-    fn report(&self, host: usize) -> LoadReport {
-        LoadReport { role: Some(self.hosts[host].role), lsn: Some(self.now), busy: None }
+    fn report(&self, endpoint: usize) -> LoadReport {
+        LoadReport { role: Some(self.hosts[endpoint].role), lsn: Some(self.now), utilization: None }
     }
 }
 
--- a/crates/sim-adapter/src/instance/endpoints.rs
+++ b/crates/sim-adapter/src/instance/endpoints.rs
@@ -42,21 +42,21 @@
         sites: &[String],
         group_index: impl FnOnce(u64) -> usize,
     ) -> Result<EndpointUpdate, EventError> {
-        let standing = standing(entry.state)?;
+        let state = endpoint_state(entry.state)?;
         let known = self.index_of(&entry.host);
         let listed = EndpointUpdate {
-            host: known.unwrap_or(self.endpoints.len()),
+            endpoint: known.unwrap_or(self.endpoints.len()),
             order: name_hash(&entry.host),
             group: group_index(entry.set),
             site: sites.iter().position(|site| *site == entry.site),
             size: entry.power_hint,
-            standing,
+            state,
             started_at: (entry.started_at_ms > 0.0).then_some(entry.started_at_ms / 1000.0),
         };
         if known.is_some() {
-            self.endpoints[listed.host].listed = listed;
+            self.endpoints[listed.endpoint].listed = listed;
         } else {
-            self.by_name.insert(entry.host.clone(), listed.host);
+            self.by_name.insert(entry.host.clone(), listed.endpoint);
             self.endpoints.push(Endpoint { name: entry.host.clone(), listed });
         }
         Ok(listed)
@@ -66,18 +66,18 @@
     pub(super) fn absent_from(&self, list: &[EndpointUpdate], known: usize) -> Vec<EndpointUpdate> {
         let mut present = vec![false; known];
         for listed in list {
-            if let Some(present) = present.get_mut(listed.host) {
+            if let Some(present) = present.get_mut(listed.endpoint) {
                 *present = true;
             }
         }
         let absent = self.endpoints.iter().zip(present).filter(|(_, present)| !present);
         absent
-            .map(|(endpoint, _)| EndpointUpdate { standing: EndpointState::Removed, ..endpoint.listed })
+            .map(|(endpoint, _)| EndpointUpdate { state: EndpointState::Removed, ..endpoint.listed })
             .collect()
     }
 }
 
-fn standing(state: u8) -> Result<EndpointState, EventError> {
+fn endpoint_state(state: u8) -> Result<EndpointState, EventError> {
     match state {
         0 => Ok(EndpointState::Ready),
         2 => Ok(EndpointState::Removed),
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -66,14 +66,14 @@
     /// [`EventError::Settings`] if its settings are rejected.
     pub fn start(now: f64, create: &Create, reply: &mut Reply) -> Result<Instance, EventError> {
         let settings = &create.boot_info;
-        let terms = settings.terms(create.nonce64)?;
+        let config = settings.routing_config(create.nonce64)?;
         let mut names = Names {
             catalog: settings.catalog(),
             endpoints: EndpointTable::default(),
             groups: GroupTable::default(),
             requests: RequestTable::default(),
         };
-        let router = Router::start(now, terms, &mut ReplyFront { names: &mut names, reply });
+        let router = Router::start(now, config, &mut ReplyFront { names: &mut names, reply });
         Ok(Instance { router, names })
     }
 
@@ -154,23 +154,23 @@
         reply: &mut Reply,
     ) -> Result<(), EventError> {
         let names = &mut self.names;
-        let ending = ending(&resolved.result)?;
-        let host = names.endpoint(&resolved.host)?;
-        let Some(stmt) = names.requests.index_of(resolved.tid) else {
+        let outcome = outcome(&resolved.result)?;
+        let endpoint = names.endpoint(&resolved.host)?;
+        let Some(request) = names.requests.index_of(resolved.tid) else {
             return Ok(());
         };
-        names.requests.attempt_ended(stmt, resolved.done_flag);
-        let outcome = AttemptResult {
-            stmt,
-            host,
-            ending,
-            took: resolved.cost_time_ms / 1000.0,
+        names.requests.attempt_ended(request, resolved.done_flag);
+        let result = AttemptResult {
+            request,
+            endpoint,
+            outcome,
+            elapsed: resolved.cost_time_ms / 1000.0,
             closed: resolved.done_flag,
-            note: names.answer_report(resolved.progress),
+            observed: names.answer_report(resolved.progress),
             report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
         };
-        self.router.on_attempt_result(now, &outcome, &mut ReplyFront { names, reply });
-        self.names.requests.release_if_finished(stmt);
+        self.router.on_attempt_result(now, &result, &mut ReplyFront { names, reply });
+        self.names.requests.release_if_finished(request);
         Ok(())
     }
 
@@ -186,11 +186,11 @@
         reply: &mut Reply,
     ) -> Result<(), EventError> {
         let names = &mut self.names;
-        let host = names.endpoint(&result.host)?;
+        let endpoint = names.endpoint(&result.host)?;
         let report =
             result.pressure.as_ref().map_or(LoadReport::default(), |pressure| names.load_report(pressure));
-        let ending = ending(&result.result)?;
-        self.router.on_health_check(now, host, ending, report, &mut ReplyFront { names, reply });
+        let outcome = outcome(&result.result)?;
+        self.router.on_health_check(now, endpoint, outcome, report, &mut ReplyFront { names, reply });
         Ok(())
     }
 
@@ -223,14 +223,14 @@
             ProgressRole::Replica => Role::Replica,
         });
         let position = progress.position_ms();
-        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), busy: None }
+        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), utilization: None }
     }
 
     fn load_report(&self, pressure: &Pressure) -> LoadReport {
         LoadReport {
             role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
             lsn: pressure.x0.map(|x0| self.catalog.zero + x0),
-            busy: pressure.utilization,
+            utilization: pressure.utilization,
         }
     }
 }
@@ -240,17 +240,17 @@
 }
 
 /// The outcome of an attempt or of a health check by its name on the wire.
-fn ending(result: &str) -> Result<AttemptOutcome, EventError> {
+fn outcome(result: &str) -> Result<AttemptOutcome, EventError> {
     Ok(match result {
         "ok" => AttemptOutcome::Completed,
         "error" => AttemptOutcome::Error,
-        "full" => AttemptOutcome::Full,
+        "full" => AttemptOutcome::Refused,
         "timeout" => AttemptOutcome::TimedOut,
         "connect_failed" => AttemptOutcome::ConnectFailed,
         "reset" => AttemptOutcome::Reset,
         "cancelled" => AttemptOutcome::Cancelled,
         "moot" => AttemptOutcome::NeverSent,
-        "miss" => AttemptOutcome::Miss,
+        "miss" => AttemptOutcome::WrongEndpoint,
         unknown => return Err(EventError::UnknownOutcome(unknown.to_string())),
     })
 }
