--- a/crates/sim-adapter/src/instance/transport.rs
+++ b/crates/sim-adapter/src/instance/transport.rs
@@ -19,28 +19,28 @@
 }
 
 impl Transport for ReplyFront<'_> {
-    fn start_attempt(&mut self, stmt: usize, host: usize, time_out: f64) {
+    fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
         let Names { requests, endpoints, .. } = self.names;
-        requests.attempt_started(stmt);
-        self.reply.forward(requests.id(stmt), endpoints.name(host), time_out);
+        requests.attempt_started(request);
+        self.reply.forward(requests.id(request), endpoints.name(endpoint), timeout);
     }
 
-    fn reject(&mut self, stmt: usize, retry_after: f64) {
-        self.reply.say_no(self.names.requests.id(stmt), retry_after);
-        self.finish(stmt);
+    fn reject(&mut self, request: usize, retry_after: f64) {
+        self.reply.say_no(self.names.requests.id(request), retry_after);
+        self.finish(request);
     }
 
-    fn abort(&mut self, stmt: usize) {
-        self.reply.finish_error(self.names.requests.id(stmt));
-        self.finish(stmt);
+    fn abort(&mut self, request: usize) {
+        self.reply.finish_error(self.names.requests.id(request));
+        self.finish(request);
     }
 
-    fn cancel_attempt(&mut self, stmt: usize, execution: u32) {
-        self.reply.call_off(self.names.requests.id(stmt), execution);
+    fn cancel_attempt(&mut self, request: usize, attempt: u32) {
+        self.reply.call_off(self.names.requests.id(request), attempt);
     }
 
-    fn start_health_check(&mut self, host: usize) {
-        self.reply.sound_out(self.names.endpoints.name(host));
+    fn start_health_check(&mut self, endpoint: usize) {
+        self.reply.sound_out(self.names.endpoints.name(endpoint));
     }
 
     fn schedule_tick(&mut self, after: f64) {
