--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -100,10 +100,11 @@
         transport.reject(id.index(), retry_after);
     }
 
-    /// Whether a request may be sent again after an attempt failed. `effect` is that of the class by which the attempt was
-    /// sent.
-    pub(crate) fn may_retry(&self, id: RequestId, effect: Effect) -> bool {
+    /// Whether a request may be sent again after an attempt failed, by the class that it has now: a `ReadOnly` answer shows that
+    /// the text writes, also for earlier attempts that may have run.
+    pub(crate) fn may_retry(&self, id: RequestId) -> bool {
         let request = self.requests.get(id);
+        let effect = self.classes.get(request.class).effect();
         let may_have_run = request.possible_effect.is_some();
         // Retries must not feed the overload that made them needed.
         let is_refused = may_have_run && (effect == Effect::NonIdempotent || !self.retries.is_available());
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -68,7 +68,7 @@
             state.transition(id, RequestState::Free);
         } else {
             state.transition(id, RequestState::Waiting);
-            if !state.may_retry(id, state.classes.get(before.class).effect()) {
+            if !state.may_retry(id) {
                 state.shed(now, id, transport);
             }
         }
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -83,3 +83,27 @@
     let reads: Vec<usize> = (0..6).flat_map(|_| world.ask_and_place(READ)).collect();
     assert!((1..4).all(|endpoint| reads.contains(&endpoint)), "{reads:?}");
 }
+
+/// Guards against a request that is kept though no attempt may follow: an earlier one may have run by the terms of a read, and
+/// then a replica says that the text writes. It is answered at once.
+#[rstest]
+#[case::nothing_has_run(None, 0, 1)]
+#[case::an_earlier_attempt_may_have_run(Some(AttemptOutcome::Error), 1, 0)]
+#[case::an_earlier_attempt_was_lost(Some(AttemptOutcome::Reset), 1, 0)]
+fn a_read_that_turns_out_to_write_is_not_kept_for_nothing(
+    #[case] earlier: Option<AttemptOutcome>,
+    #[case] aborted: usize,
+    #[case] sent_on: usize,
+) {
+    let mut world = World::settled(true, [0.0; 3]);
+    let request = world.ask(READ);
+    if let Some(outcome) = earlier {
+        world.end(request, world.sent_to(request)[0], outcome, None);
+    }
+    let sent = world.sent_to(request);
+    let replica = *sent.last().expect("an attempt");
+    assert_ne!(replica, 0, "a replica has it: {sent:?}");
+    world.end(request, replica, AttemptOutcome::ReadOnly, Some(Replica));
+    let followed = world.sent_to(request).len() - sent.len();
+    assert_eq!((world.count(Done::Abort(request)), followed), (aborted, sent_on));
+}
