--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -41,7 +41,8 @@
     /// Sends an attempt of a waiting request, or rejects it if it is too late for that, or leaves it waiting.
     pub(crate) fn try_dispatch(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         self.sampler.advance();
-        if now >= give_up_at(self.requests.get(id)) {
+        let request = self.requests.get(id);
+        if now >= give_up_at(request, self.classes.get(request.class).effect()) {
             self.shed(now, id, transport);
             return;
         }
@@ -150,11 +151,11 @@
     }
 }
 
-/// When a waiting request is rejected: once an attempt would come too late, or, if it was never sent, after half of its
-/// time.
-fn give_up_at(request: &TrackedRequest) -> f64 {
+/// When a waiting request is given up: once an attempt would come too late, or is no longer safe, or, if none was sent, after
+/// half of its time.
+fn give_up_at(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
-        return request.start_by;
+        return request.start_by.min(retry::safe_until(effect, request.possible_effect));
     }
     let unsent_time = request.time_left * UNSENT_TIME - TICK;
     request.start_by.min(request.arrived_at + unsent_time)
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -36,13 +36,21 @@
     match effect {
         Effect::Idempotent => true,
         Effect::NonIdempotent => false,
-        Effect::Deduplicated { within, window } => {
-            let in_window = now < earlier.sent_at + window;
+        Effect::Deduplicated { within, .. } => {
+            let in_window = now < safe_until(effect, Some(earlier));
             in_window && (within != DeduplicationScope::Site || same_site(earlier.endpoint))
         }
     }
 }
 
+/// Until when another attempt may be safe; nowhere after that.
+pub(crate) fn safe_until(effect: Effect, earlier: Option<PossibleEffect>) -> f64 {
+    match (effect, earlier) {
+        (Effect::Deduplicated { window, .. }, Some(earlier)) => earlier.sent_at + window,
+        _ => f64::INFINITY,
+    }
+}
+
 /// Whether a client that is rejected may send its request again without repeating an effect.
 pub(crate) fn client_may_repeat(effect: Effect, earlier: Option<PossibleEffect>) -> bool {
     if earlier.is_none() {
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -107,3 +107,20 @@
     let followed = world.sent_to(request).len() - sent.len();
     assert_eq!((world.count(Done::Abort(request)), followed), (aborted, sent_on));
 }
+
+/// Guards against a deduplicated request that is kept beyond its window, where no attempt may follow the one that may have run.
+#[rstest]
+#[case::over_as_the_attempt_ends(0.11, 0.0)]
+#[case::over_while_it_waits_for_a_primary(0.05, 0.06)]
+fn a_request_whose_window_is_over_is_aborted_at_once(#[case] attempt_takes: f64, #[case] then_waits: f64) {
+    let mut terms = terms(true);
+    terms.workloads[MARKED].effect = Effect::Deduplicated { within: DeduplicationScope::Group, window: 0.1 };
+    let mut world = World::new(terms);
+    world.report(0, Primary, 0.0);
+    let request = world.ask_with(MARKED, 2.0);
+    world.now += attempt_takes;
+    world.end(request, 0, AttemptOutcome::Reset, None);
+    world.report(0, Replica, 0.0);
+    world.pass(then_waits);
+    assert_eq!((world.count(Done::Abort(request)), world.sent_to(request).len()), (1, 1));
+}
