--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -41,7 +41,8 @@
     /// Sends an attempt of a waiting request, or rejects it if it is too late for that, or leaves it waiting.
     pub(crate) fn try_dispatch(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         self.sampler.advance();
-        if now >= give_up_at(self.requests.get(id)) {
+        let request = self.requests.get(id);
+        if now >= give_up_at(request, self.classes.get(request.class).effect()) {
             self.shed(now, id, transport);
             return;
         }
@@ -100,10 +101,11 @@
         transport.reject(id.index(), retry_after);
     }
 
-    /// Whether a request may be sent again after an attempt failed. `effect` is that of the class by which the attempt was
-    /// sent.
-    pub(crate) fn may_retry(&self, id: RequestId, effect: Effect) -> bool {
+    /// Whether a request may be sent again after an attempt failed, by the class that it has now: a `ReadOnly` answer shows that
+    /// the text writes, also for earlier attempts that may have run.
+    pub(crate) fn may_retry(&self, id: RequestId) -> bool {
         let request = self.requests.get(id);
+        let effect = self.classes.get(request.class).effect();
         let may_have_run = request.possible_effect.is_some();
         // Retries must not feed the overload that made them needed.
         let is_refused = may_have_run && (effect == Effect::NonIdempotent || !self.retries.is_available());
@@ -149,11 +151,11 @@
     }
 }
 
-/// When a waiting request is rejected: once an attempt would come too late, or, if it was never sent, after half of its
-/// time.
-fn give_up_at(request: &TrackedRequest) -> f64 {
+/// When a waiting request is given up: once an attempt would come too late, or is no longer safe, or, if none was sent, after
+/// half of its time.
+fn give_up_at(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
-        return request.start_by;
+        return request.start_by.min(retry::safe_until(effect, request.possible_effect));
     }
     let unsent_time = request.time_left * UNSENT_TIME - TICK;
     request.start_by.min(request.arrived_at + unsent_time)
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -83,3 +83,44 @@
     let reads: Vec<usize> = (0..6).flat_map(|_| world.ask_and_place(READ)).collect();
     assert!((1..4).all(|endpoint| reads.contains(&endpoint)), "{reads:?}");
 }
+
+/// Guards against a request that is kept though no attempt may follow: an earlier one may have run by the terms of a read, and
+/// then a replica says that the text writes. It is answered at once.
+#[rstest]
+#[case::nothing_has_run(None, 0, 1)]
+#[case::an_earlier_attempt_may_have_run(Some(AttemptOutcome::Error), 1, 0)]
+#[case::an_earlier_attempt_was_lost(Some(AttemptOutcome::Reset), 1, 0)]
+fn a_read_that_turns_out_to_write_is_not_kept_for_nothing(
+    #[case] earlier: Option<AttemptOutcome>,
+    #[case] aborted: usize,
+    #[case] sent_on: usize,
+) {
+    let mut world = World::settled(true, [0.0; 3]);
+    let request = world.ask(READ);
+    if let Some(outcome) = earlier {
+        world.end(request, world.sent_to(request)[0], outcome, None);
+    }
+    let sent = world.sent_to(request);
+    let replica = *sent.last().expect("an attempt");
+    assert_ne!(replica, 0, "a replica has it: {sent:?}");
+    world.end(request, replica, AttemptOutcome::ReadOnly, Some(Replica));
+    let followed = world.sent_to(request).len() - sent.len();
+    assert_eq!((world.count(Done::Abort(request)), followed), (aborted, sent_on));
+}
+
+/// Guards against a deduplicated request that is kept beyond its window, where no attempt may follow the one that may have run.
+#[rstest]
+#[case::over_as_the_attempt_ends(0.11, 0.0)]
+#[case::over_while_it_waits_for_a_primary(0.05, 0.06)]
+fn a_request_whose_window_is_over_is_aborted_at_once(#[case] attempt_takes: f64, #[case] then_waits: f64) {
+    let mut terms = terms(true);
+    terms.workloads[MARKED].effect = Effect::Deduplicated { within: DeduplicationScope::Group, window: 0.1 };
+    let mut world = World::new(terms);
+    world.report(0, Primary, 0.0);
+    let request = world.ask_with(MARKED, 2.0);
+    world.now += attempt_takes;
+    world.end(request, 0, AttemptOutcome::Reset, None);
+    world.report(0, Replica, 0.0);
+    world.pass(then_waits);
+    assert_eq!((world.count(Done::Abort(request)), world.sent_to(request).len()), (1, 1));
+}
