--- a/crates/ottersill/src/backend/attempt.rs
+++ b/crates/ottersill/src/backend/attempt.rs
@@ -18,16 +18,19 @@
     /// request's own.
     pub fn start_attempt(&mut self, request_id: usize, endpoint: usize, time_out: f64) {
         let Some(request) = self.requests.get(request_id) else { return };
-        self.counters.check_invariant(
+        self.context.counters.check_invariant(
             request.phase == RequestPhase::Waiting,
             "a request has one attempt in flight at a time",
         );
-        let deadline =
-            if time_out > 0.0 { request.deadline.min(self.clock.now() + time_out) } else { request.deadline };
+        let deadline = if time_out > 0.0 {
+            request.deadline.min(self.context.now() + time_out)
+        } else {
+            request.deadline
+        };
         let client = request.client;
         // If it was read in this iteration, it is looked at as the bytes go (`send_assignment`).
         let last_read_at = self.clients.get(client).map_or(0.0, |client| client.last_read_at);
-        if last_read_at < self.clock.now() && !self.client_still_waits(request_id, client) {
+        if last_read_at < self.context.now() && !self.client_still_waits(request_id, client) {
             return self.report_attempt(
                 request_id,
                 endpoint,
@@ -37,7 +40,7 @@
             );
         }
         if !self.acquire_attempt_quota(request_id, endpoint) {
-            self.counters.fleet_quota_refusals += 1;
+            self.context.counters.fleet_quota_refusals += 1;
             return self.report_attempt(
                 request_id,
                 endpoint,
@@ -46,10 +49,14 @@
                 &Reply::default(),
             );
         }
-        self.counters.attempts += 1;
+        self.context.counters.attempts += 1;
         match self.assign_to_endpoint(endpoint, Assignment::Request(request_id), deadline) {
             Ok(connection) => {
-                self.requests.transition(request_id, RequestPhase::Executing(connection), &mut self.counters);
+                self.requests.transition(
+                    request_id,
+                    RequestPhase::Executing(connection),
+                    &mut self.context.counters,
+                );
             }
             Err(outcome) => {
                 self.release_attempt_quota(endpoint, true);
@@ -61,15 +68,15 @@
     /// Begins a health check of an endpoint.
     pub fn start_health_check(&mut self, endpoint: usize) {
         if !self.acquire_quota(BudgetKind::HealthChecks) {
-            self.counters.fleet_quota_refusals += 1;
+            self.context.counters.fleet_quota_refusals += 1;
             return self.report_health_check(endpoint, AttemptOutcome::NeverSent, LoadReport::default());
         }
-        self.counters.health_checks += 1;
+        self.context.counters.health_checks += 1;
         // The settings name no other time after which an endpoint counts as unreachable.
         if let Err(outcome) = self.assign_to_endpoint(
             endpoint,
             Assignment::HealthCheck,
-            self.clock.now() + self.timeouts.connect,
+            self.context.now() + self.timeouts.connect,
         ) {
             self.report_health_check(endpoint, outcome, LoadReport::default());
         }
@@ -78,7 +85,7 @@
     /// Writes the connection's assignment. The clock is read here, and the client looked at last: the iteration may have been held up since it
     /// began.
     pub(crate) fn send_assignment(&mut self, id: usize) {
-        let time = self.clock.read();
+        let time = self.context.clock.read();
         let connection = &mut self.backends[id];
         connection.reply = Reply::default();
         connection.time_left_sent_at = time;
@@ -96,7 +103,7 @@
         let wanted = time < deadline && !self.client_has_ended(id);
         if !wanted || !self.flush_backend(id) {
             // Ended from there, where nothing else is in hand.
-            self.wake(Source::Backend(id));
+            self.context.wake(Source::Backend(id));
         }
     }
 
@@ -109,7 +116,7 @@
 
     /// Updates the time left in a partly written statement; false if it is out of date and can't be changed any more.
     pub(crate) fn refresh_deadline(&mut self, id: usize) -> bool {
-        let time = self.clock.read();
+        let time = self.context.clock.read();
         let connection = &mut self.backends[id];
         let Some(Assignment::Request(request_id)) = connection.assignment else { return true };
         let Some(request) = self.requests.get(request_id) else { return false };
@@ -149,9 +156,9 @@
         match connection.assignment {
             Some(Assignment::Request(request_id)) => {
                 let client = self.requests.get(request_id).map(|request| request.client);
-                self.clock.read() < deadline
+                self.context.clock.read() < deadline
                     && client.is_some_and(|client| self.client_still_waits(request_id, client))
-                    && self.facade.may_begin(self.clock.now(), request_id, endpoint)
+                    && self.facade.may_begin(self.context.now(), request_id, endpoint)
             }
             Some(Assignment::HealthCheck) => self.facade.may_probe(endpoint),
             None => false,
@@ -165,7 +172,7 @@
         };
         let is_disallowed = |connection: &BackendConnection| match connection.assignment {
             Some(Assignment::Request(request_id)) => {
-                !self.facade.may_begin(self.clock.now(), request_id, connection.endpoint)
+                !self.facade.may_begin(self.context.now(), request_id, connection.endpoint)
             }
             Some(Assignment::HealthCheck) => !self.facade.may_probe(connection.endpoint),
             None => false,
--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/backend/outcome.rs
@@ -36,7 +36,7 @@
         outcome: AttemptOutcome,
         mut reply: Reply,
     ) {
-        let took = self.clock.now() - assigned_at;
+        let took = self.context.now() - assigned_at;
         let request = self.requests.get(request_id);
         let is_known = request.is_some();
         let is_abandoned = request.is_some_and(|request| matches!(request.phase, RequestPhase::Abandoned(_)));
@@ -51,11 +51,11 @@
             self.requests.note_may_have_run(request_id);
         }
         if is_abandoned {
-            self.requests.transition(request_id, RequestPhase::Vacant, &mut self.counters);
+            self.requests.transition(request_id, RequestPhase::Vacant, &mut self.context.counters);
         } else if outcome == AttemptOutcome::Completed {
             self.complete(request_id, reply.take_client_messages());
         } else {
-            self.requests.transition(request_id, RequestPhase::Waiting, &mut self.counters);
+            self.requests.transition(request_id, RequestPhase::Waiting, &mut self.context.counters);
         }
         self.report_attempt(request_id, endpoint, outcome, took, &reply);
     }
@@ -72,7 +72,13 @@
         let at_replica = reply.piggybacked.role == Some(Role::Replica);
         match outcome {
             AttemptOutcome::Completed => {
-                self.fingerprints.record_completion(self.clock.now(), cache_key, endpoint, took, at_replica);
+                self.fingerprints.record_completion(
+                    self.context.now(),
+                    cache_key,
+                    endpoint,
+                    took,
+                    at_replica,
+                );
             }
             AttemptOutcome::ReadOnly if at_replica => self.fingerprints.record_read_only_rejection(cache_key),
             _ => {}
@@ -99,16 +105,16 @@
         reply: &Reply,
     ) {
         let counter = match outcome {
-            AttemptOutcome::Completed => &mut self.counters.attempts_completed,
-            AttemptOutcome::Error => &mut self.counters.attempts_error,
-            AttemptOutcome::Full => &mut self.counters.attempts_refused,
-            AttemptOutcome::TimedOut => &mut self.counters.attempts_timed_out,
-            AttemptOutcome::ConnectFailed => &mut self.counters.attempts_connect_failed,
-            AttemptOutcome::Reset => &mut self.counters.attempts_connection_reset,
-            AttemptOutcome::Cancelled => &mut self.counters.attempts_cancelled,
-            AttemptOutcome::NeverSent => &mut self.counters.attempts_not_sent,
-            AttemptOutcome::Miss => &mut self.counters.attempts_wrong_endpoint,
-            AttemptOutcome::ReadOnly => &mut self.counters.attempts_read_only,
+            AttemptOutcome::Completed => &mut self.context.counters.attempts_completed,
+            AttemptOutcome::Error => &mut self.context.counters.attempts_error,
+            AttemptOutcome::Full => &mut self.context.counters.attempts_refused,
+            AttemptOutcome::TimedOut => &mut self.context.counters.attempts_timed_out,
+            AttemptOutcome::ConnectFailed => &mut self.context.counters.attempts_connect_failed,
+            AttemptOutcome::Reset => &mut self.context.counters.attempts_connection_reset,
+            AttemptOutcome::Cancelled => &mut self.context.counters.attempts_cancelled,
+            AttemptOutcome::NeverSent => &mut self.context.counters.attempts_not_sent,
+            AttemptOutcome::Miss => &mut self.context.counters.attempts_wrong_endpoint,
+            AttemptOutcome::ReadOnly => &mut self.context.counters.attempts_read_only,
         };
         *counter += 1;
         self.report(RoutingEvent::AttemptEnded {
@@ -128,7 +134,7 @@
         outcome: AttemptOutcome,
         report: LoadReport,
     ) {
-        self.counters.health_checks_failed += u64::from(outcome != AttemptOutcome::Completed);
+        self.context.counters.health_checks_failed += u64::from(outcome != AttemptOutcome::Completed);
         self.report(RoutingEvent::HealthCheckEnded { host: endpoint, ending: outcome, report });
     }
 }
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -21,14 +21,14 @@
     /// Every change of a connection's state, with the time by which it has to change again.
     pub(crate) fn set_backend_state(&mut self, id: usize, next: ConnectionState, deadline: f64) {
         let connection = &mut self.backends[id];
-        self.counters.check_invariant(
+        self.context.counters.check_invariant(
             connection.state.may_become(next),
             "a backend connection changes its state as allowed",
         );
         connection.state = next;
-        self.timers.clear(connection.timer.take());
+        self.context.timers.clear(connection.timer.take());
         if next != ConnectionState::Closed {
-            connection.timer = Some(self.timers.set(deadline, Timer::Backend(id)));
+            connection.timer = Some(self.context.timers.set(deadline, Timer::Backend(id)));
         }
     }
 
@@ -58,7 +58,7 @@
             if matches!(read, Ok(ReadOutcome::Drained)) && connection.inbox.is_empty() {
                 return Some(id);
             }
-            self.counters.backend_connections_closed_by_endpoint += 1;
+            self.context.counters.backend_connections_closed_by_endpoint += 1;
             self.close_backend(id);
         }
         None
@@ -75,11 +75,11 @@
         let taken = self.clients.len().min(self.limits.clients) + self.backends.len();
         let is_full = taken + reserved >= self.limits.total;
         if is_full && !self.close_one_lingering() && !self.close_longest_idle_backend() {
-            self.counters.attempts_without_descriptor += 1;
+            self.context.counters.attempts_without_descriptor += 1;
             return Err(AttemptOutcome::NeverSent);
         }
         if !self.acquire_quota(BudgetKind::NewConnections) {
-            self.counters.fleet_quota_refusals += 1;
+            self.context.counters.fleet_quota_refusals += 1;
             return Err(AttemptOutcome::NeverSent);
         }
         Ok(())
@@ -94,21 +94,22 @@
         deadline: f64,
     ) -> Result<usize, AttemptOutcome> {
         let id = self.backends.next_id();
-        let opened = socket::connect(address)
-            .and_then(|socket| self.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
+        let opened = socket::connect(address).and_then(|socket| {
+            self.context.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local)
+        });
         let (socket, token) = opened.map_err(|failure| self.on_connect_failed(endpoint, &failure))?;
-        self.endpoints.connect_begun(endpoint, self.clock.now());
-        self.counters.backend_connections_opened += 1;
-        let connected_by = self.clock.now() + self.timeouts.connect;
-        let timer = self.timers.set(deadline.min(connected_by), Timer::Backend(id));
+        self.endpoints.connect_begun(endpoint, self.context.now());
+        self.context.counters.backend_connections_opened += 1;
+        let connected_by = self.context.now() + self.timeouts.connect;
+        let timer = self.context.timers.set(deadline.min(connected_by), Timer::Backend(id));
         self.backends.insert(BackendConnection {
             endpoint,
             state: ConnectionState::Dialing,
             assignment: Some(assignment),
-            assigned_at: self.clock.now(),
+            assigned_at: self.context.now(),
             deadline,
-            time_left_sent_at: self.clock.now(),
-            idle_since: self.clock.now(),
+            time_left_sent_at: self.context.now(),
+            idle_since: self.context.now(),
             socket,
             token,
             timer: Some(timer),
@@ -121,10 +122,10 @@
 
     /// What a connection that could not even be begun means for its attempt.
     fn on_connect_failed(&mut self, endpoint: usize, failure: &ConnectFailure) -> AttemptOutcome {
-        self.counters.backend_connections_failed += 1;
+        self.context.counters.backend_connections_failed += 1;
         self.log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string());
         let counts =
-            self.endpoints.connect_failed(endpoint, self.clock.now(), self.timeouts.connect, failure);
+            self.endpoints.connect_failed(endpoint, self.context.now(), self.timeouts.connect, failure);
         if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
     }
 
@@ -133,10 +134,10 @@
     pub(crate) fn log_connection_failure(&mut self, endpoint: usize, state: ConnectionState, why: &str) {
         let endpoint = &mut self.endpoints.all[endpoint];
         endpoint.broken += 1;
-        if self.clock.now() - endpoint.logged_at >= 1.0 {
-            info!(self.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
+        if self.context.now() - endpoint.logged_at >= 1.0 {
+            info!(self.context.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
                 "why" => why, "since_last_line" => endpoint.broken);
-            (endpoint.logged_at, endpoint.broken) = (self.clock.now(), 0);
+            (endpoint.logged_at, endpoint.broken) = (self.context.now(), 0);
         }
     }
 
@@ -144,15 +145,15 @@
     pub(crate) fn set_assignment(&mut self, id: usize, assignment: Assignment, deadline: f64) {
         let connection = &mut self.backends[id];
         (connection.assignment, connection.assigned_at, connection.deadline) =
-            (Some(assignment), self.clock.now(), deadline);
+            (Some(assignment), self.context.now(), deadline);
     }
 
     /// Keeps a connection for the next assignment.
     pub(crate) fn make_idle(&mut self, id: usize) {
         // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
-        self.set_backend_state(id, ConnectionState::Idle, self.clock.now() + self.timeouts.idle / 2.0);
+        self.set_backend_state(id, ConnectionState::Idle, self.context.now() + self.timeouts.idle / 2.0);
         let connection = &mut self.backends[id];
-        connection.idle_since = self.clock.now();
+        connection.idle_since = self.context.now();
         if connection.inbox.is_empty() {
             // What is left of it would hold on to all that was read with it.
             connection.inbox = BytesMut::new();
@@ -164,7 +165,7 @@
     pub(crate) fn close_backend(&mut self, id: usize) {
         self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
         let connection = self.backends.remove(id);
-        self.handle.remove(connection.token);
+        self.context.deregister(connection.token);
     }
 
     /// Closes the idle connections to an endpoint.
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -42,7 +42,7 @@
         }
         match read {
             Ok(ReadOutcome::Drained) if wrote => {}
-            Ok(ReadOutcome::MoreLeft) if wrote => self.wake(Source::Backend(id)),
+            Ok(ReadOutcome::MoreLeft) if wrote => self.context.wake(Source::Backend(id)),
             _ => self.fail_backend(id, "the host ended it"),
         }
     }
@@ -95,7 +95,7 @@
     /// The endpoint broke the protocol: its connection is of no further use. What was sent may have run, but the
     /// endpoint is there: taken for a broken connection, this would cost it its role.
     fn on_protocol_error(&mut self, id: usize, reason: &str) -> bool {
-        self.counters.backend_protocol_errors += 1;
+        self.context.counters.backend_protocol_errors += 1;
         let connection = &mut self.backends[id];
         if connection.state != ConnectionState::Sent {
             self.fail_backend(id, reason);
@@ -117,9 +117,9 @@
         let reply = std::mem::take(&mut connection.reply);
         match state {
             ConnectionState::Dialing | ConnectionState::Greeting => {
-                self.counters.backend_connections_failed += 1;
+                self.context.counters.backend_connections_failed += 1;
             }
-            ConnectionState::Idle => self.counters.backend_connections_closed_by_endpoint += 1,
+            ConnectionState::Idle => self.context.counters.backend_connections_closed_by_endpoint += 1,
             _ => {}
         }
         if state != ConnectionState::Idle {
@@ -140,13 +140,13 @@
         connection.timer = None;
         match connection.state {
             ConnectionState::Idle => {
-                self.counters.backend_connections_closed_idle += 1;
+                self.context.counters.backend_connections_closed_idle += 1;
                 connection.outbox.push(frame::TERMINATE.clone());
                 self.flush_backend(id);
                 self.close_backend(id);
             }
             ConnectionState::Dialing | ConnectionState::Greeting
-                if self.clock.now() < connection.deadline
+                if self.context.now() < connection.deadline
                     || connection.assignment == Some(Assignment::HealthCheck) =>
             {
                 self.fail_backend(id, "not up in time");
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -13,7 +13,7 @@
 use crate::event_loop::EventLoop;
 use crate::protocol::socket;
 use crate::protocol::socket_failure::AcceptFailure;
-use crate::reactor::{ReactorHandle, Source};
+use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle, Timers};
 
 /// Accepted in one iteration of the loop, so that many new connections hold up no answer.
@@ -43,9 +43,9 @@
     }
 
     /// Listens no more.
-    pub fn close(&mut self, handle: &ReactorHandle) {
+    pub fn close(&mut self, context: &Context) {
         if let Some((_, token)) = self.listener.take() {
-            handle.remove(token);
+            context.deregister(token);
         }
     }
 
@@ -93,16 +93,16 @@
     pub fn listen(&mut self, address: SocketAddr, backlog: usize) -> io::Result<SocketAddr> {
         let socket = socket::listen(address, backlog)?;
         let bound_to = socket.local_addr()?.as_socket().unwrap_or(address);
-        let (socket, token) = self.register(socket, Source::Listener)?;
+        let (socket, token) = self.context.register(socket, Source::Listener)?;
         self.listener.open(socket, token);
-        self.wake(Source::Listener);
+        self.context.wake(Source::Listener);
         Ok(bound_to)
     }
 
     /// The listener became ready.
     pub fn on_listener_ready(&mut self) {
         if self.accept_clients(MAX_ACCEPTS_PER_WAKE) {
-            self.wake(Source::Listener);
+            self.context.wake(Source::Listener);
         } else {
             self.close_listener_if_drained();
         }
@@ -111,14 +111,14 @@
     /// Closes the listener of a router that drains once nobody waits there, as far as can be told.
     pub fn close_listener_if_drained(&mut self) {
         if self.is_draining && !self.listener.is_retrying() {
-            self.listener.close(&self.handle);
+            self.listener.close(&self.context);
         }
     }
 
     /// Accepts at most so many; true if more may be waiting.
     pub fn accept_clients(&mut self, most: usize) -> bool {
         let Some(listener) = self.listener.socket() else { return false };
-        self.listener.clear_retry(&mut self.timers);
+        self.listener.clear_retry(&mut self.context.timers);
         let mut failures = 0;
         for _ in 0..most {
             let is_admitted = self.make_room_for_client();
@@ -136,13 +136,13 @@
                 Ok(None) => return false,
                 Err(error) if is_of_one_client(&error) && failures < MAX_ACCEPT_FAILURES => {
                     failures += 1;
-                    self.counters.accepts_failed += 1;
+                    self.context.counters.accepts_failed += 1;
                 }
                 // Tried again after a while, as trying at once would keep the loop busy for nothing, and no readiness
                 // tells again of those who wait already.
                 Err(error) => {
-                    self.counters.accepts_failed += 1;
-                    warn!(self.log, "accept"; "fault" => %error);
+                    self.context.counters.accepts_failed += 1;
+                    warn!(self.context.log, "accept"; "fault" => %error);
                     return self.accept_later();
                 }
             }
@@ -152,7 +152,7 @@
 
     /// Has accepting tried again after a delay; false, as nobody else is accepted before.
     fn accept_later(&mut self) -> bool {
-        self.listener.retry_at(self.clock.now() + ACCEPT_RETRY_DELAY, &mut self.timers);
+        self.listener.retry_at(self.context.now() + ACCEPT_RETRY_DELAY, &mut self.context.timers);
         false
     }
 
@@ -162,7 +162,7 @@
             return Ok(Some(waiting));
         }
         let accepted = socket::accept(listener)?;
-        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.clock.now() }))
+        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: self.context.now() }))
     }
 
     /// Takes a client on. One for whom there is no room is let in all the same, to be told so once its statement is read: an
@@ -171,20 +171,20 @@
     fn add_client(&mut self, next: UnwatchedClient, is_admitted: bool) -> bool {
         let id = self.clients.next_id();
         let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
-        match self.register_shared(&next.socket, Source::Client(id)) {
-            Err(fault) if self.clock.now() < deadline => {
-                warn!(self.log, "client not watched yet"; "fault" => %fault);
+        match self.context.register_shared(&next.socket, Source::Client(id)) {
+            Err(fault) if self.context.now() < deadline => {
+                warn!(self.context.log, "client not watched yet"; "fault" => %fault);
                 self.listener.keep_unwatched(next);
                 return false;
             }
             Err(_) => {
-                self.counters.client_connections += 1;
-                self.counters.client_connections_unwatched += 1;
+                self.context.counters.client_connections += 1;
+                self.context.counters.client_connections_unwatched += 1;
             }
             Ok(token) => {
-                self.counters.client_connections += 1;
-                self.counters.client_connections_rejected += u64::from(!is_admitted);
-                let timer = self.timers.set(deadline, Timer::Client(id));
+                self.context.counters.client_connections += 1;
+                self.context.counters.client_connections_rejected += u64::from(!is_admitted);
+                let timer = self.context.timers.set(deadline, Timer::Client(id));
                 self.clients.insert(ClientConnection::new(next, token, timer, is_admitted));
                 self.on_client_ready(id);
             }
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -13,20 +13,20 @@
 impl EventLoop {
     /// Answers a request with the result of an endpoint.
     pub fn complete(&mut self, request_id: usize, [description, row, complete]: [Bytes; 3]) {
-        self.counters.completed += 1;
+        self.context.counters.completed += 1;
         self.answer(request_id, [description, row, complete, frame::READY_FOR_QUERY.clone()]);
     }
 
     /// Answers a request by a rejection, with when to come again, in seconds; 0 for no such time.
     pub fn reject(&mut self, request_id: usize, retry_after: f64) {
-        self.counters.rejected += 1;
+        self.context.counters.rejected += 1;
         let error = self.rejection(retry_after, "rejected: nothing ran");
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
 
     /// Answers a request by an abort.
     pub fn abort(&mut self, request_id: usize) {
-        self.counters.aborted += 1;
+        self.context.counters.aborted += 1;
         let error = frame::error("ERROR", ErrorCode::CompletionUnknown, "aborted: it may have run", None);
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
@@ -35,13 +35,13 @@
     fn answer<const N: usize>(&mut self, request_id: usize, slices: [Bytes; N]) {
         let Some(request) = self.requests.get(request_id) else { return };
         let client = request.client;
-        self.requests.transition(request_id, RequestPhase::Vacant, &mut self.counters);
+        self.requests.transition(request_id, RequestPhase::Vacant, &mut self.context.counters);
         self.set_client_phase(client, ConnectionPhase::Idle);
         self.send_to_client(client, slices);
         self.count_stored_bytes(client);
         let client_at = &self.clients[client];
         if self.is_draining || client_at.may_have_unread || !client_at.inbox.is_empty() {
-            self.wake(Source::Client(client));
+            self.context.wake(Source::Client(client));
         }
     }
 
@@ -55,13 +55,13 @@
         slices.into_iter().for_each(|slice| client.outbox.push(slice));
         // A failure shows when the connection is read next.
         if client.outbox.flush(&client.socket).is_err() {
-            self.wake(Source::Client(id));
+            self.context.wake(Source::Client(id));
         }
     }
 
     /// The connection is in order, the query is none of this service's.
     pub(crate) fn reject_query(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.counters.invalid_queries += 1;
+        self.context.counters.invalid_queries += 1;
         self.send_to_client(id, [frame::error("ERROR", code, text, None), frame::READY_FOR_QUERY.clone()]);
     }
 
@@ -82,8 +82,8 @@
 
     /// What this client sends can't be trusted any more.
     pub(crate) fn reject_protocol_violation(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.counters.client_protocol_errors += 1;
-        info!(self.log, "client dismissed"; "reason" => text);
+        self.context.counters.client_protocol_errors += 1;
+        info!(self.context.log, "client dismissed"; "reason" => text);
         self.reject_connection(id, code, text);
     }
 
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -23,7 +23,7 @@
     /// Ends a connection on which nothing is in hand and all is written.
     pub(crate) fn begin_close(&mut self, id: usize) {
         self.set_client_phase(id, ConnectionPhase::Lingering);
-        self.set_client_timer(id, self.clock.now() + LINGER_TIMEOUT);
+        self.set_client_timer(id, self.context.now() + LINGER_TIMEOUT);
         let client = &mut self.clients[id];
         client.discard_input();
         // It fails where the client has reset the connection, which is seen next.
@@ -67,19 +67,19 @@
     /// Ends the connection; a statement of it that is in hand has lost its client.
     pub(crate) fn close_client(&mut self, id: usize) {
         let client = self.clients.remove(id);
-        self.timers.clear(client.timer);
+        self.context.timers.clear(client.timer);
         if self.listener.is_retrying() {
-            self.wake(Source::Listener);
+            self.context.wake(Source::Listener);
         }
-        self.handle.remove(client.token);
+        self.context.deregister(client.token);
         if let ConnectionPhase::Busy(request_id) = client.phase {
-            self.counters.statements_abandoned += 1;
+            self.context.counters.statements_abandoned += 1;
             let Some(request) = self.requests.get(request_id) else { return };
             let next = match request.phase {
                 RequestPhase::Executing(backend) => RequestPhase::Abandoned(backend),
                 _ => RequestPhase::Vacant,
             };
-            self.requests.transition(request_id, next, &mut self.counters);
+            self.requests.transition(request_id, next, &mut self.context.counters);
             self.report(RoutingEvent::ClientGone(request_id));
             if let RequestPhase::Abandoned(backend) = next {
                 // Nobody waits for it any more: what is not on its way stays here.
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -2,8 +2,9 @@
 
 use crate::client::connection::{ClientConnection, ConnectionPhase};
 use crate::client::table::ClientTable;
-use crate::event_loop::{EventLoop, TIMING_MARGIN};
+use crate::event_loop::EventLoop;
 use crate::protocol::socket;
+use crate::timers::TIMING_MARGIN;
 
 /// Shut connections of which one is chosen to make room for another.
 const MAX_LINGERING_CANDIDATES: usize = 8;
@@ -54,7 +55,7 @@
     /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
     pub(crate) fn close_idle_client(&mut self, asked: bool) -> bool {
         // One that is new has its first statement on the way.
-        let new_since = self.clock.now() - TIMING_MARGIN;
+        let new_since = self.context.now() - TIMING_MARGIN;
         let idle = |c: &ClientConnection| {
             matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
                 && c.has_queried == asked
@@ -74,7 +75,7 @@
                 Some(_) => self.begin_close(id),
                 None => {}
             }
-            self.counters.client_connections_closed_idle += 1;
+            self.context.counters.client_connections_closed_idle += 1;
             return true;
         }
         false
@@ -89,7 +90,7 @@
         oldest.truncate(MAX_LINGERING_CANDIDATES);
         let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
         let first =
-            oldest.first().filter(|(_, client)| client.phase_since < self.clock.now() - TIMING_MARGIN);
+            oldest.first().filter(|(_, client)| client.phase_since < self.context.now() - TIMING_MARGIN);
         let chosen = clean.or(first).map(|(id, _)| *id);
         chosen.into_iter().for_each(|id| self.close_client(id));
         chosen.is_some()
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -45,14 +45,14 @@
             let reason = "a statement with this id is open";
             return self.reject_query(client, ErrorCode::ProtocolViolation, reason);
         }
-        let info = self.fingerprints.lookup(self.clock.now(), workload, text, scan.fingerprint);
+        let info = self.fingerprints.lookup(self.context.now(), workload, text, scan.fingerprint);
         if let Some(reason) = info.refusal {
-            self.counters.session_queries += 1;
+            self.context.counters.session_queries += 1;
             return self.reject_query(client, ErrorCode::NotSupported, reason);
         }
         let may_write = info.kind != StatementKind::Read;
         if may_write && self.catalog.reads[workload] {
-            self.counters.reads_treated_as_writes += 1;
+            self.context.counters.reads_treated_as_writes += 1;
             self.log_write_classification(workload, text, &info);
         }
         let deadline = self.statement_deadline(client, workload, &comment, arrived_at);
@@ -66,13 +66,13 @@
             deadline,
             may_have_run: false,
         };
-        self.counters.statements += 1;
+        self.context.counters.statements += 1;
         self.start_request(request, |event_loop, request_id| event_loop.enter_request(request_id, in_flight));
     }
 
     /// Rejects a statement as no endpoint list has come yet. It was never sent, so coming again is harmless.
     fn reject_without_list(&mut self, client: usize) {
-        self.counters.rejected_without_endpoint_list += 1;
+        self.context.counters.rejected_without_endpoint_list += 1;
         let error = self.rejection(self.max_retry_after, "rejected: no list of hosts has come yet");
         self.send_to_client(client, [error, frame::READY_FOR_QUERY.clone()]);
     }
@@ -104,8 +104,8 @@
             group,
             tenant: None,
             session: comment.session,
-            time_left: (deadline - self.clock.now()).max(0.0),
-            since_write: comment.after.map(|after| (self.clock.now() - after).max(0.0)),
+            time_left: (deadline - self.context.now()).max(0.0),
+            since_write: comment.after.map(|after| (self.context.now() - after).max(0.0)),
             repeat: comment.repeat,
             writes: info.kind != StatementKind::Read,
             work: info.estimate.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
@@ -115,7 +115,7 @@
     /// A request is in flight from now on, under the number that the routing module gave it.
     fn enter_request(&mut self, request_id: usize, request: InFlightRequest) {
         let client = request.client;
-        self.requests.insert(request_id, request, &mut self.counters);
+        self.requests.insert(request_id, request, &mut self.context.counters);
         self.set_client_phase(client, ConnectionPhase::Busy(request_id));
         self.clients[client].has_queried = true;
     }
@@ -124,13 +124,13 @@
     /// and one that waits for a longer one would come after its time.
     fn earliest_pipelined_deadline(&mut self, id: usize) -> f64 {
         let Some(client) = self.clients.get_mut(id) else { return f64::INFINITY };
-        client.match_arrivals(self.clock.arrivals_since());
+        client.match_arrivals(self.context.clock.arrivals_since());
         let (mut at, mut due) = (0, f64::INFINITY);
         for _ in 0..MAX_PIPELINED {
             let Ok(Some(whole)) = frame::message_length(&client.inbox[at..]) else { break };
             let text = &client.inbox[at + 5..at + whole];
             if let Some(time_left) = peek_time_left(text) {
-                due = due.min(client.arrived(at, self.clock.now()) + time_left);
+                due = due.min(client.arrived(at, self.context.now()) + time_left);
             }
             at += whole;
         }
@@ -139,10 +139,10 @@
 
     /// Why a statement of a reading workload goes to the primary: one line a second tells as much as all would.
     fn log_write_classification(&mut self, workload: usize, text: &[u8], info: &StatementInfo) {
-        if self.clock.now() - self.write_classification_logged_at < 1.0 {
+        if self.context.now() - self.write_classification_logged_at < 1.0 {
             return;
         }
-        self.write_classification_logged_at = self.clock.now();
+        self.write_classification_logged_at = self.context.now();
         let reading = info.key.and_then(|key| self.fingerprints.classification(&key).cloned());
         let reading =
             reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
@@ -152,7 +152,7 @@
         } else {
             &reading.why
         };
-        info!(self.log, "text may write"; "why" => why, "nature" => info.kind.name(),
-            "workload" => self.catalog.workloads[workload].as_str(), "so_far" => self.counters.reads_treated_as_writes);
+        info!(self.context.log, "text may write"; "why" => why, "nature" => info.kind.name(),
+            "workload" => self.catalog.workloads[workload].as_str(), "so_far" => self.context.counters.reads_treated_as_writes);
     }
 }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -2,13 +2,13 @@
 
 use crate::client::connection::{ClientConnection, ConnectionPhase};
 use crate::client::queries::MAX_PIPELINED;
-use crate::event_loop::{EventLoop, TIMING_MARGIN};
+use crate::event_loop::EventLoop;
 use crate::protocol::frame;
 use crate::protocol::frame::{ErrorCode, Startup};
 use crate::protocol::socket;
 use crate::protocol::socket::ReadOutcome;
 use crate::reactor::Source;
-use crate::timers::Timer;
+use crate::timers::{TIMING_MARGIN, Timer};
 
 /// A connection with no statement open may be closed after so many seconds, as the service page has it.
 const IDLE_TIMEOUT: f64 = 2.0;
@@ -36,7 +36,7 @@
             ConnectionPhase::Lingering => return self.finish_close(id),
             _ => {}
         }
-        client.last_read_at = self.clock.now();
+        client.last_read_at = self.context.now();
         let busy = matches!(client.phase, ConnectionPhase::Busy(_));
         // One message ahead of the one in hand at least.
         let most = if busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
@@ -52,7 +52,7 @@
                 client.may_have_unread = true;
                 // Its end may be on its way still, held up by what is not read. Where memory is short it has to wait.
                 if busy && client.inbox.len() < most {
-                    self.wake(Source::Client(id));
+                    self.context.wake(Source::Client(id));
                 }
             }
             Ok(ReadOutcome::Ended) | Err(_) => return self.close_client(id),
@@ -74,16 +74,16 @@
             return;
         }
         if client.may_have_unread && client.outbox.is_empty() {
-            return self.set_client_timer(id, self.clock.now() + TIMING_MARGIN);
+            return self.set_client_timer(id, self.context.now() + TIMING_MARGIN);
         }
         let due_at = self.client_deadline(client);
-        if due_at > self.clock.now() {
+        if due_at > self.context.now() {
             if due_at.is_finite() {
                 self.set_client_timer(id, due_at);
             }
             return;
         }
-        self.counters.client_connections_closed_idle += 1;
+        self.context.counters.client_connections_closed_idle += 1;
         let halfway = matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
             && !client.inbox.is_empty();
         if halfway && client.outbox.is_empty() {
@@ -107,11 +107,11 @@
         loop {
             self.count_stored_bytes(id);
             let Some(client) = self.clients.get_mut(id) else { return };
-            client.match_arrivals(self.clock.arrivals_since());
+            client.match_arrivals(self.context.clock.arrivals_since());
             if !client.outbox.is_empty() {
                 return;
             }
-            let arrived_at = client.arrived(0, self.clock.arrivals_since());
+            let arrived_at = client.arrived(0, self.context.clock.arrivals_since());
             let step = match client.phase {
                 ConnectionPhase::Busy(_) => return,
                 ConnectionPhase::Terminated | ConnectionPhase::Rejected => return self.begin_close(id),
@@ -129,7 +129,7 @@
                     if self.clients.stored_statement_bytes() > self.limits.statement_bytes
                         && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
                 {
-                    self.counters.client_connections_rejected += 1;
+                    self.context.counters.client_connections_rejected += 1;
                     self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
                 }
                 Ok(None) => return self.await_more_input(id),
@@ -142,7 +142,7 @@
     fn await_more_input(&mut self, id: usize) {
         let client = &self.clients[id];
         if client.may_have_unread {
-            return self.wake(Source::Client(id));
+            return self.context.wake(Source::Client(id));
         }
         if !client.inbox.is_empty() {
             let due_at = self.client_deadline(client);
@@ -171,7 +171,7 @@
         match message.tag() {
             b'Q' => match message.query() {
                 Some(text) if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') => {
-                    self.counters.empty_queries += 1;
+                    self.context.counters.empty_queries += 1;
                     self.send_to_client(
                         id,
                         [frame::EMPTY_QUERY_RESPONSE.clone(), frame::READY_FOR_QUERY.clone()],
@@ -196,14 +196,15 @@
     /// Every change of a client connection's phase.
     pub(crate) fn set_client_phase(&mut self, id: usize, next: ConnectionPhase) {
         let client = &mut self.clients[id];
-        self.counters.check_invariant(
+        self.context.counters.check_invariant(
             client.phase.may_become(next),
             "a client connection changes its phase as allowed",
         );
         client.phase = next;
-        client.phase_since = self.clock.now();
+        client.phase_since = self.context.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
-            client.timer = Some(self.timers.set(self.clock.now() + IDLE_TIMEOUT, Timer::Client(id)));
+            client.timer =
+                Some(self.context.timers.set(self.context.now() + IDLE_TIMEOUT, Timer::Client(id)));
         }
     }
 
@@ -221,7 +222,7 @@
                 client.connected_at + INCOMPLETE_INPUT_TIMEOUT
             }
             ConnectionPhase::Idle if halfway => {
-                let due_at = client.arrived(0, self.clock.now()) + INCOMPLETE_INPUT_TIMEOUT;
+                let due_at = client.arrived(0, self.context.now()) + INCOMPLETE_INPUT_TIMEOUT;
                 due_at.max(client.phase_since + REMAINDER_TIMEOUT).min(self.answers_by)
             }
             ConnectionPhase::Idle if !client.outbox.is_empty() => {
@@ -233,9 +234,9 @@
 
     /// Has the client looked at then, and not before.
     pub(crate) fn set_client_timer(&mut self, id: usize, at: f64) {
-        let timer = self.timers.set(at, Timer::Client(id));
+        let timer = self.context.timers.set(at, Timer::Client(id));
         let before = self.clients[id].timer.replace(timer);
-        self.timers.clear(before.filter(|before| *before != timer));
+        self.context.timers.clear(before.filter(|before| *before != timer));
     }
 
     /// Counts what is stored for a client: what was read ahead, and its request in flight.
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -7,7 +7,8 @@
 use serde_json::{Value, json};
 
 use crate::discovery::registry::EndpointRegistry;
-use crate::fleet_link::link::{FleetLink, MembershipState};
+use crate::fleet_link::names::BudgetNames;
+use crate::fleet_link::{FleetLink, MembershipState};
 
 /// The state that answers are made of.
 pub struct FleetReport<'a> {
@@ -33,16 +34,18 @@
         objects.into_iter().map(|object| object.to_string() + "\n").collect()
     }
 
-    fn fleet(&self) -> Option<&FleetNode> {
-        match &self.link?.state {
-            MembershipState::Joined { fleet, .. } => Some(fleet),
+    /// The member and the names of its budgets, once it has joined.
+    fn joined(&self) -> Option<(&FleetNode, BudgetNames<'_>)> {
+        let link = self.link?;
+        match link.state() {
+            MembershipState::Joined { fleet, .. } => Some((fleet, link.names(self.endpoints))),
             MembershipState::AddressTaken { .. } | MembershipState::Left => None,
         }
     }
 
     /// Who is a member, and since when.
     fn members(&self) -> Vec<Value> {
-        let fleet = match self.link.map(|link| &link.state) {
+        let fleet = match self.link.map(FleetLink::state) {
             Some(MembershipState::Joined { fleet, .. }) => fleet,
             Some(MembershipState::AddressTaken { .. }) => {
                 return vec![fault("another process holds this member's address")];
@@ -61,10 +64,10 @@
 
     /// What this router may spend, and until when.
     fn budgets(&self) -> Vec<Value> {
-        let Some(fleet) = self.fleet() else { return Vec::new() };
+        let Some((fleet, names)) = self.joined() else { return Vec::new() };
         let object = |(key, quota): (&BudgetKey, &LocalQuota)| {
             let (leased, expires_at) = (quota.leased(self.now), quota.expires_at());
-            json!({"budget": self.budget_name(key.budget), "subject": self.subject_name(key.subject), "whole": quota.total(),
+            json!({"budget": names.budget(key.budget), "subject": names.subject(key.subject), "whole": quota.total(),
                 "part": leased.demand, "part_for_s": (expires_at.demand - self.now).max(0.0), "floor": leased.floor,
                 "floor_for_s": (expires_at.floor - self.now).max(0.0), "in_use": quota.in_use(), "spent": quota.acquired(),
                 "turned_away": quota.denied(), "standing": format!("{:?}", quota.state())})
@@ -74,13 +77,13 @@
 
     /// Who holds what of each budget, which the leader alone knows.
     fn ledger(&self) -> Vec<Value> {
-        let Some(fleet) = self.fleet() else { return Vec::new() };
+        let Some((fleet, names)) = self.joined() else { return Vec::new() };
         if !fleet.is_leader(self.now) {
             return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader()})];
         }
         let object = |line: LedgerLine| {
             let granted = line.outstanding.sum();
-            json!({"budget": self.budget_name(line.key.budget), "subject": self.subject_name(line.key.subject),
+            json!({"budget": names.budget(line.key.budget), "subject": names.subject(line.key.subject),
                 "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.outstanding.demand,
                 "floor": line.outstanding.floor, "in_use": line.in_use, "demand": line.demand,
                 "stranded": granted.saturating_sub(line.demand.max(line.in_use))})
@@ -90,28 +93,13 @@
 
     /// Datagrams, elections, refusals.
     fn counters(&self) -> Vec<Value> {
-        let (Some(link), Some(fleet)) = (self.link, self.fleet()) else { return Vec::new() };
+        let (Some(link), Some((fleet, _))) = (self.link, self.joined()) else { return Vec::new() };
         let counts = fleet.counters();
         vec![json!({"heard": counts.received, "heard_bytes": counts.received_bytes, "sent": counts.sent,
             "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.outdated,
             "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.incompatible,
-            "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused,
-            "unwritten": link.unwritten})]
-    }
-
-    /// The name of a budget, or its identifier where the configuration names none.
-    fn budget_name(&self, id: u64) -> String {
-        let budget = self.link.and_then(|link| link.file.fleet.budget(id));
-        budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
-    }
-
-    /// The name of the endpoint that a budget is for, or its label if it isn't known here; empty if the budget is for all.
-    fn subject_name(&self, label: u64) -> String {
-        if label == 0 {
-            return String::new();
-        }
-        let endpoint = self.endpoints.by_label(label);
-        endpoint.map_or_else(|| format!("{label:x}"), |endpoint| endpoint.name.clone())
+            "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused(),
+            "unwritten": link.unwritten()})]
     }
 }
 
--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -86,7 +86,7 @@
                 inbox: BytesMut::new(),
                 outbox: Outbox::default(),
                 was_answered: false,
-                timer: context.timers.set(context.now + CLIENT_LIFETIME, Timer::ControlClient(id)),
+                timer: context.timers.set(context.now() + CLIENT_LIFETIME, Timer::ControlClient(id)),
             });
             self.on_client_ready(id, report, context);
         }
@@ -95,7 +95,7 @@
     /// Has accepting tried again: no readiness tells anew of connections that wait already.
     fn retry_later(&mut self, error: &io::Error, context: &mut Context) {
         warn!(context.log, "accept on the control listener"; "error" => %error);
-        let retry = context.timers.set(context.now + RETRY_DELAY, Timer::Control);
+        let retry = context.timers.set(context.now() + RETRY_DELAY, Timer::Control);
         let previous = self.retry.replace(retry);
         context.timers.clear(previous.filter(|previous| *previous != retry));
     }
@@ -124,7 +124,7 @@
     pub fn close_client(&mut self, id: usize, context: &mut Context) {
         let Some(client) = self.clients.try_remove(id) else { return };
         context.timers.clear(Some(client.timer));
-        context.handle.remove(client.token);
+        context.deregister(client.token);
         context.wake(Source::Control);
     }
 }
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -110,7 +110,7 @@
             token,
             inbox: BytesMut::new(),
             outbox: Outbox::default(),
-            requested_at: context.now,
+            requested_at: context.now(),
             keep_until: f64::INFINITY,
             was_answered: false,
         })
@@ -145,7 +145,7 @@
     /// If the connection broke.
     pub fn send(&mut self, request: &Request, host: SocketAddr, context: &mut Context) -> io::Result<()> {
         self.transition(request.state, context);
-        self.requested_at = context.now;
+        self.requested_at = context.now();
         self.outbox.push(http::get(&request.path, &host.to_string()));
         self.outbox.flush(&self.socket).map(|_| ())
     }
@@ -191,7 +191,7 @@
 
     /// Closes the connection; true if a request on it was answered, as its end is no failure of discovery then.
     pub fn close(self, context: &Context) -> bool {
-        context.handle.remove(self.token);
+        context.deregister(self.token);
         self.was_answered
     }
 }
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -121,10 +121,10 @@
     /// Dials discovery. The oldest call may still be answered for a while; the one between is closed.
     fn begin_call(&mut self, context: &mut Context) {
         if self.calls.len() >= MAX_CALLS {
-            let oldest_is_over = self.calls[0].is_over(context.now);
+            let oldest_is_over = self.calls[0].is_over(context.now());
             self.close_call(usize::from(!oldest_is_over), context);
         }
-        let keep_until = context.now + SUPERSEDED_CALL_LIFETIME;
+        let keep_until = context.now() + SUPERSEDED_CALL_LIFETIME;
         for call in &mut self.calls {
             call.limit(keep_until);
         }
@@ -176,7 +176,7 @@
         for other in (0..self.calls.len()).rev().filter(|other| *other != index) {
             self.close_call(other, context);
         }
-        let was_early = self.calls[0].answered(context.now);
+        let was_early = self.calls[0].answered(context.now());
         let old_version = self.version.replace(answer.list.version);
         // A discovery that never waits must not keep this router busy.
         let pauses = was_early && old_version == self.version;
@@ -217,8 +217,8 @@
 
     fn report_failure(&mut self, error: &CallError, context: &mut Context) {
         context.counters.discovery_calls_failed += 1;
-        if context.now - self.logged_at >= LOG_INTERVAL {
-            self.logged_at = context.now;
+        if context.now() - self.logged_at >= LOG_INTERVAL {
+            self.logged_at = context.now();
             let calls_failed = context.counters.discovery_calls_failed;
             warn!(context.log, "discovery call failed"; "error" => %error, "calls_failed" => calls_failed);
         }
@@ -228,7 +228,7 @@
     /// Sets the one timer, in seconds from now.
     fn set_timer(&mut self, after: f64, context: &mut Context) {
         context.timers.clear(self.timer.take());
-        self.timer = Some(context.timers.set(context.now + after, Timer::Discovery));
+        self.timer = Some(context.timers.set(context.now() + after, Timer::Discovery));
     }
 
     /// Closes a connection; true if a request on it was answered.
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -3,40 +3,61 @@
 use ottersill_config::fleet::BudgetKind;
 use ottersill_fleet::membership::Presence;
 use ottersill_fleet::node::FleetNode;
-use ottersill_routing::facade::RoutingEvent;
-use ottersill_routing::interface::EndpointQuota;
+use ottersill_fleet::quota_ledger::BudgetKey;
+use ottersill_fleet::settings::label;
+use ottersill_routing::facade::Facade;
+use ottersill_routing::interface::{EndpointQuota, FleetQuota};
 
-use crate::event_loop::EventLoop;
-use crate::fleet_link::link::FleetLink;
+use crate::discovery::registry::{Endpoint, EndpointRegistry};
+use crate::fleet_link::{FleetLink, MembershipState};
+use crate::reactor::Context;
 
-impl EventLoop {
-    /// Tells the routing module what this router may spend now, and the fleet what waits for more.
-    pub fn update_fleet_quota(&mut self) {
-        let Some(mut link) = self.fleet_link.take() else { return };
-        let now = self.clock.read();
-        link.quota.hosts.clear();
-        for endpoint in 0..self.endpoints.all.len() {
-            let units = self.attempt_units(&mut link, now, endpoint);
-            let tokens = self.warming_tokens(&mut link, now, endpoint);
+/// What this router has to spend quota on.
+pub struct FleetDemand<'a> {
+    /// All endpoints.
+    pub endpoints: &'a EndpointRegistry,
+    /// Knows what waits for them, and which of them warm up.
+    pub routing: &'a Facade,
+    /// How many requests are in flight.
+    pub requests_in_flight: usize,
+}
+
+/// An attempt that quota is wanted for.
+#[derive(Clone, Copy)]
+pub struct AttemptQuota<'a> {
+    /// The endpoint's name.
+    pub endpoint: &'a str,
+    /// An earlier attempt of the request may have run.
+    pub is_retry: bool,
+    /// The endpoint warms up.
+    pub is_warming: bool,
+}
+
+impl FleetLink {
+    /// What this router may spend now, for the routing module. Tells the fleet what waits for more.
+    pub fn update_quota(&mut self, demand: &FleetDemand, context: &mut Context) -> &FleetQuota {
+        let now = context.clock.read();
+        self.quota.hosts.clear();
+        for (index, endpoint) in demand.endpoints.all.iter().enumerate() {
+            let units = self.attempt_units(now, endpoint, demand);
+            let tokens = self.warming_tokens(now, context.now(), index, demand);
             if units.is_some() || tokens.is_some() {
-                link.quota.hosts.push(EndpointQuota { host: endpoint, units, tokens });
+                self.quota.hosts.push(EndpointQuota { host: index, units, tokens });
             }
         }
-        link.quota.routers = link.fleet().map(present_members);
-        let retries = link.budget_key(BudgetKind::Retries, "");
-        link.quota.second_tries = retries.map(|key| link.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
-        self.facade.report(self.clock.now(), RoutingEvent::Quota(&link.quota));
-        link.reset_timer(&mut self.timers);
-        self.fleet_link = Some(link);
+        self.quota.routers = self.fleet().map(present_members);
+        let retries = self.budget_key(BudgetKind::Retries, "");
+        self.quota.second_tries = retries.map(|key| self.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        self.reset_timer(context);
+        &self.quota
     }
 
     /// How many attempts this router may have in flight at an endpoint; none where no budget limits that.
-    fn attempt_units(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
-        let endpoint = &self.endpoints.all[endpoint];
-        let key = link.budget_key(BudgetKind::AttemptsPerEndpoint, &endpoint.name)?;
-        let Some(fleet) = link.fleet() else { return Some(0.0) };
+    fn attempt_units(&mut self, now: f64, endpoint: &Endpoint, demand: &FleetDemand) -> Option<f64> {
+        let key = self.budget_key(BudgetKind::AttemptsPerEndpoint, &endpoint.name)?;
+        let Some(fleet) = self.fleet() else { return Some(0.0) };
         fleet.track(now, key);
-        let waiting = self.facade.waiting(endpoint.listed.group) as u64;
+        let waiting = demand.routing.waiting(endpoint.listed.group) as u64;
         if waiting > 0 && !fleet.is_available(now, key) {
             fleet.note_waiting(now, key, waiting);
         }
@@ -44,49 +65,71 @@
     }
 
     /// How many attempts this router may send to an endpoint that warms up; none where it is warm, or no budget limits that.
-    /// What a warm one had of the budget is given back when nobody asks for it.
-    fn warming_tokens(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
-        let name = &self.endpoints.all[endpoint].name;
-        let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
-        if !self.facade.is_cold(self.clock.now(), endpoint) {
+    /// What a warm one had of the budget is given back when nobody asks for it. `iteration_at` is the time by which the
+    /// routing module judges.
+    fn warming_tokens(
+        &mut self,
+        now: f64,
+        iteration_at: f64,
+        endpoint: usize,
+        demand: &FleetDemand,
+    ) -> Option<f64> {
+        let name = &demand.endpoints.all[endpoint].name;
+        let key = self.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
+        if !demand.routing.is_cold(iteration_at, endpoint) {
             return None;
         }
-        let Some(fleet) = link.fleet() else { return Some(0.0) };
+        let Some(fleet) = self.fleet() else { return Some(0.0) };
         let tokens = fleet.tokens(now, key);
         // Nothing waits for a warming endpoint as long as a warm one has room: who has traffic wants a share.
-        if self.requests.count() > 0 && tokens < 1.0 {
+        if demand.requests_in_flight > 0 && tokens < 1.0 {
             fleet.note_waiting(now, key, 1);
         }
         Some(tokens)
     }
 
-    /// Whether the fleet's budgets let an attempt go out to that endpoint now, and counts it if they do.
-    pub fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
-        let now = self.clock.read();
-        let is_retry = self.requests.get(request_id).is_some_and(|request| request.may_have_run);
-        let Some(link) = &mut self.fleet_link else { return true };
-        let name = &self.endpoints.all[endpoint].name;
-        if is_retry && !link.acquire(now, BudgetKind::Retries, "") {
+    /// Whether the fleet's budgets let an attempt go out now, and counts it if they do. `now` is read from the clock for this.
+    #[must_use]
+    pub fn acquire_attempt(&mut self, now: f64, attempt: AttemptQuota) -> bool {
+        if attempt.is_retry && !self.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
         // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
-        let is_warming = self.facade.is_cold(self.clock.now(), endpoint);
-        (!is_warming || link.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, name))
-            && link.acquire(now, BudgetKind::AttemptsPerEndpoint, name)
+        (!attempt.is_warming || self.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, attempt.endpoint))
+            && self.acquire(now, BudgetKind::AttemptsPerEndpoint, attempt.endpoint)
     }
 
-    /// Whether the fleet's budget for that lets one more be begun now, and counts it if it does.
-    pub fn acquire_quota(&mut self, of: BudgetKind) -> bool {
-        let now = self.clock.read();
-        self.fleet_link.as_mut().is_none_or(|link| link.acquire(now, of, ""))
+    /// An attempt at that endpoint that was counted is over; `proved` if it is known to run no more.
+    pub fn release_attempt(&mut self, now: f64, endpoint: &str, proved: bool) {
+        let Some(key) = self.budget_key(BudgetKind::AttemptsPerEndpoint, endpoint) else { return };
+        if let MembershipState::Joined { fleet, .. } = &mut self.state {
+            fleet.release(now, key, proved);
+            self.audit.record_release(fleet, now, key, proved);
+        }
     }
 
-    /// An attempt that was counted is over; `is_over` if it is known to run no more.
-    pub fn release_attempt_quota(&mut self, endpoint: usize, is_over: bool) {
-        let now = self.clock.read();
-        if let Some(link) = &mut self.fleet_link {
-            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[endpoint].name, is_over);
+    /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
+    /// that everything may be done.
+    #[must_use]
+    pub fn acquire(&mut self, now: f64, of: BudgetKind, subject: &str) -> bool {
+        let Some(key) = self.budget_key(of, subject) else { return true };
+        let MembershipState::Joined { fleet, .. } = &mut self.state else {
+            self.refused += 1;
+            return false;
+        };
+        let was_acquired = fleet.acquire(now, key);
+        if was_acquired {
+            self.audit.record_acquisition(fleet, now, key);
         }
+        self.refused += u64::from(!was_acquired);
+        was_acquired
+    }
+
+    /// The budget for that, if there is one, and its subject: an endpoint's name, or nothing.
+    fn budget_key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
+        let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
+        let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
+        Some(BudgetKey { budget: self.file.fleet.budgets[index].id, subject })
     }
 }
 
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -47,7 +47,7 @@
 
     /// Tries to reload if that is due.
     pub fn poll_once(&mut self, event_loop: &mut EventLoop) {
-        let now = event_loop.clock.now();
+        let now = event_loop.context().now();
         let State::Requested { at, next_try_at } = self.state else { return };
         if now < next_try_at {
             return;
@@ -60,9 +60,9 @@
             Err(fault) => {
                 let is_first_try = next_try_at == at;
                 if is_first_try {
-                    warn!(event_loop.log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
+                    warn!(event_loop.context().log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
                 }
-                event_loop.counters.reloads_failed += 1;
+                event_loop.context().counters.reloads_failed += 1;
                 let next_try_at = now + RETRY_INTERVAL;
                 if next_try_at < at + RELOAD_DEADLINE {
                     State::Requested { at, next_try_at }
@@ -74,9 +74,9 @@
     }
 
     fn apply(&mut self, config: &Config, event_loop: &mut EventLoop) {
-        event_loop.counters.reloads += 1;
+        event_loop.context().counters.reloads += 1;
         let needs_restart = self.config.restart_required(config).join(",");
-        info!(event_loop.log, "configuration reloaded"; "discovery" => %config.discovery,
+        info!(event_loop.context().log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
         self.config.discovery = config.discovery;
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -61,13 +61,13 @@
             self.wait_for_events()?;
             self.event_loop.poll_once();
             self.reload_if_asked();
-            self.event_loop.counters.log_lines_dropped = self.log.dropped();
-            if mem::take(&mut self.event_loop.readiness.signals.print_counters) {
-                log_counters(&self.event_loop);
+            self.event_loop.context().counters.log_lines_dropped = self.log.dropped();
+            if mem::take(&mut self.event_loop.readiness().signals.print_counters) {
+                self.event_loop.log_counters();
             }
             self.log.flush();
         }
-        log_counters(&self.event_loop);
+        self.event_loop.log_counters();
         self.log.flush();
         self.keep_signals_blocked();
         Ok(())
@@ -81,14 +81,14 @@
 
     fn wait_for_events(&mut self) -> Result<(), RunError> {
         let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
-        let wait = (next_at - self.event_loop.clock.read()).clamp(0.0, MAX_WAIT);
+        let wait = (next_at - self.event_loop.context().clock.read()).clamp(0.0, MAX_WAIT);
         let wait = Some(Duration::from_secs_f64(wait));
-        self.events.dispatch(wait, &mut self.event_loop.readiness).map_err(RunError::EventLoop)
+        self.events.dispatch(wait, self.event_loop.readiness()).map_err(RunError::EventLoop)
     }
 
     fn reload_if_asked(&mut self) {
-        if mem::take(&mut self.event_loop.readiness.signals.reload) {
-            self.reload.request(self.event_loop.clock.now());
+        if mem::take(&mut self.event_loop.readiness().signals.reload) {
+            self.reload.request(self.event_loop.context().now());
             self.event_loop.reload_fleet();
         }
         self.reload.poll_once(&mut self.event_loop);
@@ -98,10 +98,10 @@
     fn advance_phase(&mut self) -> Result<(), RunError> {
         let event_loop = &mut self.event_loop;
         let observed = Observation {
-            now: event_loop.clock.now(),
-            started_at: event_loop.clock.started_at(),
-            shutdown_requested: event_loop.readiness.signals.shutdown,
-            knows_endpoints: !event_loop.endpoints.all.is_empty(),
+            now: event_loop.context().now(),
+            started_at: event_loop.context().clock.started_at(),
+            shutdown_requested: event_loop.readiness().signals.shutdown,
+            knows_endpoints: event_loop.endpoint_count() > 0,
             has_no_clients: event_loop.is_empty(),
             longest_statement_timeout: self.longest_statement_timeout,
         };
@@ -113,8 +113,9 @@
         match next {
             Phase::Serving => open_listener(event_loop, &self.listen)?,
             Phase::LameDuck { answers_by, .. } => {
-                info!(event_loop.log, "shutdown requested"; "statements_in_flight" => event_loop.requests.count());
-                event_loop.answers_by = answers_by;
+                let in_flight = event_loop.requests_in_flight();
+                info!(event_loop.context().log, "shutdown requested"; "statements_in_flight" => in_flight);
+                event_loop.limit_answers(answers_by);
             }
             Phase::Draining { .. } => event_loop.drain(),
             Phase::Stopped if matches!(previous, Phase::Draining { .. }) => event_loop.leave_fleet(),
@@ -128,16 +129,7 @@
     let ListenAddress { address, backlog } = *listen;
     let failed = |source: io::Error| RunError::Listen { address, source };
     let bound_to = event_loop.listen(address, backlog).map_err(failed)?;
-    info!(event_loop.log, "ready"; "listen" => %bound_to, "endpoints" => event_loop.endpoints.all.len());
+    let endpoints = event_loop.endpoint_count();
+    info!(event_loop.context().log, "ready"; "listen" => %bound_to, "endpoints" => endpoints);
     Ok(())
 }
-
-/// Writes all counters to the log.
-fn log_counters(event_loop: &EventLoop) {
-    let (book, found) = (&event_loop.fingerprints, event_loop.fingerprints.counts);
-    info!(event_loop.log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
-        "prescanned" => found.prescanned, "replica_refusals" => found.denied, "pages" => book.entries(), "bytes" => book.bytes());
-    info!(event_loop.log, "counters: {}", event_loop.counters; "invariant_violations_total" => event_loop.invariant_violations(),
-        "client_connections_open" => event_loop.clients.len(), "backend_connections_open" => event_loop.backends.len(),
-        "statements_in_flight" => event_loop.requests.count());
-}
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -1,7 +1,7 @@
 //! The phases of a router's life, above all of its graceful shutdown, as one state machine. It only says which phase
 //! comes next; [`run`](crate::lifecycle::run) does what the phase asks for. Times are Unix seconds, durations seconds.
 
-use crate::event_loop::TIMING_MARGIN;
+use crate::timers::TIMING_MARGIN;
 
 /// A router serves after this time even if no endpoint list has come, so that one without a list can be told from one
 /// that does not start.
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -5,8 +5,7 @@
 
 use crate::discovery::client::DiscoveryClient;
 use crate::event_loop::EventLoop;
-use crate::fleet_link::handlers;
-use crate::fleet_link::link::FleetLink;
+use crate::fleet_link::FleetLink;
 use crate::lifecycle::config::{Config, ConfigError};
 use crate::lifecycle::error::RunError;
 use crate::lifecycle::log::{Form, Log};
@@ -41,9 +40,9 @@
     }
     event_loop.with_discovery(DiscoveryClient::start);
     if let Some(link) = link {
-        handlers::begin(&mut event_loop, link).map_err(RunError::Fleet)?;
+        event_loop.join_fleet(link).map_err(RunError::Fleet)?;
     }
-    info!(event_loop.log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
+    info!(event_loop.context().log, "started"; "listen" => %config.listen, "discovery" => %config.discovery);
     let listen = ListenAddress { address: config.listen, backlog: config.limits.sockets };
     let reload = Reload::new(config);
     Ok(Program::new(events, event_loop, reload, log, listen, longest_statement_timeout))
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -10,6 +10,7 @@
 use slog::Logger;
 use socket2::Socket;
 
+use crate::clock::LoopClock;
 use crate::counters::Counters;
 use crate::timers::Timers;
 
@@ -78,62 +79,81 @@
 /// The event loop's handle, by which sockets are registered and deregistered.
 pub type ReactorHandle = LoopHandle<'static, Readiness>;
 
-/// Registers a socket: its source is woken once for each change of its readiness (edge-triggered). Who leaves something
-/// unread has to wake the source itself.
-///
-/// # Errors
-/// If the system can't watch one more descriptor; the socket is closed then.
-pub fn register(
-    handle: &ReactorHandle,
-    socket: Socket,
-    source: Source,
-) -> io::Result<(Rc<Socket>, RegistrationToken)> {
-    let socket = Rc::new(socket);
-    let token = register_shared(handle, &socket, source)?;
-    Ok((socket, token))
-}
-
-/// As [`register`], for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
-///
-/// # Errors
-/// If the system can't watch one more descriptor.
-pub fn register_shared(
-    handle: &ReactorHandle,
-    socket: &Rc<Socket>,
-    source: Source,
-) -> io::Result<RegistrationToken> {
-    let events = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
-    let registered = handle.insert_source(events, move |_, _, readiness: &mut Readiness| {
-        readiness.wake(source);
-        Ok(PostAction::Continue)
-    });
-    registered.map_err(|e| io::Error::other(e.error))
-}
-
-/// What a part of the program may use of the event loop while it handles an event.
-pub struct Context<'a> {
-    /// When the sockets were last found ready, in Unix seconds: the time of this iteration.
-    pub now: f64,
-    /// Registers and deregisters sockets.
-    pub handle: &'a ReactorHandle,
-    /// Wakes sources.
-    pub readiness: &'a mut Readiness,
+/// What a part of the program may use of the event loop while it handles an event. The loop owns it and lends it to one
+/// part at a time.
+pub struct Context {
+    /// The time of this iteration, and the clock itself.
+    pub clock: LoopClock,
     /// Sets and clears timers.
-    pub timers: &'a mut Timers,
+    pub timers: Timers,
     /// Counts what operators read.
-    pub counters: &'a mut Counters,
+    pub counters: Counters,
     /// Where lines for operators go.
-    pub log: &'a Logger,
+    pub log: Logger,
+    handle: ReactorHandle,
+    readiness: Readiness,
 }
 
-impl Context<'_> {
-    /// As [`register`].
-    pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
-        register(self.handle, socket, source)
+impl Context {
+    /// No timer is set and nothing is ready yet; sockets are registered at `handle`.
+    pub fn new(handle: ReactorHandle, log: Logger) -> Context {
+        Context {
+            clock: LoopClock::default(),
+            timers: Timers::default(),
+            counters: Counters::default(),
+            log,
+            handle,
+            readiness: Readiness::default(),
+        }
+    }
+
+    /// When the sockets were last found ready, in Unix seconds: the time of this iteration.
+    pub fn now(&self) -> f64 {
+        self.clock.now()
+    }
+
+    /// What was noted while the event loop waited.
+    pub fn readiness(&mut self) -> &mut Readiness {
+        &mut self.readiness
     }
 
-    /// As [`Readiness::wake`].
+    /// Has a source handled in the next iteration.
     pub fn wake(&mut self, source: Source) {
         self.readiness.wake(source);
     }
+
+    /// When the next iteration is due though no socket becomes ready, in Unix seconds; infinite if nothing is due.
+    pub fn next_at(&self) -> f64 {
+        let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now() };
+        self.timers.next_at().unwrap_or(f64::INFINITY).min(next)
+    }
+
+    /// Registers a socket: its source is woken once for each change of its readiness (edge-triggered). Who leaves something
+    /// unread has to wake the source itself.
+    ///
+    /// # Errors
+    /// If the system can't watch one more descriptor; the socket is closed then.
+    pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
+        let socket = Rc::new(socket);
+        let token = self.register_shared(&socket, source)?;
+        Ok((socket, token))
+    }
+
+    /// As [`register`](Self::register), for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
+    ///
+    /// # Errors
+    /// If the system can't watch one more descriptor.
+    pub fn register_shared(&self, socket: &Rc<Socket>, source: Source) -> io::Result<RegistrationToken> {
+        let events = Generic::new(Rc::clone(socket), Interest::BOTH, Mode::Edge);
+        let registered = self.handle.insert_source(events, move |_, _, readiness: &mut Readiness| {
+            readiness.wake(source);
+            Ok(PostAction::Continue)
+        });
+        registered.map_err(|e| io::Error::other(e.error))
+    }
+
+    /// Has a socket watched no more.
+    pub fn deregister(&self, token: RegistrationToken) {
+        self.handle.remove(token);
+    }
 }
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -2,6 +2,10 @@
 
 use std::collections::BTreeSet;
 
+/// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
+/// connection comes up is no measure for it: a customer's settings may give that any length.
+pub const TIMING_MARGIN: f64 = 0.25;
+
 /// Whose time has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
