--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -92,7 +92,7 @@
         let attempt = AttemptQuota {
             endpoint: &self.endpoints.all[endpoint].name,
             is_retry: self.requests.get(request_id).is_some_and(|request| request.may_have_run),
-            is_warming: self.facade.is_cold(self.context.now(), endpoint),
+            is_warming: self.facade.is_warming(self.context.now(), endpoint),
         };
         link.acquire_attempt(self.context.clock.read(), attempt)
     }
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -37,17 +37,17 @@
     /// What this router may spend now, for the routing module. Tells the fleet what waits for more.
     pub fn update_quota(&mut self, demand: &FleetDemand, context: &mut Context) -> &FleetQuota {
         let now = context.clock.read();
-        self.quota.hosts.clear();
+        self.quota.endpoints.clear();
         for (index, endpoint) in demand.endpoints.all.iter().enumerate() {
             let units = self.attempt_units(now, endpoint, demand);
             let tokens = self.warming_tokens(now, context.now(), index, demand);
             if units.is_some() || tokens.is_some() {
-                self.quota.hosts.push(EndpointQuota { host: index, units, tokens });
+                self.quota.endpoints.push(EndpointQuota { endpoint: index, units, tokens });
             }
         }
         self.quota.routers = self.fleet().map(present_members);
         let retries = self.budget_key(BudgetKind::Retries, "");
-        self.quota.second_tries = retries.map(|key| self.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
+        self.quota.retries = retries.map(|key| self.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.reset_timer(context);
         &self.quota
     }
@@ -76,7 +76,7 @@
     ) -> Option<f64> {
         let name = &demand.endpoints.all[endpoint].name;
         let key = self.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
-        if !demand.routing.is_cold(iteration_at, endpoint) {
+        if !demand.routing.is_warming(iteration_at, endpoint) {
             return None;
         }
         let Some(fleet) = self.fleet() else { return Some(0.0) };
