--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -2,8 +2,9 @@
 
 use crate::client::connection::{ClientConnection, ConnectionPhase};
 use crate::client::table::ClientTable;
-use crate::event_loop::{EventLoop, TIMING_MARGIN};
+use crate::event_loop::EventLoop;
 use crate::protocol::socket;
+use crate::timers::TIMING_MARGIN;
 
 /// Shut connections of which one is chosen to make room for another.
 const MAX_LINGERING_CANDIDATES: usize = 8;
@@ -56,7 +57,7 @@
         // One that is new has its first statement on the way. After a delay of this router a whole crowd is new, which must not
         // take the places of those that have asked: the oldest of it has to go where the crowd has more than its own places.
         let new_since =
-            if self.has_silent_crowd() { f64::INFINITY } else { self.clock.now() - TIMING_MARGIN };
+            if self.has_silent_crowd() { f64::INFINITY } else { self.context.now() - TIMING_MARGIN };
         let idle = |c: &ClientConnection| {
             matches!(c.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
                 && c.has_queried == asked
@@ -76,7 +77,7 @@
                 Some(_) => self.begin_close(id),
                 None => {}
             }
-            self.counters.client_connections_closed_idle += 1;
+            self.context.counters.client_connections_closed_idle += 1;
             return true;
         }
         false
@@ -98,7 +99,7 @@
         oldest.truncate(MAX_LINGERING_CANDIDATES);
         let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
         let first =
-            oldest.first().filter(|(_, client)| client.phase_since < self.clock.now() - TIMING_MARGIN);
+            oldest.first().filter(|(_, client)| client.phase_since < self.context.now() - TIMING_MARGIN);
         let chosen = clean.or(first).map(|(id, _)| *id);
         chosen.into_iter().for_each(|id| self.close_client(id));
         chosen.is_some()
