--- /dev/null
+++ b/crates/fleet/src/node/quota_messages.rs
@@ -0,0 +1,69 @@
+//! Messages of quotas: requests to the leader, its replies, and the answers of members that are not leader.
+
+use super::quota_client::ReplyUse;
+use super::{FleetNode, Phase};
+use crate::election::Ballot;
+use crate::envelope::{Message, NO_REQUEST, NotLeader, QuotaReply, QuotaRequest};
+use crate::settings::Process;
+
+impl FleetNode {
+    pub(super) fn send_requests(&mut self, now: f64) {
+        let requests = self.quota_client.requests(now, &self.config, self.electorate, &mut self.counters);
+        for request in requests.requests {
+            self.send(&requests.to, Message::QuotaRequest(request));
+        }
+    }
+
+    /// The clock is checked here, where units are granted, and not when the event began that led here.
+    pub(super) fn handle_quota_request(&mut self, now: f64, from: &Process, request: &QuotaRequest) {
+        // A member that counts leases differently would hold on to what others have by then.
+        if request.electorate != self.electorate {
+            return self.report_incompatible(from);
+        }
+        match self.term_for(now, request.seen) {
+            Some(term) => {
+                let reply = self.quota_server.handle_request(now, term, &self.config, from, request);
+                if let Some(reply) = reply {
+                    self.send(&from.name, Message::QuotaReply(reply));
+                }
+            }
+            None => {
+                let leader = self.elections.known_leader(now).and_then(|ballot| self.voter_name(ballot));
+                let leader = leader.filter(|name| *name != self.config.name).map(str::to_string);
+                let answer = NotLeader { request_id: request.request_id, to: from.incarnation, leader };
+                self.send(&from.name, Message::NotLeader(answer));
+            }
+        }
+    }
+
+    /// This process's term, if it is leader. A router that has seen a later one would take each grant for outdated, so
+    /// this process stands for election again, for a term that is later still.
+    fn term_for(&mut self, now: f64, seen: Ballot) -> Option<Ballot> {
+        let term = self.elections.term(now)?;
+        if seen > term {
+            self.elections.observe_newer_term(now, seen);
+            return None;
+        }
+        Some(term)
+    }
+
+    pub(super) fn handle_quota_reply(&mut self, now: f64, from: &Process, reply: &QuotaReply) {
+        let is_for_this_process = reply.to == self.process().incarnation && self.phase == Phase::Joined;
+        let used = if is_for_this_process {
+            self.quota_client.handle_reply(now, &self.config, from, reply, &mut self.events)
+        } else {
+            ReplyUse::Stale
+        };
+        self.counters.stale += u64::from(used == ReplyUse::Stale);
+    }
+
+    pub(super) fn handle_not_leader(&mut self, now: f64, answer: NotLeader) {
+        if answer.request_id == NO_REQUEST {
+            self.handle_known_incarnation(now, answer.to);
+        } else if answer.to != self.process().incarnation {
+            self.counters.stale += 1;
+        } else if self.phase == Phase::Joined {
+            self.quota_client.handle_not_leader(now, answer);
+        }
+    }
+}
