--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Peer};
 
 use super::error::{FleetConfigError, Reason};
 use super::locate::FieldMap;
@@ -108,7 +108,7 @@
         })
     }
 
-    fn peers(&self) -> Result<Vec<(String, SocketAddr)>> {
+    fn peers(&self) -> Result<Vec<Peer>> {
         let listed = &self.file.peer;
         let mut peers = Vec::with_capacity(listed.len());
         for (index, peer) in listed.iter().enumerate() {
@@ -117,27 +117,27 @@
             self.require(!peer.name.is_empty(), &name_field, || Reason::PeerWithoutName)?;
             self.require(!duplicate, &name_field, || Reason::DuplicatePeer)?;
             let address = self.address(&format!("peer[{index}].at"), &peer.at)?;
-            peers.push((peer.name.clone(), address));
+            peers.push(Peer { name: peer.name.clone(), address });
         }
         Ok(peers)
     }
 
-    fn check_voters(&self, peers: &[(String, SocketAddr)]) -> Result<()> {
+    fn check_voters(&self, peers: &[Peer]) -> Result<()> {
         let voters = &self.file.voter;
         let count_reason = || Reason::VoterCount { most: MAX_VOTERS };
         self.require((1..=MAX_VOTERS).contains(&voters.len()), "voter", count_reason)?;
         self.require(voters.len() % 2 == 1, "voter", || Reason::EvenVoterCount)?;
         for (index, voter) in voters.iter().enumerate() {
             let field = format!("voter[{index}]");
-            let known = peers.iter().any(|(name, _)| name == voter);
+            let known = peers.iter().any(|peer| peer.name == *voter);
             self.require(known, &field, || Reason::UnknownVoter)?;
             self.require(!voters[..index].contains(voter), &field, || Reason::DuplicateVoter)?;
         }
         Ok(())
     }
 
-    fn own_addresses(&self, peers: &[(String, SocketAddr)]) -> Result<OwnAddresses> {
-        let own = peers.iter().find(|(name, _)| name == self.member).map(|(_, address)| *address);
+    fn own_addresses(&self, peers: &[Peer]) -> Result<OwnAddresses> {
+        let own = peers.iter().find(|peer| peer.name == self.member).map(|peer| peer.address);
         let listen = match self.file.listen.as_str() {
             "" => own,
             text => Some(self.address("listen", text)?),
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 
 use std::net::SocketAddr;
 
-use ottersill_fleet::settings::FleetConfig;
+use ottersill_fleet::settings::{FleetConfig, Peer};
 use serde::Deserialize;
 
 pub use error::{FleetConfigError, Reason};
@@ -66,8 +66,8 @@
 pub struct FleetFile {
     /// Voters, leases and budgets, which all members have alike.
     pub fleet: FleetConfig,
-    /// Name and address of each member that the file lists.
-    pub peers: Vec<(String, SocketAddr)>,
+    /// The members that the file lists.
+    pub peers: Vec<Peer>,
     /// The address at which the others reach this member.
     pub at: SocketAddr,
     /// The address at which this member receives datagrams.
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -255,7 +255,7 @@
             "executions at each cold host: 30 of floor 0, every 1 s, each host",
         ]
     );
-    let peers = config.peers.iter().map(|(name, at)| format!("{name} {at}"));
+    let peers = config.peers.iter().map(|peer| format!("{} {}", peer.name, peer.address));
     assert_eq!(peers.collect::<Vec<_>>(), ["a 127.0.0.1:7411", "b 127.0.0.1:7412", "c 127.0.0.1:7413"]);
     let addresses = [Some(config.at), Some(config.listen), config.control];
     let expected = ["127.0.0.1:7412", "127.0.0.1:7412", "127.0.0.1:7422"];
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -13,7 +13,7 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-use crate::settings::Process;
+use crate::settings::{Peer, Process};
 
 /// Seconds after which a member that is away is no longer listed.
 const FORGET_AFTER: f64 = 300.0;
@@ -80,31 +80,53 @@
     pub presence: Presence,
 }
 
+/// A datagram of the membership protocol, to be sent.
+#[derive(Clone, Debug)]
+pub struct SwimDatagram {
+    /// The receiver.
+    pub to: SwimIdentity,
+    /// What it is sent.
+    pub data: Vec<u8>,
+}
+
+/// A timer that `foca` asks for.
+struct TimerRequest {
+    after: Duration,
+    timer: Timer<SwimIdentity>,
+}
+
+/// A member that came or went, as `foca` knows it.
+struct PresenceUpdate {
+    identity: SwimIdentity,
+    presence: Presence,
+}
+
 /// What `foca` wants done; emptied after each call of it.
 #[derive(Default)]
 struct PendingActions {
-    datagrams: Vec<(SwimIdentity, Vec<u8>)>,
-    timers: Vec<(Duration, Timer<SwimIdentity>)>,
-    changes: Vec<(SwimIdentity, Presence)>,
+    datagrams: Vec<SwimDatagram>,
+    timers: Vec<TimerRequest>,
+    changes: Vec<PresenceUpdate>,
 }
 
 impl Runtime<SwimIdentity> for PendingActions {
     fn notify(&mut self, notification: Notification<'_, SwimIdentity>) {
-        match notification {
+        let (identity, presence) = match notification {
             Notification::MemberUp(identity) | Notification::Rename(_, identity) => {
-                self.changes.push((identity.clone(), Presence::Here));
+                (identity, Presence::Here)
             }
-            Notification::MemberDown(identity) => self.changes.push((identity.clone(), Presence::Away)),
-            _ => {}
-        }
+            Notification::MemberDown(identity) => (identity, Presence::Away),
+            _ => return,
+        };
+        self.changes.push(PresenceUpdate { identity: identity.clone(), presence });
     }
 
     fn send_to(&mut self, to: SwimIdentity, data: &[u8]) {
-        self.datagrams.push((to, data.to_vec()));
+        self.datagrams.push(SwimDatagram { to, data: data.to_vec() });
     }
 
     fn submit_after(&mut self, event: Timer<SwimIdentity>, after: Duration) {
-        self.timers.push((after, event));
+        self.timers.push(TimerRequest { after, timer: event });
     }
 }
 
@@ -141,8 +163,24 @@
     Some(header.src.address)
 }
 
-/// When a timer is due: the bits of its time, which order as the time does, and a number that orders timers of one time.
-type TimerKey = (u64, u64);
+/// When a timer is due. Orders by the time, then in the order in which the timers were set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    /// The bits of the time, which order as the time does: it is never negative.
+    at_bits: u64,
+    /// Orders timers of one time.
+    number: u64,
+}
+
+impl TimerKey {
+    fn new(at: f64, number: u64) -> TimerKey {
+        TimerKey { at_bits: at.to_bits(), number }
+    }
+
+    fn at(self) -> f64 {
+        f64::from_bits(self.at_bits)
+    }
+}
 
 /// The members as one of them knows them.
 pub struct Membership {
@@ -152,28 +190,22 @@
     timer_count: u64,
     /// By name.
     members: BTreeMap<String, Member>,
-    /// Voters other than this member, and their addresses.
-    seeds: Vec<(String, SocketAddr)>,
+    /// Voters other than this member.
+    seeds: Vec<Peer>,
     announce_at: f64,
     changes: Vec<MembershipChange>,
 }
 
 impl Membership {
     /// Joins. `seeds` are asked for the others as long as none is known; `seed` is of the random choices.
-    pub fn start(
-        now: f64,
-        process: Process,
-        address: SocketAddr,
-        seeds: Vec<(String, SocketAddr)>,
-        seed: u64,
-    ) -> Membership {
+    pub fn start(now: f64, process: Process, address: SocketAddr, seeds: Vec<Peer>, seed: u64) -> Membership {
         let own = Member { process: process.clone(), address, presence: Presence::Here, since: now };
         Membership {
             pending: PendingActions::default(),
             timers: BTreeMap::new(),
             timer_count: 0,
             members: BTreeMap::from([(process.name.clone(), own)]),
-            seeds: seeds.into_iter().filter(|(name, _)| *name != process.name).collect(),
+            seeds: seeds.into_iter().filter(|peer| peer.name != process.name).collect(),
             announce_at: now,
             changes: Vec::new(),
             swim: join(process, address, seed),
@@ -209,7 +241,7 @@
 
     fn fire_timers(&mut self, now: f64) {
         while let Some(entry) = self.timers.first_entry() {
-            if f64::from_bits(entry.key().0) > now {
+            if entry.key().at() > now {
                 return;
             }
             let timer = entry.remove();
@@ -225,7 +257,7 @@
         self.announce_at = now + if alone { ANNOUNCE_INTERVAL_ALONE } else { ANNOUNCE_INTERVAL };
         let turn = self.timer_count as usize % self.seeds.len();
         self.timer_count += 1;
-        let (name, address) = self.seeds[turn].clone();
+        let Peer { name, address } = self.seeds[turn].clone();
         let seed = SwimIdentity { process: Process { name, incarnation: 0 }, renewals: 0, address };
         let _ = self.swim.announce(seed, &mut self.pending);
         self.apply_pending(now);
@@ -239,17 +271,17 @@
 
     /// When [`tick`](Membership::tick) is due.
     pub fn next_timeout(&self) -> f64 {
-        let timer = self.timers.first_key_value().map_or(f64::INFINITY, |((at, _), _)| f64::from_bits(*at));
+        let timer = self.timers.first_key_value().map_or(f64::INFINITY, |(key, _)| key.at());
         if self.seeds.is_empty() { timer } else { timer.min(self.announce_at) }
     }
 
     fn apply_pending(&mut self, now: f64) {
-        for (after, timer) in self.pending.timers.drain(..) {
+        for TimerRequest { after, timer } in self.pending.timers.drain(..) {
             self.timer_count += 1;
             let at = (now + after.as_secs_f64()).max(0.0);
-            self.timers.insert((at.to_bits(), self.timer_count), timer);
+            self.timers.insert(TimerKey::new(at, self.timer_count), timer);
         }
-        for (identity, presence) in std::mem::take(&mut self.pending.changes) {
+        for PresenceUpdate { identity, presence } in std::mem::take(&mut self.pending.changes) {
             self.record_change(now, identity, presence);
         }
     }
@@ -264,8 +296,8 @@
         }
     }
 
-    /// Datagrams to send, and to whom.
-    pub fn take_datagrams(&mut self) -> Vec<(SwimIdentity, Vec<u8>)> {
+    /// Datagrams to send.
+    pub fn take_datagrams(&mut self) -> Vec<SwimDatagram> {
         std::mem::take(&mut self.pending.datagrams)
     }
 
--- a/crates/fleet/src/node/identity.rs
+++ b/crates/fleet/src/node/identity.rs
@@ -2,6 +2,8 @@
 
 use std::net::SocketAddr;
 
+use crate::settings::Peer;
+
 /// What a node is started with beside its settings.
 pub struct MemberIdentity<'a> {
     /// From [`incarnation`](crate::settings::incarnation): different from that of each earlier process of this name, and
@@ -9,8 +11,8 @@
     pub incarnation: u64,
     /// Where the others reach it.
     pub address: SocketAddr,
-    /// Names and addresses of the voters.
-    pub seeds: Vec<(String, SocketAddr)>,
+    /// The voters.
+    pub seeds: Vec<Peer>,
     /// The contents of the key file.
     pub secret: &'a [u8],
     /// Of all random choices.
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -39,11 +39,11 @@
 use crate::datagram::Datagram;
 use crate::election::CandidateCall;
 use crate::envelope::{Envelope, Message};
-use crate::membership::Membership;
+use crate::membership::{Membership, SwimDatagram};
 use crate::settings::{FleetConfig, Process};
 use elections::Elections;
 use incarnations::Incarnations;
-use quota_client::QuotaClient;
+use quota_client::{LeaveNotice, QuotaClient};
 use quota_server::QuotaServer;
 use transport::Transport;
 
@@ -153,7 +153,8 @@
             return;
         }
         self.phase = Phase::Left;
-        if let Some((leader, request)) = self.quota_client.leave(now, self.electorate, &mut self.events) {
+        let notice = self.quota_client.leave(now, self.electorate, &mut self.events);
+        if let Some(LeaveNotice { leader, request }) = notice {
             self.send(&leader, Message::QuotaRequest(request));
         }
         self.elections.resign();
@@ -210,7 +211,7 @@
     }
 
     fn send_membership(&mut self) {
-        for (to, data) in self.membership.take_datagrams() {
+        for SwimDatagram { to, data } in self.membership.take_datagrams() {
             let message = Message::Membership(data);
             self.transport.send(&to.process.name, Some(to.address), message, &mut self.counters);
         }
--- a/crates/fleet/src/node/quota_client.rs
+++ b/crates/fleet/src/node/quota_client.rs
@@ -284,7 +284,7 @@
         now: f64,
         electorate: u64,
         events: &mut Vec<Event>,
-    ) -> Option<(String, QuotaRequest)> {
+    ) -> Option<LeaveNotice> {
         for (key, quota) in &mut self.quotas {
             quota.release_all(now);
             events.push(Event::QuotaGranted {
@@ -303,10 +303,17 @@
             leaving: true,
             budgets: Vec::new(),
         };
-        self.leader.clone().map(|leader| (leader, leaving))
+        self.leader.clone().map(|leader| LeaveNotice { leader, request: leaving })
     }
 }
 
+/// What a member that leaves sends to the leader.
+pub(super) struct LeaveNotice {
+    /// The leader's name.
+    pub(super) leader: String,
+    pub(super) request: QuotaRequest,
+}
+
 /// Whether a reply counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyUse {
--- a/crates/fleet/src/node/spending.rs
+++ b/crates/fleet/src/node/spending.rs
@@ -3,6 +3,7 @@
 use super::FleetNode;
 use crate::local_quota::LocalQuota;
 use crate::quota_ledger::BudgetKey;
+use crate::settings::BudgetTotal;
 
 impl FleetNode {
     /// Acquires a unit; false if there is none. `now` has to be read from the clock for this call.
@@ -63,14 +64,14 @@
         quota.map_or(0.0, |quota| quota.tokens(now))
     }
 
-    /// Changes totals, by budget id, after the settings were read again. The other settings stay: see
+    /// Changes totals after the settings were read again. The other settings stay: see
     /// [`FleetConfig::electorate`].
-    pub fn set_totals(&mut self, now: f64, totals: &[(u64, u64)]) {
-        for (id, total) in totals {
-            for budget in self.config.budgets.iter_mut().filter(|budget| budget.id == *id) {
-                budget.total = *total;
+    pub fn set_totals(&mut self, now: f64, totals: &[BudgetTotal]) {
+        for BudgetTotal { id, total } in totals.iter().copied() {
+            for budget in self.config.budgets.iter_mut().filter(|budget| budget.id == id) {
+                budget.total = total;
             }
-            self.quota_client.set_total(now, *id, *total);
+            self.quota_client.set_total(now, id, total);
         }
         // The leader is to hear of it now, not with the next request.
         self.quota_client.request_now(now);
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of a member, and which of them have to be the same at all members.
 
 use std::fmt;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
@@ -31,6 +32,24 @@
     }
 }
 
+/// A member and where the others reach it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Peer {
+    /// Its name.
+    pub name: String,
+    /// Where it receives datagrams.
+    pub address: SocketAddr,
+}
+
+/// A budget's total by settings that were read again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BudgetTotal {
+    /// The budget's [`id`](Budget::id).
+    pub id: u64,
+    /// Units that all routers together may have.
+    pub total: u64,
+}
+
 /// One budget of the whole fleet. A budget that exists once for each host is one `Budget`; the host is the subject of a
 /// [`BudgetKey`](crate::quota_ledger::BudgetKey).
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -4,6 +4,7 @@
 
 use ottersill_fleet::node::FleetNode;
 use ottersill_fleet::quota_ledger::Pools;
+use ottersill_fleet::settings::BudgetTotal;
 use rstest::rstest;
 use simulation::{Simulation, storm};
 
@@ -182,7 +183,7 @@
     simulation.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
     simulation.run(13.0, |_| {});
     let (now, id) = (simulation.clock(4), simulation.nodes[4].config.budgets[0].id);
-    simulation.nodes[4].fleet.as_mut().expect("a fleet").set_totals(now, &[(id, 20)]);
+    simulation.nodes[4].fleet.as_mut().expect("a fleet").set_totals(now, &[BudgetTotal { id, total: 20 }]);
     simulation.run(13.0 + 2.0 + 0.3, |_| {});
     assert!(simulation.sum(0) <= 20, "{}", simulation.sum(0));
     let mut highest = 0;
@@ -211,7 +212,7 @@
     use ottersill_fleet::node::{FleetNode, MemberIdentity};
     let start = |name: &str, incarnation: u64, secret: &'static [u8]| {
         let config = simulation::config(name, 3, 30, 1, 6);
-        let seeds = (0..3).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
+        let seeds = simulation::seeds(3);
         let address = simulation::address(9);
         FleetNode::start(0.0, config, MemberIdentity { incarnation, address, seeds, secret, seed: 5 })
     };
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -141,7 +141,7 @@
 
 fn member_of(name: &str, incarnation: u64, voters: usize) -> FleetNode {
     let config = simulation::config(name, voters, 30, 1, 6);
-    let seeds = (0..voters).map(|voter| (format!("r{voter}"), simulation::address(voter))).collect();
+    let seeds = simulation::seeds(voters);
     let identity = MemberIdentity {
         incarnation,
         address: simulation::address(9),
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -7,7 +7,7 @@
 
 use ottersill_fleet::node::{FleetNode, MemberIdentity};
 use ottersill_fleet::quota_ledger::{BudgetKey, Pools};
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind};
+use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Peer};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -40,6 +40,11 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + index as u16))
 }
 
+/// The first members, which are the voters.
+pub fn seeds(voters: usize) -> Vec<Peer> {
+    (0..voters).map(|voter| Peer { name: format!("r{voter}"), address: address(voter) }).collect()
+}
+
 pub struct Node {
     pub fleet: Option<FleetNode>,
     pub config: FleetConfig,
@@ -197,7 +202,7 @@
         let now = self.clock(node);
         let voters = self.nodes[node].config.voters.len();
         self.nodes[node].starts += 1;
-        let seeds = (0..voters).map(|voter| (format!("r{voter}"), address(voter))).collect();
+        let seeds = seeds(voters);
         let seed = self.rng.random();
         let identity =
             MemberIdentity { incarnation, address: address(node), seeds, secret: b"of this test", seed };
--- a/crates/ottersill/src/fleet_link/link.rs
+++ b/crates/ottersill/src/fleet_link/link.rs
@@ -10,7 +10,7 @@
 use ottersill_config::fleet::{BudgetKind, FleetFile};
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::quota_ledger::BudgetKey;
-use ottersill_fleet::settings::{incarnation, label};
+use ottersill_fleet::settings::{Budget, BudgetTotal, incarnation, label};
 use ottersill_routing::interface::FleetQuota;
 use serde::Serialize;
 use socket2::Socket;
@@ -128,7 +128,7 @@
         let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
             address: self.file.at,
-            seeds: self.file.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
+            seeds: self.file.peers.iter().filter(|peer| voters.contains(&peer.name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
         };
@@ -234,17 +234,18 @@
         let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
         let told =
             changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.total, new.total)).collect();
-        let wholes: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.total)).collect();
+        let total = |budget: &Budget| BudgetTotal { id: budget.id, total: budget.total };
+        let totals: Vec<BudgetTotal> = new.iter().map(total).collect();
         self.file.fleet.budgets = new;
         if let Some(fleet) = self.fleet() {
-            fleet.set_totals(now, &wholes);
+            fleet.set_totals(now, &totals);
         }
         Ok(told)
     }
 
     /// Where the member of that name is reached.
     pub fn address(&self, to: &str) -> Option<SocketAddr> {
-        self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
+        self.file.peers.iter().find(|peer| peer.name == to).map(|peer| peer.address)
     }
 
     /// Sets the timer for what the fleet has to do next.
