--- a/crates/ottersill/src/fleet_link/datagrams.rs
+++ b/crates/ottersill/src/fleet_link/datagrams.rs
@@ -8,7 +8,7 @@
 
 use ottersill_fleet::datagram::MAX_DATAGRAM_BYTES;
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
-use ottersill_fleet::settings::incarnation;
+use ottersill_fleet::settings::{Budget, BudgetTotal, incarnation};
 use slog::{info, warn};
 use socket2::{SockAddr, Socket};
 
@@ -53,7 +53,7 @@
         let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
             address: self.file.at,
-            seeds: self.file.peers.iter().filter(|(name, _)| voters.contains(name)).cloned().collect(),
+            seeds: self.file.peers.iter().filter(|peer| voters.contains(&peer.name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
         };
@@ -132,7 +132,7 @@
 
     /// Where the member of that name is reached.
     fn address(&self, to: &str) -> Option<SocketAddr> {
-        self.file.peers.iter().find(|(name, _)| name == to).map(|(_, at)| *at)
+        self.file.peers.iter().find(|peer| peer.name == to).map(|peer| peer.address)
     }
 
     fn log_event(&self, event: Event, endpoints: &EndpointRegistry, context: &Context) {
@@ -206,7 +206,8 @@
         let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
         let told =
             changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.total, new.total)).collect();
-        let totals: Vec<(u64, u64)> = new.iter().map(|budget| (budget.id, budget.total)).collect();
+        let total = |budget: &Budget| BudgetTotal { id: budget.id, total: budget.total };
+        let totals: Vec<BudgetTotal> = new.iter().map(total).collect();
         self.file.fleet.budgets = new;
         if let Some(fleet) = self.fleet() {
             fleet.set_totals(now, &totals);
