--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -135,8 +135,8 @@
         let endpoint = &mut self.endpoints.all[endpoint];
         endpoint.broken += 1;
         if self.context.now() - endpoint.logged_at >= 1.0 {
-            info!(self.context.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
-                "why" => why, "since_last_line" => endpoint.broken);
+            info!(self.context.log, "backend connection failed"; "endpoint" => endpoint.name.as_str(), "state" => format!("{state:?}"),
+                "reason" => why, "failures" => endpoint.broken);
             (endpoint.logged_at, endpoint.broken) = (self.context.now(), 0);
         }
     }
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -51,7 +51,7 @@
     fn on_connection_ready(&mut self, id: usize) {
         if self.backends[id].reply.connection_refusal().is_some() {
             // ReadyForQuery after an error: nothing that an endpoint of this protocol does.
-            return self.fail_backend(id, "the host said no");
+            return self.fail_backend(id, "the endpoint refused it");
         }
         if !self.may_still_send(id) {
             self.withdraw(id);
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -142,7 +142,7 @@
                 // tells again of those who wait already.
                 Err(error) => {
                     self.context.counters.accepts_failed += 1;
-                    warn!(self.context.log, "accept"; "fault" => %error);
+                    warn!(self.context.log, "accept failed"; "error" => %error);
                     return self.accept_later();
                 }
             }
@@ -173,7 +173,7 @@
         let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
         match self.context.register_shared(&next.socket, Source::Client(id)) {
             Err(fault) if self.context.now() < deadline => {
-                warn!(self.context.log, "client not watched yet"; "fault" => %fault);
+                warn!(self.context.log, "client not registered yet"; "error" => %fault);
                 self.listener.keep_unwatched(next);
                 return false;
             }
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -83,7 +83,7 @@
     /// What this client sends can't be trusted any more.
     pub(crate) fn reject_protocol_violation(&mut self, id: usize, code: ErrorCode, text: &str) {
         self.context.counters.client_protocol_errors += 1;
-        info!(self.context.log, "client dismissed"; "reason" => text);
+        info!(self.context.log, "client rejected"; "reason" => text);
         self.reject_connection(id, code, text);
     }
 
--- a/crates/ottersill/src/command/fleet.rs
+++ b/crates/ottersill/src/command/fleet.rs
@@ -17,10 +17,12 @@
     Members,
     /// What this router may spend, and until when.
     Budgets,
-    /// Who holds what of each budget; the keeper knows.
-    Books,
+    /// Who holds what of each budget; the leader knows.
+    #[value(alias = "books")]
+    Ledger,
     /// Datagrams, elections, refusals.
-    Counts,
+    #[value(alias = "counts")]
+    Counters,
 }
 
 /// The arguments of `ottersill fleet`.
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -27,9 +27,10 @@
         let objects = match question {
             "members" => self.members(),
             "budgets" => self.budgets(),
-            "books" => self.ledger(),
-            "counts" => self.counters(),
-            other => vec![fault(&format!("expected members, budgets, books or counts, found {other:?}"))],
+            // The second word of each is its name before.
+            "ledger" | "books" => self.ledger(),
+            "counters" | "counts" => self.counters(),
+            other => vec![fault(&format!("expected members, budgets, ledger or counters, found {other:?}"))],
         };
         objects.into_iter().map(|object| object.to_string() + "\n").collect()
     }
@@ -56,7 +57,7 @@
         let object = |member: &Member| {
             let name = member.process.name.as_str();
             json!({"member": name, "incarnation": member.process.incarnation, "at": member.address,
-                "presence": member.presence, "for_s": self.now - member.since, "keeper": leader == Some(name),
+                "presence": member.presence, "for_s": self.now - member.since, "leader": leader == Some(name),
                 "me": member.process == *fleet.process()})
         };
         fleet.members().map(object).collect()
@@ -67,10 +68,10 @@
         let Some((fleet, names)) = self.joined() else { return Vec::new() };
         let object = |(key, quota): (&BudgetKey, &LocalQuota)| {
             let (leased, expires_at) = (quota.leased(self.now), quota.expires_at());
-            json!({"budget": names.budget(key.budget), "subject": names.subject(key.subject), "whole": quota.total(),
-                "part": leased.demand, "part_for_s": (expires_at.demand - self.now).max(0.0), "floor": leased.floor,
-                "floor_for_s": (expires_at.floor - self.now).max(0.0), "in_use": quota.in_use(), "spent": quota.acquired(),
-                "turned_away": quota.denied(), "standing": format!("{:?}", quota.state())})
+            json!({"budget": names.budget(key.budget), "subject": names.subject(key.subject), "total": quota.total(),
+                "leased": leased.demand, "leased_for_s": (expires_at.demand - self.now).max(0.0), "floor": leased.floor,
+                "floor_for_s": (expires_at.floor - self.now).max(0.0), "in_use": quota.in_use(), "acquired": quota.acquired(),
+                "denied": quota.denied(), "state": format!("{:?}", quota.state())})
         };
         fleet.quotas().map(object).collect()
     }
@@ -79,14 +80,14 @@
     fn ledger(&self) -> Vec<Value> {
         let Some((fleet, names)) = self.joined() else { return Vec::new() };
         if !fleet.is_leader(self.now) {
-            return vec![json!({"fault": "another member keeps the books", "keeper": fleet.leader()})];
+            return vec![json!({"fault": "another member is the leader", "leader": fleet.leader()})];
         }
         let object = |line: LedgerLine| {
             let granted = line.outstanding.sum();
             json!({"budget": names.budget(line.key.budget), "subject": names.subject(line.key.subject),
-                "holder": line.holder.name, "incarnation": line.holder.incarnation, "part": line.outstanding.demand,
+                "holder": line.holder.name, "incarnation": line.holder.incarnation, "leased": line.outstanding.demand,
                 "floor": line.outstanding.floor, "in_use": line.in_use, "demand": line.demand,
-                "stranded": granted.saturating_sub(line.demand.max(line.in_use))})
+                "unused": granted.saturating_sub(line.demand.max(line.in_use))})
         };
         fleet.ledger_lines(self.now).into_iter().map(object).collect()
     }
@@ -95,11 +96,13 @@
     fn counters(&self) -> Vec<Value> {
         let (Some(link), Some((fleet, _))) = (self.link, self.joined()) else { return Vec::new() };
         let counts = fleet.counters();
-        vec![json!({"heard": counts.received, "heard_bytes": counts.received_bytes, "sent": counts.sent,
-            "sent_bytes": counts.sent_bytes, "unproved": counts.unauthenticated, "astray": counts.misaddressed, "old": counts.outdated,
-            "unanswered": counts.unanswered, "stale": counts.stale, "strangers": counts.incompatible,
-            "namesakes": counts.own_name, "elections": counts.elections, "refused": link.refused(),
-            "unwritten": link.unwritten()})]
+        vec![
+            json!({"received": counts.received, "received_bytes": counts.received_bytes, "sent": counts.sent,
+            "sent_bytes": counts.sent_bytes, "unauthenticated": counts.unauthenticated, "misaddressed": counts.misaddressed, "outdated": counts.outdated,
+            "unanswered": counts.unanswered, "stale": counts.stale, "incompatible": counts.incompatible,
+            "own_name": counts.own_name, "elections": counts.elections, "refused": link.refused(),
+            "unwritten": link.unwritten()}),
+        ]
     }
 }
 
--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -94,7 +94,7 @@
 
     /// Has accepting tried again: no readiness tells anew of connections that wait already.
     fn retry_later(&mut self, error: &io::Error, context: &mut Context) {
-        warn!(context.log, "accept on the control listener"; "error" => %error);
+        warn!(context.log, "accept failed on the control listener"; "error" => %error);
         let retry = context.timers.set(context.now() + RETRY_DELAY, Timer::Control);
         let previous = self.retry.replace(retry);
         context.timers.clear(previous.filter(|previous| *previous != retry));
--- a/crates/ottersill/src/fleet_link/datagrams.rs
+++ b/crates/ottersill/src/fleet_link/datagrams.rs
@@ -62,7 +62,7 @@
 
     fn on_address_taken(&mut self, fault: &io::Error, context: &Context) {
         if matches!(self.state, MembershipState::AddressTaken { retry_at } if retry_at == 0.0) {
-            warn!(context.log, "no part of the fleet's budgets: its address can't be had"; "listen" => %self.file.listen,
+            warn!(context.log, "not in the fleet: its address is not available"; "listen" => %self.file.listen,
                 "fault" => %fault);
         }
         self.state = MembershipState::AddressTaken { retry_at: context.now() + BIND_RETRY_DELAY };
@@ -73,7 +73,7 @@
         let MembershipState::Joined { fleet, socket, .. } = &mut self.state else { return };
         let outcome = read_datagrams(fleet, socket, context);
         if let Err(fault) = &outcome {
-            warn!(context.log, "fleet datagrams"; "fault" => %fault);
+            warn!(context.log, "fleet datagrams failed"; "error" => %fault);
             self.read_again = true;
         }
         self.flush(endpoints, context);
@@ -139,28 +139,28 @@
         let (log, names) = (&context.log, self.names(endpoints));
         match event {
             Event::MembershipChanged(change) => {
-                info!(log, "member"; "member" => change.process.name.as_str(),
+                info!(log, "member changed"; "member" => change.process.name.as_str(),
                     "incarnation" => change.process.incarnation, "presence" => format!("{:?}", change.presence));
             }
-            Event::LeadershipChanged(true) => info!(log, "keeps the books of the fleet"),
-            Event::LeadershipChanged(false) => info!(log, "no longer keeps the books of the fleet"),
-            Event::LeaderFound(name) => info!(log, "asks for its parts"; "keeper" => name),
+            Event::LeadershipChanged(true) => info!(log, "leadership acquired"),
+            Event::LeadershipChanged(false) => info!(log, "leadership lost"),
+            Event::LeaderFound(name) => info!(log, "leader found"; "leader" => name),
             Event::QuotaStateChanged { key, state } => {
-                info!(log, "part of a budget"; "budget" => names.budget(key.budget),
-                    "subject" => names.subject(key.subject), "standing" => format!("{state:?}"));
+                info!(log, "quota changed"; "budget" => names.budget(key.budget),
+                    "subject" => names.subject(key.subject), "state" => format!("{state:?}"));
             }
             Event::IncompatibleMember(process) => {
-                warn!(log, "a member whose file differs in what has to be alike"; "member" => process.name);
+                warn!(log, "member rejected, its fleet file differs"; "member" => process.name);
             }
             Event::SmallerTotal { key, own, used } => {
-                warn!(log, "another member's file has a smaller whole, which is gone by";
+                warn!(log, "smaller total of another member's file in force";
                     "budget" => names.budget(key.budget), "own" => own, "used" => used);
             }
             Event::IncarnationRaised { from, to } => {
-                info!(log, "a larger incarnation of this name was known, taken a larger one still"; "from" => from, "to" => to);
+                info!(log, "incarnation raised, a larger one of this name was known"; "from" => from, "to" => to);
             }
             Event::Superseded { by } => {
-                warn!(log, "no part of the fleet's budgets: a later process of this name is known"; "incarnation" => by);
+                warn!(log, "not in the fleet: a later process of this name is known"; "incarnation" => by);
             }
             // Each is in the audit; in the log they would bury all else.
             Event::QuotaGranted { .. } => {}
@@ -180,11 +180,11 @@
     pub fn reload(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         match self.take_over_totals(context.clock.read()) {
             Ok(changed) => {
-                info!(context.log, "the fleet's file read again"; "changed" => changed.join(", "));
+                info!(context.log, "fleet file reloaded"; "changed" => changed.join(", "));
             }
             Err(fault) => {
                 context.counters.reloads_failed += 1;
-                warn!(context.log, "the fleet's file not taken, all goes on as it was"; "fault" => %fault);
+                warn!(context.log, "fleet file not reloaded, the old one stays in force"; "error" => %fault);
             }
         }
         self.flush(endpoints, context);
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -66,8 +66,8 @@
     sleep(1.0);
     cluster.resume(first);
     sleep(2.0);
-    assert_eq!((0..4).filter(|index| cluster.log(*index).contains("keeps the books")).count(), 2);
-    assert!(cluster.log(first).contains("no longer keeps the books"));
+    assert_eq!((0..4).filter(|index| cluster.log(*index).contains("leadership acquired")).count(), 2);
+    assert!(cluster.log(first).contains("leadership lost"));
     cluster.stop_load();
     clean(&cluster);
 }
@@ -144,7 +144,7 @@
     cluster.reload(other);
     sleep(cluster.plan.lease + 0.4);
     assert!(held(&cluster, EXECUTIONS) <= 18, "{}", held(&cluster, EXECUTIONS));
-    assert!(cluster.log(other).contains("file read again"));
+    assert!(cluster.log(other).contains("fleet file reloaded"));
     // A file that can't be taken changes nothing.
     std::fs::write(&cluster.routers[other].fleet, "peer { name: 7 }").expect("a file");
     cluster.reload(other);
@@ -177,7 +177,8 @@
     assert!(query(double.control, "budgets").is_empty());
     // Once it is dead the second is the member.
     cluster.kill(1);
-    let has = |line: &serde_json::Value| line["part"].as_u64() > Some(0) || line["floor"].as_u64() > Some(0);
+    let has =
+        |line: &serde_json::Value| line["leased"].as_u64() > Some(0) || line["floor"].as_u64() > Some(0);
     assert!(cluster.wait_until(|_| {
         query(double.control, "members").iter().filter(|line| line["presence"] == "Here").count() == 3
     }));
@@ -421,11 +422,11 @@
     let cluster = start_cluster(ClusterPlan { routers: 3, arguments, ..ClusterPlan::default() });
     assert!(cluster.wait_until(|cluster| cluster.leader().is_some()));
     let leader = cluster.leader().expect("a leader");
-    assert!(cluster.wait_until(|cluster| cluster.log(leader).contains("keeps the books")));
+    assert!(cluster.wait_until(|cluster| cluster.log(leader).contains("leadership acquired")));
     let log = cluster.log(leader);
     let lines: Vec<serde_json::Value> =
         log.lines().map(|line| serde_json::from_str(line).expect("an object")).collect();
-    let member = lines.iter().find(|line| line["message"] == "member").expect("a member");
+    let member = lines.iter().find(|line| line["message"] == "member changed").expect("a member");
     assert_eq!(member["router"], format!("r{leader}"));
     assert!(member["at"].as_f64() > Some(1.7e9) && member["member"].is_string(), "{member}");
 }
--- a/crates/ottersill/tests/fleet_faults.rs
+++ b/crates/ottersill/tests/fleet_faults.rs
@@ -32,7 +32,7 @@
 }
 
 fn unwritten(cluster: &Cluster) -> u64 {
-    cluster.query(1, "counts").first().and_then(|counts| counts["unwritten"].as_u64()).unwrap_or(0)
+    cluster.query(1, "counters").first().and_then(|counts| counts["unwritten"].as_u64()).unwrap_or(0)
 }
 
 fn sleep(seconds: f64) {
--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -93,7 +93,7 @@
 fn has_stored_budgets(member: usize) -> bool {
     let lines = query(control(member), "budgets");
     let has = |budget: &str, units: u64| {
-        lines.iter().any(|line| line["budget"] == budget && line["whole"].as_u64() == Some(units))
+        lines.iter().any(|line| line["budget"] == budget && line["total"].as_u64() == Some(units))
     };
     has("executions at each host", 48)
         && has("second tries", 20)
@@ -111,7 +111,7 @@
 fn has_a_share(member: usize, router: &Router) -> bool {
     // It is rejected while there is no share.
     router.client().ask(&read(1, 500)).expect("an answer");
-    query(control(member), "budgets").iter().any(|line| line["part"].as_u64() > Some(0))
+    query(control(member), "budgets").iter().any(|line| line["leased"].as_u64() > Some(0))
 }
 
 fn read_text(path: &Path) -> String {
--- a/crates/testkit/src/cluster/control_client.rs
+++ b/crates/testkit/src/cluster/control_client.rs
@@ -26,10 +26,10 @@
 pub(super) fn held_units(budgets: &[Value], budget: &str) -> u64 {
     let units = |line: &Value, field: &str| line[field].as_u64().unwrap_or(0);
     let named = budgets.iter().filter(|line| line["budget"] == budget);
-    named.map(|line| units(line, "part") + units(line, "floor")).sum()
+    named.map(|line| units(line, "leased") + units(line, "floor")).sum()
 }
 
-/// Whether the answer to `books` is a leader's: the others name the leader in a fault.
-pub(super) fn is_leader(books: &[Value]) -> bool {
-    !books.is_empty() && books.iter().all(|line| line.get("fault").is_none())
+/// Whether the answer to `ledger` is a leader's: the others name the leader in a fault.
+pub(super) fn is_leader(ledger: &[Value]) -> bool {
+    !ledger.is_empty() && ledger.iter().all(|line| line.get("fault").is_none())
 }
--- a/crates/testkit/src/cluster/observation.rs
+++ b/crates/testkit/src/cluster/observation.rs
@@ -41,7 +41,7 @@
     pub fn leader(&self) -> Option<usize> {
         let answers = |index: &usize| self.routers[*index].is_running() && !self.routers[*index].is_paused();
         let mut routers = (0..self.routers.len()).filter(answers);
-        routers.find(|index| is_leader(&self.query(*index, "books")))
+        routers.find(|index| is_leader(&self.query(*index, "ledger")))
     }
 
     /// Seconds of processor time that a router has used, as the kernel counts them for it.
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -83,7 +83,7 @@
     cluster.start_load_at(&clients, 0);
     sleep(seconds);
     let completed = cluster.stop_load()[0].completed;
-    let counts = cluster.query(MEASURED, "counts");
+    let counts = cluster.query(MEASURED, "counters");
     let count = |name: &str| counts.first().and_then(|line| line[name].as_f64()).unwrap_or(0.0);
     let ran_for = SETTLING_SECONDS + 2.0 * seconds;
     Ok(Sample {
