--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -2,6 +2,7 @@
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::consistency::ReplicationPosition;
+use crate::departure::Departure;
 use crate::health_check::HealthCheck;
 use crate::ids::{GroupId, Id};
 use crate::interface::{EndpointState, EndpointUpdate, RoutingConfig};
@@ -33,6 +34,8 @@
     /// When an attempt there was last answered, in whatever way; health checks are answered beside the queue and prove
     /// less.
     last_answer_at: f64,
+    /// Set while it is no longer listed.
+    pub(crate) departure: Option<Departure>,
     pub(crate) role: RoleRecord,
     pub(crate) position: ReplicationPosition,
     pub(crate) health_check: HealthCheck,
@@ -50,6 +53,7 @@
             is_drained: false,
             utilization: None,
             last_answer_at: 0.0,
+            departure: None,
             role: RoleRecord::default(),
             position: ReplicationPosition::default(),
             health_check: HealthCheck::new(checked_at),
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -221,6 +221,18 @@
         std::mem::take(&mut self.pending.due)
     }
 
+    /// The endpoints that left the list and of which routing needs nothing any more.
+    #[must_use]
+    pub fn forgettable_endpoints(&self, now: f64) -> Vec<usize> {
+        self.router.forgettable_endpoints(now)
+    }
+
+    /// Forgets these endpoints, but for those that routing still needs. Returns which it has forgotten: their indices may
+    /// be listed as other endpoints' from now on.
+    pub fn forget_endpoints(&mut self, now: f64, endpoints: &[usize]) -> Vec<usize> {
+        self.router.forget_endpoints(now, endpoints)
+    }
+
     /// Whether an endpoint is taken for one that is not warm yet.
     #[must_use]
     pub fn is_warming(&self, now: f64, endpoint: usize) -> bool {
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -72,9 +72,13 @@
         self.entries.get(id.index())
     }
 
-    /// Adds an entry, under the next identifier.
-    pub(crate) fn push(&mut self, entry: T) {
-        self.entries.push(entry);
+    /// Replaces an entry, or adds one under the next identifier.
+    pub(crate) fn set(&mut self, id: I, entry: T) {
+        if id.index() == self.entries.len() {
+            self.entries.push(entry);
+        } else {
+            self.entries[id.index()] = entry;
+        }
     }
 
     /// Makes sure that there is an entry with that identifier; what is missing before it is filled alike.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,9 +12,10 @@
 //! 3. `router`: the entry points, which hand what happens to the concerns in a fixed order.
 //! 4. `arrival`, `dispatch`: the way of a request from its arrival to its final answer; `request`: its states.
 //! 5. `eligibility`, `selection`: which endpoints may take it, and which of them does.
-//! 6. `feedback`, `monitoring`: what is learnt from results, reports and health checks.
+//! 6. `feedback`, `monitoring`: what is learnt from results, reports and health checks; `retention`: how long it is kept of
+//!    endpoints that have left.
 //! 7. One concern each, with its own state: `primary`, `consistency`, `retry`, `admission`, `concurrency_limit`,
-//!    `slow_start`, `throughput`, `outlier`, `health_check`, `stats`.
+//!    `slow_start`, `throughput`, `outlier`, `health_check`, `departure`, `stats`.
 //! 8. What holds these: `endpoint`, `replica_set`, `state`; and `ids`, `clock`, `sampling` below all.
 //!
 //! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling` and
@@ -31,6 +32,7 @@
 mod clock;
 mod concurrency_limit;
 mod consistency;
+mod departure;
 mod dispatch;
 mod eligibility;
 mod endpoint;
@@ -44,6 +46,7 @@
 mod primary;
 mod replica_set;
 mod request;
+mod retention;
 mod retry;
 mod router;
 mod sampling;
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -161,23 +161,24 @@
     pub(crate) fn apply_update(&mut self, now: f64, listing: &EndpointUpdate) {
         let id = EndpointId::new(listing.endpoint);
         let initial_limit = ConcurrencyLimit::initial(self.config.routers);
-        if id.index() == self.endpoints.len() {
+        if id.index() == self.endpoints.len() || self.departures.occupy(id) {
             self.add_endpoint(now, listing, initial_limit);
         }
         let endpoint = &mut self.endpoints[id];
         endpoint.apply_update(listing, initial_limit);
+        self.departures.record(now, id, &mut endpoint.departure, listing.state);
         self.watermarks.record_change_of(endpoint.member_of());
         if self.is_excluded(id) {
             self.unseat(id);
         }
     }
 
-    /// Adds an endpoint that was not listed before.
+    /// Adds an endpoint that was not listed before, or is forgotten.
     fn add_endpoint(&mut self, now: f64, listing: &EndpointUpdate, initial_limit: f64) {
         let id = EndpointId::new(listing.endpoint);
         // Spreads the first health checks of many endpoints over an interval.
         let checked_at = now - POLL_INTERVAL * self.sampler.current(id.index());
-        self.endpoints.push(Endpoint::new(*listing, initial_limit, checked_at));
+        self.endpoints.set(id, Endpoint::new(*listing, initial_limit, checked_at));
         self.health_checks.deposit_for_new_endpoint(self.config.routers);
         self.replica_set_mut(GroupId::new(listing.group)).add(id);
     }
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -109,6 +109,12 @@
         }
     }
 
+    /// The endpoint's identifier is about to stand for another one, whose claims are those of a stranger.
+    pub(crate) fn forget(&mut self, endpoint: EndpointId) {
+        self.unseat(endpoint);
+        self.claimant = self.claimant.filter(|claimant| *claimant != endpoint);
+    }
+
     /// Whether the group polls: it has no primary, or a member has not told its role or sends no reports.
     pub(crate) fn polls<'a>(&self, mut members: impl Iterator<Item = &'a RoleRecord>) -> bool {
         self.primary.is_none() || members.any(|member| member.is_unknown() || !member.sends_reports)
--- a/crates/routing/src/replica_set.rs
+++ b/crates/routing/src/replica_set.rs
@@ -39,7 +39,12 @@
         self.members.push(endpoint);
     }
 
-    /// All endpoints that were ever listed in the group.
+    /// Nothing is needed of an endpoint any more that left.
+    pub(crate) fn remove(&mut self, endpoint: EndpointId) {
+        self.members.retain(|member| *member != endpoint);
+    }
+
+    /// All endpoints that were ever listed in the group and are not forgotten.
     pub(crate) fn members(&self) -> &[EndpointId] {
         &self.members
     }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -142,6 +142,17 @@
         entries.filter_map(|entry| Some((&entry.request, entry.state.endpoint()?)))
     }
 
+    /// The endpoints that a request which is held has an attempt at, or had its last or its first doubtful one at.
+    pub(crate) fn endpoints_named(&self) -> BTreeSet<EndpointId> {
+        let waiting = self.groups_waiting().flat_map(|group| self.waiting(group).iter().copied());
+        let held = waiting.chain(self.in_flight_ids()).map(|id| &self.table[id]);
+        let named = held.flat_map(|entry| {
+            let doubtful = entry.request.possible_effect.map(|effect| effect.endpoint);
+            [entry.state.endpoint(), entry.request.last_endpoint, doubtful]
+        });
+        named.flatten().collect()
+    }
+
     /// The groups in which a request waits, in order.
     pub(crate) fn groups_waiting(&self) -> impl Iterator<Item = GroupId> {
         self.groups_waiting.iter().copied()
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -99,8 +99,12 @@
         state.dispatch_waiting(now, state.endpoints[id].group(), transport);
     }
 
-    /// The endpoint list, or entries of it that have changed. New endpoints come in the order of their indices.
+    /// The endpoint list, or entries of it that have changed. New endpoints come in the order of their indices, or under
+    /// those of endpoints that are forgotten.
     pub fn on_endpoint_list(&mut self, now: f64, list: &[EndpointUpdate], transport: &mut impl Transport) {
+        if list.is_empty() {
+            return;
+        }
         for listing in list {
             self.state.apply_update(now, listing);
         }
@@ -124,6 +128,20 @@
         state.dispatch_all_waiting(now, transport);
     }
 
+    /// The endpoints that left the list and of which the router needs nothing any more: nothing is in flight there, no
+    /// request names them, and nothing may be sent there. They may be handed to [`Router::forget_endpoints`].
+    #[must_use]
+    pub fn forgettable_endpoints(&self, now: f64) -> Vec<usize> {
+        self.state.forgettable(now).into_iter().map(Id::index).collect()
+    }
+
+    /// Forgets these endpoints, but for those that the router still needs. Returns which it has forgotten: their indices
+    /// may be listed as other endpoints' from now on.
+    pub fn forget_endpoints(&mut self, now: f64, endpoints: &[usize]) -> Vec<usize> {
+        let endpoints = endpoints.iter().copied().map(EndpointId::new).collect();
+        self.state.forget(now, endpoints).into_iter().map(Id::index).collect()
+    }
+
     /// The endpoint list was asked for and did not come.
     pub fn on_endpoint_list_failed(&mut self) {
         self.must_request_list = self.state.config.list_on_request;
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -8,6 +8,7 @@
 use crate::admission::{Demands, LatencyPressure, TenantQuotas};
 use crate::clock::{StallDetector, TickCount};
 use crate::consistency::SessionWatermarks;
+use crate::departure::Departures;
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
 use crate::ids::{EndpointId, GroupId, Id, RequestId, Table};
@@ -25,6 +26,7 @@
     pub(crate) tightest_bound: Option<f64>,
     pub(crate) classes: Classes,
     pub(crate) endpoints: Table<EndpointId, Endpoint>,
+    pub(crate) departures: Departures,
     pub(crate) replica_sets: Table<GroupId, ReplicaSet>,
     /// The groups of which an attempt ended a moment ago, that reject some writes, or that are new: the write throttle of
     /// all others stays as it is.
@@ -51,6 +53,7 @@
             tightest_bound: bounds.reduce(f64::min),
             classes: Classes::new(&config),
             endpoints: Table::default(),
+            departures: Departures::default(),
             replica_sets: Table::default(),
             throttled_or_heard: BTreeSet::new(),
             demands: Demands::default(),
--- a/crates/routing/tests/decisions/main.rs
+++ b/crates/routing/tests/decisions/main.rs
@@ -11,6 +11,7 @@
 mod health_checks;
 mod outlier;
 mod primary;
+mod retention;
 mod retry;
 mod selection;
 mod slow_start;
