--- a/crates/routing/tests/decisions/retention.rs
+++ b/crates/routing/tests/decisions/retention.rs
@@ -132,26 +132,44 @@
     assert_eq!(forget(&mut world), [3, 1], "none is listed");
 }
 
-/// The index of a primary that left is used for another endpoint: neither its role nor its claim, ejection, group or warmth
-/// are those of the one before.
-#[test]
-fn an_index_that_is_used_again_stands_for_a_stranger() {
+/// Endpoint 0, the primary, has left and is forgotten, and its index is listed as that of another endpoint in `group`.
+fn with_another_primary(group: usize) -> World {
     let mut world = World::settled(false, [0.0; 3]);
     world.list(0, Removed, None);
     world.now += LONG;
     assert_eq!(forget(&mut world), [0]);
     assert!(!world.router.may_check_health(0), "nothing goes to an index that stands for none");
-    let other = EndpointUpdate { group: 1, started_at: Some(world.now), ..listed(0, Ready) };
+    let other = EndpointUpdate { group, started_at: Some(world.now), ..listed(0, Ready) };
     world.router.on_endpoint_list(world.now, &[other], &mut world.book);
     assert!(world.router.may_check_health(0) && world.router.is_warming(world.now, 0));
-    let write = world.ask(WRITE);
-    assert!(world.sent_to(write).is_empty(), "it is no member of the old group");
-    world.report(0, Primary, 0.0);
-    assert!(world.sent_to(write).is_empty(), "and its claim is none there");
     world.now += 11.0;
+    world
+}
+
+#[test]
+fn an_index_that_is_used_again_is_no_member_of_its_old_group() {
+    let mut world = with_another_primary(1);
+    (1..4).for_each(|endpoint| world.list(endpoint, Draining, None));
+    world.report(0, Primary, 0.0);
+    for workload in [READ, WRITE] {
+        let in_old_group = world.ask(workload);
+        assert!(world.sent_to(in_old_group).is_empty());
+        let in_new_group = world.ask_for(Request { group: 1, ..statement(workload, 1.0) });
+        world.pass(0.5);
+        assert_eq!(world.sent_to(in_new_group), [0]);
+    }
+}
+
+/// The last to claim a group is believed again whatever the age of its next claim; a stranger with its index is not.
+#[test]
+fn an_index_that_is_used_again_has_claimed_nothing() {
+    let mut world = with_another_primary(0);
+    let since_old_claim = LONG + 11.0;
+    world.report(0, Primary, since_old_claim + 1.0);
+    let write = world.ask(WRITE);
+    assert!(world.sent_to(write).is_empty(), "an older claim than the one before");
     world.report(0, Primary, 0.0);
-    let in_new_group = world.ask_for(Request { group: 1, ..statement(WRITE, 1.0) });
-    assert_eq!(world.sent_to(in_new_group), [0], "it serves the group that it is listed in");
+    assert_eq!(world.sent_to(write), [0]);
 }
 
 /// Guards against a walk over what waits where a list has changed nothing.
