--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -44,7 +44,7 @@
             self.send_assignment(id);
             return Ok(id);
         }
-        let address = self.endpoints.all[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
+        let address = self.endpoints[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
         self.check_may_connect(assignment)?;
         self.open_backend(endpoint, address, assignment, deadline)
     }
@@ -70,7 +70,7 @@
         // One for a health check of each endpoint is kept back: an endpoint that can't be checked can't be judged.
         let reserved = match assignment {
             Assignment::HealthCheck => 0,
-            Assignment::Request(_) => self.endpoints.all.len().min(self.limits.total / 4),
+            Assignment::Request(_) => self.endpoints.len().min(self.limits.total / 4),
         };
         let taken = self.clients.len().min(self.limits.clients) + self.backends.len();
         let is_full = taken + reserved >= self.limits.total;
@@ -131,7 +131,7 @@
     /// Logs a broken connection. An endpoint that is down refuses hundreds of connections a second: one log line a second
     /// tells as much.
     pub(crate) fn log_connection_failure(&mut self, endpoint: usize, state: ConnectionState, why: &str) {
-        let endpoint = &mut self.endpoints.all[endpoint];
+        let endpoint = &mut self.endpoints[endpoint];
         endpoint.broken += 1;
         if self.clock.now() - endpoint.logged_at >= 1.0 {
             info!(self.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
@@ -174,6 +174,18 @@
         }
     }
 
+    /// Closes the connections to an endpoint that carry nothing; true if no other is left.
+    pub fn close_unassigned_backends_of(&mut self, endpoint: usize) -> bool {
+        self.close_idle_backends_of(endpoint);
+        if self.backends.count_to(endpoint) > 0 {
+            let to_endpoint = self.backends.iter().filter(|(_, connection)| connection.endpoint == endpoint);
+            let unassigned = to_endpoint.filter(|(_, connection)| connection.assignment.is_none());
+            let unassigned: Vec<usize> = unassigned.map(|(id, _)| id).collect();
+            unassigned.into_iter().for_each(|id| self.close_backend(id));
+        }
+        self.backends.count_to(endpoint) == 0
+    }
+
     /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
     pub fn close_longest_idle_backend(&mut self) -> bool {
         let oldest = self.backends.longest_idle();
--- a/crates/ottersill/src/backend/table.rs
+++ b/crates/ottersill/src/backend/table.rs
@@ -10,8 +10,17 @@
 #[derive(Default)]
 pub struct BackendTable {
     connections: Slab<BackendConnection>,
-    /// Idle connections to each endpoint by its index, the last used at the end.
-    idle: Vec<Vec<usize>>,
+    /// The connections to each endpoint by its index.
+    by_endpoint: Vec<EndpointConnections>,
+}
+
+/// The connections to one endpoint.
+#[derive(Default)]
+struct EndpointConnections {
+    /// How many there are.
+    count: usize,
+    /// The idle ones, the last used at the end.
+    idle: Vec<usize>,
 }
 
 impl BackendTable {
@@ -22,6 +31,11 @@
 
     /// Adds a connection under [`next_id`](Self::next_id).
     pub fn insert(&mut self, connection: BackendConnection) {
+        let endpoint = connection.endpoint;
+        if self.by_endpoint.len() <= endpoint {
+            self.by_endpoint.resize_with(endpoint + 1, EndpointConnections::default);
+        }
+        self.by_endpoint[endpoint].count += 1;
         self.connections.insert(connection);
     }
 
@@ -31,9 +45,9 @@
     /// If no connection has that number.
     pub fn remove(&mut self, id: usize) -> BackendConnection {
         let connection = self.connections.remove(id);
-        if let Some(idle) = self.idle.get_mut(connection.endpoint) {
-            idle.retain(|idle| *idle != id);
-        }
+        let to_endpoint = &mut self.by_endpoint[connection.endpoint];
+        to_endpoint.count -= 1;
+        to_endpoint.idle.retain(|idle| *idle != id);
         connection
     }
 
@@ -62,6 +76,11 @@
         self.connections.len()
     }
 
+    /// How many connections there are to an endpoint.
+    pub fn count_to(&self, endpoint: usize) -> usize {
+        self.by_endpoint.get(endpoint).map_or(0, |to_endpoint| to_endpoint.count)
+    }
+
     /// There is no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
@@ -70,20 +89,18 @@
     /// Notes that a connection is idle.
     pub fn push_idle(&mut self, id: usize) {
         let endpoint = self.connections[id].endpoint;
-        if self.idle.len() <= endpoint {
-            self.idle.resize_with(endpoint + 1, Vec::new);
-        }
-        self.idle[endpoint].push(id);
+        self.by_endpoint[endpoint].idle.push(id);
     }
 
     /// Takes the idle connection to an endpoint that was used last.
     pub fn pop_idle(&mut self, endpoint: usize) -> Option<usize> {
-        self.idle.get_mut(endpoint)?.pop()
+        self.by_endpoint.get_mut(endpoint)?.idle.pop()
     }
 
     /// The connection that has been idle for longest, of all endpoints.
     pub fn longest_idle(&self) -> Option<usize> {
-        let oldest_of_each = self.idle.iter().filter_map(|idle| idle.first().copied());
+        let oldest_of_each =
+            self.by_endpoint.iter().filter_map(|to_endpoint| to_endpoint.idle.first().copied());
         oldest_of_each.min_by(|a, b| self[*a].idle_since.total_cmp(&self[*b].idle_since))
     }
 }
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -31,7 +31,7 @@
         let Some(workload) = self.catalog.workloads.iter().position(|name| name == comment.workload) else {
             return self.reject_query(client, ErrorCode::Unknown, "no workload has the name in c");
         };
-        if self.endpoints.all.is_empty() {
+        if self.endpoints.is_empty() {
             return self.reject_without_list(client);
         }
         let Some(group) = self.endpoints.group(comment.cluster) else {
--- a/crates/ottersill/src/event_loop.rs
+++ b/crates/ottersill/src/event_loop.rs
@@ -23,7 +23,6 @@
 use crate::control::server::ControlServer;
 use crate::counters::Counters;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
-use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
 use crate::fleet_link::error::FleetLinkError;
 use crate::fleet_link::link::FleetLink;
@@ -282,22 +281,6 @@
         }
     }
 
-    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
-    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        self.counters.endpoint_lists += 1;
-        let change = self.endpoints.apply(list);
-        for endpoint in change.readdressed {
-            self.close_idle_backends_of(endpoint);
-        }
-        for listed in &change.updates {
-            let name = self.endpoints.all[listed.endpoint].name.as_str();
-            info!(self.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.state),
-                "started_at" => listed.started_at.unwrap_or(0.0));
-        }
-        self.report(RoutingEvent::EndpointList(&change.updates));
-        self.withdraw_disallowed();
-    }
-
     /// Has the control listener do something.
     pub fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
         let report = FleetReport {
--- a/crates/ottersill/src/fleet_link/handlers.rs
+++ b/crates/ottersill/src/fleet_link/handlers.rs
@@ -146,7 +146,7 @@
         if label == 0 {
             return String::new();
         }
-        let host = self.endpoints.all.iter().find(|host| host.label == label);
+        let host = self.endpoints.by_label(label);
         host.map_or_else(|| format!("{label:x}"), |host| host.name.clone())
     }
 
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -15,7 +15,7 @@
         let Some(mut link) = self.fleet_link.take() else { return };
         let now = self.clock.read();
         link.quota.endpoints.clear();
-        for endpoint in 0..self.endpoints.all.len() {
+        for (endpoint, _) in self.endpoints.iter() {
             let units = self.attempt_units(&mut link, now, endpoint);
             let tokens = self.warming_tokens(&mut link, now, endpoint);
             if units.is_some() || tokens.is_some() {
@@ -32,7 +32,7 @@
 
     /// How many attempts this router may have in flight at an endpoint; none where no budget limits that.
     fn attempt_units(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
-        let endpoint = &self.endpoints.all[endpoint];
+        let endpoint = &self.endpoints[endpoint];
         let key = link.budget_key(BudgetKind::AttemptsPerEndpoint, &endpoint.name)?;
         let Some(fleet) = link.fleet() else { return Some(0.0) };
         fleet.track(now, key);
@@ -46,7 +46,7 @@
     /// How many attempts this router may send to an endpoint that warms up; none where it is warm, or no budget limits that.
     /// What a warm one had of the budget is given back when nobody asks for it.
     fn warming_tokens(&self, link: &mut FleetLink, now: f64, endpoint: usize) -> Option<f64> {
-        let name = &self.endpoints.all[endpoint].name;
+        let name = &self.endpoints[endpoint].name;
         let key = link.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
         if !self.facade.is_warming(self.clock.now(), endpoint) {
             return None;
@@ -65,7 +65,7 @@
         let now = self.clock.read();
         let is_retry = self.requests.get(request_id).is_some_and(|request| request.may_have_run);
         let Some(link) = &mut self.fleet_link else { return true };
-        let name = &self.endpoints.all[endpoint].name;
+        let name = &self.endpoints[endpoint].name;
         if is_retry && !link.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
@@ -85,7 +85,7 @@
     pub fn release_attempt_quota(&mut self, endpoint: usize, is_over: bool) {
         let now = self.clock.read();
         if let Some(link) = &mut self.fleet_link {
-            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints.all[endpoint].name, is_over);
+            link.release(now, BudgetKind::AttemptsPerEndpoint, &self.endpoints[endpoint].name, is_over);
         }
     }
 }
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -101,7 +101,7 @@
             now: event_loop.clock.now(),
             started_at: event_loop.clock.started_at(),
             shutdown_requested: event_loop.readiness.signals.shutdown,
-            knows_endpoints: !event_loop.endpoints.all.is_empty(),
+            knows_endpoints: !event_loop.endpoints.is_empty(),
             has_no_clients: event_loop.is_empty(),
             longest_statement_timeout: self.longest_statement_timeout,
         };
@@ -128,7 +128,7 @@
     let ListenAddress { address, backlog } = *listen;
     let failed = |source: io::Error| RunError::Listen { address, source };
     let bound_to = event_loop.listen(address, backlog).map_err(failed)?;
-    info!(event_loop.log, "ready"; "listen" => %bound_to, "endpoints" => event_loop.endpoints.all.len());
+    info!(event_loop.log, "ready"; "listen" => %bound_to, "endpoints" => event_loop.endpoints.len());
     Ok(())
 }
 
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -259,7 +259,7 @@
 }
 
 /// An entry of the endpoint list.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: usize,
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -247,6 +247,13 @@
         entry.cost.record(now, took, &mut self.delays[endpoint]);
     }
 
+    /// From now on another endpoint has that index.
+    pub fn forget_endpoint(&mut self, endpoint: usize) {
+        if let Some(delay) = self.delays.get_mut(endpoint) {
+            *delay = QueueingDelay::default();
+        }
+    }
+
     /// Records that a replica rejected the statement as a write.
     pub fn record_read_only_rejection(&mut self, key: CacheKey) {
         if let Some(mut entry) = self.entries.peek_mut(&key) {
