--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -90,7 +90,7 @@
     pub(crate) fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
         let attempt = AttemptQuota {
-            endpoint: &self.endpoints.all[endpoint].name,
+            endpoint: &self.endpoints[endpoint].name,
             is_retry: self.requests.get(request_id).is_some_and(|request| request.may_have_run),
             is_warming: self.facade.is_warming(self.context.now(), endpoint),
         };
@@ -106,7 +106,7 @@
     /// An attempt that was counted is over; `proved` if it is known to run no more.
     pub(crate) fn release_attempt_quota(&mut self, endpoint: usize, proved: bool) {
         if let Some(link) = &mut self.fleet_link {
-            let name = &self.endpoints.all[endpoint].name;
+            let name = &self.endpoints[endpoint].name;
             link.release_attempt(self.context.clock.read(), name, proved);
         }
     }
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -17,7 +17,6 @@
 use crate::client::table::ClientTable;
 use crate::control::server::ControlServer;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
-use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
 use crate::fleet_link::FleetLink;
 use crate::in_flight::InFlightRequests;
@@ -228,22 +227,6 @@
         }
     }
 
-    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
-    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        self.context.counters.endpoint_lists += 1;
-        let change = self.endpoints.apply(list);
-        for endpoint in change.readdressed {
-            self.close_idle_backends_of(endpoint);
-        }
-        for listed in &change.updates {
-            let name = self.endpoints.all[listed.endpoint].name.as_str();
-            info!(self.context.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.state),
-                "started_at" => listed.started_at.unwrap_or(0.0));
-        }
-        self.report(RoutingEvent::EndpointList(&change.updates));
-        self.withdraw_disallowed();
-    }
-
     /// Accepts who waits in the accept backlog, closes the listener, and from now on closes client connections once they idle.
     pub fn drain(&mut self) {
         // Whose connection the system has accepted may have sent a statement, which then counts as accepted.
@@ -261,7 +244,7 @@
 
     /// How many endpoints lists have named.
     pub fn endpoint_count(&self) -> usize {
-        self.endpoints.all.len()
+        self.endpoints.len()
     }
 
     /// How many requests are in flight.
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -38,7 +38,7 @@
     pub fn update_quota(&mut self, demand: &FleetDemand, context: &mut Context) -> &FleetQuota {
         let now = context.clock.read();
         self.quota.endpoints.clear();
-        for (index, endpoint) in demand.endpoints.all.iter().enumerate() {
+        for (index, endpoint) in demand.endpoints.iter() {
             let units = self.attempt_units(now, endpoint, demand);
             let tokens = self.warming_tokens(now, context.now(), index, demand);
             if units.is_some() || tokens.is_some() {
@@ -74,7 +74,7 @@
         endpoint: usize,
         demand: &FleetDemand,
     ) -> Option<f64> {
-        let name = &demand.endpoints.all[endpoint].name;
+        let name = &demand.endpoints[endpoint].name;
         let key = self.budget_key(BudgetKind::AttemptsPerWarmingEndpoint, name)?;
         if !demand.routing.is_warming(iteration_at, endpoint) {
             return None;
