--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/backend/outcome.rs
@@ -72,7 +72,7 @@
         let at_replica = reply.piggybacked.role == Some(Role::Replica);
         match outcome {
             AttemptOutcome::Completed => {
-                self.fingerprints.record_completion(
+                self.statements.record_completion(
                     self.context.now(),
                     cache_key,
                     endpoint,
@@ -80,7 +80,7 @@
                     at_replica,
                 );
             }
-            AttemptOutcome::ReadOnly if at_replica => self.fingerprints.record_read_only_rejection(cache_key),
+            AttemptOutcome::ReadOnly if at_replica => self.statements.record_read_only_rejection(cache_key),
             _ => {}
         }
     }
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -72,9 +72,12 @@
             Assignment::HealthCheck => 0,
             Assignment::Request(_) => self.endpoints.all.len().min(self.limits.total / 4),
         };
-        let taken = self.clients.len().min(self.limits.clients) + self.backends.len();
+        let taken = self.clients.descriptors_taken() + self.backends.len();
         let is_full = taken + reserved >= self.limits.total;
-        if is_full && !self.close_one_lingering() && !self.close_longest_idle_backend() {
+        if is_full
+            && !self.clients.close_one_lingering(&mut self.context)
+            && !self.close_longest_idle_backend()
+        {
             self.context.counters.attempts_without_descriptor += 1;
             return Err(AttemptOutcome::NeverSent);
         }
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -3,92 +3,87 @@
 use bytes::Bytes;
 use slog::info;
 
+use crate::client::Clients;
 use crate::client::connection::ConnectionPhase;
-use crate::event_loop::EventLoop;
-use crate::in_flight::RequestPhase;
 use crate::protocol::frame;
 use crate::protocol::frame::ErrorCode;
-use crate::reactor::Source;
+use crate::reactor::{Context, Source};
 
-impl EventLoop {
-    /// Answers a request with the result of an endpoint.
-    pub fn complete(&mut self, request_id: usize, [description, row, complete]: [Bytes; 3]) {
-        self.context.counters.completed += 1;
-        self.answer(request_id, [description, row, complete, frame::READY_FOR_QUERY.clone()]);
-    }
-
-    /// Answers a request by a rejection, with when to come again, in seconds; 0 for no such time.
-    pub fn reject(&mut self, request_id: usize, retry_after: f64) {
-        self.context.counters.rejected += 1;
-        let error = self.rejection(retry_after, "rejected: nothing ran");
-        self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
-    }
-
-    /// Answers a request by an abort.
-    pub fn abort(&mut self, request_id: usize) {
-        self.context.counters.aborted += 1;
-        let error = frame::error("ERROR", ErrorCode::CompletionUnknown, "aborted: it may have run", None);
-        self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
-    }
+/// A rejection, with when to come again, in seconds; 0 for no such time.
+pub fn rejection(retry_after: f64, text: &str) -> Bytes {
+    let come_again = (retry_after > 0.0).then_some((retry_after * 1000.0).ceil() as u64);
+    frame::error("ERROR", ErrorCode::TooMany, text, come_again)
+}
 
-    /// The one final answer of a request that is not abandoned.
-    fn answer<const N: usize>(&mut self, request_id: usize, slices: [Bytes; N]) {
-        let Some(request) = self.requests.get(request_id) else { return };
-        let client = request.client;
-        self.requests.transition(request_id, RequestPhase::Vacant, &mut self.context.counters);
-        self.set_client_phase(client, ConnectionPhase::Idle);
-        self.send_to_client(client, slices);
-        self.count_stored_bytes(client);
-        let client_at = &self.clients[client];
-        if self.is_draining || client_at.may_have_unread || !client_at.inbox.is_empty() {
-            self.context.wake(Source::Client(client));
+impl Clients {
+    /// Sends the one final answer of the request that is in flight for that client.
+    pub fn answer<const N: usize>(&mut self, id: usize, slices: [Bytes; N], context: &mut Context) {
+        self.set_phase(id, ConnectionPhase::Idle, context);
+        self.send(id, slices, context);
+        self.table.count_stored_bytes(id, 0);
+        let client = &self.table[id];
+        if self.is_draining || client.may_have_unread || !client.inbox.is_empty() {
+            context.wake(Source::Client(id));
         }
     }
 
-    pub(crate) fn rejection(&self, retry_after: f64, text: &str) -> Bytes {
-        let come_again = (retry_after > 0.0).then_some((retry_after * 1000.0).ceil() as u64);
-        frame::error("ERROR", ErrorCode::TooMany, text, come_again)
-    }
-
-    pub(crate) fn send_to_client<const N: usize>(&mut self, id: usize, slices: [Bytes; N]) {
-        let client = &mut self.clients[id];
+    /// Writes messages to a client.
+    pub fn send<const N: usize>(&mut self, id: usize, slices: [Bytes; N], context: &mut Context) {
+        let client = &mut self.table[id];
         slices.into_iter().for_each(|slice| client.outbox.push(slice));
         // A failure shows when the connection is read next.
         if client.outbox.flush(&client.socket).is_err() {
-            self.context.wake(Source::Client(id));
+            context.wake(Source::Client(id));
         }
     }
 
     /// The connection is in order, the query is none of this service's.
-    pub(crate) fn reject_query(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.context.counters.invalid_queries += 1;
-        self.send_to_client(id, [frame::error("ERROR", code, text, None), frame::READY_FOR_QUERY.clone()]);
+    pub fn reject_query(&mut self, id: usize, code: ErrorCode, text: &str, context: &mut Context) {
+        context.counters.invalid_queries += 1;
+        let error = frame::error("ERROR", code, text, None);
+        self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
+    }
+
+    /// Rejects a statement as no endpoint list has come yet. It was never sent, so coming again is harmless.
+    pub fn reject_without_list(&mut self, id: usize, retry_after: f64, context: &mut Context) {
+        context.counters.rejected_without_endpoint_list += 1;
+        let error = rejection(retry_after, "rejected: no list of hosts has come yet");
+        self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
     }
 
     /// Rejects a statement of a client for which there is no room. The connection ends with the last one that it has sent, as each
     /// that was read is owed an answer.
-    pub(crate) fn reject_without_descriptor(&mut self, id: usize) {
+    pub fn reject_without_descriptor(&mut self, id: usize, context: &mut Context) {
         const WHY: &str = "no descriptor is left for this client";
-        let client = &self.clients[id];
+        let client = &self.table[id];
         if client.inbox.is_empty() && !client.may_have_unread {
-            self.reject_connection(id, ErrorCode::TooMany, WHY);
-        } else {
-            self.send_to_client(
-                id,
-                [frame::error("ERROR", ErrorCode::TooMany, WHY, None), frame::READY_FOR_QUERY.clone()],
-            );
+            return self.reject_connection(id, ErrorCode::TooMany, WHY, context);
         }
+        let error = frame::error("ERROR", ErrorCode::TooMany, WHY, None);
+        self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
     }
 
     /// What this client sends can't be trusted any more.
-    pub(crate) fn reject_protocol_violation(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.context.counters.client_protocol_errors += 1;
-        info!(self.context.log, "client dismissed"; "reason" => text);
-        self.reject_connection(id, code, text);
+    pub(super) fn reject_protocol_violation(
+        &mut self,
+        id: usize,
+        code: ErrorCode,
+        text: &str,
+        context: &mut Context,
+    ) {
+        context.counters.client_protocol_errors += 1;
+        info!(context.log, "client dismissed"; "reason" => text);
+        self.reject_connection(id, code, text, context);
     }
 
-    pub(crate) fn reject_connection(&mut self, id: usize, code: ErrorCode, text: &str) {
-        self.set_client_phase(id, ConnectionPhase::Rejected);
-        self.send_to_client(id, [frame::error("FATAL", code, text, None)]);
+    pub(super) fn reject_connection(
+        &mut self,
+        id: usize,
+        code: ErrorCode,
+        text: &str,
+        context: &mut Context,
+    ) {
+        self.set_phase(id, ConnectionPhase::Rejected, context);
+        self.send(id, [frame::error("FATAL", code, text, None)], context);
     }
 }
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -10,6 +10,11 @@
 use crate::protocol::socket::Outbox;
 use crate::timers::TimerHandle;
 
+/// Who has sent nothing that can be answered gets an error or a close this long after connecting, who stops in the middle of a
+/// message this long after its first byte; seconds. The service page owes it within 3 s: the rest is for a router that is held
+/// up twice, before it reads that byte and before it answers.
+pub const INCOMPLETE_INPUT_TIMEOUT: f64 = 2.6;
+
 /// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
@@ -53,7 +58,7 @@
 
 /// A connection of a client. Times are Unix seconds.
 pub struct ClientConnection {
-    /// Changed by `set_client_phase` alone.
+    /// Changed by `Clients::set_phase` alone.
     pub phase: ConnectionPhase,
     /// When its phase began.
     pub phase_since: f64,
@@ -79,6 +84,8 @@
     pub may_have_unread: bool,
     /// It has sent a statement before.
     pub has_queried: bool,
+    /// Of its statement in flight; of no meaning in other phases than [`ConnectionPhase::Busy`].
+    pub statement_bytes: usize,
     /// Bytes counted for it by [`ClientTable`](crate::client::table::ClientTable).
     pub stored_bytes: usize,
 }
@@ -109,6 +116,7 @@
             outbox: Outbox::default(),
             may_have_unread: false,
             has_queried: false,
+            statement_bytes: 0,
             stored_bytes: 0,
         }
     }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -1,23 +1,20 @@
 //! The session of a client connection: reading it, its phases, its time limits.
 
-use crate::client::connection::{ClientConnection, ConnectionPhase};
-use crate::client::queries::MAX_PIPELINED;
-use crate::event_loop::EventLoop;
+use bytes::Bytes;
+
+use crate::client::connection::{ClientConnection, ConnectionPhase, INCOMPLETE_INPUT_TIMEOUT};
+use crate::client::pipelining::MAX_PIPELINED;
+use crate::client::{ClientEvent, Clients};
 use crate::protocol::frame;
-use crate::protocol::frame::{ErrorCode, Startup};
+use crate::protocol::frame::{ErrorCode, ProtocolError, Startup};
 use crate::protocol::socket;
 use crate::protocol::socket::ReadOutcome;
-use crate::reactor::Source;
+use crate::reactor::{Context, Source};
 use crate::timers::{TIMING_MARGIN, Timer};
 
 /// A connection with no statement open may be closed after so many seconds, as the service page has it.
 const IDLE_TIMEOUT: f64 = 2.0;
 
-/// Who has sent nothing that can be answered gets an error or a close this long after connecting, who stops in the middle of a
-/// message this long after its first byte; seconds. The service page owes it within 3 s: the rest is for a router that is request
-/// up twice, before it reads that byte and before it answers.
-pub const INCOMPLETE_INPUT_TIMEOUT: f64 = 2.6;
-
 /// Who has sent a part of a message behind a statement that took long has this much after its answer; seconds.
 const REMAINDER_TIMEOUT: f64 = 0.25;
 
@@ -26,20 +23,46 @@
 /// as taken, and is never dropped.
 const MAX_READ_AHEAD_BYTES: usize = MAX_PIPELINED * frame::MAX_MESSAGE_BYTES;
 
-impl EventLoop {
-    /// A connection became ready: writes what is left to write, and reads.
-    pub fn on_client_ready(&mut self, id: usize) {
-        let memory_is_plentiful = self.clients.stored_statement_bytes() < self.limits.statement_bytes / 2;
-        let Some(client) = self.clients.get_mut(id) else { return };
-        match client.phase {
-            ConnectionPhase::Rejected => return self.flush_rejected(id),
-            ConnectionPhase::Lingering => return self.finish_close(id),
-            _ => {}
+/// A message that was read whole.
+enum ClientMessage {
+    Startup(Startup),
+    Regular(frame::Message),
+}
+
+/// Takes the next message out of the inbox of a client that is before its startup or between statements.
+fn take_message(client: &mut ClientConnection) -> Result<Option<ClientMessage>, ProtocolError> {
+    if client.phase == ConnectionPhase::AwaitingStartup {
+        let startup = frame::take_startup(&mut client.inbox)?;
+        return Ok(startup.map(ClientMessage::Startup));
+    }
+    let message = frame::take_message(&mut client.inbox)?;
+    Ok(message.map(ClientMessage::Regular))
+}
+
+impl Clients {
+    /// A connection became ready: writes what is left to write, and reads. Gives the first event of what was read.
+    #[must_use]
+    pub fn on_ready(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
+        match self.table.get(id)?.phase {
+            ConnectionPhase::Rejected => {
+                self.flush_rejected(id, context);
+                None
+            }
+            ConnectionPhase::Lingering => {
+                self.finish_close(id, context);
+                None
+            }
+            phase => self.read(id, matches!(phase, ConnectionPhase::Busy(_)), context),
         }
-        client.last_read_at = self.context.now();
-        let busy = matches!(client.phase, ConnectionPhase::Busy(_));
+    }
+
+    fn read(&mut self, id: usize, is_busy: bool, context: &mut Context) -> Option<ClientEvent> {
+        let memory_is_plentiful = self.table.stored_statement_bytes() < self.limits.statement_bytes / 2;
+        let client = &mut self.table[id];
+        client.last_read_at = context.now();
         // One message ahead of the one in hand at least.
-        let most = if busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
+        let most =
+            if is_busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
         let read = client
             .outbox
             .flush(&client.socket)
@@ -47,169 +70,212 @@
         match read {
             Ok(ReadOutcome::Drained) => client.may_have_unread = false,
             // Its end lies behind what it has sent ahead, and must not wait for that to be read.
-            Ok(ReadOutcome::MoreLeft) if socket::has_ended(&client.socket) => return self.close_client(id),
+            Ok(ReadOutcome::MoreLeft) if socket::has_ended(&client.socket) => return self.close(id, context),
             Ok(ReadOutcome::MoreLeft) => {
                 client.may_have_unread = true;
                 // Its end may be on its way still, held up by what is not read. Where memory is short it has to wait.
-                if busy && client.inbox.len() < most {
-                    self.context.wake(Source::Client(id));
+                if is_busy && client.inbox.len() < most {
+                    context.wake(Source::Client(id));
                 }
             }
-            Ok(ReadOutcome::Ended) | Err(_) => return self.close_client(id),
+            Ok(ReadOutcome::Ended) | Err(_) => return self.close(id, context),
         }
-        self.read_queries(id);
+        self.next_event(id, context)
     }
 
-    /// Guards against clients that connect and say nothing, stop halfway, or ask once and stay: each would hold a
-    /// descriptor, and the usual clients find no room.
-    pub fn on_client_timer(&mut self, id: usize) {
-        self.clients[id].timer = None;
-        if self.clients[id].phase == ConnectionPhase::Lingering {
-            return self.close_client(id);
-        }
-        // A last look: what has come meanwhile is taken in instead.
-        self.on_client_ready(id);
-        let Some(client) = self.clients.get(id) else { return };
-        if client.phase == ConnectionPhase::Lingering {
-            return;
-        }
-        if client.may_have_unread && client.outbox.is_empty() {
-            return self.set_client_timer(id, self.context.now() + TIMING_MARGIN);
-        }
-        let due_at = self.client_deadline(client);
-        if due_at > self.context.now() {
-            if due_at.is_finite() {
-                self.set_client_timer(id, due_at);
-            }
-            return;
-        }
-        self.context.counters.client_connections_closed_idle += 1;
-        let halfway = matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
-            && !client.inbox.is_empty();
-        if halfway && client.outbox.is_empty() {
-            self.reject_protocol_violation(
-                id,
-                ErrorCode::ProtocolViolation,
-                "a message that does not come whole",
-            );
-            self.read_queries(id);
-        } else if matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
-            && client.outbox.is_empty()
-        {
-            self.begin_close(id);
-        } else {
-            self.close_client(id);
-        }
-    }
-
-    /// Takes in what is there whole, one query at a time: each waits for the answer before it to go out.
-    pub(crate) fn read_queries(&mut self, id: usize) {
+    /// Takes in what is there whole, one query at a time: each waits for the answer before it to go out. Gives the next
+    /// statement; none if there is none, or one is in flight.
+    #[must_use]
+    pub fn next_event(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         loop {
             self.count_stored_bytes(id);
-            let Some(client) = self.clients.get_mut(id) else { return };
-            client.match_arrivals(self.context.clock.arrivals_since());
+            let client = self.table.get_mut(id)?;
+            client.match_arrivals(context.clock.arrivals_since());
             if !client.outbox.is_empty() {
-                return;
+                return None;
             }
-            let arrived_at = client.arrived(0, self.context.clock.arrivals_since());
-            let step = match client.phase {
-                ConnectionPhase::Busy(_) => return,
-                ConnectionPhase::Terminated | ConnectionPhase::Rejected => return self.begin_close(id),
-                ConnectionPhase::Lingering => return,
-                ConnectionPhase::AwaitingStartup => {
-                    frame::take_startup(&mut client.inbox).map(|s| s.map(|s| self.on_startup(id, s)))
+            let arrived_at = client.arrived(0, context.clock.arrivals_since());
+            match client.phase {
+                ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle => {}
+                ConnectionPhase::Busy(_) | ConnectionPhase::Lingering => return None,
+                ConnectionPhase::Terminated | ConnectionPhase::Rejected => {
+                    self.begin_close(id, context);
+                    return None;
+                }
+            }
+            match take_message(client) {
+                Ok(Some(message)) => {
+                    if let Some(text) = self.on_message(id, message, context) {
+                        return Some(ClientEvent::Statement { text, arrived_at });
+                    }
                 }
-                ConnectionPhase::Idle => frame::take_message(&mut client.inbox)
-                    .map(|m| m.map(|m| self.on_query(id, &m, arrived_at))),
-            };
-            match step {
-                Ok(Some(())) => {}
                 // A long statement that there is no room for is rejected before it is whole.
-                Ok(None)
-                    if self.clients.stored_statement_bytes() > self.limits.statement_bytes
-                        && self.clients[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES =>
-                {
-                    self.context.counters.client_connections_rejected += 1;
-                    self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
+                Ok(None) if self.lacks_memory_for(id) => {
+                    context.counters.client_connections_rejected += 1;
+                    let why = "no memory is left for this statement";
+                    self.reject_connection(id, ErrorCode::TooMany, why, context);
+                }
+                Ok(None) => {
+                    self.await_more_input(id, context);
+                    return None;
+                }
+                Err(reason) => {
+                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason, context);
                 }
-                Ok(None) => return self.await_more_input(id),
-                Err(reason) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason),
             }
         }
     }
 
+    fn lacks_memory_for(&self, id: usize) -> bool {
+        self.table.stored_statement_bytes() > self.limits.statement_bytes
+            && self.table[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES
+    }
+
     /// All that came whole is answered by now; a part of a message may be left, whose rest is waited for.
-    fn await_more_input(&mut self, id: usize) {
-        let client = &self.clients[id];
+    fn await_more_input(&mut self, id: usize, context: &mut Context) {
+        let client = &self.table[id];
         if client.may_have_unread {
-            return self.context.wake(Source::Client(id));
+            return context.wake(Source::Client(id));
         }
         if !client.inbox.is_empty() {
-            let due_at = self.client_deadline(client);
-            self.set_client_timer(id, due_at);
+            let due_at = self.deadline(client, context.now());
+            self.set_timer(id, due_at, context);
         } else if self.is_draining {
-            self.begin_close(id);
+            self.begin_close(id, context);
         }
     }
 
-    fn on_startup(&mut self, id: usize, startup: Startup) {
+    fn on_startup(&mut self, id: usize, startup: Startup, context: &mut Context) {
         match startup {
             Startup::Version3 => {
-                self.set_client_phase(id, ConnectionPhase::Idle);
-                self.send_to_client(id, [frame::AUTHENTICATION_OK.clone()]);
+                self.set_phase(id, ConnectionPhase::Idle, context);
+                self.send(id, [frame::AUTHENTICATION_OK.clone()], context);
             }
-            Startup::Encryption => self.send_to_client(id, [frame::ENCRYPTION_REFUSED.clone()]),
+            Startup::Encryption => self.send(id, [frame::ENCRYPTION_REFUSED.clone()], context),
             // Cancelling is not offered; the protocol has this end without a message.
-            Startup::Cancel => self.set_client_phase(id, ConnectionPhase::Terminated),
+            Startup::Cancel => self.set_phase(id, ConnectionPhase::Terminated, context),
             Startup::OtherVersion => {
-                self.reject_protocol_violation(id, ErrorCode::NotSupported, "only version 3 is spoken here");
+                let reason = "only version 3 is spoken here";
+                self.reject_protocol_violation(id, ErrorCode::NotSupported, reason, context);
             }
         }
     }
 
-    fn on_query(&mut self, id: usize, message: &frame::Message, arrived_at: f64) {
+    /// Handles a message, unless it is a statement, whose text it gives.
+    fn on_message(&mut self, id: usize, message: ClientMessage, context: &mut Context) -> Option<Bytes> {
+        let message = match message {
+            ClientMessage::Startup(startup) => {
+                self.on_startup(id, startup, context);
+                return None;
+            }
+            ClientMessage::Regular(message) => message,
+        };
         match message.tag() {
-            b'Q' => match message.query() {
-                Some(text) if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') => {
-                    self.context.counters.empty_queries += 1;
-                    self.send_to_client(
-                        id,
-                        [frame::EMPTY_QUERY_RESPONSE.clone(), frame::READY_FOR_QUERY.clone()],
-                    );
-                }
-                Some(text) => self.on_statement(id, &text, arrived_at),
-                None => self.reject_protocol_violation(
-                    id,
-                    ErrorCode::ProtocolViolation,
-                    "a query without its end",
-                ),
-            },
-            b'X' => self.set_client_phase(id, ConnectionPhase::Terminated),
-            _ => self.reject_protocol_violation(
-                id,
-                ErrorCode::NotSupported,
-                "only simple queries are spoken here",
-            ),
+            b'Q' => return self.on_query(id, message.query(), context),
+            b'X' => self.set_phase(id, ConnectionPhase::Terminated, context),
+            _ => {
+                let reason = "only simple queries are spoken here";
+                self.reject_protocol_violation(id, ErrorCode::NotSupported, reason, context);
+            }
+        }
+        None
+    }
+
+    fn on_query(&mut self, id: usize, text: Option<Bytes>, context: &mut Context) -> Option<Bytes> {
+        let Some(text) = text else {
+            let reason = "a query without its end";
+            self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason, context);
+            return None;
+        };
+        if !text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
+            return Some(text);
         }
+        context.counters.empty_queries += 1;
+        let answer = [frame::EMPTY_QUERY_RESPONSE.clone(), frame::READY_FOR_QUERY.clone()];
+        self.send(id, answer, context);
+        None
+    }
+
+    /// A request of the client is in flight from now on, with a statement of so many bytes.
+    pub fn begin_request(
+        &mut self,
+        id: usize,
+        request_id: usize,
+        statement_bytes: usize,
+        context: &mut Context,
+    ) {
+        self.set_phase(id, ConnectionPhase::Busy(request_id), context);
+        let client = &mut self.table[id];
+        client.statement_bytes = statement_bytes;
+        client.has_queried = true;
     }
 
     /// Every change of a client connection's phase.
-    pub(crate) fn set_client_phase(&mut self, id: usize, next: ConnectionPhase) {
-        let client = &mut self.clients[id];
-        self.context.counters.check_invariant(
+    pub(super) fn set_phase(&mut self, id: usize, next: ConnectionPhase, context: &mut Context) {
+        let client = &mut self.table[id];
+        context.counters.check_invariant(
             client.phase.may_become(next),
             "a client connection changes its phase as allowed",
         );
         client.phase = next;
-        client.phase_since = self.context.now();
+        client.phase_since = context.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
-            client.timer =
-                Some(self.context.timers.set(self.context.now() + IDLE_TIMEOUT, Timer::Client(id)));
+            client.timer = Some(context.timers.set(context.now() + IDLE_TIMEOUT, Timer::Client(id)));
+        }
+    }
+
+    /// The timer of a connection has expired. Guards against clients that connect and say nothing, stop halfway, or ask once and
+    /// stay: each would hold a descriptor, and the usual clients find no room. True if the connection is to be read as if it
+    /// became ready, so that what has come meanwhile is taken in, before [`enforce_deadline`](Self::enforce_deadline).
+    pub fn on_timer(&mut self, id: usize, context: &mut Context) -> bool {
+        self.table[id].timer = None;
+        let is_lingering = self.table[id].phase == ConnectionPhase::Lingering;
+        if is_lingering {
+            self.remove(id, context);
+        }
+        !is_lingering
+    }
+
+    /// Ends the connection if its time is over.
+    #[must_use]
+    pub fn enforce_deadline(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
+        let client = self.table.get(id)?;
+        if client.phase == ConnectionPhase::Lingering {
+            return None;
         }
+        if client.may_have_unread && client.outbox.is_empty() {
+            self.set_timer(id, context.now() + TIMING_MARGIN, context);
+            return None;
+        }
+        let due_at = self.deadline(client, context.now());
+        if due_at > context.now() {
+            if due_at.is_finite() {
+                self.set_timer(id, due_at, context);
+            }
+            return None;
+        }
+        self.end_overdue(id, context)
+    }
+
+    fn end_overdue(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
+        context.counters.client_connections_closed_idle += 1;
+        let client = &self.table[id];
+        let may_be_told = matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
+            && client.outbox.is_empty();
+        if !may_be_told {
+            return self.close(id, context);
+        }
+        if client.inbox.is_empty() {
+            self.begin_close(id, context);
+            return None;
+        }
+        let reason = "a message that does not come whole";
+        self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason, context);
+        self.next_event(id, context)
     }
 
     /// When the time of this client connection is over; never while a request is in flight.
-    pub(crate) fn client_deadline(&self, client: &ClientConnection) -> f64 {
+    fn deadline(&self, client: &ClientConnection, now: f64) -> f64 {
         let halfway = !client.inbox.is_empty();
         match client.phase {
             ConnectionPhase::Busy(_) => f64::INFINITY,
@@ -222,7 +288,7 @@
                 client.connected_at + INCOMPLETE_INPUT_TIMEOUT
             }
             ConnectionPhase::Idle if halfway => {
-                let due_at = client.arrived(0, self.context.now()) + INCOMPLETE_INPUT_TIMEOUT;
+                let due_at = client.arrived(0, now) + INCOMPLETE_INPUT_TIMEOUT;
                 due_at.max(client.phase_since + REMAINDER_TIMEOUT).min(self.answers_by)
             }
             ConnectionPhase::Idle if !client.outbox.is_empty() => {
@@ -233,21 +299,19 @@
     }
 
     /// Has the client looked at then, and not before.
-    pub(crate) fn set_client_timer(&mut self, id: usize, at: f64) {
-        let timer = self.context.timers.set(at, Timer::Client(id));
-        let before = self.clients[id].timer.replace(timer);
-        self.context.timers.clear(before.filter(|before| *before != timer));
+    pub(super) fn set_timer(&mut self, id: usize, at: f64, context: &mut Context) {
+        let timer = context.timers.set(at, Timer::Client(id));
+        let before = self.table[id].timer.replace(timer);
+        context.timers.clear(before.filter(|before| *before != timer));
     }
 
     /// Counts what is stored for a client: what was read ahead, and its request in flight.
-    pub(crate) fn count_stored_bytes(&mut self, id: usize) {
-        let Some(client) = self.clients.get(id) else { return };
+    fn count_stored_bytes(&mut self, id: usize) {
+        let Some(client) = self.table.get(id) else { return };
         let request_bytes = match client.phase {
-            ConnectionPhase::Busy(request_id) => {
-                self.requests.get(request_id).map_or(0, |request| request.text.len())
-            }
+            ConnectionPhase::Busy(_) => client.statement_bytes,
             _ => 0,
         };
-        self.clients.count_stored_bytes(id, request_bytes);
+        self.table.count_stored_bytes(id, request_bytes);
     }
 }
--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -9,8 +9,9 @@
 use crate::control::fleet_report::FleetReport;
 use crate::control::server::ControlServer;
 use crate::event_loop::EventLoop;
+use crate::fleet_link::FleetLink;
+use crate::fleet_link::demand::{AttemptQuota, FleetDemand};
 use crate::fleet_link::error::FleetLinkError;
-use crate::fleet_link::{AttemptQuota, FleetDemand, FleetLink};
 use crate::reactor::Context;
 
 impl EventLoop {
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -1,27 +1,25 @@
 //! The event loop: hands what became ready and which timers expired to the part that owns it, and carries out what the
 //! routing module decides. Nothing here decides.
 
+mod clients;
 mod fleet;
 
 use ottersill_config::deployment::{BackendTimeouts, Catalog};
-use ottersill_routing::Router;
 use ottersill_routing::facade::{Decision, Facade, PickRequest, RoutingAction, RoutingEvent};
 use ottersill_routing::interface::{Request, RoutingConfig};
-use ottersill_statement::fingerprint::Key;
-use ottersill_statement::fingerprint_cache::FingerprintCache;
 use slog::{Logger, info};
 
 use crate::backend::table::BackendTable;
-use crate::client::accept::ClientListener;
-use crate::client::limits::ConnectionLimits;
-use crate::client::table::ClientTable;
+use crate::client::Clients;
+use crate::client::connection_limits::ConnectionLimits;
 use crate::control::server::ControlServer;
 use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
 use crate::fleet_link::FleetLink;
-use crate::in_flight::InFlightRequests;
+use crate::in_flight::{InFlightRequest, InFlightRequests};
 use crate::reactor::{Context, ReactorHandle, Readiness, Source};
+use crate::statement_checker::StatementChecker;
 use crate::timers::Timer;
 
 /// The parts of a router, and what they share. Times are Unix seconds.
@@ -33,35 +31,25 @@
     /// The endpoints that discovery has named.
     pub(crate) endpoints: EndpointRegistry,
     /// Client connections.
-    pub(crate) clients: ClientTable,
+    pub(crate) clients: Clients,
     /// Backend connections.
     pub(crate) backends: BackendTable,
     /// Keeps the watch on discovery.
     discovery: DiscoveryClient,
     /// The link to the other routers; none without a fleet.
-    pub(crate) fleet_link: Option<FleetLink>,
+    fleet_link: Option<FleetLink>,
     /// Answers operators.
     control: ControlServer,
-    /// What is known of statements by their fingerprint; keeps to its own budget of bytes.
-    pub(crate) fingerprints: FingerprintCache,
-    /// When the log last said why a statement was taken for one that may write.
-    pub(crate) write_classification_logged_at: f64,
-    /// Names and terms of the workloads.
-    pub(crate) catalog: Catalog,
+    /// Checks statements, and keeps what is known of them.
+    pub(crate) statements: StatementChecker,
     /// Time limits of backend connections.
     pub(crate) timeouts: BackendTimeouts,
     /// Limits of connections and memory.
     pub(crate) limits: ConnectionLimits,
     /// What all parts use: clock, timers, counters, log, registration of sockets.
     pub(crate) context: Context,
-    /// When a client may come again that finds no endpoint list here; 0 where no time may be named.
-    pub(crate) max_retry_after: f64,
-    /// Where clients connect.
-    pub(crate) listener: ClientListener,
-    /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
-    pub(crate) is_draining: bool,
-    /// What is accepted is answered by then; infinite, unless the router has been told to stop.
-    pub(crate) answers_by: f64,
+    /// When a client may come again that finds no endpoint list here, in seconds; 0 where no time may be named.
+    max_retry_after: f64,
 }
 
 impl EventLoop {
@@ -78,32 +66,20 @@
         let context = Context::new(handle, log);
         let now = context.now();
         let max_retry_after = routing_config.max_retry_after;
-        let typical_work = routing_config.workloads.iter().map(Router::typical).collect();
-        let fingerprints = FingerprintCache::new(
-            now,
-            Key::from_seed(routing_config.seed),
-            limits.fingerprint_bytes,
-            typical_work,
-        );
         EventLoop {
-            facade: Facade::start(now, routing_config),
             requests: InFlightRequests::default(),
             endpoints: EndpointRegistry::new(catalog.sites.clone()),
-            clients: ClientTable::default(),
+            statements: StatementChecker::new(now, catalog, &routing_config, limits.fingerprint_bytes),
+            clients: Clients::new(limits),
             backends: BackendTable::default(),
             discovery: DiscoveryClient::new(discovery, timeouts.drain_grace),
             fleet_link: None,
             control: ControlServer::default(),
-            fingerprints,
-            write_classification_logged_at: 0.0,
-            catalog,
             timeouts,
             limits,
             context,
             max_retry_after,
-            listener: ClientListener::default(),
-            is_draining: false,
-            answers_by: f64::INFINITY,
+            facade: Facade::start(now, routing_config),
         }
     }
 
@@ -113,7 +89,7 @@
     }
 
     /// All client connections.
-    pub fn clients(&self) -> &ClientTable {
+    pub fn clients(&self) -> &Clients {
         &self.clients
     }
 
@@ -166,10 +142,7 @@
                 self.with_control(|control, _, context| control.close_client(id, context));
             }
             Timer::Control => self.context.wake(Source::Control),
-            Timer::Listener => {
-                self.listener.on_retry_timer();
-                self.context.wake(Source::Listener);
-            }
+            Timer::Listener => self.clients.on_listener_timer(&mut self.context),
             Timer::Backend(id) => self.on_backend_timer(id),
             Timer::Client(id) => self.on_client_timer(id),
         }
@@ -196,10 +169,10 @@
         }
     }
 
-    /// Hands a new request to the routing module; `inserted` is called with its number before the decision is carried out.
-    pub fn start_request(&mut self, request: Request, inserted: impl FnOnce(&mut EventLoop, usize)) {
+    /// Hands a new request to the routing module; it is in flight from then on.
+    fn start_request(&mut self, request: Request, in_flight: InFlightRequest) {
         let (request_id, choice) = self.facade.pick(self.context.now(), PickRequest::New(request));
-        inserted(self, request_id);
+        self.enter_request(request_id, in_flight);
         self.apply_decision(request_id, choice);
     }
 
@@ -244,16 +217,6 @@
         self.withdraw_disallowed();
     }
 
-    /// Accepts who waits in the accept backlog, closes the listener, and from now on closes client connections once they idle.
-    pub fn drain(&mut self) {
-        // Whose connection the system has accepted may have sent a statement, which then counts as accepted.
-        self.accept_clients(usize::MAX);
-        self.is_draining = true;
-        self.close_listener_if_drained();
-        self.close_idle_clients();
-        self.run_routing_actions();
-    }
-
     /// What all parts use: clock, timers, counters, log.
     pub fn context(&mut self) -> &mut Context {
         &mut self.context
@@ -271,15 +234,13 @@
 
     /// What is accepted is to be answered by then, in Unix seconds.
     pub fn limit_answers(&mut self, answers_by: f64) {
-        self.answers_by = answers_by;
+        self.clients.limit_answers(answers_by);
     }
 
     /// Writes all counters to the log.
     pub fn log_counters(&self) {
-        let (log, cache) = (&self.context.log, &self.fingerprints);
-        info!(log, "fingerprint cache"; "hits" => cache.counts.known, "parsed" => cache.counts.parsed,
-            "prescanned" => cache.counts.prescanned, "replica_refusals" => cache.counts.denied,
-            "pages" => cache.entries(), "bytes" => cache.bytes());
+        let log = &self.context.log;
+        self.statements.log_counters(log);
         info!(log, "counters: {}", self.context.counters; "invariant_violations_total" => self.invariant_violations(),
             "client_connections_open" => self.clients.len(), "backend_connections_open" => self.backends.len(),
             "statements_in_flight" => self.requests.count());
@@ -287,7 +248,7 @@
 
     /// No client is connected, and none can connect.
     pub fn is_empty(&self) -> bool {
-        self.clients.is_empty() && !self.listener.is_open()
+        self.clients.is_empty() && !self.clients.is_listening()
     }
 
     /// Invariants that did not hold, wherever they are counted.
--- a/crates/ottersill/src/fleet_link/mod.rs
+++ b/crates/ottersill/src/fleet_link/mod.rs
@@ -4,6 +4,7 @@
 mod audit;
 pub mod audit_file;
 mod datagrams;
+pub mod demand;
 pub mod error;
 mod files;
 pub mod names;
@@ -25,8 +26,6 @@
 use crate::reactor::Context;
 use crate::timers::{Timer, TimerHandle};
 
-pub use crate::fleet_link::quota::{AttemptQuota, FleetDemand};
-
 /// Where the link stands.
 pub enum MembershipState {
     /// Another process holds the member's address: whoever has it is the member. Tried again at `retry_at`; until then
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -5,34 +5,13 @@
 use ottersill_fleet::node::FleetNode;
 use ottersill_fleet::quota_ledger::BudgetKey;
 use ottersill_fleet::settings::label;
-use ottersill_routing::facade::Facade;
 use ottersill_routing::interface::{EndpointQuota, FleetQuota};
 
-use crate::discovery::registry::{Endpoint, EndpointRegistry};
+use crate::discovery::registry::Endpoint;
+use crate::fleet_link::demand::{AttemptQuota, FleetDemand};
 use crate::fleet_link::{FleetLink, MembershipState};
 use crate::reactor::Context;
 
-/// What this router has to spend quota on.
-pub struct FleetDemand<'a> {
-    /// All endpoints.
-    pub endpoints: &'a EndpointRegistry,
-    /// Knows what waits for them, and which of them warm up.
-    pub routing: &'a Facade,
-    /// How many requests are in flight.
-    pub requests_in_flight: usize,
-}
-
-/// An attempt that quota is wanted for.
-#[derive(Clone, Copy)]
-pub struct AttemptQuota<'a> {
-    /// The endpoint's name.
-    pub endpoint: &'a str,
-    /// An earlier attempt of the request may have run.
-    pub is_retry: bool,
-    /// The endpoint warms up.
-    pub is_warming: bool,
-}
-
 impl FleetLink {
     /// What this router may spend now, for the routing module. Tells the fleet what waits for more.
     pub fn update_quota(&mut self, demand: &FleetDemand, context: &mut Context) -> &FleetQuota {
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! In reading order: [`command`] (the command line), [`lifecycle`] (configuration, start, main loop, reload, shutdown),
 //! [`event_loop`] (hands each event to the part that owns it), [`reactor`], [`timers`] and [`clock`] (what the parts see of
-//! the loop), [`client`] (client connections), [`in_flight`] (the requests between them and the endpoints), [`backend`]
+//! the loop), [`client`] (client connections), [`statement_checker`] (what a client may ask), [`in_flight`] (the requests between them and the endpoints), [`backend`]
 //! (connections to endpoints), [`protocol`] (PostgreSQL's wire protocol, sockets), [`discovery`] (endpoint lists),
 //! [`fleet_link`] (the other routers), [`control`] (answers to operators), [`counters`]. `docs/architecture.md` says who
 //! owns which state.
@@ -23,4 +23,5 @@
 pub mod lifecycle;
 pub mod protocol;
 pub mod reactor;
+pub mod statement_checker;
 pub mod timers;
--- a/crates/ottersill/src/lifecycle/config.rs
+++ b/crates/ottersill/src/lifecycle/config.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 
-use crate::client::limits::ConnectionLimits;
+use crate::client::connection_limits::ConnectionLimits;
 use crate::discovery::endpoint_list::EndpointList;
 
 /// The environment variable with the path of the file.
