--- a/crates/ottersill/src/backend/connection.rs
+++ b/crates/ottersill/src/backend/connection.rs
@@ -66,7 +66,7 @@
 pub struct BackendConnection {
     /// The endpoint's index.
     pub endpoint: usize,
-    /// Changed by `set_backend_state` alone.
+    /// Changed by `Backends::set_state` alone.
     pub state: ConnectionState,
     /// What it carries.
     pub assignment: Option<Assignment>,
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -3,116 +3,89 @@
 use std::net::SocketAddr;
 
 use bytes::BytesMut;
-use ottersill_config::fleet::BudgetKind;
 use ottersill_routing::interface::AttemptOutcome;
 use slog::info;
 
 use crate::backend::connection::{Assignment, BackendConnection, ConnectionState};
 use crate::backend::reply::Reply;
-use crate::event_loop::EventLoop;
+use crate::backend::{Backends, FinishedAssignment};
+use crate::discovery::registry::EndpointRegistry;
 use crate::protocol::frame;
 use crate::protocol::socket;
 use crate::protocol::socket::{Outbox, ReadOutcome};
 use crate::protocol::socket_failure::ConnectFailure;
-use crate::reactor::Source;
+use crate::reactor::{Context, Source};
 use crate::timers::Timer;
 
-impl EventLoop {
+/// Between two log lines about broken connections to an endpoint, in seconds.
+const LOG_INTERVAL: f64 = 1.0;
+
+impl Backends {
     /// Every change of a connection's state, with the time by which it has to change again.
-    pub(crate) fn set_backend_state(&mut self, id: usize, next: ConnectionState, deadline: f64) {
-        let connection = &mut self.backends[id];
-        self.context.counters.check_invariant(
+    pub(super) fn set_state(
+        &mut self,
+        id: usize,
+        next: ConnectionState,
+        deadline: f64,
+        context: &mut Context,
+    ) {
+        let connection = &mut self.table[id];
+        context.counters.check_invariant(
             connection.state.may_become(next),
             "a backend connection changes its state as allowed",
         );
         connection.state = next;
-        self.context.timers.clear(connection.timer.take());
+        context.timers.clear(connection.timer.take());
         if next != ConnectionState::Closed {
-            connection.timer = Some(self.context.timers.set(deadline, Timer::Backend(id)));
-        }
-    }
-
-    /// Gives an assignment to an idle connection to that endpoint, the last used first, or to a new one.
-    pub(crate) fn assign_to_endpoint(
-        &mut self,
-        endpoint: usize,
-        assignment: Assignment,
-        deadline: f64,
-    ) -> Result<usize, AttemptOutcome> {
-        if let Some(id) = self.take_idle_backend(endpoint) {
-            self.set_assignment(id, assignment, deadline);
-            self.send_assignment(id);
-            return Ok(id);
+            connection.timer = Some(context.timers.set(deadline, Timer::Backend(id)));
         }
-        let address = self.endpoints.all[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
-        self.check_may_connect(assignment)?;
-        self.open_backend(endpoint, address, assignment, deadline)
     }
 
     /// The idle connection to an endpoint that was used last. Those that the endpoint has ended are closed: they must not be
     /// taken for connections.
-    fn take_idle_backend(&mut self, endpoint: usize) -> Option<usize> {
-        while let Some(id) = self.backends.pop_idle(endpoint) {
-            let connection = &mut self.backends[id];
+    pub fn take_idle(&mut self, endpoint: usize, context: &mut Context) -> Option<usize> {
+        while let Some(id) = self.table.pop_idle(endpoint) {
+            let connection = &mut self.table[id];
             let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
             if matches!(read, Ok(ReadOutcome::Drained)) && connection.inbox.is_empty() {
                 return Some(id);
             }
-            self.context.counters.backend_connections_closed_by_endpoint += 1;
-            self.close_backend(id);
+            context.counters.backend_connections_closed_by_endpoint += 1;
+            self.close(id, context);
         }
         None
     }
 
-    /// Whether one more connection may be opened, by the limit on descriptors and the fleet's budget. Idle connections are
-    /// closed to make room.
-    fn check_may_connect(&mut self, assignment: Assignment) -> Result<(), AttemptOutcome> {
-        // One for a health check of each endpoint is kept back: an endpoint that can't be checked can't be judged.
-        let reserved = match assignment {
-            Assignment::HealthCheck => 0,
-            Assignment::Request(_) => self.endpoints.all.len().min(self.limits.total / 4),
-        };
-        let taken = self.clients.descriptors_taken() + self.backends.len();
-        let is_full = taken + reserved >= self.limits.total;
-        if is_full
-            && !self.clients.close_one_lingering(&mut self.context)
-            && !self.close_longest_idle_backend()
-        {
-            self.context.counters.attempts_without_descriptor += 1;
-            return Err(AttemptOutcome::NeverSent);
-        }
-        if !self.acquire_quota(BudgetKind::NewConnections) {
-            self.context.counters.fleet_quota_refusals += 1;
-            return Err(AttemptOutcome::NeverSent);
-        }
-        Ok(())
-    }
-
     /// Opens a connection for an assignment.
-    fn open_backend(
+    ///
+    /// # Errors
+    /// If it can't even be begun: what that means for its attempt.
+    pub fn open(
         &mut self,
         endpoint: usize,
         address: SocketAddr,
-        assignment: Assignment,
-        deadline: f64,
+        (assignment, deadline): (Assignment, f64),
+        endpoints: &mut EndpointRegistry,
+        context: &mut Context,
     ) -> Result<usize, AttemptOutcome> {
-        let id = self.backends.next_id();
-        let opened = socket::connect(address).and_then(|socket| {
-            self.context.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local)
-        });
-        let (socket, token) = opened.map_err(|failure| self.on_connect_failed(endpoint, &failure))?;
-        self.endpoints.connect_begun(endpoint, self.context.now());
-        self.context.counters.backend_connections_opened += 1;
-        let connected_by = self.context.now() + self.timeouts.connect;
-        let timer = self.context.timers.set(deadline.min(connected_by), Timer::Backend(id));
-        self.backends.insert(BackendConnection {
+        let id = self.table.next_id();
+        let opened = socket::connect(address)
+            .and_then(|socket| context.register(socket, Source::Backend(id)).map_err(ConnectFailure::Local));
+        let (socket, token) =
+            opened.map_err(|failure| self.on_connect_failed(endpoint, &failure, endpoints, context))?;
+        let now = context.now();
+        endpoints.connect_begun(endpoint, now);
+        context.counters.backend_connections_opened += 1;
+        let connected_by = now + self.timeouts.connect;
+        let timer = context.timers.set(deadline.min(connected_by), Timer::Backend(id));
+        self.table.insert(BackendConnection {
             endpoint,
             state: ConnectionState::Dialing,
             assignment: Some(assignment),
-            assigned_at: self.context.now(),
+            assigned_at: now,
             deadline,
-            time_left_sent_at: self.context.now(),
-            idle_since: self.context.now(),
+            time_left_sent_at: now,
+            idle_since: now,
             socket,
             token,
             timer: Some(timer),
@@ -124,66 +97,91 @@
     }
 
     /// What a connection that could not even be begun means for its attempt.
-    fn on_connect_failed(&mut self, endpoint: usize, failure: &ConnectFailure) -> AttemptOutcome {
-        self.context.counters.backend_connections_failed += 1;
-        self.log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string());
-        let counts =
-            self.endpoints.connect_failed(endpoint, self.context.now(), self.timeouts.connect, failure);
+    fn on_connect_failed(
+        &self,
+        endpoint: usize,
+        failure: &ConnectFailure,
+        endpoints: &mut EndpointRegistry,
+        context: &mut Context,
+    ) -> AttemptOutcome {
+        context.counters.backend_connections_failed += 1;
+        log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string(), endpoints, context);
+        let counts = endpoints.connect_failed(endpoint, context.now(), self.timeouts.connect, failure);
         if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
     }
 
-    /// Logs a broken connection. An endpoint that is down refuses hundreds of connections a second: one log line a second
-    /// tells as much.
-    pub(crate) fn log_connection_failure(&mut self, endpoint: usize, state: ConnectionState, why: &str) {
-        let endpoint = &mut self.endpoints.all[endpoint];
-        endpoint.broken += 1;
-        if self.context.now() - endpoint.logged_at >= 1.0 {
-            info!(self.context.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
-                "why" => why, "since_last_line" => endpoint.broken);
-            (endpoint.logged_at, endpoint.broken) = (self.context.now(), 0);
-        }
-    }
-
     /// Gives a connection what it is to carry.
-    pub(crate) fn set_assignment(&mut self, id: usize, assignment: Assignment, deadline: f64) {
-        let connection = &mut self.backends[id];
-        (connection.assignment, connection.assigned_at, connection.deadline) =
-            (Some(assignment), self.context.now(), deadline);
+    pub fn assign(&mut self, id: usize, assignment: Assignment, deadline: f64, context: &Context) {
+        let connection = &mut self.table[id];
+        connection.assignment = Some(assignment);
+        connection.assigned_at = context.now();
+        connection.deadline = deadline;
     }
 
     /// Keeps a connection for the next assignment.
-    pub(crate) fn make_idle(&mut self, id: usize) {
+    pub fn make_idle(&mut self, id: usize, context: &mut Context) {
         // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
-        self.set_backend_state(id, ConnectionState::Idle, self.context.now() + self.timeouts.idle / 2.0);
-        let connection = &mut self.backends[id];
-        connection.idle_since = self.context.now();
+        let idle_until = context.now() + self.timeouts.idle / 2.0;
+        self.set_state(id, ConnectionState::Idle, idle_until, context);
+        let connection = &mut self.table[id];
+        connection.idle_since = context.now();
         if connection.inbox.is_empty() {
             // What is left of it would hold on to all that was read with it.
             connection.inbox = BytesMut::new();
         }
-        self.backends.push_idle(id);
+        self.table.push_idle(id);
     }
 
     /// Closes a connection that carries nothing.
-    pub(crate) fn close_backend(&mut self, id: usize) {
-        self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
-        let connection = self.backends.remove(id);
-        self.context.deregister(connection.token);
+    pub(super) fn close(&mut self, id: usize, context: &mut Context) {
+        self.set_state(id, ConnectionState::Closed, f64::INFINITY, context);
+        let connection = self.table.remove(id);
+        context.deregister(connection.token);
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close_idle_backends_of(&mut self, endpoint: usize) {
-        while let Some(id) = self.backends.pop_idle(endpoint) {
-            self.close_backend(id);
+    pub fn close_idle_of(&mut self, endpoint: usize, context: &mut Context) {
+        while let Some(id) = self.table.pop_idle(endpoint) {
+            self.close(id, context);
         }
     }
 
     /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
-    pub fn close_longest_idle_backend(&mut self) -> bool {
-        let oldest = self.backends.longest_idle();
+    pub fn close_longest_idle(&mut self, context: &mut Context) -> bool {
+        let oldest = self.table.longest_idle();
         if let Some(id) = oldest {
-            self.close_backend(id);
+            self.close(id, context);
         }
         oldest.is_some()
     }
+
+    /// Takes off a connection what it carries.
+    pub(super) fn take_assignment(&mut self, id: usize, outcome: AttemptOutcome) -> FinishedAssignment {
+        let connection = &mut self.table[id];
+        FinishedAssignment {
+            assignment: connection.assignment.take(),
+            endpoint: connection.endpoint,
+            assigned_at: connection.assigned_at,
+            outcome,
+            reply: Reply::default(),
+        }
+    }
+}
+
+/// Logs a broken connection. An endpoint that is down refuses hundreds of connections a second: one log line a second
+/// tells as much.
+pub fn log_connection_failure(
+    endpoint: usize,
+    state: ConnectionState,
+    why: &str,
+    endpoints: &mut EndpointRegistry,
+    context: &Context,
+) {
+    let endpoint = &mut endpoints.all[endpoint];
+    endpoint.broken += 1;
+    if context.now() - endpoint.logged_at >= LOG_INTERVAL {
+        info!(context.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
+            "why" => why, "since_last_line" => endpoint.broken);
+        (endpoint.logged_at, endpoint.broken) = (context.now(), 0);
+    }
 }
--- /dev/null
+++ b/crates/ottersill/src/backend/sending.rs
@@ -0,0 +1,109 @@
+//! What a backend connection carries: written, given up, withdrawn.
+
+use ottersill_routing::interface::AttemptOutcome;
+
+use crate::backend::connection::{Assignment, ConnectionState};
+use crate::backend::reply::Reply;
+use crate::backend::{Backends, FinishedAssignment};
+use crate::in_flight::InFlightRequests;
+use crate::protocol::frame;
+use crate::protocol::statement_text::DEADLINE_MARGIN;
+use crate::protocol::statement_text::advertised_time_left;
+use crate::reactor::Context;
+
+impl Backends {
+    /// Puts the connection's assignment into its outbox, with the time that is left at `time`, the clock as read for this;
+    /// [`flush`](Self::flush) sends it. Gives the assignment's deadline.
+    pub fn write_assignment(
+        &mut self,
+        id: usize,
+        time: f64,
+        requests: &InFlightRequests,
+        context: &mut Context,
+    ) -> f64 {
+        let connection = &mut self.table[id];
+        connection.reply = Reply::default();
+        connection.time_left_sent_at = time;
+        let deadline = connection.deadline;
+        match connection.assignment {
+            Some(Assignment::Request(request_id)) => {
+                if let Some(request) = requests.get(request_id) {
+                    request.text.write_to(advertised_time_left(deadline - time), &mut connection.outbox);
+                }
+            }
+            Some(Assignment::HealthCheck) => connection.outbox.push(frame::SHOW_HEALTH.clone()),
+            None => {}
+        }
+        self.set_state(id, ConnectionState::Sending, deadline, context);
+        deadline
+    }
+
+    /// Whether what the connection carries is not written whole.
+    pub fn is_sending(&self, id: usize) -> bool {
+        self.table.get(id).is_some_and(|connection| connection.state == ConnectionState::Sending)
+    }
+
+    /// Updates the time left in a partly written statement; false if it is out of date and can't be changed any more.
+    pub fn refresh_deadline(&mut self, id: usize, time: f64, requests: &InFlightRequests) -> bool {
+        let connection = &mut self.table[id];
+        let Some(Assignment::Request(request_id)) = connection.assignment else { return true };
+        let Some(request) = requests.get(request_id) else { return false };
+        if request
+            .text
+            .update_time_left(advertised_time_left(connection.deadline - time), &mut connection.outbox)
+        {
+            connection.time_left_sent_at = time;
+        }
+        time - connection.time_left_sent_at <= DEADLINE_MARGIN
+    }
+
+    /// Writes what the socket takes; false if the connection broke.
+    pub fn flush(&mut self, id: usize, context: &mut Context) -> bool {
+        let connection = &mut self.table[id];
+        let flushed = connection.outbox.flush(&connection.socket);
+        let deadline = connection.deadline;
+        if connection.state == ConnectionState::Sending && matches!(flushed, Ok(true)) {
+            self.set_state(id, ConnectionState::Sent, deadline, context);
+        }
+        flushed.is_ok()
+    }
+
+    /// The connection is up and sends what it was opened for.
+    pub fn become_ready_to_send(&mut self, id: usize, context: &mut Context) {
+        let deadline = self.table[id].deadline;
+        self.set_state(id, ConnectionState::Idle, deadline, context);
+    }
+
+    /// Stops waiting for what the connection carries, which closes it: it may still be running there.
+    pub(super) fn abandon(
+        &mut self,
+        id: usize,
+        late: AttemptOutcome,
+        context: &mut Context,
+    ) -> FinishedAssignment {
+        let outcome = self.table[id].state.given_up(late);
+        let finished = self.take_assignment(id, outcome);
+        self.close(id, context);
+        finished
+    }
+
+    /// Cancels what the connection carries.
+    pub fn cancel(&mut self, id: usize, context: &mut Context) -> FinishedAssignment {
+        let withdrawn = self.withdraw(id, context);
+        withdrawn.unwrap_or_else(|| self.abandon(id, AttemptOutcome::Cancelled, context))
+    }
+
+    /// Withdraws from a connection what has not gone out whole; none if that has.
+    #[must_use]
+    pub fn withdraw(&mut self, id: usize, context: &mut Context) -> Option<FinishedAssignment> {
+        match self.table[id].state {
+            ConnectionState::Dialing | ConnectionState::Greeting => {
+                self.table[id].deadline = f64::INFINITY;
+                Some(self.take_assignment(id, AttemptOutcome::NeverSent))
+            }
+            // A part may be out: the rest of it, sent later, would be an attempt for nobody.
+            ConnectionState::Sending => Some(self.abandon(id, AttemptOutcome::NeverSent, context)),
+            ConnectionState::Idle | ConnectionState::Sent | ConnectionState::Closed => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/ottersill/src/event_loop/attempts.rs
@@ -0,0 +1,250 @@
+//! What the event loop does for attempts and health checks: begins them as the routing module has decided, sends them,
+//! withdraws them.
+
+use ottersill_config::fleet::BudgetKind;
+use ottersill_routing::interface::{AttemptOutcome, LoadReport};
+
+use crate::backend::BackendEvent;
+use crate::backend::connection::{Assignment, BackendConnection, ConnectionState};
+use crate::backend::reply::Reply;
+use crate::event_loop::EventLoop;
+use crate::in_flight::RequestPhase;
+use crate::protocol::socket;
+use crate::reactor::Source;
+
+impl EventLoop {
+    /// Sends a request that waits to an endpoint, as the routing module has decided. `timeout` is in seconds; 0 for none but the
+    /// request's own.
+    pub(super) fn start_attempt(&mut self, request_id: usize, endpoint: usize, timeout: f64) {
+        let Some(request) = self.requests.get(request_id) else { return };
+        self.context.counters.check_invariant(
+            request.phase == RequestPhase::Waiting,
+            "a request has one attempt in flight at a time",
+        );
+        let now = self.context.now();
+        let deadline = if timeout > 0.0 { request.deadline.min(now + timeout) } else { request.deadline };
+        if !self.client_is_known_to_wait(request_id) {
+            return self.report_unsent_attempt(request_id, endpoint, AttemptOutcome::NeverSent);
+        }
+        if !self.acquire_attempt_quota(request_id, endpoint) {
+            self.context.counters.fleet_quota_refusals += 1;
+            return self.report_unsent_attempt(request_id, endpoint, AttemptOutcome::NeverSent);
+        }
+        self.context.counters.attempts += 1;
+        match self.assign_to_endpoint(endpoint, Assignment::Request(request_id), deadline) {
+            Ok(connection) => {
+                let next = RequestPhase::Executing(connection);
+                self.requests.transition(request_id, next, &mut self.context.counters);
+            }
+            Err(outcome) => {
+                self.release_attempt_quota(endpoint, true);
+                self.report_unsent_attempt(request_id, endpoint, outcome);
+            }
+        }
+    }
+
+    fn report_unsent_attempt(&mut self, request_id: usize, endpoint: usize, outcome: AttemptOutcome) {
+        self.report_attempt(request_id, endpoint, outcome, 0.0, &Reply::default());
+    }
+
+    /// Begins a health check of an endpoint.
+    pub(super) fn start_health_check(&mut self, endpoint: usize) {
+        if !self.acquire_quota(BudgetKind::HealthChecks) {
+            self.context.counters.fleet_quota_refusals += 1;
+            return self.report_health_check(endpoint, AttemptOutcome::NeverSent, LoadReport::default());
+        }
+        self.context.counters.health_checks += 1;
+        // The settings name no other time after which an endpoint counts as unreachable.
+        let deadline = self.context.now() + self.backends.connect_timeout();
+        if let Err(outcome) = self.assign_to_endpoint(endpoint, Assignment::HealthCheck, deadline) {
+            self.report_health_check(endpoint, outcome, LoadReport::default());
+        }
+    }
+
+    /// Gives an assignment to an idle connection to that endpoint, the last used first, or to a new one.
+    fn assign_to_endpoint(
+        &mut self,
+        endpoint: usize,
+        assignment: Assignment,
+        deadline: f64,
+    ) -> Result<usize, AttemptOutcome> {
+        if let Some(id) = self.backends.take_idle(endpoint, &mut self.context) {
+            self.backends.assign(id, assignment, deadline, &self.context);
+            self.send_assignment(id);
+            return Ok(id);
+        }
+        let address = self.endpoints.all[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
+        self.check_may_connect(assignment)?;
+        let task = (assignment, deadline);
+        self.backends.open(endpoint, address, task, &mut self.endpoints, &mut self.context)
+    }
+
+    /// Whether one more connection may be opened, by the limit on descriptors and the fleet's budget. Idle connections are
+    /// closed to make room.
+    fn check_may_connect(&mut self, assignment: Assignment) -> Result<(), AttemptOutcome> {
+        // One for a health check of each endpoint is kept back: an endpoint that can't be checked can't be judged.
+        let reserved = match assignment {
+            Assignment::HealthCheck => 0,
+            Assignment::Request(_) => self.endpoints.all.len().min(self.limits.total / 4),
+        };
+        let taken = self.clients.descriptors_taken() + self.backends.len();
+        let has_room = taken + reserved < self.limits.total
+            || self.clients.close_one_lingering(&mut self.context)
+            || self.backends.close_longest_idle(&mut self.context);
+        if !has_room {
+            self.context.counters.attempts_without_descriptor += 1;
+            return Err(AttemptOutcome::NeverSent);
+        }
+        if !self.acquire_quota(BudgetKind::NewConnections) {
+            self.context.counters.fleet_quota_refusals += 1;
+            return Err(AttemptOutcome::NeverSent);
+        }
+        Ok(())
+    }
+
+    /// Writes the connection's assignment. The clock is read here, and the client looked at last: the iteration may have been
+    /// held up since it began.
+    fn send_assignment(&mut self, id: usize) {
+        let time = self.context.clock.read();
+        let deadline = self.backends.write_assignment(id, time, &self.requests, &mut self.context);
+        let is_wanted = time < deadline && !self.client_has_ended(id);
+        if !is_wanted || !self.backends.flush(id, &mut self.context) {
+            // Ended from there, where nothing else is in hand.
+            self.context.wake(Source::Backend(id));
+        }
+    }
+
+    /// Whether the client whose statement the connection carries has ended its connection.
+    fn client_has_ended(&self, id: usize) -> bool {
+        let assignment = self.backends.get(id).and_then(|connection| connection.assignment);
+        let Some(Assignment::Request(request_id)) = assignment else { return false };
+        let client = self.requests.get(request_id).and_then(|request| self.clients.get(request.client));
+        client.is_none_or(|client| socket::has_ended(&client.socket))
+    }
+
+    /// Whether the client still waits, without a look at it if it was read in this iteration: it is looked at as the bytes go
+    /// ([`send_assignment`](Self::send_assignment)).
+    fn client_is_known_to_wait(&mut self, request_id: usize) -> bool {
+        let client = self.requests.get(request_id).and_then(|request| self.clients.get(request.client));
+        let last_read_at = client.map_or(0.0, |client| client.last_read_at);
+        last_read_at >= self.context.now() || self.client_still_waits(request_id)
+    }
+
+    /// Whether the client still waits. Guards against attempts for a client that has closed its connection, which may not have
+    /// been read yet.
+    fn client_still_waits(&mut self, request_id: usize) -> bool {
+        let Some(request) = self.requests.get(request_id) else { return false };
+        self.close_client_if_ended(request.client);
+        let request = self.requests.get(request_id);
+        request.is_some_and(|request| !matches!(request.phase, RequestPhase::Abandoned(_)))
+    }
+
+    /// A backend connection became ready.
+    pub fn on_backend_ready(&mut self, id: usize) {
+        if self.backends.is_sending(id) && !self.may_go_on_sending(id) {
+            // Its last byte, by which an attempt counts, would come too late.
+            if self.backends.get(id).is_some() {
+                self.withdraw(id);
+            }
+            return;
+        }
+        let Some(end) = self.backends.on_ready(id, &mut self.context) else { return };
+        if self.handle_backend_events(id) {
+            let finished = self.backends.end_transfer(id, &end, &mut self.endpoints, &mut self.context);
+            finished.into_iter().for_each(|finished| self.finish_assignment(finished));
+        }
+    }
+
+    /// Does what the messages read on a connection ask for; false if that ended the connection.
+    fn handle_backend_events(&mut self, id: usize) -> bool {
+        loop {
+            match self.backends.next_event(id, &mut self.endpoints, &mut self.context) {
+                BackendEvent::Up => self.on_backend_up(id),
+                BackendEvent::Finished(finished) => self.finish_assignment(finished),
+                BackendEvent::Closed(finished) => {
+                    self.finish_assignment(finished);
+                    return false;
+                }
+                BackendEvent::AllRead => return true,
+                BackendEvent::Gone => return false,
+            }
+        }
+    }
+
+    /// A connection is up: what it was opened for goes out, unless that is over by now.
+    fn on_backend_up(&mut self, id: usize) {
+        if self.may_still_send(id) {
+            self.backends.become_ready_to_send(id, &mut self.context);
+            self.send_assignment(id);
+        } else {
+            self.withdraw(id);
+            self.backends.make_idle(id, &mut self.context);
+        }
+    }
+
+    /// The timer of a backend connection has expired.
+    pub(super) fn on_backend_timer(&mut self, id: usize) {
+        let finished = self.backends.on_timer(id, &mut self.endpoints, &mut self.context);
+        finished.into_iter().for_each(|finished| self.finish_assignment(finished));
+    }
+
+    /// Whether the rest of a statement may go out of which a part is out.
+    fn may_go_on_sending(&mut self, id: usize) -> bool {
+        let time = self.context.clock.read();
+        self.backends.refresh_deadline(id, time, &self.requests) && self.may_still_send(id)
+    }
+
+    /// Whether what a connection was opened for may go out now that it is up: it was chosen some time ago.
+    fn may_still_send(&mut self, id: usize) -> bool {
+        let Some(connection) = self.backends.get(id) else { return false };
+        let (endpoint, deadline) = (connection.endpoint, connection.deadline);
+        match connection.assignment {
+            Some(Assignment::Request(request_id)) => {
+                self.context.clock.read() < deadline
+                    && self.client_still_waits(request_id)
+                    && self.facade.may_begin(self.context.now(), request_id, endpoint)
+            }
+            Some(Assignment::HealthCheck) => self.facade.may_check_health(endpoint),
+            None => false,
+        }
+    }
+
+    /// Withdraws what has not gone out yet to endpoints that may get nothing new by now.
+    pub(super) fn withdraw_disallowed(&mut self) {
+        let waits = |connection: &BackendConnection| {
+            matches!(connection.state, ConnectionState::Dialing | ConnectionState::Greeting)
+        };
+        let is_disallowed = |connection: &BackendConnection| match connection.assignment {
+            Some(Assignment::Request(request_id)) => {
+                !self.facade.may_begin(self.context.now(), request_id, connection.endpoint)
+            }
+            Some(Assignment::HealthCheck) => !self.facade.may_check_health(connection.endpoint),
+            None => false,
+        };
+        let disallowed = self
+            .backends
+            .iter()
+            .filter(|(_, connection)| waits(connection) && is_disallowed(connection))
+            .map(|(id, _)| id);
+        let disallowed: Vec<usize> = disallowed.collect();
+        for id in disallowed {
+            self.withdraw(id);
+        }
+    }
+
+    /// Withdraws from a connection what has not gone out whole.
+    pub(super) fn withdraw(&mut self, id: usize) {
+        if let Some(finished) = self.backends.withdraw(id, &mut self.context) {
+            self.finish_assignment(finished);
+        }
+    }
+
+    /// Cancels the attempt of a request, so that it can be retried.
+    pub(super) fn cancel_attempt(&mut self, request_id: usize) {
+        let phase = self.requests.get(request_id).map(|request| request.phase);
+        if let Some(RequestPhase::Executing(connection)) = phase {
+            let finished = self.backends.cancel(connection, &mut self.context);
+            self.finish_assignment(finished);
+        }
+    }
+}
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -59,7 +59,7 @@
         (self.clients.has_room() || self.close_idle_client(false) || self.close_idle_client(true))
             && (self.clients.len() + self.backends.len() < self.limits.total
                 || self.clients.close_one_lingering(&mut self.context)
-                || self.close_longest_idle_backend())
+                || self.backends.close_longest_idle(&mut self.context))
     }
 
     /// Closes idle connections of clients that have queried, as far as there are too many of those.
@@ -108,7 +108,7 @@
     }
 
     /// Looks for the client's end, which may not have had its turn to be read.
-    pub(crate) fn close_client_if_ended(&mut self, id: usize) {
+    pub(super) fn close_client_if_ended(&mut self, id: usize) {
         let event = self.clients.close_if_ended(id, &mut self.context);
         self.on_client_event(id, event);
     }
@@ -190,7 +190,7 @@
     }
 
     /// Answers a request with the result of an endpoint.
-    pub(crate) fn complete(&mut self, request_id: usize, [description, row, complete]: [Bytes; 3]) {
+    pub(super) fn complete(&mut self, request_id: usize, [description, row, complete]: [Bytes; 3]) {
         self.context.counters.completed += 1;
         self.answer(request_id, [description, row, complete, frame::READY_FOR_QUERY.clone()]);
     }
--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether the fleet's budgets let an attempt go out to that endpoint now, and counts it if they do.
-    pub(crate) fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
+    pub(super) fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
         let attempt = AttemptQuota {
             endpoint: &self.endpoints.all[endpoint].name,
@@ -99,13 +99,13 @@
     }
 
     /// Whether the fleet's budget for that lets one more be begun now, and counts it if it does.
-    pub(crate) fn acquire_quota(&mut self, of: BudgetKind) -> bool {
+    pub(super) fn acquire_quota(&mut self, of: BudgetKind) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
         link.acquire(self.context.clock.read(), of, "")
     }
 
     /// An attempt that was counted is over; `proved` if it is known to run no more.
-    pub(crate) fn release_attempt_quota(&mut self, endpoint: usize, proved: bool) {
+    pub(super) fn release_attempt_quota(&mut self, endpoint: usize, proved: bool) {
         if let Some(link) = &mut self.fleet_link {
             let name = &self.endpoints.all[endpoint].name;
             link.release_attempt(self.context.clock.read(), name, proved);
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -1,15 +1,17 @@
 //! The event loop: hands what became ready and which timers expired to the part that owns it, and carries out what the
 //! routing module decides. Nothing here decides.
 
+mod attempts;
 mod clients;
 mod fleet;
+mod outcomes;
 
 use ottersill_config::deployment::{BackendTimeouts, Catalog};
 use ottersill_routing::facade::{Decision, Facade, PickRequest, RoutingAction, RoutingEvent};
 use ottersill_routing::interface::{Request, RoutingConfig};
 use slog::{Logger, info};
 
-use crate::backend::table::BackendTable;
+use crate::backend::Backends;
 use crate::client::Clients;
 use crate::client::connection_limits::ConnectionLimits;
 use crate::control::server::ControlServer;
@@ -25,15 +27,15 @@
 /// The parts of a router, and what they share. Times are Unix seconds.
 pub struct EventLoop {
     /// The routing module, which alone decides.
-    pub(crate) facade: Facade,
+    facade: Facade,
     /// The requests in flight.
-    pub(crate) requests: InFlightRequests,
+    requests: InFlightRequests,
     /// The endpoints that discovery has named.
-    pub(crate) endpoints: EndpointRegistry,
+    endpoints: EndpointRegistry,
     /// Client connections.
-    pub(crate) clients: Clients,
+    clients: Clients,
     /// Backend connections.
-    pub(crate) backends: BackendTable,
+    backends: Backends,
     /// Keeps the watch on discovery.
     discovery: DiscoveryClient,
     /// The link to the other routers; none without a fleet.
@@ -41,13 +43,11 @@
     /// Answers operators.
     control: ControlServer,
     /// Checks statements, and keeps what is known of them.
-    pub(crate) statements: StatementChecker,
-    /// Time limits of backend connections.
-    pub(crate) timeouts: BackendTimeouts,
+    statements: StatementChecker,
     /// Limits of connections and memory.
-    pub(crate) limits: ConnectionLimits,
+    limits: ConnectionLimits,
     /// What all parts use: clock, timers, counters, log, registration of sockets.
-    pub(crate) context: Context,
+    context: Context,
     /// When a client may come again that finds no endpoint list here, in seconds; 0 where no time may be named.
     max_retry_after: f64,
 }
@@ -71,11 +71,10 @@
             endpoints: EndpointRegistry::new(catalog.sites.clone()),
             statements: StatementChecker::new(now, catalog, &routing_config, limits.fingerprint_bytes),
             clients: Clients::new(limits),
-            backends: BackendTable::default(),
+            backends: Backends::new(timeouts),
             discovery: DiscoveryClient::new(discovery, timeouts.drain_grace),
             fleet_link: None,
             control: ControlServer::default(),
-            timeouts,
             limits,
             context,
             max_retry_after,
@@ -94,7 +93,7 @@
     }
 
     /// All backend connections.
-    pub fn backends(&self) -> &BackendTable {
+    pub fn backends(&self) -> &Backends {
         &self.backends
     }
 
@@ -206,7 +205,7 @@
         self.context.counters.endpoint_lists += 1;
         let change = self.endpoints.apply(list);
         for endpoint in change.readdressed {
-            self.close_idle_backends_of(endpoint);
+            self.backends.close_idle_of(endpoint, &mut self.context);
         }
         for listed in &change.updates {
             let name = self.endpoints.all[listed.endpoint].name.as_str();
--- a/crates/ottersill/src/backend/outcome.rs
+++ b/crates/ottersill/src/event_loop/outcomes.rs
@@ -2,54 +2,37 @@
 
 use ottersill_routing::facade::RoutingEvent;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
-use ottersill_statement::fingerprint_cache::CacheKey;
 
+use crate::backend::FinishedAssignment;
 use crate::backend::connection::Assignment;
 use crate::backend::reply::Reply;
+use crate::counters::Counters;
 use crate::event_loop::EventLoop;
 use crate::in_flight::RequestPhase;
 
 impl EventLoop {
     /// Counts and reports the end of what a connection carried, and answers the client if that completed its request.
-    pub(crate) fn finish_assignment(
-        &mut self,
-        assignment: Option<Assignment>,
-        endpoint: usize,
-        assigned_at: f64,
-        outcome: AttemptOutcome,
-        reply: Reply,
-    ) {
-        match assignment {
-            Some(Assignment::Request(request_id)) => {
-                self.finish_attempt(request_id, endpoint, assigned_at, outcome, reply);
-            }
-            Some(Assignment::HealthCheck) => self.finish_health_check(endpoint, outcome, &reply),
+    pub(super) fn finish_assignment(&mut self, finished: FinishedAssignment) {
+        match finished.assignment {
+            Some(Assignment::Request(request_id)) => self.finish_attempt(request_id, finished),
+            Some(Assignment::HealthCheck) => self.finish_health_check(&finished),
             None => {}
         }
     }
 
-    fn finish_attempt(
-        &mut self,
-        request_id: usize,
-        endpoint: usize,
-        assigned_at: f64,
-        outcome: AttemptOutcome,
-        mut reply: Reply,
-    ) {
+    fn finish_attempt(&mut self, request_id: usize, finished: FinishedAssignment) {
+        let FinishedAssignment { endpoint, assigned_at, outcome, mut reply, .. } = finished;
         let elapsed = self.context.now() - assigned_at;
-        let request = self.requests.get(request_id);
-        let is_known = request.is_some();
-        let is_abandoned = request.is_some_and(|request| matches!(request.phase, RequestPhase::Abandoned(_)));
-        if let Some(cache_key) = request.and_then(|request| request.cache_key) {
-            self.record_for_fingerprint(cache_key, endpoint, elapsed, outcome, &reply);
-        }
+        self.record_for_fingerprint(request_id, endpoint, elapsed, outcome, &reply);
         // Otherwise it may run on.
         let is_over =
             !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset);
         self.release_attempt_quota(endpoint, is_over);
-        if is_known && !outcome.had_no_effect() && outcome != AttemptOutcome::Completed {
+        let phase = self.requests.get(request_id).map(|request| request.phase);
+        if phase.is_some() && !outcome.had_no_effect() && outcome != AttemptOutcome::Completed {
             self.requests.note_may_have_run(request_id);
         }
+        let is_abandoned = matches!(phase, Some(RequestPhase::Abandoned(_)));
         if is_abandoned {
             self.requests.transition(request_id, RequestPhase::Vacant, &mut self.context.counters);
         } else if outcome == AttemptOutcome::Completed {
@@ -63,12 +46,14 @@
     /// Notes for later statements of the same text what this attempt tells of them.
     fn record_for_fingerprint(
         &mut self,
-        cache_key: CacheKey,
+        request_id: usize,
         endpoint: usize,
         elapsed: f64,
         outcome: AttemptOutcome,
         reply: &Reply,
     ) {
+        let cache_key = self.requests.get(request_id).and_then(|request| request.cache_key);
+        let Some(cache_key) = cache_key else { return };
         let at_replica = reply.piggybacked.role == Some(Role::Replica);
         match outcome {
             AttemptOutcome::Completed => {
@@ -85,18 +70,18 @@
         }
     }
 
-    fn finish_health_check(&mut self, endpoint: usize, outcome: AttemptOutcome, reply: &Reply) {
-        match outcome {
+    fn finish_health_check(&mut self, finished: &FinishedAssignment) {
+        let (outcome, report) = match finished.outcome {
             AttemptOutcome::Completed | AttemptOutcome::Error | AttemptOutcome::Refused => {
-                let (outcome, report) = reply.health_check_result();
-                self.report_health_check(endpoint, outcome, report);
+                finished.reply.health_check_result()
             }
-            _ => self.report_health_check(endpoint, outcome, LoadReport::default()),
-        }
+            outcome => (outcome, LoadReport::default()),
+        };
+        self.report_health_check(finished.endpoint, outcome, report);
     }
 
     /// Counts the end of an attempt, and reports it to the routing module.
-    pub(crate) fn report_attempt(
+    pub(super) fn report_attempt(
         &mut self,
         request_id: usize,
         endpoint: usize,
@@ -104,19 +89,7 @@
         elapsed: f64,
         reply: &Reply,
     ) {
-        let counter = match outcome {
-            AttemptOutcome::Completed => &mut self.context.counters.attempts_completed,
-            AttemptOutcome::Error => &mut self.context.counters.attempts_error,
-            AttemptOutcome::Refused => &mut self.context.counters.attempts_refused,
-            AttemptOutcome::TimedOut => &mut self.context.counters.attempts_timed_out,
-            AttemptOutcome::ConnectFailed => &mut self.context.counters.attempts_connect_failed,
-            AttemptOutcome::Reset => &mut self.context.counters.attempts_connection_reset,
-            AttemptOutcome::Cancelled => &mut self.context.counters.attempts_cancelled,
-            AttemptOutcome::NeverSent => &mut self.context.counters.attempts_not_sent,
-            AttemptOutcome::WrongEndpoint => &mut self.context.counters.attempts_wrong_endpoint,
-            AttemptOutcome::ReadOnly => &mut self.context.counters.attempts_read_only,
-        };
-        *counter += 1;
+        *counter_of(outcome, &mut self.context.counters) += 1;
         self.report(RoutingEvent::AttemptEnded {
             request: request_id,
             endpoint,
@@ -128,7 +101,7 @@
     }
 
     /// Counts the end of a health check, and reports it to the routing module.
-    pub(crate) fn report_health_check(
+    pub(super) fn report_health_check(
         &mut self,
         endpoint: usize,
         outcome: AttemptOutcome,
@@ -138,3 +111,19 @@
         self.report(RoutingEvent::HealthCheckEnded { endpoint, outcome, report });
     }
 }
+
+/// What counts attempts that ended so.
+fn counter_of(outcome: AttemptOutcome, counters: &mut Counters) -> &mut u64 {
+    match outcome {
+        AttemptOutcome::Completed => &mut counters.attempts_completed,
+        AttemptOutcome::Error => &mut counters.attempts_error,
+        AttemptOutcome::Refused => &mut counters.attempts_refused,
+        AttemptOutcome::TimedOut => &mut counters.attempts_timed_out,
+        AttemptOutcome::ConnectFailed => &mut counters.attempts_connect_failed,
+        AttemptOutcome::Reset => &mut counters.attempts_connection_reset,
+        AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
+        AttemptOutcome::NeverSent => &mut counters.attempts_not_sent,
+        AttemptOutcome::WrongEndpoint => &mut counters.attempts_wrong_endpoint,
+        AttemptOutcome::ReadOnly => &mut counters.attempts_read_only,
+    }
+}
