--- /dev/null
+++ b/crates/ottersill/src/event_loop/discovery.rs
@@ -0,0 +1,62 @@
+//! What the event loop does with what discovery says.
+
+use std::net::SocketAddr;
+
+use ottersill_routing::facade::RoutingEvent;
+use slog::info;
+
+use crate::discovery::client::DiscoveryEvent;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::event_loop::EventLoop;
+
+impl EventLoop {
+    /// Begins the watch on discovery.
+    pub fn start_discovery(&mut self) {
+        self.discovery.start(&mut self.context);
+        self.on_discovery_events();
+    }
+
+    /// Discovery is at that address from now on.
+    pub fn move_discovery(&mut self, address: SocketAddr) {
+        self.discovery.move_to(address, &mut self.context);
+        self.on_discovery_events();
+    }
+
+    /// A connection to discovery became ready.
+    pub(super) fn on_discovery_ready(&mut self) {
+        self.discovery.on_ready(&mut self.context);
+        self.on_discovery_events();
+    }
+
+    /// The timer of the watch on discovery has expired.
+    pub(super) fn on_discovery_timer(&mut self) {
+        self.discovery.on_timer(&mut self.context);
+        self.on_discovery_events();
+    }
+
+    /// Carries out what the discovery client says.
+    fn on_discovery_events(&mut self) {
+        while let Some(event) = self.discovery.poll_event() {
+            match event {
+                DiscoveryEvent::List(list) => self.apply_endpoint_list(&list),
+                DiscoveryEvent::CallFailed => self.report(RoutingEvent::EndpointListFailed),
+            }
+        }
+    }
+
+    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
+    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        self.context.counters.endpoint_lists += 1;
+        let change = self.endpoints.apply(list);
+        for endpoint in change.readdressed {
+            self.backends.close_idle_of(endpoint, &mut self.context);
+        }
+        for listed in &change.updates {
+            let name = self.endpoints.all[listed.endpoint].name.as_str();
+            info!(self.context.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.state),
+                "started_at" => listed.started_at.unwrap_or(0.0));
+        }
+        self.report(RoutingEvent::EndpointList(&change.updates));
+        self.withdraw_disallowed();
+    }
+}
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -3,6 +3,7 @@
 
 mod attempts;
 mod clients;
+mod discovery;
 mod fleet;
 mod outcomes;
 
@@ -15,8 +16,7 @@
 use crate::client::Clients;
 use crate::client::connection_limits::ConnectionLimits;
 use crate::control::server::ControlServer;
-use crate::discovery::client::{DiscoveryClient, DiscoveryEvent};
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::client::DiscoveryClient;
 use crate::discovery::registry::EndpointRegistry;
 use crate::fleet_link::FleetLink;
 use crate::in_flight::{InFlightRequest, InFlightRequests};
@@ -121,7 +121,7 @@
 
     fn on_ready(&mut self, source: Source) {
         match source {
-            Source::Discovery => self.with_discovery(DiscoveryClient::on_ready),
+            Source::Discovery => self.on_discovery_ready(),
             Source::Fleet => self.on_fleet_ready(),
             Source::Control => self.with_control(ControlServer::on_ready),
             Source::ControlClient(id) => {
@@ -135,7 +135,7 @@
 
     fn on_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Discovery => self.with_discovery(DiscoveryClient::on_timer),
+            Timer::Discovery => self.on_discovery_timer(),
             Timer::Fleet => self.on_fleet_timer(),
             Timer::ControlClient(id) => {
                 self.with_control(|control, _, context| control.close_client(id, context));
@@ -189,33 +189,6 @@
         self.facade.report(self.context.now(), event);
     }
 
-    /// Has the discovery client do something, and carries out what it says.
-    pub fn with_discovery(&mut self, step: impl FnOnce(&mut DiscoveryClient, &mut Context)) {
-        step(&mut self.discovery, &mut self.context);
-        while let Some(event) = self.discovery.poll_event() {
-            match event {
-                DiscoveryEvent::List(list) => self.apply_endpoint_list(&list),
-                DiscoveryEvent::CallFailed => self.report(RoutingEvent::EndpointListFailed),
-            }
-        }
-    }
-
-    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
-    pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        self.context.counters.endpoint_lists += 1;
-        let change = self.endpoints.apply(list);
-        for endpoint in change.readdressed {
-            self.backends.close_idle_of(endpoint, &mut self.context);
-        }
-        for listed in &change.updates {
-            let name = self.endpoints.all[listed.endpoint].name.as_str();
-            info!(self.context.log, "endpoint update"; "endpoint" => name, "state" => format!("{:?}", listed.state),
-                "started_at" => listed.started_at.unwrap_or(0.0));
-        }
-        self.report(RoutingEvent::EndpointList(&change.updates));
-        self.withdraw_disallowed();
-    }
-
     /// What all parts use: clock, timers, counters, log.
     pub fn context(&mut self) -> &mut Context {
         &mut self.context
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -80,6 +80,6 @@
             "needs_restart" => needs_restart);
         // What needs a restart is told of each time, so only what was taken over is kept.
         self.config.discovery = config.discovery;
-        event_loop.with_discovery(|client, context| client.move_to(config.discovery, context));
+        event_loop.move_discovery(config.discovery);
     }
 }
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -3,7 +3,6 @@
 use calloop::signals::{Signal, Signals};
 use slog::info;
 
-use crate::discovery::client::DiscoveryClient;
 use crate::event_loop::EventLoop;
 use crate::fleet_link::FleetLink;
 use crate::lifecycle::config::{Config, ConfigError};
@@ -39,7 +38,7 @@
     if let Some(known) = &config.known {
         event_loop.apply_endpoint_list(known);
     }
-    event_loop.with_discovery(DiscoveryClient::start);
+    event_loop.start_discovery();
     if let Some(link) = link {
         event_loop.join_fleet(link).map_err(RunError::Fleet)?;
     }
