--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -5,13 +5,14 @@
 
 use crate::client::Clients;
 use crate::client::connection::ConnectionPhase;
+use crate::clock::milliseconds;
 use crate::protocol::frame;
 use crate::protocol::frame::ErrorCode;
 use crate::reactor::{Context, Source};
 
 /// A rejection, with when to come again, in seconds; 0 for no such time.
 pub fn rejection(retry_after: f64, text: &str) -> Bytes {
-    let come_again = (retry_after > 0.0).then_some((retry_after * 1000.0).ceil() as u64);
+    let come_again = (retry_after > 0.0).then(|| milliseconds(retry_after));
     frame::error("ERROR", ErrorCode::TooMany, text, come_again)
 }
 
--- a/crates/ottersill/src/clock.rs
+++ b/crates/ottersill/src/clock.rs
@@ -32,6 +32,16 @@
     }
 }
 
+/// So many seconds in whole milliseconds, rounded up; 0 for less than none.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the cast saturates, and nobody waits for 2^64 milliseconds"
+)]
+pub fn milliseconds(seconds: f64) -> u64 {
+    (seconds * 1000.0).ceil() as u64
+}
+
 /// The clock of an event loop, and the times of its iterations. All are Unix seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LoopClock {
--- a/crates/ottersill/src/discovery/watch.rs
+++ b/crates/ottersill/src/discovery/watch.rs
@@ -1,6 +1,8 @@
 //! The watch on discovery: the states of a call, what the next request asks for, and all times. Nothing here touches a
 //! socket; [`client`](crate::discovery::client) does.
 
+use crate::clock::milliseconds;
+
 /// An update that discovery has counts as heard this long after, whatever failed before (the service page), in seconds.
 /// All that follows has to fit in: a long poll that falls silent, and two more calls that are not answered.
 const PROPAGATION_LIMIT: f64 = 6.0;
@@ -68,7 +70,7 @@
 
     /// A long poll for what comes after `version`.
     pub fn changes_since(version: u64) -> Request {
-        let timeout_ms = (LONG_POLL * 1000.0) as u64;
+        let timeout_ms = milliseconds(LONG_POLL);
         Request {
             path: format!("/v1/servers?since={version}&timeout_ms={timeout_ms}"),
             state: CallState::Watching,
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -40,7 +40,10 @@
         if waiting > 0 && !fleet.is_available(now, key) {
             fleet.note_waiting(now, key, waiting);
         }
-        Some(fleet.spendable(now, key).saturating_sub(fleet.lingering(key)) as f64)
+        let units = fleet.spendable(now, key).saturating_sub(fleet.lingering(key));
+        #[expect(clippy::cast_precision_loss, reason = "no budget has 2^52 units")]
+        let units = units as f64;
+        Some(units)
     }
 
     /// How many attempts this router may send to an endpoint that warms up; none where it is warm, or no budget limits that.
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -9,6 +9,7 @@
 //! owns which state.
 
 #![warn(missing_docs)]
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 
 pub mod backend;
 pub mod client;
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -162,7 +162,7 @@
     let socket = open(at)?;
     socket.set_reuse_address(true)?;
     socket.bind(&at.into())?;
-    socket.listen(backlog as i32)?;
+    socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
     Ok(socket)
 }
 
