--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -180,8 +180,8 @@
     let endpoint = &mut endpoints.all[endpoint];
     endpoint.broken += 1;
     if context.now() - endpoint.logged_at >= LOG_INTERVAL {
-        info!(context.log, "connection broke"; "host" => endpoint.name.as_str(), "course" => format!("{state:?}"),
-            "why" => why, "since_last_line" => endpoint.broken);
+        info!(context.log, "backend connection failed"; "endpoint" => endpoint.name.as_str(), "state" => format!("{state:?}"),
+            "reason" => why, "failures" => endpoint.broken);
         (endpoint.logged_at, endpoint.broken) = (context.now(), 0);
     }
 }
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -107,7 +107,7 @@
             return BackendEvent::Up;
         }
         // ReadyForQuery after an error: nothing that an endpoint of this protocol does.
-        BackendEvent::Finished(self.fail(id, "the host said no", endpoints, context))
+        BackendEvent::Finished(self.fail(id, "the endpoint refused it", endpoints, context))
     }
 
     /// What the connection carries has its answer; the connection is kept.
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -72,7 +72,7 @@
                 if AcceptFailure::of(&error) == AcceptFailure::TakeNext && self.listener.may_take_next() {
                     return Accepted::Lost;
                 }
-                warn!(context.log, "accept"; "fault" => %error);
+                warn!(context.log, "accept failed"; "error" => %error);
                 self.accept_later(context)
             }
         }
@@ -92,7 +92,7 @@
         let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
         match context.register_shared(&next.socket, Source::Client(id)) {
             Err(fault) if context.now() < deadline => {
-                warn!(context.log, "client not watched yet"; "fault" => %fault);
+                warn!(context.log, "client not registered yet"; "error" => %fault);
                 self.listener.keep_unwatched(next);
                 self.accept_later(context)
             }
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -73,7 +73,7 @@
         context: &mut Context,
     ) {
         context.counters.client_protocol_errors += 1;
-        info!(context.log, "client dismissed"; "reason" => text);
+        info!(context.log, "client rejected"; "reason" => text);
         self.reject_connection(id, code, text, context);
     }
 
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -164,12 +164,8 @@
         let reading =
             reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
         // What an endpoint said of it is not in the text.
-        let why = if reading.kind == StatementKind::Read {
-            "hosts that only read turn it away"
-        } else {
-            &reading.why
-        };
-        info!(context.log, "text may write"; "why" => why, "nature" => info.kind.name(),
+        let why = if reading.kind == StatementKind::Read { "replicas reject it" } else { &reading.why };
+        info!(context.log, "statement may write"; "reason" => why, "kind" => info.kind.name(),
             "workload" => self.catalog.workloads[workload].as_str(), "so_far" => context.counters.reads_treated_as_writes);
     }
 }
