--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -10,6 +10,7 @@
 mod pipelining;
 mod session;
 pub mod table;
+mod time_limits;
 
 use bytes::Bytes;
 
