--- a/crates/statement/src/classify.rs
+++ b/crates/statement/src/classify.rs
@@ -356,67 +356,100 @@
         self.writes.get_or_insert(what);
     }
 
-    /// What the walk and the tokens come to.
+    /// What the walk and the tokens come to. `runs` is false for what is only explained.
     fn judge(&mut self, statement: &Statement, runs: bool, text: &[u8], prescan: &Prescan) -> Classification {
+        if let Some(settled) = self.judge_kind(statement, text, prescan) {
+            return settled;
+        }
+        if let Some(objection) = self.objection(runs, text, prescan) {
+            return objection;
+        }
+        if let Some(called) = self.first_unknown_call(runs, text, prescan) {
+            return Classification::new(StatementKind::Unknown, format!("{called}() may write"));
+        }
+        let why = if runs { "nothing in it can write" } else { "EXPLAIN alone runs nothing" };
+        Classification::new(StatementKind::Read, why)
+    }
+
+    /// Notes what the kind of statement says. Returns a classification if that alone settles it.
+    fn judge_kind(
+        &mut self,
+        statement: &Statement,
+        text: &[u8],
+        prescan: &Prescan,
+    ) -> Option<Classification> {
         match statement {
-            Statement::Query(_) => {}
+            Statement::Query(_) => None,
             Statement::ShowVariable { .. } => {
-                return Classification::new(StatementKind::Read, "shows a setting");
+                Some(Classification::new(StatementKind::Read, "shows a setting"))
             }
             Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
                 self.writes("changes rows");
+                None
             }
             Statement::Copy { source, to, target, .. } => {
-                if let CopySource::Table { table_name, columns } = source {
-                    self.columned.extend(name(table_name).filter(|_| !columns.is_empty()));
-                    self.tables.extend(name(table_name));
-                }
-                match target {
-                    CopyTarget::Stdout if *to => {}
-                    _ => self.writes("COPY writes a table, or out of the server"),
-                }
+                self.copy(source, *to, target);
+                None
             }
-            _ => return unparsed(text, prescan),
+            _ => Some(unparsed(text, prescan)),
         }
-        // Nothing of what it explains runs; functions may, as the planner folds what it can.
-        let changes = self.writes.filter(|_| runs);
+    }
+
+    /// `COPY … TO` if `to` is set, else `COPY … FROM`.
+    fn copy(&mut self, source: &CopySource, to: bool, target: &CopyTarget) {
+        if let CopySource::Table { table_name, columns } = source {
+            self.columned.extend(name(table_name).filter(|_| !columns.is_empty()));
+            self.tables.extend(name(table_name));
+        }
+        match target {
+            CopyTarget::Stdout if to => {}
+            _ => self.writes("COPY writes a table, or out of the server"),
+        }
+    }
+
+    /// What speaks against a read before its calls are looked at: the gravest that was found.
+    fn objection(&mut self, runs: bool, text: &[u8], prescan: &Prescan) -> Option<Classification> {
         if let Some(doubt) = prescan.doubt.as_ref().filter(|doubt| doubt.cause == Cause::SessionCall) {
-            return doubted(text, doubt);
+            return Some(doubted(text, doubt));
         }
-        if let Some(what) = changes {
-            return Classification::new(StatementKind::Write, what);
+        // Nothing of what it explains runs; functions may, as the planner folds what it can.
+        if let Some(what) = self.writes.filter(|_| runs) {
+            return Some(Classification::new(StatementKind::Write, what));
         }
         if let Some(doubt) = prescan.dml.as_ref().filter(|_| runs) {
-            return doubted(text, doubt);
+            return Some(doubted(text, doubt));
         }
         if let Some(doubt) = &prescan.doubt {
-            return doubted(text, doubt);
+            return Some(doubted(text, doubt));
         }
         if self.statements > 1 && runs {
-            return Classification::new(StatementKind::Unknown, "a statement within the statement");
-        }
-        if let Some(why) = self.unknown.take() {
-            return Classification::new(StatementKind::Unknown, why);
+            return Some(Classification::new(StatementKind::Unknown, "a statement within the statement"));
         }
-        // Each name before a parenthesis is an alias that the parser has seen, or a call that it has not.
+        self.unknown.take().map(|why| Classification::new(StatementKind::Unknown, why))
+    }
+
+    /// The first name before a parenthesis that is neither an alias that the parser has seen nor a table's: a call that
+    /// the parser has not seen.
+    fn first_unknown_call(&mut self, runs: bool, text: &[u8], prescan: &Prescan) -> Option<String> {
         let mut aliases = std::mem::take(&mut self.columned);
         for range in &prescan.calls[..prescan.called] {
-            let bytes = &text[range.clone()];
-            let called = match bytes.first() {
-                Some(b'"') => String::from_utf8_lossy(&bytes[1..bytes.len() - 1]).replace("\"\"", "\""),
-                _ => String::from_utf8_lossy(bytes).to_ascii_lowercase(),
-            };
+            let called = called_name(&text[range.clone()]);
             match aliases.iter().position(|alias| *alias == called) {
                 Some(place) => drop(aliases.swap_remove(place)),
                 // The target's columns of an INSERT that is only explained.
-                None if !runs && self.tables.iter().any(|table| *table == called) => {}
-                None => return Classification::new(StatementKind::Unknown, format!("{called}() may write")),
+                None if !runs && self.tables.contains(&called) => {}
+                None => return Some(called),
             }
         }
-        Classification::new(
-            StatementKind::Read,
-            if runs { "nothing in it can write" } else { "EXPLAIN alone runs nothing" },
-        )
+        None
+    }
+}
+
+/// A name as the server takes it: unquoted or in lower case.
+fn called_name(bytes: &[u8]) -> String {
+    match bytes.first() {
+        Some(b'"') => String::from_utf8_lossy(&bytes[1..bytes.len() - 1]).replace("\"\"", "\""),
+        _ => String::from_utf8_lossy(bytes).to_ascii_lowercase(),
     }
 }
 
--- a/crates/statement/src/prescan.rs
+++ b/crates/statement/src/prescan.rs
@@ -157,6 +157,20 @@
         self.tokens += 1;
         let [last, second, third] = std::mem::take(&mut self.last);
         let (prev, before) = (last.as_ref(), second.as_ref());
+        self.check_end(token, text);
+        self.take_name(token, prev, before, text);
+        self.take_type(token, prev, text);
+        match token.kind {
+            Kind::Operator => self.operator(token, text),
+            Kind::Literal | Kind::Dollar => self.typed(token, prev, before, text),
+            Kind::Mark => self.mark(token, prev, before, third.as_ref(), text),
+            _ => {}
+        }
+        self.last = [Some(token.clone()), last, second];
+    }
+
+    /// Doubts what is no SQL, and what comes behind the first statement.
+    fn check_end(&mut self, token: &Token, text: &[u8]) {
         match token.kind {
             Kind::Bad => self.doubt(Cause::Bad, &token.at),
             _ if token.doubtful => self.doubt(Cause::Doubtful, &token.at),
@@ -164,6 +178,10 @@
             _ if self.ended => self.doubt(Cause::Several, &token.at),
             _ => {}
         }
+    }
+
+    /// The first word, key words that write, and names of tables that are changed.
+    fn take_name(&mut self, token: &Token, prev: Option<&Token>, before: Option<&Token>, text: &[u8]) {
         if self.opening == Opening::Unknown && self.opened_by.is_empty() && token.kind != Kind::Mark {
             self.open(token, text);
         } else if token.kind == Kind::Word && !is_mark(prev, text, b".") {
@@ -172,10 +190,11 @@
         if matches!(token.kind, Kind::Word | Kind::Quoted | Kind::QuotedUnicode) {
             self.updated(token, prev, before, text);
         }
-        if is(prev, text, &["as"])
-            && (1..=MAX_NESTING).contains(&self.depth)
-            && self.casts >> (self.depth - 1) & 1 == 1
-        {
+    }
+
+    /// Follows casts: doubts a type that is not built in, where one has to come.
+    fn take_type(&mut self, token: &Token, prev: Option<&Token>, text: &[u8]) {
+        if is(prev, text, &["as"]) && self.is_in_cast() {
             self.type_next = true;
         }
         if std::mem::take(&mut self.type_last) && is_mark(Some(token), text, b".") {
@@ -183,28 +202,23 @@
         }
         if std::mem::take(&mut self.type_next) && !is_own_schema(token, text) {
             self.type_last = true;
-            // The standard's spellings are no names of types; quoted, all but this may be a user's.
-            let own = match token.kind {
-                Kind::Word => listed(builtin_catalog::TYPES, token, text),
-                _ => token.bytes(text) == b"\"char\"",
-            };
-            if !own {
+            if !is_builtin_type(token, text) {
                 self.doubt(Cause::UnknownType, &token.at);
             }
         }
-        match token.kind {
-            Kind::Operator => {
-                if token.bytes(text) == b"::" {
-                    self.type_next = true;
-                } else if !builtin_catalog::is_exactly_in(builtin_catalog::OPERATORS, token.bytes(text)) {
-                    self.doubt(Cause::UnknownOperator, &token.at);
-                }
-            }
-            Kind::Literal | Kind::Dollar => self.typed(token, prev, before, text),
-            Kind::Mark => self.mark(token, prev, before, third.as_ref(), text),
-            _ => {}
+    }
+
+    /// Whether the innermost open parenthesis is that of a `CAST`.
+    fn is_in_cast(&self) -> bool {
+        (1..=MAX_NESTING).contains(&self.depth) && self.casts >> (self.depth - 1) & 1 == 1
+    }
+
+    fn operator(&mut self, token: &Token, text: &[u8]) {
+        if token.bytes(text) == b"::" {
+            self.type_next = true;
+        } else if !builtin_catalog::is_exactly_in(builtin_catalog::OPERATORS, token.bytes(text)) {
+            self.doubt(Cause::UnknownOperator, &token.at);
         }
-        self.last = [Some(token.clone()), last, second];
     }
 
     /// What kind of statement it is by its first word.
@@ -351,6 +365,14 @@
         || token.kind == Kind::Quoted && token.bytes(text) == b"\"pg_catalog\""
 }
 
+/// The standard's spellings are no names of types; quoted, all but `"char"` may be a user's.
+fn is_builtin_type(token: &Token, text: &[u8]) -> bool {
+    match token.kind {
+        Kind::Word => listed(builtin_catalog::TYPES, token, text),
+        _ => token.bytes(text) == b"\"char\"",
+    }
+}
+
 /// Whether a name behind that token is a column's.
 fn is_column(before: Option<&Token>, text: &[u8]) -> bool {
     before.is_some_and(|token| match token.kind {
