--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -71,10 +71,10 @@
                 let code =
                     message.field(b'C').filter(|code| ends && code.iter().all(u8::is_ascii_alphanumeric));
                 self.code =
-                    Some(code.and_then(|code| code.try_into().ok()).ok_or("an error without its code")?);
+                    Some(code.and_then(|code| code.try_into().ok()).ok_or(ProtocolError::ErrorWithoutCode)?);
             }
             b'S' => {
-                let (name, value) = message.parameter().ok_or("a parameter without its value")?;
+                let (name, value) = message.parameter().ok_or(ProtocolError::ParameterWithoutValue)?;
                 // What can't be read is no report; the answer that it came with may be good all the same.
                 if let Ok(value) = std::str::from_utf8(value) {
                     self.read_parameter_status(name, value);
@@ -82,7 +82,7 @@
             }
             b'Z' if message.body().len() == 1 => return Ok(true),
             b'N' | b'R' | b'K' | b'A' => {}
-            _ => return Err("a message that answers no simple query"),
+            _ => return Err(ProtocolError::UnexpectedMessage),
         }
         Ok(false)
     }
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -6,6 +6,7 @@
 use crate::backend::reply::Reply;
 use crate::event_loop::EventLoop;
 use crate::protocol::frame;
+use crate::protocol::frame::ProtocolError;
 use crate::protocol::socket;
 use crate::protocol::socket::ReadOutcome;
 use crate::reactor::Source;
@@ -68,15 +69,15 @@
             let taken = match frame::take_message(&mut connection.inbox) {
                 Ok(None) => return true,
                 Ok(Some(message)) => connection.reply.add(message),
-                Err(reason) => Err(reason),
+                Err(error) => Err(error),
             };
             match (taken, connection.state) {
                 (Ok(false), ConnectionState::Idle) if connection.reply.is_empty() => {}
                 (Ok(false), ConnectionState::Greeting | ConnectionState::Sent) => {}
                 (Ok(true), ConnectionState::Greeting) => self.on_connection_ready(id),
                 (Ok(true), ConnectionState::Sent) => self.on_reply_complete(id),
-                (Err(reason), _) => return self.on_protocol_error(id, reason),
-                _ => return self.on_protocol_error(id, "an answer to nothing"),
+                (Err(error), _) => return self.on_protocol_error(id, error),
+                _ => return self.on_protocol_error(id, ProtocolError::UnsolicitedAnswer),
             }
         }
         false
@@ -94,16 +95,17 @@
 
     /// The endpoint broke the protocol: its connection is of no further use. What was sent may have run, but the
     /// endpoint is there: taken for a broken connection, this would cost it its role.
-    fn on_protocol_error(&mut self, id: usize, reason: &str) -> bool {
+    fn on_protocol_error(&mut self, id: usize, error: ProtocolError) -> bool {
+        let reason = error.to_string();
         self.counters.backend_protocol_errors += 1;
         let connection = &mut self.backends[id];
         if connection.state != ConnectionState::Sent {
-            self.fail_backend(id, reason);
+            self.fail_backend(id, &reason);
             return false;
         }
         let (endpoint, assignment, assigned_at) =
             (connection.endpoint, connection.assignment.take(), connection.assigned_at);
-        self.log_connection_failure(endpoint, ConnectionState::Sent, reason);
+        self.log_connection_failure(endpoint, ConnectionState::Sent, &reason);
         self.close_backend(id);
         self.finish_assignment(assignment, endpoint, assigned_at, AttemptOutcome::Error, Reply::default());
         false
--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -26,7 +26,9 @@
         let scan = self.fingerprints.scan(text);
         let (statement, comment) = match StatementText::parse(text, &scan) {
             Ok(parsed) => parsed,
-            Err(reason) => return self.reject_query(client, ErrorCode::ProtocolViolation, reason),
+            Err(error) => {
+                return self.reject_query(client, ErrorCode::ProtocolViolation, &error.to_string());
+            }
         };
         let Some(workload) = self.catalog.workloads.iter().position(|name| name == comment.workload) else {
             return self.reject_query(client, ErrorCode::Unknown, "no workload has the name in c");
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -133,7 +133,9 @@
                     self.reject_connection(id, ErrorCode::TooMany, "no memory is left for this statement");
                 }
                 Ok(None) => return self.await_more_input(id),
-                Err(reason) => self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason),
+                Err(error) => {
+                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, &error.to_string());
+                }
             }
         }
     }
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -8,6 +8,7 @@
 use ottersill_statement::classify::{self, Classification, StatementKind};
 use ottersill_statement::fingerprint::{self, Fingerprint, Key};
 use serde::Serialize;
+use thiserror::Error;
 
 use crate::lifecycle::config::{Config, ConfigError};
 
@@ -95,18 +96,47 @@
     }
 }
 
+/// Why statements are not explained. The text is one line for whoever typed the command.
+#[derive(Debug, Error)]
+pub enum ExplainError {
+    /// The configuration that has the workload is not taken.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The configuration has no workload of that name.
+    #[error("--workload: no workload {name:?}; there are {known}")]
+    UnknownWorkload {
+        /// As typed.
+        name: String,
+        /// The names of all workloads.
+        known: String,
+    },
+    /// The input can't be read.
+    #[error("{file}: {source}")]
+    Input {
+        /// As typed.
+        file: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// An explanation can't be written as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The output can't be written.
+    #[error(transparent)]
+    Output(#[from] io::Error),
+}
+
 /// The workload with that name in the configuration; none if no configuration is named.
-fn find_workload(name: &str) -> Result<Option<RequestClass>, String> {
+fn find_workload(name: &str) -> Result<Option<RequestClass>, ExplainError> {
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
-    let config = Config::load().map_err(|error| error.to_string())?;
-    let routing_config =
-        config.settings.routing_config(config.seed).map_err(|error| ConfigError::from(error).to_string())?;
+    let config = Config::load()?;
+    let routing_config = config.settings.routing_config(config.seed).map_err(ConfigError::from)?;
     let names = config.settings.catalog();
-    let index = names.workloads.iter().position(|known| known == name).ok_or_else(|| {
-        format!("--workload: no workload {name:?}; there are {}", names.workloads.join(", "))
-    })?;
+    let unknown =
+        || ExplainError::UnknownWorkload { name: name.to_string(), known: names.workloads.join(", ") };
+    let index = names.workloads.iter().position(|known| known == name).ok_or_else(unknown)?;
     Ok(routing_config.workloads.get(index).cloned())
 }
 
@@ -123,11 +153,11 @@
 /// Writes what each statement of the input is.
 ///
 /// # Errors
-/// If the input can't be read, the workload isn't known, or the output can't be written; the text is one line for
-/// whoever typed the command.
-pub fn run(arguments: &Arguments) -> Result<(), String> {
+/// If the input can't be read, the workload isn't known, or the output can't be written.
+pub fn run(arguments: &Arguments) -> Result<(), ExplainError> {
     let workload = arguments.workload.as_deref().map(find_workload).transpose()?.flatten();
-    let text = read_input(&arguments.file).map_err(|fault| format!("{}: {fault}", arguments.file))?;
+    let text = read_input(&arguments.file)
+        .map_err(|source| ExplainError::Input { file: arguments.file.clone(), source })?;
     let separator = if arguments.nul { 0 } else { b'\n' };
     // What follows the last separator is a statement only if it isn't empty.
     let statements = text.strip_suffix(&[separator]).unwrap_or(&text);
@@ -142,16 +172,13 @@
         let reading = classify::classify(statement);
         let fingerprint = fingerprint::fingerprint_of(key, statement);
         let explanation = Explanation::new(&reading, fingerprint, workload.as_ref());
-        let line = if arguments.json {
-            serde_json::to_string(&explanation).map_err(|fault| fault.to_string())?
-        } else {
-            explanation.to_text()
-        };
+        let line = if arguments.json { serde_json::to_string(&explanation)? } else { explanation.to_text() };
         match writeln!(out, "{line}") {
             // Whoever reads the output has stopped reading, such as `head`.
             Err(fault) if fault.kind() == ErrorKind::BrokenPipe => return Ok(()),
-            written => written.map_err(|fault| fault.to_string())?,
+            written => written?,
         }
     }
-    out.flush().map_err(|fault| fault.to_string())
+    out.flush()?;
+    Ok(())
 }
--- a/crates/ottersill/src/command/mod.rs
+++ b/crates/ottersill/src/command/mod.rs
@@ -1,10 +1,13 @@
 //! The command line. Without a command the router runs.
 
+mod error;
 pub mod explain;
 pub mod fleet;
 
 use clap::{Parser, Subcommand};
 
+pub use error::CommandError;
+
 use crate::lifecycle::{log, start};
 
 /// Routes reads and writes in a replicated store. Without a command: runs the router as the file tells that NODE_CONFIG names.
@@ -32,11 +35,12 @@
 /// Does what the command line asks for.
 ///
 /// # Errors
-/// The text is one line for whoever typed the command.
-pub fn run(arguments: Arguments) -> Result<(), String> {
+/// If the router or the command fails.
+pub fn run(arguments: Arguments) -> Result<(), CommandError> {
     match arguments.command {
-        None => start::run(arguments.fleet.as_deref(), arguments.log).map_err(|e| e.to_string()),
-        Some(Command::Explain(arguments)) => explain::run(&arguments),
-        Some(Command::Fleet(arguments)) => fleet::run(&arguments),
+        None => start::run(arguments.fleet.as_deref(), arguments.log)?,
+        Some(Command::Explain(arguments)) => explain::run(&arguments)?,
+        Some(Command::Fleet(arguments)) => fleet::run(&arguments)?,
     }
+    Ok(())
 }
--- a/crates/ottersill/src/protocol/frame.rs
+++ b/crates/ottersill/src/protocol/frame.rs
@@ -1,6 +1,7 @@
 //! PostgreSQL's messages, version 3: cut off the front of a read buffer as slices of it, and written.
 
 use bytes::{BufMut, Bytes, BytesMut};
+use thiserror::Error;
 
 /// The protocol page's bound on values.
 const MAX_VALUE_BYTES: usize = 64 * 1024;
@@ -72,8 +73,28 @@
     }
 }
 
-/// What is no message of this protocol, said in a few words.
-pub type ProtocolError = &'static str;
+/// Why bytes are no message of this protocol, or no message that may come here. The text is for clients and the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ProtocolError {
+    /// A message says that it is shorter than its header, or longer than any that is taken.
+    #[error("message length out of bounds")]
+    MessageLength,
+    /// The same of a startup message.
+    #[error("startup length out of bounds")]
+    StartupLength,
+    /// An ErrorResponse that is not ended, or has no code of five letters and digits.
+    #[error("an error without its code")]
+    ErrorWithoutCode,
+    /// A ParameterStatus that is no pair of name and value.
+    #[error("a parameter without its value")]
+    ParameterWithoutValue,
+    /// A message that no answer to a simple query has, or not at this place.
+    #[error("a message that answers no simple query")]
+    UnexpectedMessage,
+    /// An answer though nothing was asked.
+    #[error("an answer to nothing")]
+    UnsolicitedAnswer,
+}
 
 fn length(bytes: &[u8]) -> usize {
     u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize
@@ -91,7 +112,7 @@
     }
     match 1 + length(&inbox[1..5]) {
         whole @ 5..=MAX_MESSAGE_BYTES => Ok((inbox.len() >= whole).then_some(whole)),
-        _ => Err("message length out of bounds"),
+        _ => Err(ProtocolError::MessageLength),
     }
 }
 
@@ -115,7 +136,7 @@
     }
     let whole = length(inbox);
     if !(8..=MAX_STARTUP_BYTES).contains(&whole) {
-        return Err("startup length out of bounds");
+        return Err(ProtocolError::StartupLength);
     }
     if inbox.len() < whole {
         return Ok(None);
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -6,6 +6,7 @@
 
 use bytes::Bytes;
 use ottersill_statement::fingerprint::Scan;
+use thiserror::Error;
 
 use crate::protocol::frame;
 use crate::protocol::socket::Outbox;
@@ -22,6 +23,38 @@
     ((left - margin) * 1000.0).max(1.0) as u64
 }
 
+/// What a statement's text lacks. The text of the error is for the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum StatementTextError {
+    /// Some bytes are no UTF-8.
+    #[error("the statement is not UTF-8")]
+    NotUtf8,
+    /// Something that the text opens is not closed.
+    #[error("the statement ends within a literal, a name or a comment")]
+    Unfinished,
+    /// No comment says what it is.
+    #[error("the statement has no comment")]
+    NoComment,
+    /// The comment is not the end of the text.
+    #[error("something stands behind the comment")]
+    TextBehindComment,
+    /// A name stands twice in the comment.
+    #[error("the comment says something twice")]
+    DuplicateField,
+    /// There is no `id`, or an empty one.
+    #[error("the comment has no id")]
+    NoId,
+    /// There is no `c`.
+    #[error("the comment has no c")]
+    NoWorkload,
+    /// There is no `cluster` that is a number.
+    #[error("the comment has no cluster, or one that is no number")]
+    NoCluster,
+    /// There is no `d` that is a number of milliseconds.
+    #[error("the comment has no d, or one that is no number")]
+    NoTimeLeft,
+}
+
 /// A slice of the buffer it was read into. It is sent on as it came, but for the digits of `d`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementText {
@@ -63,7 +96,7 @@
 
 impl<'a> CommentFields<'a> {
     /// Reads the pairs of name and value within that part of the text. Unknown names are passed over.
-    fn read(text: &'a str, part: Range<usize>) -> Result<CommentFields<'a>, &'static str> {
+    fn read(text: &'a str, part: Range<usize>) -> Result<CommentFields<'a>, StatementTextError> {
         let mut fields = CommentFields::default();
         let mut seen = BTreeSet::new();
         let mut at = part.start;
@@ -72,7 +105,7 @@
             at += pair.len() + 1;
             let Some((name, value)) = pair.trim().split_once('=') else { continue };
             if !seen.insert(name) {
-                return Err("the comment says something twice");
+                return Err(StatementTextError::DuplicateField);
             }
             fields.set(name, value, start + name.len() + 1);
         }
@@ -106,26 +139,26 @@
     /// Reads the comment at the end of a query's text, of which `scan` tells where it is.
     ///
     /// # Errors
-    /// What the text lacks, in a few words for the client.
+    /// What the text lacks.
     pub fn parse<'a>(
         whole: &'a Bytes,
         scan: &Scan,
-    ) -> Result<(StatementText, StatementComment<'a>), &'static str> {
-        let text = std::str::from_utf8(whole).map_err(|_| "the statement is not UTF-8")?;
+    ) -> Result<(StatementText, StatementComment<'a>), StatementTextError> {
+        let text = std::str::from_utf8(whole).map_err(|_| StatementTextError::NotUtf8)?;
         if scan.unfinished {
-            return Err("the statement ends within a literal, a name or a comment");
+            return Err(StatementTextError::Unfinished);
         }
-        let comment = scan.comment.as_ref().ok_or("the statement has no comment")?;
+        let comment = scan.comment.as_ref().ok_or(StatementTextError::NoComment)?;
         if scan.behind {
-            return Err("something stands behind the comment");
+            return Err(StatementTextError::TextBehindComment);
         }
         let fields = CommentFields::read(text, comment.start + 2..comment.end - 2)?;
-        let id = fields.id.filter(|id| !id.is_empty()).ok_or("the comment has no id")?;
+        let id = fields.id.filter(|id| !id.is_empty()).ok_or(StatementTextError::NoId)?;
         let parsed = StatementComment {
             id: number(id),
-            workload: fields.workload.ok_or("the comment has no c")?,
-            cluster: fields.cluster.ok_or("the comment has no cluster, or one that is no number")?,
-            time_left: fields.time_left.ok_or("the comment has no d, or one that is no number")?,
+            workload: fields.workload.ok_or(StatementTextError::NoWorkload)?,
+            cluster: fields.cluster.ok_or(StatementTextError::NoCluster)?,
+            time_left: fields.time_left.ok_or(StatementTextError::NoTimeLeft)?,
             after: fields.after,
             repeat: fields.repeat,
             session: scan.literal.as_ref().and_then(|at| session(&text[at.clone()])),
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -63,7 +63,8 @@
 #[case::longer_than_any(&[b'Q', 0x7f, 0xff, 0xff, 0xff])]
 #[case::no_protocol(b"GET / HTTP/1.1")]
 fn no_message(#[case] bytes: &[u8]) {
-    assert!(frame::take_message(&mut BytesMut::from(bytes)).is_err());
+    let error = frame::take_message(&mut BytesMut::from(bytes)).expect_err("no message");
+    assert_eq!(error.to_string(), "message length out of bounds");
 }
 
 #[rstest]
@@ -78,7 +79,8 @@
 #[case::shorter_than_itself(&[0, 0, 0, 7])]
 #[case::no_protocol(b"GET / HTTP/1.1")]
 fn no_startup(#[case] bytes: &[u8]) {
-    assert!(frame::take_startup(&mut BytesMut::from(bytes)).is_err());
+    let error = frame::take_startup(&mut BytesMut::from(bytes)).expect_err("no startup");
+    assert_eq!(error.to_string(), "startup length out of bounds");
 }
 
 #[rstest]
@@ -125,25 +127,45 @@
 }
 
 #[rstest]
-#[case::no_comment("SELECT 1", "no comment")]
-#[case::no_end("SELECT 1 /* id=1,c=a,d=1,cluster=1", "ends within")]
-#[case::in_a_literal("SELECT ' /* id=1,c=a,d=1,cluster=1 */ '", "no comment")]
-#[case::in_a_quoted_name("SELECT 1 AS \" /* id=1,c=a,d=1,cluster=1 */ \"", "no comment")]
-#[case::behind_two_dashes("SELECT 1 -- /* id=1,c=a,d=1,cluster=1 */", "no comment")]
-#[case::in_a_dollar_quote("SELECT $q$ /* id=1,c=a,d=1,cluster=1 */ $q$", "no comment")]
-#[case::literal_goes_on("SELECT 'a\\' /* id=1,c=a,d=1,cluster=1 */ ' /* id=2 */", "ends within")]
-#[case::literal_behind("SELECT 1 /* id=1,c=a,d=1,cluster=1 */ 'x'", "behind")]
-#[case::no_id("SELECT 1 /* c=a,d=1,cluster=1 */", "no id")]
-#[case::no_workload("SELECT 1 /* id=1,d=1,cluster=1 */", "no c")]
-#[case::no_time("SELECT 1 /* id=1,c=a,d=soon,cluster=1 */", "no d")]
-#[case::no_cluster("SELECT 1 /* id=1,c=a,d=1,cluster=x */", "no cluster")]
-#[case::empty_id("SELECT 1 /* id=,c=a,d=1,cluster=1 */", "no id")]
-#[case::negative_time("SELECT 1 /* id=1,c=a,d=-1,cluster=1 */", "no d")]
-#[case::time_twice("SELECT 1 /* id=1,c=a,d=1,d=2,cluster=1 */", "twice")]
-#[case::more_behind("SELECT 1 /* id=1,c=a,d=1,cluster=1 */; SELECT 2", "behind")]
+#[case::no_comment("SELECT 1", "the statement has no comment")]
+#[case::no_end(
+    "SELECT 1 /* id=1,c=a,d=1,cluster=1",
+    "the statement ends within a literal, a name or a comment"
+)]
+#[case::in_a_literal("SELECT ' /* id=1,c=a,d=1,cluster=1 */ '", "the statement has no comment")]
+#[case::in_a_quoted_name("SELECT 1 AS \" /* id=1,c=a,d=1,cluster=1 */ \"", "the statement has no comment")]
+#[case::behind_two_dashes("SELECT 1 -- /* id=1,c=a,d=1,cluster=1 */", "the statement has no comment")]
+#[case::in_a_dollar_quote("SELECT $q$ /* id=1,c=a,d=1,cluster=1 */ $q$", "the statement has no comment")]
+#[case::literal_goes_on(
+    "SELECT 'a\\' /* id=1,c=a,d=1,cluster=1 */ ' /* id=2 */",
+    "the statement ends within a literal, a name or a comment"
+)]
+#[case::literal_behind("SELECT 1 /* id=1,c=a,d=1,cluster=1 */ 'x'", "something stands behind the comment")]
+#[case::no_id("SELECT 1 /* c=a,d=1,cluster=1 */", "the comment has no id")]
+#[case::no_workload("SELECT 1 /* id=1,d=1,cluster=1 */", "the comment has no c")]
+#[case::no_time("SELECT 1 /* id=1,c=a,d=soon,cluster=1 */", "the comment has no d, or one that is no number")]
+#[case::no_cluster(
+    "SELECT 1 /* id=1,c=a,d=1,cluster=x */",
+    "the comment has no cluster, or one that is no number"
+)]
+#[case::empty_id("SELECT 1 /* id=,c=a,d=1,cluster=1 */", "the comment has no id")]
+#[case::negative_time(
+    "SELECT 1 /* id=1,c=a,d=-1,cluster=1 */",
+    "the comment has no d, or one that is no number"
+)]
+#[case::time_twice("SELECT 1 /* id=1,c=a,d=1,d=2,cluster=1 */", "the comment says something twice")]
+#[case::more_behind("SELECT 1 /* id=1,c=a,d=1,cluster=1 */; SELECT 2", "something stands behind the comment")]
 fn strange_statements(#[case] text: &str, #[case] lack: &str) {
     let whole = Bytes::copy_from_slice(text.as_bytes());
-    assert!(StatementText::parse(&whole, &scan(KEY, &whole)).expect_err("no statement").contains(lack));
+    let error = StatementText::parse(&whole, &scan(KEY, &whole)).expect_err("no statement");
+    assert_eq!(error.to_string(), lack);
+}
+
+#[test]
+fn a_statement_that_is_no_utf8() {
+    let whole = Bytes::from_static(b"SELECT '\xff' /* id=1,c=a,d=1,cluster=1 */");
+    let error = StatementText::parse(&whole, &scan(KEY, &whole)).expect_err("no statement");
+    assert_eq!(error.to_string(), "the statement is not UTF-8");
 }
 
 type Part = (u8, &'static str);
@@ -198,6 +220,16 @@
     assert!(reply.add(Message(message(last.0, last.1.as_bytes()).into())).is_err());
 }
 
+/// What operators read in the log of such an endpoint.
+#[rstest]
+#[case::error_without_end((b'E', "C53300\0"), "an error without its code")]
+#[case::parameter((b'S', "recovery\0"), "a parameter without its value")]
+#[case::row_undescribed(ROW[1], "a message that answers no simple query")]
+fn spoilt_answers_in_the_log(#[case] part: Part, #[case] expected: &str) {
+    let error = Reply::default().add(Message(message(part.0, part.1.as_bytes()).into())).expect_err("spoilt");
+    assert_eq!(error.to_string(), expected);
+}
+
 /// A host that has just started knows no position yet; taken for one, its 0 is a lag of fifty years.
 #[rstest]
 #[case::just_started("x0=0.000,x1=0,utilization=0.25", None)]
