--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -6,12 +6,7 @@
 use ottersill_fleet::quota_ledger::Pools;
 use ottersill_fleet::settings::BudgetTotal;
 use rstest::rstest;
-use simulation::{Simulation, storm};
-
-/// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
-fn seeds(usual: u64) -> u64 {
-    std::env::var("OTTERSILL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
-}
+use simulation::{Simulation, seed_count, storm};
 
 #[rstest]
 #[case::five_of_three_voters(5, 3, 40, 1, 10_000)]
@@ -25,15 +20,9 @@
     #[case] first: u64,
 ) {
     let (mut highest, mut spent, mut elections) = (0.0f64, 0.0f64, 0);
-    for seed in first..first + seeds(60) {
+    for seed in first..first + seed_count(60) {
         let simulation = storm(Simulation::new(seed, nodes, voters, total, floor), 30.0);
-        assert!(
-            simulation.violations.is_empty(),
-            "seed {seed}: {:?}",
-            &simulation.violations[..simulation.violations.len().min(5)]
-        );
-        let most = simulation.spent_at_most();
-        assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
+        let most = simulation.assert_within_total(seed);
         (highest, spent) = (highest.max(simulation.highest), spent.max(most));
         elections += simulation
             .nodes
@@ -212,7 +201,7 @@
     use ottersill_fleet::node::{FleetNode, MemberIdentity};
     let start = |name: &str, incarnation: u64, secret: &'static [u8]| {
         let config = simulation::config(name, 3, 30, 1, 6);
-        let seeds = simulation::seeds(3);
+        let seeds = simulation::voter_peers(3);
         let address = simulation::address(9);
         FleetNode::start(0.0, config, MemberIdentity { incarnation, address, seeds, secret, seed: 5 })
     };
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -11,7 +11,7 @@
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
-use simulation::{Simulation, storm};
+use simulation::{Simulation, seed_count, storm};
 
 /// Five members, of which three vote, with incarnations as of a clock that is right.
 fn settled(floor: u64) -> Simulation {
@@ -87,15 +87,10 @@
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
-/// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
-fn seeds(usual: u64) -> u64 {
-    std::env::var("OTTERSILL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
-}
-
 /// Guards against: leases of two lives of one name that add up, and names that are shut out for good.
 #[test]
 fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_total_or_shuts_a_member_out() {
-    for seed in 50_000..50_000 + seeds(60) {
+    for seed in 50_000..50_000 + seed_count(60) {
         let mut simulation = Simulation::new(seed, 5, 3, 40, 1);
         simulation.wall_clocks_step = true;
         let mut simulation = storm(simulation, 30.0);
@@ -110,13 +105,7 @@
             simulation.nodes[node].appetite = 60.0;
         }
         simulation.run(45.0, |_| {});
-        assert!(
-            simulation.violations.is_empty(),
-            "seed {seed}: {:?}",
-            &simulation.violations[..simulation.violations.len().min(5)]
-        );
-        let most = simulation.spent_at_most();
-        assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
+        simulation.assert_within_total(seed);
         let shares: Vec<u64> = (0..5).map(|node| share(&simulation, node)).collect();
         assert!(shares.iter().all(|share| *share >= 3), "seed {seed}: {shares:?}");
     }
@@ -141,7 +130,7 @@
 
 fn member_of(name: &str, incarnation: u64, voters: usize) -> FleetNode {
     let config = simulation::config(name, voters, 30, 1, 6);
-    let seeds = simulation::seeds(voters);
+    let seeds = simulation::voter_peers(voters);
     let identity = MemberIdentity {
         incarnation,
         address: simulation::address(9),
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -40,8 +40,13 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + index as u16))
 }
 
+/// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
+pub fn seed_count(usual: u64) -> u64 {
+    std::env::var("OTTERSILL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+}
+
 /// The first members, which are the voters.
-pub fn seeds(voters: usize) -> Vec<Peer> {
+pub fn voter_peers(voters: usize) -> Vec<Peer> {
     (0..voters).map(|voter| Peer { name: format!("r{voter}"), address: address(voter) }).collect()
 }
 
@@ -202,7 +207,7 @@
         let now = self.clock(node);
         let voters = self.nodes[node].config.voters.len();
         self.nodes[node].starts += 1;
-        let seeds = seeds(voters);
+        let seeds = voter_peers(voters);
         let seed = self.rng.random();
         let identity =
             MemberIdentity { incarnation, address: address(node), seeds, secret: b"of this test", seed };
@@ -409,6 +414,15 @@
         }
     }
 
+    /// Panics unless the sum stayed within the total at all times, and returns [`spent_at_most`](Self::spent_at_most).
+    pub fn assert_within_total(&self, seed: u64) -> f64 {
+        let first = &self.violations[..self.violations.len().min(5)];
+        assert!(self.violations.is_empty(), "seed {seed}: {first:?}");
+        let most = self.spent_at_most();
+        assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
+        most
+    }
+
     /// The most that was spent of the rate over what any window allows; at most 1 if the budget was kept.
     pub fn spent_at_most(&self) -> f64 {
         let drift = self.nodes[0].config.drift;
--- a/crates/ottersill/tests/reload_in_succession.rs
+++ b/crates/ottersill/tests/reload_in_succession.rs
@@ -47,12 +47,7 @@
     let next = last.next_within(TOLD).expect("it asks for what is newer");
     assert!(next.path.contains("since=1"), "{}", next.path);
     assert!(asked.elapsed() < TOLD, "{:?}", asked.elapsed());
-    let mut client = fixture.router.client();
-    client.send(&read(7, 2000)).expect("a query");
-    let arrival = fixture.primary.next();
-    assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
-    arrival.answer("elsewhere");
-    assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+    fixture.read_avoids_the_draining_replica();
     // The client's, and those to hosts that were opened meanwhile.
     let after = descriptors(&fixture.router);
     assert!(after <= before + 4, "{before}, {after}");
--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -172,6 +172,16 @@
         assert_eq!(next.answer().expect("an answer"), "row:next SELECT 1");
     }
 
+    /// A new client's read goes to the primary, as the replica drains and gets nothing.
+    pub fn read_avoids_the_draining_replica(&self) {
+        let mut client = self.router.client();
+        client.send(&read(7, 2000)).expect("a query");
+        let arrival = self.primary.next();
+        assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
+        arrival.answer("elsewhere");
+        assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+    }
+
     /// A client whose read waits on a connection to the replica that is not up yet.
     pub fn read_on_its_way(&self, number: u32, left_ms: u32) -> Client {
         self.replica.hold_greeting_and_close_idle();
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -6,12 +6,13 @@
 use std::time::{Duration, Instant};
 
 use ottersill_testkit::scripted_peer::ScriptedEndpoint;
+use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
 use support::faults::Faults;
 use support::*;
 
-/// The usual fixture with these faults; `PRIMARY` and `REPLICA` in the schedule stand for their ports.
-fn faulty_scene(schedule: &str) -> (Fixture, Faults) {
+/// The usual fixture with faults that are not armed yet; `PRIMARY` and `REPLICA` in the schedule stand for their ports.
+fn faulty_fixture(schedule: &str) -> (Fixture, Faults) {
     let mut faults = Faults::new(schedule.to_string());
     let spawn = |text: &str, primary: &ScriptedEndpoint, replica: &ScriptedEndpoint| {
         let port = |host: &ScriptedEndpoint| host.at.port().to_string();
@@ -22,6 +23,19 @@
     (fixture, faults)
 }
 
+/// The same with the faults armed.
+fn armed_fixture(schedule: &str) -> (Fixture, Faults) {
+    let (fixture, faults) = faulty_fixture(schedule);
+    faults.arm();
+    (fixture, faults)
+}
+
+/// Whatever comes next to either endpoint needs a new connection.
+fn close_idle_connections(fixture: &Fixture) {
+    fixture.primary.close_idle_connections();
+    fixture.replica.close_idle_connections();
+}
+
 /// Ends the router and gives the rest of its log.
 fn end(fixture: Fixture) -> String {
     fixture.router.signal("-TERM");
@@ -41,10 +55,24 @@
 fn is_served_by_the_replica(fixture: &Fixture, number: u32) -> Duration {
     let started = Instant::now();
     let mut client = fixture.router.client();
+    read_from_the_replica(fixture, &mut client, number);
+    started.elapsed()
+}
+
+/// Sends a read, which the replica answers.
+fn read_from_the_replica(fixture: &Fixture, client: &mut Client, number: u32) {
     client.send(&read(number, 8000)).expect("a query");
     fixture.replica.next().answer("value");
     assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
-    started.elapsed()
+}
+
+/// Sends reads that wait for so long at most, one after the other; each is rejected as one that had no effect.
+fn reads_are_rejected(fixture: &Fixture, numbers: std::ops::Range<u32>, left_ms: u32) {
+    let mut client = fixture.router.client();
+    for number in numbers {
+        let answer = client.ask(&read(number, left_ms)).expect("an answer");
+        assert!(answer.starts_with("C53300"), "{answer}");
+    }
 }
 
 /// Network errors that were pending on a connection come out of `accept`, and mean that connection alone. Each used to cost
@@ -68,8 +96,7 @@
     let rule =
         |(place, error): (usize, &&str)| format!("accept4:{}-{}:{error}", 2 * place + 1, 2 * place + 2);
     let rules: Vec<String> = errors.iter().enumerate().map(rule).collect();
-    let (fixture, faults) = faulty_scene(&rules.join(";"));
-    faults.arm();
+    let (fixture, faults) = armed_fixture(&rules.join(";"));
     let took = is_served_by_the_replica(&fixture, 7);
     assert_eq!(faults.disarm().len(), 2 * errors.len());
     let log = end(fixture);
@@ -84,8 +111,7 @@
 #[case::lack("accept4:1:EMFILE;accept4:2:ENFILE;accept4:3:ENOBUFS;accept4:4:ENOMEM", 4, 4)]
 #[case::endless("accept4:1-99:EOPNOTSUPP", 99, 3)]
 fn accept_is_tried_again_a_little_later(#[case] rules: &str, #[case] faulty: usize, #[case] waits: u32) {
-    let (fixture, faults) = faulty_scene(rules);
-    faults.arm();
+    let (fixture, faults) = armed_fixture(rules);
     let took = is_served_by_the_replica(&fixture, 7);
     assert_eq!(faults.disarm().len(), faulty);
     // A client that leaves, as the fixture's first may do just then, has it tried at once.
@@ -100,8 +126,7 @@
 #[case::not_blocking("fcntl@client:1-:EPERM", false)]
 #[case::watched_later("epoll_ctl@client:1:ENOMEM;epoll_ctl@client:2:ENOSPC", true)]
 fn a_failure_after_accept_costs_no_client(#[case] rules: &str, #[case] occurs: bool) {
-    let (fixture, faults) = faulty_scene(rules);
-    faults.arm();
+    let (fixture, faults) = armed_fixture(rules);
     is_served_by_the_replica(&fixture, 7);
     assert_eq!(!faults.disarm().is_empty(), occurs);
 }
@@ -109,10 +134,9 @@
 /// A client that can't be watched at all is closed by the time that bad clients are owed, and holds up nobody after that.
 #[test]
 fn a_client_that_can_not_be_watched_is_closed_in_time() {
-    let (fixture, faults) = faulty_scene("epoll_ctl@client:1-:ENOSPC");
-    faults.arm();
+    let (fixture, faults) = armed_fixture("epoll_ctl@client:1-:ENOSPC");
     let started = Instant::now();
-    let mut client = ottersill_testkit::stand_in::Client::connect(fixture.router.at).expect("a connection");
+    let mut client = Client::connect(fixture.router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     assert!(client.answer().is_err());
     let took = started.elapsed();
@@ -137,18 +161,9 @@
 #[case::not_blocking("fcntl@backend:1-:EPERM")]
 #[case::not_watched("epoll_ctl@backend:1-:ENOMEM")]
 fn what_this_machine_lacks_takes_no_host_out(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
-    faults.arm();
-    for host in [&fixture.primary, &fixture.replica] {
-        // What comes next has to dial.
-        host.hold_greeting_and_close_idle();
-        host.resume_greeting();
-    }
-    let mut client = fixture.router.client();
-    for number in 7..10 {
-        let answer = client.ask(&read(number, 1500)).expect("an answer");
-        assert!(answer.starts_with("C53300"), "{answer}");
-    }
+    let (fixture, faults) = armed_fixture(rule);
+    close_idle_connections(&fixture);
+    reads_are_rejected(&fixture, 7..10, 1500);
     assert!(!faults.disarm().is_empty());
     let took = is_served_by_the_replica(&fixture, 10);
     assert!(took < Duration::from_secs(1), "{took:?}");
@@ -162,17 +177,14 @@
 #[case::no_port("connect@REPLICA:1-:EADDRNOTAVAIL")]
 #[case::refused("connect@REPLICA:1-:ECONNREFUSED")]
 fn what_stays_for_one_host_alone_counts_against_it(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
-    faults.arm();
-    fixture.replica.hold_greeting_and_close_idle();
-    fixture.replica.resume_greeting();
+    let (fixture, faults) = armed_fixture(rule);
+    fixture.replica.close_idle_connections();
     let mut client = fixture.router.client();
     let started = Instant::now();
     let mut number = 7;
     while started.elapsed() < Duration::from_secs(2) {
         // The connection that rests is used first: each round the primary has to be dialled again.
-        fixture.primary.hold_greeting_and_close_idle();
-        fixture.primary.resume_greeting();
+        fixture.primary.close_idle_connections();
         client.send(&read(number, 1500)).expect("a query");
         if let Some(arrival) = fixture.primary.next_within(Duration::from_millis(100)) {
             arrival.answer("other");
@@ -190,18 +202,10 @@
 #[case::refused("connect:1-:ECONNREFUSED")]
 #[case::broken("sendmsg@backend:1-:EPIPE")]
 fn tries_that_fail_at_once_come_to_an_end(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
-    faults.arm();
-    for host in [&fixture.primary, &fixture.replica] {
-        host.hold_greeting_and_close_idle();
-        host.resume_greeting();
-    }
-    let mut client = fixture.router.client();
+    let (fixture, faults) = armed_fixture(rule);
+    close_idle_connections(&fixture);
     let started = Instant::now();
-    for number in 7..9 {
-        let answer = client.ask(&read(number, 800)).expect("an answer");
-        assert!(answer.starts_with("C53300"), "{answer}");
-    }
+    reads_are_rejected(&fixture, 7..9, 800);
     assert!(started.elapsed() < 2 * Duration::from_millis(800 + 500), "{:?}", started.elapsed());
     let occurred = faults.disarm().len();
     assert!(occurred <= 2 * 8 + 30, "{occurred}");
@@ -214,8 +218,7 @@
 #[case::timed_out("recv@REPLICA:1:ETIMEDOUT")]
 #[case::no_way("recv@REPLICA:1:EHOSTUNREACH")]
 fn an_idle_connection_that_broke_is_not_used(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
-    faults.arm();
+    let (fixture, faults) = armed_fixture(rule);
     is_served_by_the_replica(&fixture, 7);
     assert_eq!(faults.disarm().len(), 1);
     let log = end(fixture);
@@ -230,10 +233,8 @@
 #[case::error("getsockopt@backend:1-:ENOBUFS")]
 #[case::peer("getpeername@backend:1-:ENOBUFS")]
 fn a_connection_is_used_though_the_system_can_not_describe_it(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
-    faults.arm();
-    fixture.replica.hold_greeting_and_close_idle();
-    fixture.replica.resume_greeting();
+    let (fixture, faults) = armed_fixture(rule);
+    fixture.replica.close_idle_connections();
     is_served_by_the_replica(&fixture, 7);
     assert!(!faults.disarm().is_empty());
     assert_eq!(counter(&end(fixture), "attempts_connect_failed"), 0);
@@ -248,17 +249,11 @@
 )]
 #[case::short("recv:1-:SHORT;sendmsg:1-:SHORT;stdout:1-:SHORT")]
 fn interrupted_and_short_calls_change_no_answer(#[case] rules: &str) {
-    let (fixture, faults) = faulty_scene(rules);
-    faults.arm();
-    for host in [&fixture.primary, &fixture.replica] {
-        host.hold_greeting_and_close_idle();
-        host.resume_greeting();
-    }
+    let (fixture, faults) = armed_fixture(rules);
+    close_idle_connections(&fixture);
     let mut client = fixture.router.client();
     for number in 7..12 {
-        client.send(&read(number, 8000)).expect("a query");
-        fixture.replica.next().answer("value");
-        assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
+        read_from_the_replica(&fixture, &mut client, number);
         client.send(&write(number, 8000)).expect("a query");
         fixture.primary.next().answer("value");
         assert_eq!(client.answer().expect("an answer"), "row:value INSERT 0 1");
@@ -276,7 +271,7 @@
 #[case::unreachable("recv@REPLICA:1:EHOSTUNREACH")]
 #[case::reset("recv@REPLICA:1:ECONNRESET")]
 fn a_broken_connection_costs_a_read_nothing(#[case] rule: &str) {
-    let (fixture, faults) = faulty_scene(rule);
+    let (fixture, faults) = faulty_fixture(rule);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
     let first = fixture.replica.next();
@@ -295,7 +290,7 @@
 #[case::before_it_is_sent("sendmsg@PRIMARY:1:EPIPE", true)]
 #[case::after("recv@PRIMARY:1:EHOSTUNREACH", false)]
 fn a_broken_connection_repeats_no_write_that_may_have_run(#[case] rule: &str, #[case] again: bool) {
-    let (fixture, faults) = faulty_scene(rule);
+    let (fixture, faults) = faulty_fixture(rule);
     let mut client = fixture.router.client();
     if again {
         faults.arm();
@@ -318,7 +313,7 @@
 /// Right already.
 #[test]
 fn a_shutdown_that_fails_ends_no_later() {
-    let (fixture, faults) = faulty_scene("shutdown:1-:ENOTCONN");
+    let (fixture, faults) = faulty_fixture("shutdown:1-:ENOTCONN");
     let mut client = fixture.router.client();
     faults.arm();
     fixture.router.signal("-TERM");
@@ -336,8 +331,7 @@
 #[case::disk_fails("stdout:1:SHORT;stdout:2-:EIO", 2)]
 #[case::nobody_reads("stdout:1-:EPIPE", 1)]
 fn log_lines_wait_for_room(#[case] rules: &str, #[case] written: usize) {
-    let (fixture, faults) = faulty_scene(rules);
-    faults.arm();
+    let (fixture, faults) = armed_fixture(rules);
     fixture.router.signal("-USR1");
     until("a line is tried", || {
         faults.occurred().len() > 1 || (written == 1 && !faults.occurred().is_empty())
@@ -354,7 +348,7 @@
 /// A log that nobody empties blocks no statement. Right already.
 #[test]
 fn a_log_that_blocks_holds_up_nothing() {
-    let (fixture, _) = faulty_scene("");
+    let (fixture, _) = faulty_fixture("");
     // More than a pipe holds.
     for _ in 0..100 {
         fixture.router.signal("-USR1");
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -75,12 +75,7 @@
     // Once it has read that, it asks for what is newer.
     let next = fixture.discovery.next();
     assert!(next.path.contains("since=2"), "{}", next.path);
-    let mut client = fixture.router.client();
-    client.send(&read(7, 2000)).expect("a query");
-    let arrival = fixture.primary.next();
-    assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
-    arrival.answer("elsewhere");
-    assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+    fixture.read_avoids_the_draining_replica();
 }
 
 /// Seen on a herd day with 300 routers: discovery was down for some seconds and answered no call that had come meanwhile, and
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,8 +1,11 @@
 //! A small group under one router, and a transport that writes down what it is asked.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
+mod settings;
+
 use ottersill_routing::Router;
 use ottersill_routing::interface::*;
+use settings::{request_class, routing_config};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Done {
@@ -43,41 +46,14 @@
 pub const MARKED: usize = 3;
 
 pub fn terms(checks: bool) -> RoutingConfig {
-    let row = |needs, effect, priority_weight, slo_time, statement_timeout| RequestClass {
-        needs,
-        effect,
-        priority_weight,
-        late_share: 0.0,
-        slo_time,
-        statement_timeout,
-    };
     let marked = Effect::Deduplicated { within: DeduplicationScope::Group, window: 0.5 };
-    RoutingConfig {
-        seed: 7,
-        routers: 1,
-        site: Some(0),
-        workloads: vec![
-            row(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
-            row(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
-            row(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
-            row(Consistency::Primary, marked, 4.0, 0.6, 2.0),
-        ],
-        tenant_rates: Vec::new(),
-        over_share: 0.1,
-        reports: ReportSource::WithAnswers,
-        endpoints_check_reads: checks,
-        remembers_writes: false,
-        list_on_request: false,
-        may_check_health: true,
-        may_cancel_attempts: true,
-        max_attempts: 8,
-        max_retry_after: 1.0,
-        only_draining_bars: false,
-        initial_capacity_fraction: 0.2,
-        warmup: 10.0,
-        overload_multiple: 2.5,
-        overload_span: 1.0,
-    }
+    let workloads = vec![
+        request_class(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
+        request_class(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
+        request_class(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
+        request_class(Consistency::Primary, marked, 4.0, 0.6, 2.0),
+    ];
+    RoutingConfig { endpoints_check_reads: checks, ..routing_config(workloads) }
 }
 
 pub fn statement(workload: usize, time_left: f64) -> Request {
--- /dev/null
+++ b/crates/routing/tests/common/settings.rs
@@ -0,0 +1,39 @@
+//! The settings that the tests of this package start from.
+
+use ottersill_routing::interface::*;
+
+/// A class without a share of late requests.
+pub fn request_class(
+    needs: Consistency,
+    effect: Effect,
+    priority_weight: f64,
+    slo_time: f64,
+    statement_timeout: f64,
+) -> RequestClass {
+    RequestClass { needs, effect, priority_weight, late_share: 0.0, slo_time, statement_timeout }
+}
+
+/// One router at site 0 for these classes, without what only some deployments have.
+pub fn routing_config(workloads: Vec<RequestClass>) -> RoutingConfig {
+    RoutingConfig {
+        seed: 7,
+        routers: 1,
+        site: Some(0),
+        workloads,
+        tenant_rates: Vec::new(),
+        over_share: 0.1,
+        reports: ReportSource::WithAnswers,
+        endpoints_check_reads: false,
+        remembers_writes: false,
+        list_on_request: false,
+        may_check_health: true,
+        may_cancel_attempts: true,
+        max_attempts: 8,
+        max_retry_after: 1.0,
+        only_draining_bars: false,
+        initial_capacity_fraction: 0.2,
+        warmup: 10.0,
+        overload_multiple: 2.5,
+        overload_span: 1.0,
+    }
+}
--- a/crates/routing/tests/digests/main.rs
+++ b/crates/routing/tests/digests/main.rs
@@ -6,6 +6,8 @@
 //! changed. `KEEP_TRANSCRIPTS=1` writes each transcript to the target's `tmp` directory, to compare two versions line by line.
 
 mod scenarios;
+#[path = "../common/settings.rs"]
+mod settings;
 mod simulation;
 mod transcript;
 
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -2,6 +2,7 @@
 
 use ottersill_routing::interface::*;
 
+use crate::settings::{request_class, routing_config};
 use crate::simulation::{Change, Scenario};
 
 const SHORT_READ: usize = 0;
@@ -16,51 +17,23 @@
 const ANY_READ: usize = 9;
 
 pub fn workloads() -> Vec<RequestClass> {
-    let workload = |needs, effect, priority_weight, slo_time, statement_timeout| RequestClass {
-        needs,
-        effect,
-        priority_weight,
-        late_share: 0.0,
-        slo_time,
-        statement_timeout,
-    };
     let once_in = |within, window| Effect::Deduplicated { within, window };
     vec![
-        workload(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
-        workload(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
-        workload(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
-        workload(Consistency::Primary, once_in(DeduplicationScope::Group, 0.5), 4.0, 0.6, 2.0),
-        workload(Consistency::Session, Effect::Idempotent, 2.0, 0.3, 0.8),
-        workload(Consistency::Fresh, Effect::Idempotent, 5.0, 0.4, 1.0),
-        workload(Consistency::Primary, Effect::Idempotent, 3.0, 0.5, 1.5),
-        workload(Consistency::Primary, once_in(DeduplicationScope::Site, 1.0), 4.0, 0.6, 2.0),
-        workload(Consistency::Primary, once_in(DeduplicationScope::Everywhere, 2.0), 4.0, 0.6, 2.0),
-        workload(Consistency::Any, Effect::Idempotent, 1.0, 0.25, 0.6),
+        request_class(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
+        request_class(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
+        request_class(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
+        request_class(Consistency::Primary, once_in(DeduplicationScope::Group, 0.5), 4.0, 0.6, 2.0),
+        request_class(Consistency::Session, Effect::Idempotent, 2.0, 0.3, 0.8),
+        request_class(Consistency::Fresh, Effect::Idempotent, 5.0, 0.4, 1.0),
+        request_class(Consistency::Primary, Effect::Idempotent, 3.0, 0.5, 1.5),
+        request_class(Consistency::Primary, once_in(DeduplicationScope::Site, 1.0), 4.0, 0.6, 2.0),
+        request_class(Consistency::Primary, once_in(DeduplicationScope::Everywhere, 2.0), 4.0, 0.6, 2.0),
+        request_class(Consistency::Any, Effect::Idempotent, 1.0, 0.25, 0.6),
     ]
 }
 
 pub fn terms(seed: u64) -> RoutingConfig {
-    RoutingConfig {
-        seed,
-        routers: 1,
-        site: Some(0),
-        workloads: workloads(),
-        tenant_rates: Vec::new(),
-        over_share: 0.1,
-        reports: ReportSource::WithAnswers,
-        endpoints_check_reads: false,
-        remembers_writes: false,
-        list_on_request: false,
-        may_check_health: true,
-        may_cancel_attempts: true,
-        max_attempts: 8,
-        max_retry_after: 1.0,
-        only_draining_bars: false,
-        initial_capacity_fraction: 0.2,
-        warmup: 10.0,
-        overload_multiple: 2.5,
-        overload_span: 1.0,
-    }
+    RoutingConfig { seed, ..routing_config(workloads()) }
 }
 
 pub fn weights(pairs: &[(usize, u64)]) -> Vec<u64> {
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -4,12 +4,16 @@
 //! CI counts work, not seconds. The table of CPU seconds is printed by
 //! `SCALE_SECONDS=60 cargo test --release -p ottersill-routing --test scale -- --nocapture`.
 
+#[path = "common/settings.rs"]
+mod settings;
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ottersill_routing::Router;
 use ottersill_routing::interface::*;
 use rustix::time::{ClockId, clock_gettime};
+use settings::{request_class, routing_config};
 
 const GROUP_SIZE: usize = 5;
 /// Steps of the simulation in a second.
@@ -27,38 +31,12 @@
 const START: f64 = 1000.0;
 
 fn config(routers: usize) -> RoutingConfig {
-    let class = |needs, effect| RequestClass {
-        needs,
-        effect,
-        priority_weight: 3.0,
-        late_share: 0.0,
-        slo_time: 0.3,
-        statement_timeout: 1.0,
-    };
-    RoutingConfig {
-        seed: 7,
-        routers,
-        site: None,
-        workloads: vec![
-            class(Consistency::Bounded(10.0), Effect::Idempotent),
-            class(Consistency::Primary, Effect::NonIdempotent),
-        ],
-        tenant_rates: Vec::new(),
-        over_share: 0.1,
-        reports: ReportSource::WithAnswers,
-        endpoints_check_reads: false,
-        remembers_writes: true,
-        list_on_request: false,
-        may_check_health: true,
-        may_cancel_attempts: true,
-        max_attempts: 8,
-        max_retry_after: 1.0,
-        only_draining_bars: false,
-        initial_capacity_fraction: 0.2,
-        warmup: 10.0,
-        overload_multiple: 2.5,
-        overload_span: 1.0,
-    }
+    let class = |needs, effect| request_class(needs, effect, 3.0, 0.3, 1.0);
+    let workloads = vec![
+        class(Consistency::Bounded(10.0), Effect::Idempotent),
+        class(Consistency::Primary, Effect::NonIdempotent),
+    ];
+    RoutingConfig { routers, site: None, remembers_writes: true, ..routing_config(workloads) }
 }
 
 fn listed(endpoint: usize, group: usize, state: EndpointState, started_at: Option<f64>) -> EndpointUpdate {
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -122,6 +122,13 @@
         self.wait_until("idle connections are closed", |state| state.idle == 0);
     }
 
+    /// Closes all connections but those with a statement in hand, and greets the next ones: whatever comes next has to
+    /// connect anew.
+    pub fn close_idle_connections(&self) {
+        self.hold_greeting_and_close_idle();
+        self.resume_greeting();
+    }
+
     /// Reports the same replay position from now on.
     pub fn freeze_position(&self) {
         lock(&self.shared.state).frozen_position_ms = Some(unix_ms());
