--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,6 +8,7 @@
 //! 1. [`deployment`]: the object `settings` of the JSON file, which the simulator also hands to each router.
 //! 2. [`fleet`]: the fleet file, with the members of the fleet and the budgets that they share.
 
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![warn(clippy::shadow_unrelated)]
 
 pub mod deployment;
--- a/crates/fleet/src/allocation.rs
+++ b/crates/fleet/src/allocation.rs
@@ -2,6 +2,8 @@
 
 use std::cmp::Reverse;
 
+use crate::convert::to_usize;
+
 /// What one member asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
@@ -75,11 +77,12 @@
     }
     let surplus = left;
     for index in by_demand {
-        let more = (u128::from(surplus) * u128::from(demands[*index].units) / u128::from(all)) as u64;
+        let exact = u128::from(surplus) * u128::from(demands[*index].units) / u128::from(all);
+        let more = u64::try_from(exact).unwrap_or(surplus);
         shares[*index] += more;
         left -= more;
     }
-    for index in by_turn.iter().cycle().take(left as usize) {
+    for index in by_turn.iter().cycle().take(to_usize(left)) {
         shares[*index] += 1;
     }
 }
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -6,6 +6,8 @@
 //! granted it. So a leader that was suspended knows by its own clock that its lease is over before any voter grants the
 //! next one, and it needs no message for that.
 
+use crate::convert::units_to_f64;
+
 use serde::{Deserialize, Serialize};
 
 /// Orders the attempts of all candidates, and names the terms of leaders.
@@ -213,7 +215,7 @@
     /// collide for ever.
     fn retry_wait(&self) -> f64 {
         let spread = (u64::from(self.ballot.voter_index) * 7 + self.highest_round * 3) % 11;
-        self.lease * (0.15 + 0.02 * spread as f64)
+        self.lease * (0.15 + 0.02 * units_to_f64(spread))
     }
 
     /// Stands for election where that is due; a leader does so well before its lease is over. `other_leader` says that
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,10 +19,12 @@
 //! 7. [`envelope`], [`authenticator`], [`datagram`]: messages, their proof and what goes over the network
 //! 8. [`node`]: all of these put together
 
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![warn(clippy::shadow_unrelated)]
 
 pub mod allocation;
 pub mod authenticator;
+mod convert;
 pub mod datagram;
 pub mod election;
 pub mod envelope;
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -2,6 +2,7 @@
 
 use std::collections::VecDeque;
 
+use crate::convert::{units_to_f64, whole_units};
 use crate::election::Ballot;
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
 use crate::settings::Kind;
@@ -142,7 +143,7 @@
             self.lingering.pop_front();
         }
         if let Kind::Rate { every } = self.kind {
-            let depth = self.spendable(now) as f64;
+            let depth = units_to_f64(self.spendable(now));
             let refilled = depth * (now - self.refreshed_at).max(0.0) / every;
             self.tokens = (self.tokens + refilled).min(depth);
         }
@@ -195,7 +196,7 @@
             self.denied_since_request += 1;
             self.denied += 1;
         }
-        let wanted_now = (self.in_use() + self.denied_since_request) as f64;
+        let wanted_now = units_to_f64(self.in_use() + self.denied_since_request);
         self.peak_in_use = self.peak_in_use.max(wanted_now);
         acquired
     }
@@ -214,7 +215,7 @@
     pub fn note_waiting(&mut self, units: u64) {
         self.denied_since_request = self.denied_since_request.max(units);
         self.waiting = self.waiting.max(units);
-        self.peak_in_use = self.peak_in_use.max((self.in_use() + units) as f64);
+        self.peak_in_use = self.peak_in_use.max(units_to_f64(self.in_use() + units));
     }
 
     /// Whether anything was denied since the last request.
@@ -228,8 +229,8 @@
         self.sample_demand(now);
         self.denied_since_request = 0;
         let waiting = std::mem::take(&mut self.waiting);
-        let demand = self.recent_demand.max((self.in_use() + waiting) as f64);
-        if demand < NEGLIGIBLE_DEMAND { 0 } else { (demand * HEADROOM).max(demand.ceil()) as u64 }
+        let demand = self.recent_demand.max(units_to_f64(self.in_use() + waiting));
+        if demand < NEGLIGIBLE_DEMAND { 0 } else { whole_units((demand * HEADROOM).max(demand.ceil())) }
     }
 
     /// Demand that grows counts at once, demand that falls over a sample period or two.
@@ -245,7 +246,7 @@
         let weight = (span / SAMPLE_PERIOD).min(1.0);
         let smoothed = self.recent_demand + weight * (sample - self.recent_demand);
         self.recent_demand = sample.max(smoothed);
-        (self.wanted, self.peak_in_use, self.sampled_at) = (0.0, self.in_use() as f64, now);
+        (self.wanted, self.peak_in_use, self.sampled_at) = (0.0, units_to_f64(self.in_use()), now);
     }
 
     /// What to report of the leases to a leader of that term.
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -13,6 +13,7 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
+use crate::convert::to_usize;
 use crate::settings::{Peer, Process};
 
 /// Seconds after which a member that is away is no longer listed.
@@ -255,7 +256,7 @@
     fn announce(&mut self, now: f64) {
         let alone = self.swim.num_members() == 0;
         self.announce_at = now + if alone { ANNOUNCE_INTERVAL_ALONE } else { ANNOUNCE_INTERVAL };
-        let turn = self.timer_count as usize % self.seeds.len();
+        let turn = to_usize(self.timer_count) % self.seeds.len();
         self.timer_count += 1;
         let Peer { name, address } = self.seeds[turn].clone();
         let seed = SwimIdentity { process: Process { name, incarnation: 0 }, renewals: 0, address };
--- a/crates/fleet/src/node/election_messages.rs
+++ b/crates/fleet/src/node/election_messages.rs
@@ -39,9 +39,8 @@
     }
 
     pub(super) fn handle_voter_reply(&mut self, now: f64, from: &Process, ballot: Ballot, reply: VoterReply) {
-        let voter_index = self.config.voters.iter().position(|voter| *voter == from.name);
-        let Some(voter_index) = voter_index else { return };
-        if let Some(call) = self.elections.handle_reply(now, voter_index as u16, ballot, reply) {
+        let Some(voter_index) = self.config.index_of_voter(&from.name) else { return };
+        if let Some(call) = self.elections.handle_reply(now, voter_index, ballot, reply) {
             self.send_to_voters(call);
         }
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -124,7 +124,13 @@
 
     /// This member's index among the voters, if it is one.
     pub fn voter_index(&self) -> Option<u16> {
-        self.voters.iter().position(|voter| *voter == self.name).map(|index| index as u16)
+        self.index_of_voter(&self.name)
+    }
+
+    /// The index of the voter of that name, if there is one.
+    pub(crate) fn index_of_voter(&self, name: &str) -> Option<u16> {
+        let index = self.voters.iter().position(|voter| *voter == name)?;
+        u16::try_from(index).ok()
     }
 
     /// The budget of that id.
@@ -165,6 +171,6 @@
 /// After a step back of the clock it may be smaller than that of an earlier process of this name. The node learns this
 /// from its peers and takes a larger one; see [`node`](crate::node).
 pub fn incarnation(unix: Option<Duration>, random: u64) -> u64 {
-    let started = unix.map_or(random >> 16, |unix| unix.as_micros() as u64);
+    let started = unix.map_or(random >> 16, |unix| u64::try_from(unix.as_micros()).unwrap_or(u64::MAX));
     started & !RANDOM_BITS | random & RANDOM_BITS
 }
--- a/crates/statement/src/cost_model.rs
+++ b/crates/statement/src/cost_model.rs
@@ -5,6 +5,8 @@
 //! time of expensive ones. Work and delay are kept apart by two facts: a queue drains sooner or later, so the fastest recent answers
 //! of a fingerprint have the least delay; and no answer is faster than its work.
 
+use crate::convert::to_f32;
+
 /// Seconds over which the fastest answers of a fingerprint are kept: longer than a queue usually lasts, short enough to notice
 /// a change of the work.
 const WINDOW_SECONDS: f64 = 4.0;
@@ -118,9 +120,9 @@
     pub fn new(typical: f64) -> CostModel {
         let typical = typical.max(1e-6);
         CostModel {
-            mean: typical.ln() as f32,
-            variance: PRIOR_LOG_VARIANCE as f32,
-            work: typical as f32,
+            mean: to_f32(typical.ln()),
+            variance: to_f32(PRIOR_LOG_VARIANCE),
+            work: to_f32(typical),
             weight: 0.0,
             now: FastestAnswers::NONE,
             last: FastestAnswers::NONE,
@@ -179,13 +181,13 @@
             let part = calm / (weight + calm);
             let off = work.ln() - f64::from(self.mean);
             if self.weight <= 0.0 {
-                self.mean = work.ln() as f32;
+                self.mean = to_f32(work.ln());
             } else {
-                self.mean += (part * off) as f32;
+                self.mean += to_f32(part * off);
                 let variance = f64::from(self.variance);
-                self.variance = (variance + part * (off * off - variance)) as f32;
+                self.variance = to_f32(variance + part * (off * off - variance));
             }
-            self.weight = (weight + calm) as f32;
+            self.weight = to_f32(weight + calm);
             self.learnt_at = now;
             self.work = self.mean.exp();
         }
@@ -200,12 +202,12 @@
         if self.now.answers == 0 {
             self.since = now;
         }
-        self.now.record(took as f32);
+        self.now.record(to_f32(took));
         let (floor, mean) = (self.floor(), self.work());
         let known = self.now.answers.max(self.last.answers) >= WINDOW_ANSWERS;
         if self.weight > 0.0 && known && (mean > floor * QUEUED_RATIO || mean < floor) {
             self.weight = 0.0;
-            self.variance = PRIOR_LOG_VARIANCE as f32;
+            self.variance = to_f32(PRIOR_LOG_VARIANCE);
         }
     }
 }
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -9,6 +9,7 @@
 use quick_cache::{OptionsBuilder, Weighter};
 
 use crate::classify::{self, Classification, StatementKind};
+use crate::convert::halves;
 use crate::cost_model::{CostModel, Estimate, QueueingDelay};
 use crate::fingerprint::{self, Fingerprint, Key, Scan};
 use crate::lexer::Lexer;
@@ -77,7 +78,8 @@
     }
 
     fn write_u128(&mut self, fingerprint: u128) {
-        self.write_u64((fingerprint >> 64) as u64 ^ fingerprint as u64);
+        let [upper, lower] = halves(fingerprint);
+        self.write_u64(upper ^ lower);
     }
 
     fn write_u32(&mut self, number: u32) {
@@ -194,7 +196,7 @@
         text: &[u8],
         fingerprint: Fingerprint,
     ) -> StatementInfo {
-        let key = CacheKey { fingerprint, workload: workload as u32 };
+        let key = CacheKey { fingerprint, workload: u32::try_from(workload).unwrap_or(u32::MAX) };
         let typical = &mut self.typical[workload];
         if let Some(entry) = self.entries.get(&key) {
             self.counts.known += 1;
--- a/crates/statement/src/lexer.rs
+++ b/crates/statement/src/lexer.rs
@@ -131,22 +131,26 @@
 static CLASS: [u8; 256] = {
     let mut table = [0; 256];
     let mut byte = 0;
-    while byte < 256 {
-        table[byte] = class_of(byte as u8);
+    loop {
+        table[byte as usize] = class_of(byte);
+        if byte == u8::MAX {
+            break table;
+        }
         byte += 1;
     }
-    table
 };
 
 /// What can go on a name, by table.
 static NAME: [bool; 256] = {
     let mut table = [false; 256];
     let mut byte = 0;
-    while byte < 256 {
-        table[byte] = goes_on_name(byte as u8);
+    loop {
+        table[byte as usize] = goes_on_name(byte);
+        if byte == u8::MAX {
+            break table;
+        }
         byte += 1;
     }
-    table
 };
 
 /// Eight bytes at once in lower case, as `to_ascii_lowercase` has each.
@@ -251,7 +255,7 @@
         let length = rest.iter().position(|byte| !NAME[*byte as usize]).unwrap_or(rest.len());
         let word = match (length, rest.first_chunk::<8>()) {
             (9.., _) => 0,
-            (_, Some(eight)) => lower(u64::from_le_bytes(*eight) & (u64::MAX >> (64 - 8 * length as u32))),
+            (_, Some(eight)) => lower(u64::from_le_bytes(*eight) & (u64::MAX >> (64 - 8 * length))),
             (_, None) => packed(&rest[..length]),
         };
         self.at = from + length;
--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -13,10 +13,12 @@
 //! - [`cost_model`]: seconds of work of one fingerprint, learnt from completed attempts.
 //! - [`fingerprint_cache`]: keeps classification and cost of each fingerprint within a budget of bytes.
 
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![warn(clippy::shadow_unrelated)]
 
 pub mod builtin_catalog;
 pub mod classify;
+mod convert;
 pub mod cost_model;
 pub mod fingerprint;
 pub mod fingerprint_cache;
--- a/crates/statement/src/parse_budget.rs
+++ b/crates/statement/src/parse_budget.rs
@@ -2,6 +2,8 @@
 //!
 //! A part of the bucket is reserved for fingerprints that were seen before, as each of a flood is seen once.
 
+use crate::convert::bytes_to_f64;
+
 /// Bytes of text parsed in a second at most. A look-up and a join were parsed at 10 to 28 bytes a microsecond: a twentieth of
 /// each second at most.
 const BYTES_PER_SECOND: f64 = 500_000.0;
@@ -38,7 +40,7 @@
         self.available =
             (self.available + (now - self.refilled_at).max(0.0) * BYTES_PER_SECOND).min(BURST_BYTES);
         self.refilled_at = self.refilled_at.max(now);
-        let cost = bytes as f64 + FIXED_COST_BYTES;
+        let cost = bytes_to_f64(bytes) + FIXED_COST_BYTES;
         let reserved = if self.mark_seen(fingerprint) { 0.0 } else { BURST_BYTES * RESERVED_FRACTION };
         // A text longer than a burst would never be parsed otherwise.
         let allowed = self.available - reserved >= cost.min(BURST_BYTES * (1.0 - RESERVED_FRACTION));
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -5,6 +5,7 @@
 
 use serde::Deserialize;
 
+use crate::convert::count_to_f64;
 use crate::stand_in::Execution;
 
 /// A line of a router's audit file.
@@ -193,7 +194,7 @@
         let holders = self.holders.entry((entry.budget.clone(), entry.subject)).or_default();
         let has = |holder: &Holder| holder.right(entry.at).max(holder.in_use(entry.at, whole.hold()));
         let sum: u64 = holders.values().map(has).sum();
-        let part = sum as f64 / whole.units() as f64;
+        let part = count_to_f64(sum) / count_to_f64(whole.units());
         let highest = self.verdict.highest.entry(entry.budget.clone()).or_default();
         *highest = highest.max(part);
         if sum > whole.units() {
@@ -208,9 +209,9 @@
             let Some(Whole::Rate { units, every }) = wholes.get(budget) else { continue };
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first).step_by(1 + times.len() / 400) {
-                    let may = *units as f64 * (1.0 + (to - from) / every);
+                    let may = count_to_f64(*units) * (1.0 + (to - from) / every);
                     let spent = last - first + 1;
-                    if spent as f64 > may + 0.5 {
+                    if count_to_f64(spent as u64) > may + 0.5 {
                         self.verdict.faults.push(format!("{budget}: {spent} in {:.3} s", to - from));
                     }
                 }
--- a/crates/testkit/src/clock.rs
+++ b/crates/testkit/src/clock.rs
@@ -2,6 +2,8 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use crate::convert::count_to_f64;
+
 /// Milliseconds since the Unix epoch.
 pub(crate) fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
@@ -9,5 +11,5 @@
 
 /// Seconds since the Unix epoch, to the millisecond.
 pub(crate) fn unix_seconds() -> f64 {
-    unix_ms() as f64 / 1000.0
+    count_to_f64(u64::try_from(unix_ms()).unwrap_or(u64::MAX)) / 1000.0
 }
--- a/crates/testkit/src/cluster/harness.rs
+++ b/crates/testkit/src/cluster/harness.rs
@@ -200,8 +200,10 @@
 /// one at which a router is about to listen.
 fn unused_ip() -> IpAddr {
     static CLUSTERS: AtomicU64 = AtomicU64::new(0);
-    let (process, number) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
-    IpAddr::from([127, 64 + (process >> 8) as u8 % 128, process as u8, 1 + (number % 250) as u8])
+    let [low, high, ..] = std::process::id().to_le_bytes();
+    // Wraps around like the address: 1 to 250.
+    let number = CLUSTERS.fetch_add(1, Ordering::Relaxed) % 250;
+    IpAddr::from([127, 64 + high % 128, low, 1 + u8::try_from(number).unwrap_or_default()])
 }
 
 fn start_store(plan: &ClusterPlan) -> Result<StandInStore, ClusterError> {
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -18,7 +18,7 @@
 /// Longest that a client waits for an answer; beyond its statements' own time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// The bits of the time that go into a statement's id.
-const ID_TIME_MASK: u64 = 0xff_ffff;
+const ID_TIME_MASK: u128 = 0xff_ffff;
 
 /// What clients were answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -148,7 +148,7 @@
 fn next_statement(write_every: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let id = format!("{:x}{number:x}", unix_ms() as u64 & ID_TIME_MASK);
+    let id = format!("{:x}{number:x}", unix_ms() & ID_TIME_MASK);
     if write_every > 0 && number % write_every == 0 {
         format!(
             "INSERT INTO kv (name, content) VALUES ('k{number}', '\\x76') RETURNING content \
--- a/crates/testkit/src/cluster/router_process.rs
+++ b/crates/testkit/src/cluster/router_process.rs
@@ -33,8 +33,12 @@
 
 impl RouterAddresses {
     /// Those of the router of that number in the cluster at that IP address.
+    ///
+    /// # Panics
+    ///
+    /// If there are more routers than ports.
     pub(super) fn new(ip: IpAddr, number: usize) -> RouterAddresses {
-        let first = FIRST_PORT + PORTS_EACH * number as u16;
+        let first = FIRST_PORT + PORTS_EACH * u16::try_from(number).expect("a port for each router");
         let address = |offset| SocketAddr::from((ip, first + offset));
         RouterAddresses { listen: address(0), control: address(1), datagrams: address(2) }
     }
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -7,6 +7,7 @@
 use clap::Args;
 
 use crate::cluster::{Cluster, ClusterPlan};
+use crate::convert::count_to_f64;
 
 use super::{CommandError, RouterFiles};
 
@@ -87,7 +88,7 @@
     let count = |name: &str| counts.first().and_then(|line| line[name].as_f64()).unwrap_or(0.0);
     let ran_for = SETTLING_SECONDS + 2.0 * seconds;
     Ok(Sample {
-        statement_us: seconds * 1e6 / completed.max(1) as f64,
+        statement_us: seconds * 1e6 / count_to_f64(completed.max(1)),
         idle_cpu_ms: idle_cpu * 1000.0,
         datagrams_per_second: count("sent") / ran_for,
         bytes_per_second: count("sent_bytes") / ran_for,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -11,12 +11,14 @@
 //! - [`cluster`]: many router processes with proxies between them, load, and fault schedules
 //! - [`audit`]: checks the routers' audit files against the budgets
 //! - [`command`]: the command line
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![warn(clippy::shadow_unrelated)]
 
 pub mod audit;
 mod clock;
 pub mod cluster;
 pub mod command;
+mod convert;
 pub mod fault_proxy;
 pub mod scripted_peer;
 pub mod stand_in;
--- a/crates/testkit/src/stand_in/client.rs
+++ b/crates/testkit/src/stand_in/client.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::pg_messages::{message, read_message};
+use super::pg_messages::{LENGTH_BYTES, length_field, message, read_message};
 
 /// The startup message, without its length: version 3.0, then user and database.
 const STARTUP: &[u8] = b"\0\x03\0\0user\0backend\0database\0store\0\0";
@@ -21,7 +21,7 @@
     pub fn connect(router: SocketAddr) -> io::Result<Client> {
         let mut socket = TcpStream::connect(router)?;
         socket.set_nodelay(true)?;
-        socket.write_all(&(STARTUP.len() as u32 + 4).to_be_bytes())?;
+        socket.write_all(&length_field(LENGTH_BYTES + STARTUP.len()))?;
         socket.write_all(STARTUP)?;
         Ok(Client { socket })
     }
--- a/crates/testkit/src/stand_in/pg_messages.rs
+++ b/crates/testkit/src/stand_in/pg_messages.rs
@@ -5,7 +5,7 @@
 /// Length of the tag and the length field that begin a message.
 const HEADER_BYTES: usize = 5;
 /// Length of the length field, which counts itself.
-const LENGTH_BYTES: usize = 4;
+pub(crate) const LENGTH_BYTES: usize = 4;
 /// Longest startup message that is read.
 const MAX_STARTUP_BYTES: usize = 10_000;
 /// Longest body of a message that an endpoint reads.
@@ -16,11 +16,20 @@
 /// A message: its tag, its length and its body.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![tag];
-    out.extend((body.len() as u32 + LENGTH_BYTES as u32).to_be_bytes());
+    out.extend(length_field(LENGTH_BYTES + body.len()));
     out.extend(body);
     out
 }
 
+/// A length as messages have it.
+///
+/// # Panics
+///
+/// If it has more than four bytes.
+pub(crate) fn length_field(length: usize) -> [u8; LENGTH_BYTES] {
+    u32::try_from(length).expect("no message is so long").to_be_bytes()
+}
+
 /// AuthenticationOk.
 pub(crate) fn authentication_ok() -> Vec<u8> {
     message(b'R', &[0; 4])
@@ -55,7 +64,7 @@
     description.extend(b"content\0");
     description.extend([0, 0, 0, 0, 0, 0, 0, 0, 0, 17, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 1]);
     let mut data = vec![0, 1];
-    data.extend((value.len() as u32).to_be_bytes());
+    data.extend(length_field(value.len()));
     data.extend(value);
     let mut out = message(b'T', &description);
     out.extend(message(b'D', &data));
