--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -10,6 +10,7 @@
 use crate::backend::{BackendEvent, Backends, FinishedAssignment, TransferEnd};
 use crate::discovery::registry::EndpointRegistry;
 use crate::protocol::frame;
+use crate::protocol::frame::ProtocolError;
 use crate::protocol::socket;
 use crate::protocol::socket::ReadOutcome;
 use crate::reactor::{Context, Source};
@@ -61,7 +62,7 @@
             let taken = match frame::take_message(&mut connection.inbox) {
                 Ok(None) => return BackendEvent::AllRead,
                 Ok(Some(message)) => connection.reply.add(message),
-                Err(reason) => Err(reason),
+                Err(error) => Err(error),
             };
             match (taken, connection.state) {
                 (Ok(false), ConnectionState::Idle) if connection.reply.is_empty() => {}
@@ -70,8 +71,11 @@
                 (Ok(true), ConnectionState::Sent) => {
                     return BackendEvent::Finished(self.on_reply_complete(id, context));
                 }
-                (Err(reason), _) => return self.on_protocol_error(id, reason, endpoints, context),
-                _ => return self.on_protocol_error(id, "an answer to nothing", endpoints, context),
+                (Err(error), _) => return self.on_protocol_error(id, &error, endpoints, context),
+                _ => {
+                    let error = ProtocolError::UnsolicitedAnswer;
+                    return self.on_protocol_error(id, &error, endpoints, context);
+                }
             }
         }
     }
@@ -123,10 +127,11 @@
     fn on_protocol_error(
         &mut self,
         id: usize,
-        reason: &str,
+        error: &ProtocolError,
         endpoints: &mut EndpointRegistry,
         context: &mut Context,
     ) -> BackendEvent {
+        let reason = &error.to_string();
         context.counters.backend_protocol_errors += 1;
         if self.table[id].state != ConnectionState::Sent {
             return BackendEvent::Closed(self.fail(id, reason, endpoints, context));
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -112,8 +112,9 @@
                     self.await_more_input(id, context);
                     return None;
                 }
-                Err(reason) => {
-                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, reason, context);
+                Err(error) => {
+                    let why = error.to_string();
+                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, &why, context);
                 }
             }
         }
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -144,7 +144,7 @@
     fn refuse_statement(&mut self, client: usize, refusal: Refusal) {
         let (clients, context) = (&mut self.clients, &mut self.context);
         match refusal {
-            Refusal::Query(code, reason) => clients.reject_query(client, code, reason, context),
+            Refusal::Query(error) => clients.reject_query(client, error.code(), &error.to_string(), context),
             Refusal::NoEndpointList => clients.reject_without_list(client, self.max_retry_after, context),
             Refusal::NoDescriptor => clients.reject_without_descriptor(client, context),
         }
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -9,11 +9,12 @@
 use ottersill_statement::fingerprint::Key;
 use ottersill_statement::fingerprint_cache::{CacheKey, FingerprintCache, StatementInfo};
 use slog::{Logger, info};
+use thiserror::Error;
 
 use crate::discovery::registry::EndpointRegistry;
 use crate::in_flight::InFlightRequests;
 use crate::protocol::frame::ErrorCode;
-use crate::protocol::statement_text::{StatementComment, StatementText};
+use crate::protocol::statement_text::{StatementComment, StatementText, StatementTextError};
 use crate::reactor::Context;
 
 /// Between two log lines about statements that may write, in seconds: one line tells as much as all would.
@@ -22,14 +23,46 @@
 /// Why a statement is not handed to the routing module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is none of this service's, for that reason.
-    Query(ErrorCode, &'static str),
+    /// It is none of this service's.
+    Query(QueryError),
     /// No endpoint list has come yet.
     NoEndpointList,
     /// There is no room for its client.
     NoDescriptor,
 }
 
+/// Why a statement is none of this service's. The text of the error is for the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum QueryError {
+    /// Its text lacks something.
+    #[error(transparent)]
+    Malformed(#[from] StatementTextError),
+    /// Its comment names a workload that the settings do not.
+    #[error("no workload has the name in c")]
+    UnknownWorkload,
+    /// Its comment names a replica set that no endpoint is of.
+    #[error("no list has named this cluster")]
+    UnknownGroup,
+    /// Another request of this `id` is in flight.
+    #[error("a statement with this id is open")]
+    DuplicateId,
+    /// It belongs to a session, or is several in one, for that reason.
+    #[error("{0}")]
+    NotSupported(&'static str),
+}
+
+impl QueryError {
+    /// The code that the client is told.
+    #[must_use]
+    pub fn code(&self) -> ErrorCode {
+        match self {
+            QueryError::Malformed(_) | QueryError::DuplicateId => ErrorCode::ProtocolViolation,
+            QueryError::UnknownWorkload | QueryError::UnknownGroup => ErrorCode::Unknown,
+            QueryError::NotSupported(_) => ErrorCode::NotSupported,
+        }
+    }
+}
+
 /// A statement that may be handed to the routing module.
 pub struct CheckedStatement<'a> {
     /// Its text, as it is sent to endpoints.
@@ -106,15 +139,15 @@
         context: &mut Context,
     ) -> Result<CheckedStatement<'a>, Refusal> {
         let scan = self.fingerprints.scan(text);
-        let (statement, comment) = StatementText::parse(text, &scan)
-            .map_err(|reason| Refusal::Query(ErrorCode::ProtocolViolation, reason))?;
+        let parsed = StatementText::parse(text, &scan);
+        let (statement, comment) = parsed.map_err(|error| Refusal::Query(error.into()))?;
         let workload = self.catalog.workloads.iter().position(|name| name == comment.workload);
-        let workload = workload.ok_or(Refusal::Query(ErrorCode::Unknown, "no workload has the name in c"))?;
+        let workload = workload.ok_or(Refusal::Query(QueryError::UnknownWorkload))?;
         let group = find_group(&comment, surroundings)?;
         let info = self.fingerprints.lookup(context.now(), workload, text, scan.fingerprint);
         if let Some(reason) = info.refusal {
             context.counters.session_queries += 1;
-            return Err(Refusal::Query(ErrorCode::NotSupported, reason));
+            return Err(Refusal::Query(QueryError::NotSupported(reason)));
         }
         if info.kind != StatementKind::Read && self.catalog.reads[workload] {
             context.counters.reads_treated_as_writes += 1;
@@ -182,13 +215,13 @@
         return Err(Refusal::NoEndpointList);
     }
     let group = endpoints.group(comment.cluster);
-    let group = group.ok_or(Refusal::Query(ErrorCode::Unknown, "no list has named this cluster"))?;
+    let group = group.ok_or(Refusal::Query(QueryError::UnknownGroup))?;
     if !is_admitted {
         return Err(Refusal::NoDescriptor);
     }
     if requests.contains_id(comment.id) {
         // Sent on, it would be taken for a second copy of the one that is in flight.
-        return Err(Refusal::Query(ErrorCode::ProtocolViolation, "a statement with this id is open"));
+        return Err(Refusal::Query(QueryError::DuplicateId));
     }
     Ok(group)
 }
--- /dev/null
+++ b/crates/statement/src/classify/tree_findings.rs
@@ -0,0 +1,332 @@
+//! What the parser's tree says of a statement: a walk over it, and the judgement of what the walk and the tokens found.
+
+use std::collections::BTreeSet;
+use std::ops::ControlFlow;
+
+use sqlparser::ast::{
+    ArrayElemTypeDef, BinaryOperator, CopySource, CopyTarget, DataType, Expr, FunctionArguments, Ident,
+    ObjectName, ObjectNamePart, Query, SetExpr, Statement, TableAlias, TableFactor, TableSampleKind, Visitor,
+};
+
+use super::{Classification, StatementKind, doubted, unparsed};
+use crate::builtin_catalog;
+use crate::prescan::{Cause, Prescan};
+
+/// What a walk over the parser's tree has met.
+#[derive(Default)]
+pub(super) struct TreeFindings {
+    pub(super) tables: BTreeSet<String>,
+    pub(super) with: BTreeSet<String>,
+    pub(super) functions: BTreeSet<String>,
+    /// Names that stand before a parenthesis and call nothing: aliases with columns.
+    columned: Vec<String>,
+    statements: usize,
+    pub(super) locks: bool,
+    /// What changes something.
+    writes: Option<&'static str>,
+    /// What could, as far as is known.
+    unknown: Option<String>,
+}
+
+fn ident(ident: &Ident) -> String {
+    if ident.quote_style.is_some() { ident.value.clone() } else { ident.value.to_ascii_lowercase() }
+}
+
+fn name(name: &ObjectName) -> Option<String> {
+    let parts: Option<Vec<String>> = name
+        .0
+        .iter()
+        .map(|part| match part {
+            ObjectNamePart::Identifier(part) => Some(ident(part)),
+            ObjectNamePart::Function(_) => None,
+        })
+        .collect();
+    parts.map(|parts| parts.join("."))
+}
+
+impl TreeFindings {
+    fn doubt(&mut self, what: impl Into<String>) {
+        if self.unknown.is_none() {
+            self.unknown = Some(what.into());
+        }
+    }
+
+    fn called(&mut self, called: &ObjectName) {
+        if let [ObjectNamePart::Identifier(only)] = called.0.as_slice() {
+            if only.quote_style.is_none()
+                && builtin_catalog::is_in(builtin_catalog::CONSTRUCTS, only.value.as_bytes())
+            {
+                return;
+            }
+        }
+        let Some(called) = name(called) else { return self.doubt("a name that is made by a function") };
+        let own = called.strip_prefix("pg_catalog.").unwrap_or(&called);
+        if !builtin_catalog::is_exactly_in(builtin_catalog::READS, own.as_bytes()) {
+            self.doubt(format!("{called}() may write"));
+        }
+        self.functions.insert(called);
+    }
+
+    fn cast(&mut self, to: &DataType) {
+        let custom = match to {
+            DataType::Custom(name, _) => {
+                !name.0.last().and_then(|part| part.as_ident()).is_some_and(|part| {
+                    let own = name.0.len() == 1
+                        || name.0.len() == 2
+                            && name.0[0].as_ident().is_some_and(|schema| ident(schema) == "pg_catalog");
+                    own && builtin_catalog::is_exactly_in(builtin_catalog::TYPES, ident(part).as_bytes())
+                })
+            }
+            DataType::Array(of) => {
+                return match of {
+                    ArrayElemTypeDef::SquareBracket(inner, _) => self.cast(inner),
+                    _ => self.doubt(format!("a cast to {to}")),
+                };
+            }
+            _ => false,
+        };
+        if custom {
+            self.doubt(format!("a cast to {to}, which is no built-in type"));
+        }
+    }
+
+    fn alias(&mut self, alias: Option<&TableAlias>) {
+        if let Some(alias) = alias.filter(|alias| !alias.columns.is_empty()) {
+            self.columned.push(ident(&alias.name));
+            alias.columns.iter().filter_map(|column| column.data_type.as_ref()).for_each(|to| self.cast(to));
+        }
+    }
+
+    fn writes(&mut self, what: &'static str) {
+        self.writes.get_or_insert(what);
+    }
+
+    /// What the walk and the tokens come to. `runs` is false for what is only explained.
+    pub(super) fn judge(
+        &mut self,
+        statement: &Statement,
+        runs: bool,
+        text: &[u8],
+        prescan: &Prescan,
+    ) -> Classification {
+        if let Some(settled) = self.judge_kind(statement, text, prescan) {
+            return settled;
+        }
+        if let Some(objection) = self.objection(runs, text, prescan) {
+            return objection;
+        }
+        if let Some(called) = self.first_unknown_call(runs, text, prescan) {
+            return Classification::new(StatementKind::Unknown, format!("{called}() may write"));
+        }
+        let why = if runs { "nothing in it can write" } else { "EXPLAIN alone runs nothing" };
+        Classification::new(StatementKind::Read, why)
+    }
+
+    /// Notes what the kind of statement says. Returns a classification if that alone settles it.
+    fn judge_kind(
+        &mut self,
+        statement: &Statement,
+        text: &[u8],
+        prescan: &Prescan,
+    ) -> Option<Classification> {
+        match statement {
+            Statement::Query(_) => None,
+            Statement::ShowVariable { .. } => {
+                Some(Classification::new(StatementKind::Read, "shows a setting"))
+            }
+            Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
+                self.writes("changes rows");
+                None
+            }
+            Statement::Copy { source, to, target, .. } => {
+                self.copy(source, *to, target);
+                None
+            }
+            _ => Some(unparsed(text, prescan)),
+        }
+    }
+
+    /// `COPY … TO` if `to` is set, else `COPY … FROM`.
+    fn copy(&mut self, source: &CopySource, to: bool, target: &CopyTarget) {
+        if let CopySource::Table { table_name, columns } = source {
+            self.columned.extend(name(table_name).filter(|_| !columns.is_empty()));
+            self.tables.extend(name(table_name));
+        }
+        match target {
+            CopyTarget::Stdout if to => {}
+            _ => self.writes("COPY writes a table, or out of the server"),
+        }
+    }
+
+    /// What speaks against a read before its calls are looked at: the gravest that was found.
+    fn objection(&mut self, runs: bool, text: &[u8], prescan: &Prescan) -> Option<Classification> {
+        if let Some(doubt) = prescan.doubt.as_ref().filter(|doubt| doubt.cause == Cause::SessionCall) {
+            return Some(doubted(text, doubt));
+        }
+        // Nothing of what it explains runs; functions may, as the planner folds what it can.
+        if let Some(what) = self.writes.filter(|_| runs) {
+            return Some(Classification::new(StatementKind::Write, what));
+        }
+        if let Some(doubt) = prescan.dml.as_ref().filter(|_| runs) {
+            return Some(doubted(text, doubt));
+        }
+        if let Some(doubt) = &prescan.doubt {
+            return Some(doubted(text, doubt));
+        }
+        if self.statements > 1 && runs {
+            return Some(Classification::new(StatementKind::Unknown, "a statement within the statement"));
+        }
+        self.unknown.take().map(|why| Classification::new(StatementKind::Unknown, why))
+    }
+
+    /// The first name before a parenthesis that is neither an alias that the parser has seen nor a table's: a call that
+    /// the parser has not seen.
+    fn first_unknown_call(&mut self, runs: bool, text: &[u8], prescan: &Prescan) -> Option<String> {
+        let mut aliases = std::mem::take(&mut self.columned);
+        for range in &prescan.calls[..prescan.called] {
+            let called = called_name(&text[range.clone()]);
+            match aliases.iter().position(|alias| *alias == called) {
+                Some(place) => drop(aliases.swap_remove(place)),
+                // The target's columns of an INSERT that is only explained.
+                None if !runs && self.tables.contains(&called) => {}
+                None => return Some(called),
+            }
+        }
+        None
+    }
+}
+
+/// A name as the server takes it: unquoted or in lower case.
+fn called_name(bytes: &[u8]) -> String {
+    match bytes.first() {
+        Some(b'"') => String::from_utf8_lossy(&bytes[1..bytes.len() - 1]).replace("\"\"", "\""),
+        _ => String::from_utf8_lossy(bytes).to_ascii_lowercase(),
+    }
+}
+
+impl Visitor for TreeFindings {
+    type Break = ();
+
+    fn pre_visit_statement(&mut self, _statement: &Statement) -> ControlFlow<()> {
+        self.statements += 1;
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
+        for table in query.with.iter().flat_map(|with| &with.cte_tables) {
+            self.with.insert(ident(&table.alias.name));
+            self.alias(Some(&table.alias));
+        }
+        if !query.locks.is_empty() {
+            self.locks = true;
+            self.writes("locks rows");
+        }
+        if query.for_clause.is_some() || query.settings.is_some() || !query.pipe_operators.is_empty() {
+            self.doubt("grammar of another dialect");
+        }
+        self.body(&query.body);
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
+        match name(relation) {
+            Some(name) => drop(self.tables.insert(name)),
+            None => self.doubt("a name that is made by a function"),
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_table_factor(&mut self, factor: &TableFactor) -> ControlFlow<()> {
+        match factor {
+            TableFactor::Table { name, alias, args, sample, .. } => {
+                if args.is_some() {
+                    self.called(name);
+                }
+                self.sample(sample.as_ref());
+                self.alias(alias.as_ref());
+            }
+            TableFactor::Derived { alias, sample, .. } => {
+                self.sample(sample.as_ref());
+                self.alias(alias.as_ref());
+            }
+            TableFactor::Function { name, alias, .. } => {
+                self.called(name);
+                self.alias(alias.as_ref());
+            }
+            TableFactor::UNNEST { alias, .. } | TableFactor::NestedJoin { alias, .. } => {
+                self.alias(alias.as_ref());
+            }
+            _ => self.doubt("a kind of table that is not known"),
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
+        match expr {
+            Expr::Function(function) => {
+                self.called(&function.name);
+                if function.uses_odbc_syntax || function.parameters != FunctionArguments::None {
+                    self.doubt("grammar of another dialect");
+                }
+            }
+            Expr::Cast { data_type, .. } => self.cast(data_type),
+            Expr::TypedString(typed) => self.cast(&typed.data_type),
+            Expr::BinaryOp {
+                op: BinaryOperator::PGCustomBinaryOperator(_) | BinaryOperator::Custom(_),
+                ..
+            } => {
+                self.doubt("an operator by its schema may write");
+            }
+            Expr::Convert { .. }
+            | Expr::MatchAgainst { .. }
+            | Expr::Lambda(_)
+            | Expr::MemberOf(_)
+            | Expr::Dictionary(_)
+            | Expr::Map(_)
+            | Expr::Struct { .. }
+            | Expr::Prefixed { .. }
+            | Expr::Prior(_)
+            | Expr::OuterJoin(_)
+            | Expr::RLike { .. } => self.doubt("grammar of another dialect"),
+            _ => {}
+        }
+        ControlFlow::Continue(())
+    }
+}
+
+impl TreeFindings {
+    fn sample(&mut self, sample: Option<&TableSampleKind>) {
+        let Some(TableSampleKind::BeforeTableAlias(sample) | TableSampleKind::AfterTableAlias(sample)) =
+            sample
+        else {
+            return;
+        };
+        if sample.bucket.is_some() || sample.offset.is_some() {
+            self.doubt("grammar of another dialect");
+        }
+    }
+
+    fn body(&mut self, body: &SetExpr) {
+        match body {
+            SetExpr::Select(select) => {
+                if select.into.is_some() {
+                    self.writes("INTO makes a table");
+                }
+            }
+            SetExpr::SetOperation { left, right, .. } => {
+                self.body(left);
+                self.body(right);
+            }
+            SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_) => {
+                self.writes("changes rows in a part of it");
+            }
+            SetExpr::Table(table) => {
+                let parts = [&table.schema_name, &table.table_name];
+                let named: Vec<String> = parts.into_iter().flatten().map(ident).collect();
+                self.tables.insert(named.join("."));
+            }
+            // Walked as queries of their own, or values.
+            SetExpr::Query(_) | SetExpr::Values(_) => {}
+        }
+    }
+}
