--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -50,10 +50,15 @@
     }
 
     /// The idle connection to an endpoint that was used last. Those that the endpoint has ended are closed: they must not be
-    /// taken for connections.
+    /// taken for connections. So are those whose time is over, as a router that was held up finds a request before its timers.
     fn take_idle_backend(&mut self, endpoint: usize) -> Option<usize> {
         while let Some(id) = self.backends.pop_idle(endpoint) {
+            let idle_time = self.idle_time();
             let connection = &mut self.backends[id];
+            if connection.idle_since + idle_time <= self.clock.now() {
+                self.close_backend(id);
+                continue;
+            }
             let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
             if matches!(read, Ok(ReadOutcome::Drained)) && connection.inbox.is_empty() {
                 return Some(id);
@@ -149,8 +154,7 @@
 
     /// Keeps a connection for the next assignment.
     pub(crate) fn make_idle(&mut self, id: usize) {
-        // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
-        self.set_backend_state(id, ConnectionState::Idle, self.clock.now() + self.timeouts.idle / 2.0);
+        self.set_backend_state(id, ConnectionState::Idle, self.clock.now() + self.idle_time());
         let connection = &mut self.backends[id];
         connection.idle_since = self.clock.now();
         if connection.inbox.is_empty() {
@@ -160,6 +164,12 @@
         self.backends.push_idle(id);
     }
 
+    /// How long a connection is kept while it carries nothing, in seconds: half of what the endpoint allows, as one that ends at
+    /// both sides at once would be a reset.
+    fn idle_time(&self) -> f64 {
+        self.timeouts.idle / 2.0
+    }
+
     /// Closes a connection that carries nothing.
     pub(crate) fn close_backend(&mut self, id: usize) {
         self.set_backend_state(id, ConnectionState::Closed, f64::INFINITY);
--- /dev/null
+++ b/crates/ottersill/tests/long_quiet.rs
@@ -0,0 +1,47 @@
+//! The first requests after a long quiet, in which the hosts have ended the connections that idled, or lost them without a sign.
+
+mod support;
+
+use std::time::Duration;
+
+use ottersill_testkit::scripted_peer::ScriptedEndpoint;
+use rstest::rstest;
+use support::*;
+
+/// How long hosts keep an idle connection, where a test lets that time go by.
+const SHORT_KEEPALIVE: (&str, &str) = ("\"keepalive_ms\": 15000", "\"keepalive_ms\": 1000");
+
+/// Guards against sending the first request after a quiet on a connection that is lost by then: it would have to be given up, as it
+/// may have run. A host that keeps a connection for so long may forget it from then on; the router has to have closed it before,
+/// also where it was stopped meanwhile and finds the request and the time to close at once.
+#[rstest]
+#[case::closed(&[], ScriptedEndpoint::hold_greeting_and_close_idle, Duration::ZERO, false)]
+#[case::closed_meanwhile(&[], ScriptedEndpoint::hold_greeting_and_close_idle, Duration::ZERO, true)]
+#[case::reset(&[], ScriptedEndpoint::reset_idle, Duration::ZERO, false)]
+#[case::reset_meanwhile(&[], ScriptedEndpoint::reset_idle, Duration::ZERO, true)]
+#[case::forgotten(&[SHORT_KEEPALIVE], ScriptedEndpoint::forget_idle, Duration::from_millis(1100), false)]
+#[case::forgotten_meanwhile(&[SHORT_KEEPALIVE], ScriptedEndpoint::forget_idle, Duration::from_millis(1100), true)]
+fn the_first_requests_after_a_quiet_go_out_on_new_connections(
+    #[case] settings: &[(&str, &str)],
+    #[case] end_idle: fn(&ScriptedEndpoint),
+    #[case] quiet: Duration,
+    #[case] stopped: bool,
+) {
+    let fixture = Fixture::start(settings);
+    let (mut reader, mut writer) = (fixture.router.client(), fixture.router.client());
+    if stopped {
+        fixture.router.signal("-STOP");
+    }
+    std::thread::sleep(quiet);
+    for host in [&fixture.primary, &fixture.replica] {
+        end_idle(host);
+        host.resume_greeting();
+    }
+    reader.send(&read(7, 2000)).expect("a query");
+    writer.send(&write(7, 2000)).expect("a query");
+    fixture.router.signal("-CONT");
+    fixture.replica.next().answer("read");
+    assert_eq!(reader.answer().expect("an answer"), "row:read SELECT 1");
+    fixture.primary.next().answer("written");
+    assert_eq!(writer.answer().expect("an answer"), "row:written INSERT 0 1");
+}
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -83,6 +83,17 @@
     assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
 }
 
+/// A list without a length that comes whole counts as soon as discovery ends the connection. Right already.
+#[test]
+fn a_whole_list_without_length_counts() {
+    let fixture = Fixture::start(&[]);
+    let mut call = fixture.discovery.next();
+    call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", fixture.endpoint_list(2, "active", "leaving")));
+    call.end();
+    let next = fixture.discovery.next();
+    assert!(next.path.contains("since=2"), "{}", next.path);
+}
+
 /// Seen on a herd day with 300 routers: discovery was down for some seconds and answered no call that had come meanwhile, and
 /// calls followed each other each second. Hosts that drained were known 0.8 s late, where they may be sent to for 0.25 s.
 #[test]
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -22,10 +22,21 @@
 /// The text of each error that a test orders.
 const ERROR_TEXT: &str = "as it was told";
 
+/// What becomes of connections that are idle when a test orders it.
+#[derive(Clone, Copy)]
+enum IdleEnd {
+    /// They are reset.
+    Reset,
+    /// They stay open, and nothing that comes on them is answered, as where the network has lost them without a sign.
+    Forgotten,
+}
+
 /// What the test has ordered, and how many connections are in which phase.
 struct State {
     /// Whether connections are greeted; while not, idle ones are closed.
     greets: bool,
+    /// Orders that concern the connections that were idle then, the oldest first.
+    idle_ends: Vec<IdleEnd>,
     is_primary: bool,
     /// The replay position, where the test has frozen it.
     frozen_position_ms: Option<u128>,
@@ -90,6 +101,7 @@
         let at = listener.local_addr()?;
         let state = State {
             greets: true,
+            idle_ends: Vec::new(),
             is_primary,
             frozen_position_ms: None,
             awaiting_greeting: 0,
@@ -122,6 +134,21 @@
         self.wait_until("idle connections are closed", |state| state.idle == 0);
     }
 
+    /// Resets the connections that are idle. Returns once that is done.
+    pub fn reset_idle(&self) {
+        self.end_idle(IdleEnd::Reset);
+    }
+
+    /// Leaves the connections that are idle open, and answers nothing on them from now on.
+    pub fn forget_idle(&self) {
+        self.end_idle(IdleEnd::Forgotten);
+    }
+
+    fn end_idle(&self, end: IdleEnd) {
+        lock(&self.shared.state).idle_ends.push(end);
+        self.wait_until("idle connections are ended", |state| state.idle == 0);
+    }
+
     /// Reports the same replay position from now on.
     pub fn freeze_position(&self) {
         lock(&self.shared.state).frozen_position_ms = Some(unix_ms());
@@ -198,8 +225,12 @@
 
 /// Reads from an idle connection until a statement comes, which takes the connection with it, or until it is to be closed.
 fn serve(mut socket: TcpStream, shared: &Arc<Shared>, statements: &Sender<ReceivedStatement>) {
-    lock(&shared.state).idle += 1;
-    match next_statement(&mut socket, shared) {
+    let orders = {
+        let mut state = lock(&shared.state);
+        state.idle += 1;
+        state.idle_ends.len()
+    };
+    match next_statement(&mut socket, shared, orders) {
         Some(text) => {
             let statement = ReceivedStatement {
                 text,
@@ -211,15 +242,27 @@
             // A test that is over receives no more.
             let _ = statements.send(statement);
         }
-        None => close(&socket),
+        None => {
+            let ordered = lock(&shared.state).idle_ends.get(orders).copied();
+            match ordered {
+                None => close(&socket),
+                Some(IdleEnd::Reset) => {
+                    let _ = reset(socket);
+                }
+                Some(IdleEnd::Forgotten) => {
+                    thread::spawn(move || io::copy(&mut socket, &mut io::sink()));
+                }
+            }
+        }
     }
     lock(&shared.state).idle -= 1;
 }
 
-/// The next statement, once the health checks before it are answered; none if the connection is over.
-fn next_statement(socket: &mut TcpStream, shared: &Shared) -> Option<String> {
+/// The next statement, once the health checks before it are answered; none if the connection is over, or a test has ordered its
+/// end after the first so many orders.
+fn next_statement(socket: &mut TcpStream, shared: &Shared, orders: usize) -> Option<String> {
     loop {
-        let (tag, body) = read_while_greeting(socket, shared).ok()?;
+        let (tag, body) = read_while_idle(socket, shared, orders).ok()?;
         if tag != b'Q' {
             return None;
         }
@@ -233,8 +276,8 @@
     }
 }
 
-/// Reads a message; an error once the endpoint no longer greets and none has begun.
-fn read_while_greeting(socket: &mut TcpStream, shared: &Shared) -> io::Result<(u8, Vec<u8>)> {
+/// Reads a message; an error once the connection is to be ended and no message has begun.
+fn read_while_idle(socket: &mut TcpStream, shared: &Shared, orders: usize) -> io::Result<(u8, Vec<u8>)> {
     socket.set_read_timeout(Some(CHECK_INTERVAL))?;
     let mut tag = [0; 1];
     loop {
@@ -242,7 +285,8 @@
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
             Ok(_) => break,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if !lock(&shared.state).greets {
+                let state = lock(&shared.state);
+                if !state.greets || state.idle_ends.len() > orders {
                     return Err(ErrorKind::ConnectionAborted.into());
                 }
             }
