--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -226,6 +226,17 @@
     until("it lies there unread", || sides(&[&router, &client]).iter().any(unread));
 }
 
+/// Whether the router may have read all that `client` sent: its side of the connection has come up and is there, and nothing lies
+/// unread. The client has not ended, so what waits for late packets is left of an earlier connection from the same port.
+pub fn may_have_read_all(router: SocketAddr, client: SocketAddr) -> bool {
+    const COMING_UP: &str = "03";
+    const WAITS_FOR_LATE_PACKETS: &str = "06";
+    let (router, client) = (hex(router), hex(client));
+    let is_up = |side: &Side| ![COMING_UP, WAITS_FOR_LATE_PACKETS].contains(&side.state.as_str());
+    let may_have = |side: &Side| side.local == router && is_up(side) && !side.unread;
+    sides(&[&router, &client]).iter().any(may_have)
+}
+
 /// Waits until the router has closed its socket of the connection from `client`, whatever the system still does with it.
 pub fn until_closed(router: SocketAddr, client: SocketAddr) {
     let (router, client) = (hex(router), hex(client));
