--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -42,10 +42,15 @@
     }
 
     /// The idle connection to an endpoint that was used last. Those that the endpoint has ended are closed: they must not be
-    /// taken for connections.
+    /// taken for connections. So are those whose time is over, as a router that was held up finds a request before its timers.
     pub fn take_idle(&mut self, endpoint: usize, context: &mut Context) -> Option<usize> {
         while let Some(id) = self.table.pop_idle(endpoint) {
+            let idle_time = self.idle_time();
             let connection = &mut self.table[id];
+            if connection.idle_since + idle_time <= context.now() {
+                self.close(id, context);
+                continue;
+            }
             let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
             if matches!(read, Ok(ReadOutcome::Drained)) && connection.inbox.is_empty() {
                 return Some(id);
@@ -120,9 +125,7 @@
 
     /// Keeps a connection for the next assignment.
     pub fn make_idle(&mut self, id: usize, context: &mut Context) {
-        // Half of what the endpoint allows: one that ends at both sides at once would be a reset.
-        let idle_until = context.now() + self.timeouts.idle / 2.0;
-        self.set_state(id, ConnectionState::Idle, idle_until, context);
+        self.set_state(id, ConnectionState::Idle, context.now() + self.idle_time(), context);
         let connection = &mut self.table[id];
         connection.idle_since = context.now();
         if connection.inbox.is_empty() {
@@ -132,6 +135,12 @@
         self.table.push_idle(id);
     }
 
+    /// How long a connection is kept while it carries nothing, in seconds: half of what the endpoint allows, as one that ends at
+    /// both sides at once would be a reset.
+    fn idle_time(&self) -> f64 {
+        self.timeouts.idle / 2.0
+    }
+
     /// Closes a connection that carries nothing.
     pub(super) fn close(&mut self, id: usize, context: &mut Context) {
         self.set_state(id, ConnectionState::Closed, f64::INFINITY, context);
