--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Closes the connections to an endpoint that carry nothing; true if no other is left.
-    pub fn close_unassigned_backends_of(&mut self, endpoint: usize) -> bool {
+    /// Closes the connections to an endpoint that carry nothing, idle or not up yet.
+    pub fn close_unassigned_backends_of(&mut self, endpoint: usize) {
         self.close_idle_backends_of(endpoint);
         if self.backends.count_to(endpoint) > 0 {
             let to_endpoint = self.backends.iter().filter(|(_, connection)| connection.endpoint == endpoint);
@@ -183,7 +183,6 @@
             let unassigned: Vec<usize> = unassigned.map(|(id, _)| id).collect();
             unassigned.into_iter().for_each(|id| self.close_backend(id));
         }
-        self.backends.count_to(endpoint) == 0
     }
 
     /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
--- a/crates/ottersill/src/discovery/change.rs
+++ b/crates/ottersill/src/discovery/change.rs
@@ -27,11 +27,18 @@
         self.remove_forgotten_endpoints();
     }
 
-    /// Removes the endpoints that are gone and that the routing module needs no more, once no connection to them is left.
+    /// Removes the endpoints that are gone and that the routing module needs no more. What is left of connections to them is
+    /// closed: it would be taken for one to the endpoint that has the index next.
     fn remove_forgotten_endpoints(&mut self) {
         let now = self.clock.now();
         let mut forgettable = self.facade.forgettable_endpoints(now);
-        forgettable.retain(|endpoint| self.close_unassigned_backends_of(*endpoint));
+        forgettable.retain(|endpoint| {
+            self.close_unassigned_backends_of(*endpoint);
+            let is_unconnected = self.backends.count_to(*endpoint) == 0;
+            self.counters
+                .check_invariant(is_unconnected, "nothing is in flight to an endpoint that is forgotten");
+            is_unconnected
+        });
         for endpoint in self.facade.forget_endpoints(now, &forgettable) {
             self.endpoints.remove(endpoint);
             self.fingerprints.forget_endpoint(endpoint);
