--- a/crates/routing/src/departure.rs
+++ b/crates/routing/src/departure.rs
@@ -1,9 +1,8 @@
-//! Which endpoints have left the endpoint list, in which order, and which indices stand for no endpoint.
+//! Which excluded endpoints have left the endpoint list, in which order, and which indices stand for no endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::EndpointId;
-use crate::interface::EndpointState;
 
 /// When an endpoint left, and as which one of all.
 #[derive(Clone, Copy, Debug)]
@@ -30,19 +29,18 @@
 }
 
 impl Departures {
-    /// Takes over the state that an endpoint has by its new entry in the list; `departure` is that endpoint's.
+    /// Takes over whether an endpoint has left by its new entry in the list; `departure` is that endpoint's.
     pub(crate) fn record(
         &mut self,
         now: f64,
         id: EndpointId,
         departure: &mut Option<Departure>,
-        state: EndpointState,
+        has_left: bool,
     ) {
-        let is_gone = state == EndpointState::Removed;
-        if !is_gone && let Some(departure) = departure.take() {
+        if !has_left && let Some(departure) = departure.take() {
             self.departed.remove(&departure.number);
         }
-        if is_gone && departure.is_none() {
+        if has_left && departure.is_none() {
             *departure = Some(Departure { number: self.next_number, at: now });
             self.departed.insert(self.next_number, id);
             self.next_number += 1;
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -34,7 +34,7 @@
     /// When an attempt there was last answered, in whatever way; health checks are answered beside the queue and prove
     /// less.
     last_answer_at: f64,
-    /// Set while it is no longer listed.
+    /// Set while it is no longer listed, and excluded.
     pub(crate) departure: Option<Departure>,
     pub(crate) role: RoleRecord,
     pub(crate) position: ReplicationPosition,
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::health_check::{POLL_INTERVAL, Reasons, URGENT_INTERVAL};
 use crate::ids::{EndpointId, GroupId, Id};
-use crate::interface::{AttemptOutcome, EndpointUpdate, LoadReport, Transport};
+use crate::interface::{AttemptOutcome, EndpointState, EndpointUpdate, LoadReport, Transport};
 use crate::outlier::{self, SilenceDetector, Verdict};
 use crate::primary::RoleClaim;
 use crate::selection;
@@ -166,7 +166,9 @@
         }
         let endpoint = &mut self.endpoints[id];
         endpoint.apply_update(listing, initial_limit);
-        self.departures.record(now, id, &mut endpoint.departure, listing.state);
+        // One that may still be sent to stays: where only draining binds, each that left without having drained.
+        let has_left = listing.state == EndpointState::Removed && endpoint.is_excluded(&self.config);
+        self.departures.record(now, id, &mut endpoint.departure, has_left);
         self.watermarks.record_change_of(endpoint.member_of());
         if self.is_excluded(id) {
             self.unseat(id);
--- a/crates/routing/src/retention.rs
+++ b/crates/routing/src/retention.rs
@@ -40,13 +40,11 @@
         forgotten
     }
 
-    /// Whether the rules on excluded and on warming endpoints need nothing of what is known of that one, and no health
-    /// check of it is in flight.
+    /// Whether an endpoint has left, would be warm by now, and no health check of it is in flight.
     fn is_settled(&self, now: f64, id: EndpointId) -> bool {
         let endpoint = &self.endpoints[id];
         let is_warm = endpoint.slow_start.capacity_fraction(now, &self.config) >= 1.0;
-        let is_excluded = endpoint.departure.is_some() && endpoint.is_excluded(&self.config);
-        is_excluded && is_warm && !endpoint.health_check.is_in_flight()
+        endpoint.departure.is_some() && is_warm && !endpoint.health_check.is_in_flight()
     }
 
     /// Leaves out the endpoints that a request has an attempt at, or goes by for its next one.
