--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Closes the connections to an endpoint that carry nothing; true if no other is left.
-    pub fn close_unassigned_of(&mut self, endpoint: usize, context: &mut Context) -> bool {
+    /// Closes the connections to an endpoint that carry nothing, idle or not up yet.
+    pub fn close_unassigned_of(&mut self, endpoint: usize, context: &mut Context) {
         self.close_idle_of(endpoint, context);
         if self.table.count_to(endpoint) > 0 {
             let to_endpoint = self.table.iter().filter(|(_, connection)| connection.endpoint == endpoint);
@@ -164,7 +164,11 @@
             let unassigned: Vec<usize> = unassigned.map(|(id, _)| id).collect();
             unassigned.into_iter().for_each(|id| self.close(id, context));
         }
-        self.table.count_to(endpoint) == 0
+    }
+
+    /// How many connections to an endpoint there are.
+    pub fn count_to(&self, endpoint: usize) -> usize {
+        self.table.count_to(endpoint)
     }
 
     /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
--- a/crates/ottersill/src/event_loop/discovery.rs
+++ b/crates/ottersill/src/event_loop/discovery.rs
@@ -59,14 +59,24 @@
         self.remove_forgotten_endpoints();
     }
 
-    /// Removes the endpoints that are gone and that the routing module needs no more, once no connection to them is left.
+    /// Removes the endpoints that are gone and that the routing module needs no more. What is left of connections to them is
+    /// closed: it would be taken for one to the endpoint that has the index next.
     fn remove_forgotten_endpoints(&mut self) {
         let now = self.context.now();
         let mut forgettable = self.facade.forgettable_endpoints(now);
-        forgettable.retain(|endpoint| self.backends.close_unassigned_of(*endpoint, &mut self.context));
+        forgettable.retain(|endpoint| self.disconnect(*endpoint));
         for endpoint in self.facade.forget_endpoints(now, &forgettable) {
             self.endpoints.remove(endpoint);
             self.statements.forget_endpoint(endpoint);
         }
     }
+
+    /// Closes the connections to an endpoint to which nothing is in flight; true if none is left.
+    fn disconnect(&mut self, endpoint: usize) -> bool {
+        self.backends.close_unassigned_of(endpoint, &mut self.context);
+        let is_unconnected = self.backends.count_to(endpoint) == 0;
+        let invariant = "nothing is in flight to an endpoint that is forgotten";
+        self.context.counters.check_invariant(is_unconnected, invariant);
+        is_unconnected
+    }
 }
