--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -211,6 +211,12 @@
     }
 }
 
+/// Milliseconds of the wire as the seconds of routing; exact up to 2^53.
+#[expect(clippy::cast_precision_loss, reason = "positions in milliseconds are far below 2^53")]
+fn seconds(ms: u64) -> f64 {
+    ms as f64 / 1000.0
+}
+
 impl Names {
     fn endpoint(&self, name: &str) -> Result<usize, EventError> {
         self.endpoints.index_of(name).ok_or_else(|| EventError::UnknownEndpoint(name.to_string()))
@@ -223,7 +229,7 @@
             ProgressRole::Replica => Role::Replica,
         });
         let position = progress.position_ms();
-        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + ms as f64 / 1000.0), utilization: None }
+        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + seconds(ms)), utilization: None }
     }
 
     fn load_report(&self, pressure: &Pressure) -> LoadReport {
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -11,6 +11,7 @@
 //! 4. [`session`]: all instances of the process; a batch in, a reply out.
 //! 5. [`stdio`]: the loop over standard input and output.
 
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![warn(clippy::shadow_unrelated)]
 
 pub mod error;
