--- a/crates/fleet/src/node/spending.rs
+++ b/crates/fleet/src/node/spending.rs
@@ -65,7 +65,7 @@
     }
 
     /// Changes totals after the settings were read again. The other settings stay: see
-    /// [`FleetConfig::electorate`].
+    /// [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
     pub fn set_totals(&mut self, now: f64, totals: &[BudgetTotal]) {
         for BudgetTotal { id, total } in totals.iter().copied() {
             for budget in self.config.budgets.iter_mut().filter(|budget| budget.id == id) {
