--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -82,11 +82,14 @@
         false
     }
 
-    /// Whether connections that have not queried hold all the places that those that have may not hold.
+    /// Whether connections that have not queried hold all the places that those that have may not hold, half of them at least, and
+    /// one of those would have to go for another.
     fn has_silent_crowd(&self) -> bool {
-        let is_silent = |c: &ClientConnection| !c.has_queried && c.phase != ConnectionPhase::Lingering;
-        let silent = self.clients.iter().filter(|(_, client)| is_silent(client)).count();
-        silent + self.limits.established_clients >= self.limits.clients
+        let open = || self.clients.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering);
+        let silent = open().filter(|(_, client)| !client.has_queried).count();
+        let reserved = self.limits.established_clients.min(self.limits.clients / 2);
+        silent + reserved >= self.limits.clients
+            && open().any(|(_, client)| client.has_queried && client.phase == ConnectionPhase::Idle)
     }
 
     /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
