--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
 pub mod faults;
+pub mod machine;
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -52,6 +53,7 @@
     /// The same with further variables in its environment.
     pub fn spawn_in(text: &str, descriptors: Option<usize>, environment: &[(&str, String)]) -> Router {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
+        machine::watch();
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("ottersill-fixture-{}-{number}.json", std::process::id()));
