--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -8,7 +8,7 @@
 use ottersill::discovery::http;
 use ottersill::discovery::registry::{EndpointRegistry, RegistryChange};
 use ottersill::in_flight::RequestPhase;
-use ottersill::protocol::frame::{self, Message, Startup};
+use ottersill::protocol::frame::{self, Message, ProtocolError, Startup};
 use ottersill::protocol::socket::Outbox;
 use ottersill::protocol::statement_text::StatementText;
 use ottersill_routing::interface::{AttemptOutcome, EndpointState, Role};
@@ -220,6 +220,12 @@
     assert!(reply.add(Message(message(last.0, last.1.as_bytes()).into())).is_err());
 }
 
+/// What operators read of an answer that comes though nothing was asked, which the connection's state tells and not the reply.
+#[test]
+fn an_unsolicited_answer_in_the_log() {
+    assert_eq!(ProtocolError::UnsolicitedAnswer.to_string(), "an answer to nothing");
+}
+
 /// What operators read in the log of such an endpoint.
 #[rstest]
 #[case::error_without_end((b'E', "C53300\0"), "an error without its code")]
