--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -29,6 +29,7 @@
 mod admission;
 mod arrival;
 mod clock;
+pub mod clock_offset;
 mod concurrency_limit;
 mod consistency;
 mod dispatch;
