--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::thread;
 
-use crate::clock::{unix_ms, unix_seconds};
+use crate::clock::unix_seconds;
 
 use super::behaviour::Behaviour;
 use super::pg_messages::{
@@ -62,8 +62,9 @@
 }
 
 fn ready(store: &StandInStore, endpoint: usize) -> Vec<u8> {
-    let is_primary = store.lock().endpoints[endpoint].is_primary;
-    ready_for_query(is_primary, unix_ms())
+    let state = store.lock();
+    let endpoint = &state.endpoints[endpoint];
+    ready_for_query(endpoint.is_primary, endpoint.position_ms())
 }
 
 /// Answers a query as the endpoint behaves at the time it is received.
--- a/crates/testkit/src/stand_in/state.rs
+++ b/crates/testkit/src/stand_in/state.rs
@@ -37,6 +37,8 @@
     pub(super) health: &'static str,
     /// When it started, as discovery tells it; Unix milliseconds, zero for long ago.
     pub(super) started_ms: u128,
+    /// How far its clock, and with it its position, is off.
+    clock_shift_ms: i64,
     /// Statements that were received whole.
     pub(super) received: Vec<String>,
     /// Executions under way, and the most that ever were at once.
@@ -53,6 +55,7 @@
             is_primary,
             health: "active",
             started_ms: 0,
+            clock_shift_ms: 0,
             received: Vec::new(),
             under_way: 0,
             peak_concurrency: 0,
@@ -69,6 +72,15 @@
         }
     }
 
+    pub(super) fn shift_clock(&mut self, ms: i64) {
+        self.clock_shift_ms = ms;
+    }
+
+    /// Its position, and the time by its clock; Unix milliseconds.
+    pub(super) fn position_ms(&self) -> u128 {
+        unix_ms().saturating_add_signed(i128::from(self.clock_shift_ms))
+    }
+
     pub(super) fn begin_execution(&mut self) {
         self.under_way += 1;
         self.peak_concurrency = self.peak_concurrency.max(self.under_way);
@@ -112,7 +124,7 @@
         }
         let is_primary = self.endpoints[endpoint].is_primary;
         if text == HEALTH_QUERY {
-            return health_report(is_primary, unix_ms());
+            return health_report(is_primary, self.endpoints[endpoint].position_ms());
         }
         let mut literals = text.split('\'').skip(1).step_by(2);
         let Some(key) = literals.next() else {
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -6,7 +6,6 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::clock::unix_ms;
 use crate::sync::lock;
 
 use super::behaviour::Behaviour;
@@ -55,9 +54,17 @@
         self.change_list(|state| state.endpoints[endpoint].health = health);
     }
 
-    /// Discovery says from now on that the endpoint has just started.
+    /// Discovery says from now on that the endpoint has just started, by the endpoint's clock.
     pub fn set_just_started(&self, endpoint: usize) {
-        self.change_list(|state| state.endpoints[endpoint].started_ms = unix_ms());
+        self.change_list(|state| {
+            state.endpoints[endpoint].started_ms = state.endpoints[endpoint].position_ms();
+        });
+    }
+
+    /// The endpoint's clock, and with it its position, is off by so many milliseconds from now on. A replica that is behind
+    /// has a clock that is slow by its lag.
+    pub fn shift_clock(&self, endpoint: usize, ms: i64) {
+        self.lock().endpoints[endpoint].shift_clock(ms);
     }
 
     /// Whether discovery accepts calls and answers none.
