--- a/crates/ottersill/src/client/queries.rs
+++ b/crates/ottersill/src/client/queries.rs
@@ -105,7 +105,7 @@
             tenant: None,
             session: comment.session,
             time_left: (deadline - self.clock.now()).max(0.0),
-            since_write: comment.after.map(|after| (self.clock.now() - after).max(0.0)),
+            since_write: comment.after.map(|after| self.facade.since_commit(self.clock.now(), after)),
             repeat: comment.repeat,
             writes: info.kind != StatementKind::Read,
             work: info.estimate.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
--- a/crates/ottersill/src/clock.rs
+++ b/crates/ottersill/src/clock.rs
@@ -5,7 +5,8 @@
 /// Sockets that are found ready within so many seconds after an iteration may have been ready during it.
 const NO_WAIT: f64 = 0.001;
 
-/// One time for everything: it never goes back, and was tied to Unix time once, since positions are Unix times.
+/// One time for everything: it never goes back, and was tied to Unix time once. Where that was wrong the routing module
+/// measures by how much, as positions are Unix times of others.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
--- a/crates/routing/src/clock_offset.rs
+++ b/crates/routing/src/clock_offset.rs
@@ -11,8 +11,8 @@
 //!   exactly zero and every time is taken as it is told.
 //! - One endpoint with a wrong clock must not move the router's time: several primaries have to agree where several groups
 //!   are known, and these groups have to be more than those in which an endpoint contradicts them.
-//! - Until the offset is known no replica's position is known either, a commit that a client names asks for the primary, and
-//!   an endpoint counts as started when it was first listed.
+//! - Until the offset is known no replica's position is known either, so that reads that need one go to the primary, and an
+//!   endpoint counts as started when it was first listed.
 //!
 //! Where endpoints and router agree there is nothing to measure: offsets of less than [`AHEAD_TOLERANCE`] and
 //! [`REPORT_AGE`] are taken for none.
@@ -74,9 +74,9 @@
 pub enum OffsetChange {
     /// Nothing.
     None,
-    /// The offset is known from now on.
+    /// It is known now that there is none.
     Settled,
-    /// The offset is another one than before: positions that were taken over are no longer comparable with new ones.
+    /// It is another one than was known or assumed: positions taken over until now can't be compared with new ones.
     Stepped,
 }
 
@@ -194,11 +194,11 @@
         self.offset.map_or(listed_at, |offset| (started_at - offset).min(listed_at))
     }
 
-    /// Seconds since a commit that a client names by its position. Negative if that lies ahead; negative infinity, so that
-    /// only the primary will do, while positions can't be compared.
+    /// Seconds since a commit that a client names by its position; negative if that lies ahead. While the offset is not known
+    /// no replica's position is, and this need not be right: [`OffsetChange::Stepped`] has requests ask for more.
     #[must_use]
     pub fn since_commit(&self, now: f64, position: f64) -> f64 {
-        self.offset.map_or(f64::NEG_INFINITY, |offset| now - (position - offset))
+        now - (position - self.offset.unwrap_or(0.0))
     }
 
     fn record_opinion(&mut self, endpoint: usize, opinion: Opinion) {
@@ -276,13 +276,13 @@
     }
 
     fn step(&mut self, now: f64, measured: f64) -> OffsetChange {
-        let was_known = self.offset.is_some();
+        let assumed = self.offset.or(Some(0.0));
         // A clock that agrees with the router's has no offset.
         self.offset = Some(if judge(measured) == Verdict::Agrees { 0.0 } else { measured });
         self.stepped_at = Some(now);
         self.opinions.clear();
         self.witnesses.clear();
-        if was_known { OffsetChange::Stepped } else { OffsetChange::Settled }
+        if assumed == self.offset { OffsetChange::Settled } else { OffsetChange::Stepped }
     }
 }
 
--- a/crates/routing/src/consistency.rs
+++ b/crates/routing/src/consistency.rs
@@ -53,6 +53,11 @@
         self.rejects_reads &= in_answer;
     }
 
+    /// The endpoint's position is not known any more.
+    pub(crate) fn forget(&mut self) {
+        *self = ReplicationPosition { rejects_reads: self.rejects_reads, ..ReplicationPosition::default() };
+    }
+
     /// The endpoint rejected a read as too fresh for it.
     pub(crate) fn record_rejected_read(&mut self) {
         self.rejects_reads = true;
@@ -111,6 +116,14 @@
         }
     }
 
+    /// Has the reads of all sessions that wrote ask for that position at the least.
+    pub(crate) fn raise_to(&mut self, position: f64) {
+        let watermarks = self.sessions.values_mut().map(|watermark| &mut watermark.position);
+        for required in watermarks.chain(self.floors.iter_mut()) {
+            *required = required.max(position);
+        }
+    }
+
     /// A position in the group has moved, or a member has come, gone or returned.
     pub(crate) fn record_change_of(&mut self, group: GroupId) {
         // A write marks its group when it ends: what changed before it does not matter.
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -1,15 +1,20 @@
 //! Routing in blocking style, for network code: [`Facade::pick`], [`Facade::report`], [`Facade::tick`].
 //! Nothing here decides; it keeps what the [`Router`] asked for until it is picked up.
 //!
+//! Times that others tell (positions, start times) are handed in as they were told, in Unix seconds like `now`. The router gets
+//! them on its own clock, which may be wrong ([`crate::clock_offset`]).
+//!
 //! One loop can't block in `pick`, so it answers [`Decision::Wait`] instead, and what waits is picked again once
 //! [`Facade::tick`] names it. After each `pick` and `report` call `tick` until it names nothing.
 
 use std::collections::VecDeque;
 
 use crate::Router;
+use crate::clock_offset::{OffsetChange, PositionSource};
 use crate::interface::{
     AttemptOutcome, AttemptResult, EndpointUpdate, FleetQuota, LoadReport, Request, RoutingConfig, Transport,
 };
+use crate::time_conversion::TimeConversion;
 
 /// What [`Facade::pick`] is called for.
 pub enum PickRequest {
@@ -90,6 +95,7 @@
 /// A router in blocking style.
 pub struct Facade {
     router: Router,
+    times: TimeConversion,
     pending: Pending,
 }
 
@@ -124,7 +130,7 @@
     pub fn start(now: f64, config: RoutingConfig) -> Facade {
         let mut pending = Pending { now, ..Pending::default() };
         let router = Router::start(now, config, &mut pending);
-        Facade { router, pending }
+        Facade { router, times: TimeConversion::default(), pending }
     }
 
     /// The request's number, which is its own until it is over and no attempt of it is in flight, and what to do.
@@ -157,6 +163,9 @@
         self.pending.now = now;
         match news {
             RoutingEvent::AttemptEnded { request, endpoint, outcome, elapsed, observed, report } => {
+                let observed = self.convert_report(now, endpoint, PositionSource::Answer, observed);
+                let report =
+                    report.map(|report| self.convert_report(now, endpoint, PositionSource::Report, report));
                 let slot = &mut self.pending.slots[request];
                 let known = slot.is_taken && slot.in_flight > 0;
                 self.pending.check_invariant(known, "an execution that was picked ends once");
@@ -172,15 +181,44 @@
                 }
             }
             RoutingEvent::HealthCheckEnded { endpoint, outcome, report } => {
+                let report = self.convert_report(now, endpoint, PositionSource::Report, report);
                 self.router.on_health_check(now, endpoint, outcome, report, &mut self.pending);
             }
-            RoutingEvent::EndpointList(list) => self.router.on_endpoint_list(now, list, &mut self.pending),
+            RoutingEvent::EndpointList(list) => {
+                let list = self.times.local_updates(now, list);
+                self.router.on_endpoint_list(now, &list, &mut self.pending);
+            }
             RoutingEvent::Quota(parts) => self.router.on_quota(now, parts, &mut self.pending),
             RoutingEvent::EndpointListFailed => self.router.on_endpoint_list_failed(),
             RoutingEvent::ClientGone(request) => self.client_gone(now, request),
         }
     }
 
+    /// A report with its position on the router's clock, of which the position itself may tell something new.
+    fn convert_report(
+        &mut self,
+        now: f64,
+        endpoint: usize,
+        source: PositionSource,
+        report: LoadReport,
+    ) -> LoadReport {
+        let change = self.times.learn(now, endpoint, source, &report);
+        if change == OffsetChange::Stepped {
+            self.router.on_clock_step(now);
+        }
+        if change != OffsetChange::None {
+            let started = self.times.started_endpoints();
+            self.router.on_endpoint_list(now, &started, &mut self.pending);
+        }
+        self.times.local_report(now, endpoint, source, report)
+    }
+
+    /// Seconds since a commit that a client names by its position, for [`Request::since_write`].
+    #[must_use]
+    pub fn since_commit(&self, now: f64, position: f64) -> f64 {
+        self.times.since_commit(now, position)
+    }
+
     /// The client left before its answer.
     fn client_gone(&mut self, now: f64, request: usize) {
         let slot = self.pending.slots[request];
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -153,7 +153,8 @@
     pub session: Option<u64>,
     /// Seconds until the client gives this try up.
     pub time_left: f64,
-    /// Seconds since the session's last write was committed, where that is told.
+    /// Seconds since the session's last write was committed, where that is told; negative if the commit lies ahead of the
+    /// router's time.
     pub since_write: Option<f64>,
     /// The client marked this as a repeat.
     pub repeat: bool,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -53,5 +53,6 @@
 mod state;
 mod stats;
 mod throughput;
+mod time_conversion;
 
 pub use router::Router;
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -217,6 +217,15 @@
         f64::from(lagging) / f64::from(replicas.max(1))
     }
 
+    /// Forgets the positions of all endpoints; all writes that sessions have to see were committed before now.
+    pub(crate) fn forget_positions(&mut self, now: f64) {
+        for endpoint in self.endpoints.iter_mut() {
+            endpoint.position.forget();
+        }
+        self.watermarks.raise_to(now);
+        self.requests.raise_watermarks_to(now);
+    }
+
     /// Forgets the watermarks of sessions that every endpoint of their group has come up to.
     pub(crate) fn forget_watermarks(&mut self) {
         let mut watermarks = std::mem::take(&mut self.watermarks);
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -154,6 +154,13 @@
         self.table[id] = entry;
     }
 
+    /// Has all requests ask for that position at the least, if they ask for any.
+    pub(crate) fn raise_watermarks_to(&mut self, position: f64) {
+        for entry in self.table.iter_mut() {
+            entry.request.watermark = entry.request.watermark.max(position);
+        }
+    }
+
     /// The requests that wait in a group, in the order in which they are dispatched.
     pub(crate) fn waiting(&self, group: GroupId) -> &[RequestId] {
         self.queues.get(group).map_or(&[], Vec::as_slice)
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -124,6 +124,11 @@
         state.dispatch_all_waiting(now, transport);
     }
 
+    /// From now on positions are told on a clock that was set: those that were told before can't be compared with them.
+    pub fn on_clock_step(&mut self, now: f64) {
+        self.state.forget_positions(now);
+    }
+
     /// The endpoint list was asked for and did not come.
     pub fn on_endpoint_list_failed(&mut self) {
         self.must_request_list = self.state.config.list_on_request;
--- a/crates/routing/tests/facade.rs
+++ b/crates/routing/tests/facade.rs
@@ -132,3 +132,41 @@
     end(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
     assert_eq!(facade.invariant_violations(), 1);
 }
+
+/// Guards against reads of old data where an offset of the clock was taken for none: of positions from before it was measured
+/// nobody knows how old they are.
+#[test]
+fn positions_from_before_a_step_of_the_clock_count_no_more() {
+    let mut facade = Facade::start(100.0, terms(false));
+    let member = |endpoint, group| EndpointUpdate { group, ..listed(endpoint, EndpointState::Ready) };
+    facade
+        .report(100.0, RoutingEvent::EndpointList(&[member(0, 0), member(1, 0), member(2, 1), member(3, 2)]));
+    for (endpoint, role, lsn) in [
+        (0, Role::Primary, 100.0),
+        (1, Role::Replica, 100.0),
+        (2, Role::Primary, 104.0),
+        (3, Role::Primary, 104.0),
+    ] {
+        let report = LoadReport { role: Some(role), lsn: Some(lsn), utilization: None };
+        let outcome = AttemptOutcome::Completed;
+        facade.report(100.0, RoutingEvent::HealthCheckEnded { endpoint, outcome, report });
+    }
+    let read_by = |facade: &mut Facade, now| facade.pick(now, PickRequest::New(statement(READ, 0.75))).1;
+    let at_replica = Decision::Dispatch { endpoint: 1, timeout: 0.0 };
+    assert_eq!(read_by(&mut facade, 100.0), at_replica);
+    for tenth in 0..9 {
+        let now = 100.0 + 0.1 * f64::from(tenth);
+        for (endpoint, group) in [(2, 1), (3, 2)] {
+            let write = Request { group, ..statement(WRITE, 2.0) };
+            let (request, decision) = facade.pick(now, PickRequest::New(write));
+            assert_eq!(decision, Decision::Dispatch { endpoint, timeout: 0.0 });
+            let observed = LoadReport { role: Some(Role::Primary), lsn: Some(now + 4.0), utilization: None };
+            let (outcome, elapsed, report) = (AttemptOutcome::Completed, 0.01, None);
+            facade.report(
+                now,
+                RoutingEvent::AttemptEnded { request, endpoint, outcome, elapsed, observed, report },
+            );
+        }
+    }
+    assert_ne!(read_by(&mut facade, 100.9), at_replica, "its position may be 5 s old");
+}
