--- a/crates/routing/src/clock_offset.rs
+++ b/crates/routing/src/clock_offset.rs
@@ -14,8 +14,8 @@
 //! - Until the offset is known no replica's position is known either, so that reads that need one go to the primary, and an
 //!   endpoint counts as started when it was first listed.
 //!
-//! Where endpoints and router agree there is nothing to measure: offsets of less than [`AHEAD_TOLERANCE`] and
-//! [`REPORT_AGE`] are taken for none.
+//! Where endpoints and router agree there is nothing to measure: offsets of less than `AHEAD_TOLERANCE` and
+//! `REPORT_AGE` are taken for none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -178,7 +178,7 @@
     /// A position that was told, on the router's clock; `None` while the offset is not known.
     ///
     /// A claim to be the primary would be lost without a position that can be believed. A primary stands at the present, and a
-    /// report is at most [`REPORT_AGE`] old, whatever the clock of its endpoint says.
+    /// report is at most `REPORT_AGE` old, whatever the clock of its endpoint says.
     #[must_use]
     pub fn local_position(&self, now: f64, sample: &PositionSample) -> Option<f64> {
         let local = self.offset.map(|offset| sample.position - offset);
