--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -153,7 +153,9 @@
     fn accept_statement(&mut self, client: usize, statement: CheckedStatement, arrived_at: f64) {
         let own_deadline = arrived_at + statement.time_left;
         let deadline = self.clients.statement_deadline(client, own_deadline, &self.context);
-        let request = statement.routing_request(deadline, self.context.now());
+        let now = self.context.now();
+        let since_write = statement.comment.after.map(|after| self.facade.since_commit(now, after));
+        let request = statement.routing_request(deadline, now, since_write);
         let in_flight = InFlightRequest {
             phase: RequestPhase::Waiting,
             client,
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -80,15 +80,16 @@
 }
 
 impl CheckedStatement<'_> {
-    /// What the routing module is told of it. Times are Unix seconds.
-    pub fn routing_request(&self, deadline: f64, now: f64) -> Request {
+    /// What the routing module is told of it. Times are Unix seconds; `since_write` is the time since the commit that the comment
+    /// names, by the clock of those that commit.
+    pub fn routing_request(&self, deadline: f64, now: f64, since_write: Option<f64>) -> Request {
         Request {
             workload: self.workload,
             group: self.group,
             tenant: None,
             session: self.comment.session,
             time_left: (deadline - now).max(0.0),
-            since_write: self.comment.after.map(|after| (now - after).max(0.0)),
+            since_write,
             repeat: self.comment.repeat,
             writes: self.info.kind != StatementKind::Read,
             work: self.info.estimate.map(|e| WorkEstimate {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -30,6 +30,7 @@
 mod admission;
 mod arrival;
 mod clock;
+pub mod clock_offset;
 mod concurrency_limit;
 mod consistency;
 mod departure;
@@ -55,5 +56,6 @@
 mod state;
 mod stats;
 mod throughput;
+mod time_conversion;
 
 pub use router::Router;
