--- a/crates/testkit/src/cluster/error.rs
+++ b/crates/testkit/src/cluster/error.rs
@@ -40,7 +40,7 @@
 
 impl ClusterError {
     /// For `map_err` on what a file is read or written with.
-    pub(super) fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> ClusterError {
+    pub(crate) fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> ClusterError {
         let path = path.into();
         |source| ClusterError::File { path, source }
     }
--- a/crates/testkit/src/cluster/files.rs
+++ b/crates/testkit/src/cluster/files.rs
@@ -32,15 +32,9 @@
     discovery: SocketAddr,
     example: &str,
 ) -> Result<(), ClusterError> {
-    let seed = plan.seed * 1000 + index as u64;
-    let text = example
-        // Short, so that what outlives a router is over soon.
-        .replace("\"deadline_ms\": 2000", &format!("\"deadline_ms\": {}", plan.deadline_ms))
-        .replace("\"toy-router\"", &format!("\"{}\"", router.name))
-        .replace("127.0.0.1:7400", &router.listen.to_string())
-        .replace("127.0.0.1:7500", &discovery.to_string())
-        .replace("8c1f30d27a5be964", &format!("{seed:x}"));
-    fs::write(&router.config, text).map_err(ClusterError::file(&router.config))
+    // Short, so that what outlives a router is over soon.
+    let example = example.replace("\"deadline_ms\": 2000", &format!("\"deadline_ms\": {}", plan.deadline_ms));
+    router.write_config(&example, discovery, plan.seed * 1000 + index as u64)
 }
 
 /// Writes a router's file of the fleet, with `executions` units at each endpoint.
--- a/crates/testkit/src/cluster/harness.rs
+++ b/crates/testkit/src/cluster/harness.rs
@@ -198,7 +198,7 @@
 
 /// An address for this cluster alone: connections that other tests open take ports of 127.0.0.1, which may be the very
 /// one at which a router is about to listen.
-fn unused_ip() -> IpAddr {
+pub(crate) fn unused_ip() -> IpAddr {
     static CLUSTERS: AtomicU64 = AtomicU64::new(0);
     let (process, number) = (std::process::id(), CLUSTERS.fetch_add(1, Ordering::Relaxed));
     IpAddr::from([127, 64 + (process >> 8) as u8 % 128, process as u8, 1 + (number % 250) as u8])
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::clock::unix_ms;
-use crate::stand_in::Client;
+use crate::stand_in::{Client, DEFAULT_GROUP};
 use crate::sync::lock;
 
 /// How long a client rests before it connects again.
@@ -16,7 +16,7 @@
 /// How long a client rests after its statement was rejected.
 const REJECTED_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest that a client waits for an answer; beyond its statements' own time.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// The bits of the time that go into a statement's id.
 const ID_TIME_MASK: u64 = 0xff_ffff;
 
@@ -36,6 +36,18 @@
 }
 
 impl Answers {
+    /// Counts an answer, in [`Client::answer`]'s words; none if the connection broke or went silent.
+    pub(crate) fn count(&mut self, answer: Option<&str>) {
+        let counter = match answer {
+            Some(words) if words.starts_with("row:") => &mut self.completed,
+            Some(words) if words.starts_with("C53300") => &mut self.rejected,
+            Some(words) if words.starts_with('C') => &mut self.aborted,
+            Some(_) => &mut self.wrong,
+            None => &mut self.broken,
+        };
+        *counter += 1;
+    }
+
     /// Adds what other clients were answered.
     pub fn add(&mut self, other: &Answers) {
         self.completed += other.completed;
@@ -118,7 +130,8 @@
         client.answer()?;
         while !self.is_stopped() {
             let answer = client.ask(&next_statement(self.write_every));
-            self.count(answer.as_deref().ok());
+            // A paused router goes silent.
+            lock(&self.answers)[self.index].count(answer.as_deref().ok());
             if answer?.starts_with("C53300") {
                 thread::sleep(REJECTED_INTERVAL);
             }
@@ -126,35 +139,27 @@
         Ok(())
     }
 
-    /// Counts an answer; none if the connection broke, or went silent, as one to a paused router does.
-    fn count(&self, answer: Option<&str>) {
-        let answers = &mut lock(&self.answers)[self.index];
-        let counter = match answer {
-            Some(words) if words.starts_with("row:") => &mut answers.completed,
-            Some(words) if words.starts_with("C53300") => &mut answers.rejected,
-            Some(words) if words.starts_with('C') => &mut answers.aborted,
-            Some(_) => &mut answers.wrong,
-            None => &mut answers.broken,
-        };
-        *counter += 1;
-    }
-
     fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 }
 
-/// A statement that no other client of this process sends.
+/// A statement of the default replica set that no other client of this process sends.
 fn next_statement(write_every: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    statement_text(number, write_every > 0 && number % write_every == 0, DEFAULT_GROUP)
+}
+
+/// A statement to that replica set; its id is made of the time and its number.
+pub(crate) fn statement_text(number: u64, is_write: bool, group: u64) -> String {
     let id = format!("{:x}{number:x}", unix_ms() as u64 & ID_TIME_MASK);
-    if write_every > 0 && number % write_every == 0 {
+    if is_write {
         format!(
             "INSERT INTO kv (name, content) VALUES ('k{number}', '\\x76') RETURNING content \
-             /* id={id},c=put,d=500,cluster=1 */"
+             /* id={id},c=put,d=500,cluster={group} */"
         )
     } else {
-        format!("SELECT content FROM kv WHERE name = 'k{number}' /* id={id},c=get,d=500,cluster=1 */")
+        format!("SELECT content FROM kv WHERE name = 'k{number}' /* id={id},c=get,d=500,cluster={group} */")
     }
 }
--- a/crates/testkit/src/cluster/mod.rs
+++ b/crates/testkit/src/cluster/mod.rs
@@ -25,9 +25,12 @@
 pub use control_client::query;
 pub use error::ClusterError;
 pub use harness::Cluster;
+pub(crate) use harness::unused_ip;
 pub use load::Answers;
+pub(crate) use load::{ANSWER_TIMEOUT, statement_text};
 pub use plan::ClusterPlan;
 pub use router_process::{DuplicateRouter, RouterProcess};
+pub(crate) use router_process::{Launcher, RouterAddresses};
 
 /// Longer than anything that a cluster is waited for may take.
-const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/cluster/router_process.rs
+++ b/crates/testkit/src/cluster/router_process.rs
@@ -22,7 +22,7 @@
 
 /// Where a router listens.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RouterAddresses {
+pub(crate) struct RouterAddresses {
     /// To clients.
     pub(super) listen: SocketAddr,
     /// To operators.
@@ -33,7 +33,7 @@
 
 impl RouterAddresses {
     /// Those of the router of that number in the cluster at that IP address.
-    pub(super) fn new(ip: IpAddr, number: usize) -> RouterAddresses {
+    pub(crate) fn new(ip: IpAddr, number: usize) -> RouterAddresses {
         let first = FIRST_PORT + PORTS_EACH * number as u16;
         let address = |offset| SocketAddr::from((ip, first + offset));
         RouterAddresses { listen: address(0), control: address(1), datagrams: address(2) }
@@ -41,12 +41,12 @@
 }
 
 /// How routers of a cluster are started.
-pub(super) struct Launcher {
-    pub(super) program: PathBuf,
+pub(crate) struct Launcher {
+    pub(crate) program: PathBuf,
     /// Where logs are written.
-    pub(super) folder: PathBuf,
-    pub(super) arguments: Vec<String>,
-    pub(super) fleet_enabled: bool,
+    pub(crate) folder: PathBuf,
+    pub(crate) arguments: Vec<String>,
+    pub(crate) fleet_enabled: bool,
 }
 
 impl Launcher {
@@ -86,7 +86,7 @@
 
 impl RouterProcess {
     /// One that does not run yet.
-    pub(super) fn new(name: String, folder: &Path, addresses: RouterAddresses) -> RouterProcess {
+    pub(crate) fn new(name: String, folder: &Path, addresses: RouterAddresses) -> RouterProcess {
         RouterProcess {
             config: folder.join(format!("{name}.json")),
             fleet: folder.join(format!("{name}.textproto")),
@@ -109,8 +109,23 @@
         self.is_paused
     }
 
+    /// Writes its settings: `example`, the text of `example/router.json`, with its own name, addresses and seed.
+    pub(crate) fn write_config(
+        &self,
+        example: &str,
+        discovery: SocketAddr,
+        seed: u64,
+    ) -> Result<(), ClusterError> {
+        let text = example
+            .replace("\"toy-router\"", &format!("\"{}\"", self.name))
+            .replace("127.0.0.1:7400", &self.listen.to_string())
+            .replace("127.0.0.1:7500", &discovery.to_string())
+            .replace("8c1f30d27a5be964", &format!("{seed:x}"));
+        fs::write(&self.config, text).map_err(ClusterError::file(&self.config))
+    }
+
     /// Starts it with nothing in memory, unless it runs.
-    pub(super) fn start(&mut self, launcher: &Launcher) -> Result<(), ClusterError> {
+    pub(crate) fn start(&mut self, launcher: &Launcher) -> Result<(), ClusterError> {
         if self.process.is_none() {
             self.process = Some(launcher.launch(&self.config, &self.fleet, &self.name)?);
             self.is_paused = false;
@@ -119,7 +134,7 @@
     }
 
     /// SIGKILL.
-    pub(super) fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             kill_and_wait(&mut process);
         }
@@ -142,6 +157,16 @@
         self.signal(Signal::HUP);
     }
 
+    /// SIGUSR1: it writes its counters to its log.
+    pub(crate) fn print_counters(&self) {
+        self.signal(Signal::USR1);
+    }
+
+    /// Its process, if it runs.
+    pub(crate) fn process_id(&self) -> Option<u32> {
+        self.process.as_ref().map(Child::id)
+    }
+
     /// SIGTERM, until it has ended; its exit status, or none if it had to be killed.
     pub(super) fn terminate(&mut self) -> Option<i32> {
         self.resume();
@@ -159,7 +184,7 @@
     }
 
     /// Seconds of processor time that it has used, as the kernel counts them for it; zero if it does not run.
-    pub(super) fn cpu_seconds(&self) -> f64 {
+    pub(crate) fn cpu_seconds(&self) -> f64 {
         let Some(process) = &self.process else { return 0.0 };
         let text = fs::read_to_string(format!("/proc/{}/schedstat", process.id())).unwrap_or_default();
         let nanoseconds = text.split(' ').next().and_then(|field| field.parse::<f64>().ok());
--- a/crates/testkit/src/command/error.rs
+++ b/crates/testkit/src/command/error.rs
@@ -5,6 +5,7 @@
 
 use crate::cluster::ClusterError;
 use crate::cluster::fault_schedule::ScriptError;
+use crate::scale::ScaleError;
 
 /// Why a command ends with an error.
 #[derive(Debug, thiserror::Error)]
@@ -43,4 +44,10 @@
     /// The audit found rules broken.
     #[error("{0} faults")]
     RulesBroken(usize),
+    /// A run of a deployment has no result.
+    #[error(transparent)]
+    Scale(#[from] ScaleError),
+    /// The router needs more in the large deployment than it may.
+    #[error("{0} rows are not within their bounds")]
+    BoundsExceeded(usize),
 }
--- a/crates/testkit/src/command/mod.rs
+++ b/crates/testkit/src/command/mod.rs
@@ -4,6 +4,7 @@
 mod cost;
 mod error;
 mod fleet;
+mod scale;
 mod serve;
 
 use std::io;
@@ -20,7 +21,7 @@
 /// Where the endpoints of the command `serve` listen.
 const ENDPOINTS: [&str; 3] = ["127.0.0.1:7601", "127.0.0.1:7602", "127.0.0.1:7603"];
 
-/// The testkit of ottersill, on loopback: a stand-in store, and clusters of router processes under faults.
+/// The testkit of ottersill, on loopback: a stand-in store, clusters of router processes under faults, and large deployments.
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Arguments {
@@ -39,6 +40,8 @@
     Fleet(fleet::FleetArguments),
     /// Times statements through a router that talks to others and through one that does not, in turn.
     Cost(cost::CostArguments),
+    /// Compares what a router needs in a small and in a large deployment, and fails where it grows beyond its bounds.
+    Scale(scale::ScaleArguments),
 }
 
 /// Runs a command to its end.
@@ -48,6 +51,7 @@
         Command::Ask(statement) => ask::run(statement),
         Command::Fleet(fleet) => fleet::run(fleet),
         Command::Cost(cost) => cost::run(cost),
+        Command::Scale(scale) => scale::run(scale),
     }
 }
 
--- /dev/null
+++ b/crates/testkit/src/command/scale.rs
@@ -0,0 +1,102 @@
+//! `scale`: compares what a router needs in a small and in a large deployment.
+
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::Args;
+
+use crate::scale::{Comparison, Measurement, ScalePlan};
+
+use super::{CommandError, RouterFiles};
+
+/// Arguments of `scale`.
+#[derive(Args)]
+pub(super) struct ScaleArguments {
+    /// Hosts of the small deployment.
+    #[arg(long, default_value_t = 200)]
+    small: usize,
+    /// Hosts of the large deployment.
+    #[arg(long, default_value_t = 3200)]
+    large: usize,
+    /// Routers that the settings tell of in the small deployment.
+    #[arg(long, default_value_t = 300)]
+    small_routers: usize,
+    /// Routers that the settings tell of in the large deployment.
+    #[arg(long, default_value_t = 900)]
+    large_routers: usize,
+    /// Requests a second; a fifth are writes.
+    #[arg(long, default_value_t = 20.0)]
+    rate: f64,
+    /// How long each run sends requests.
+    #[arg(long, default_value_t = 20.0)]
+    seconds: f64,
+    /// The part of the hosts that is replaced during a run.
+    #[arg(long, default_value_t = 0.1)]
+    replaced: f64,
+    /// The first seed; each further run takes the next.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Runs of each deployment, in turn; medians are compared.
+    #[arg(long, default_value_t = 1)]
+    runs: u64,
+    /// Writes the table and all runs to this file, as JSON.
+    #[arg(long)]
+    json: Option<PathBuf>,
+    /// The built router; else the one beside this program.
+    #[arg(long)]
+    program: Option<PathBuf>,
+    /// The settings that the router's are made of.
+    #[arg(long, default_value = "example/router.json")]
+    config: PathBuf,
+}
+
+impl ScaleArguments {
+    fn plan(&self, hosts: usize, routers: usize, seed: u64) -> ScalePlan {
+        ScalePlan {
+            hosts,
+            routers,
+            rate: self.rate,
+            duration: Duration::from_secs_f64(self.seconds),
+            replaced: self.replaced,
+            seed,
+            ..ScalePlan::default()
+        }
+    }
+}
+
+/// Measures both deployments in turn, prints the table, and fails if a row is not within its bound.
+pub(super) fn run(arguments: &ScaleArguments) -> Result<(), CommandError> {
+    let files = RouterFiles::find(arguments.program.as_deref(), &arguments.config)?;
+    let (mut small, mut large) = (Vec::new(), Vec::new());
+    for seed in (arguments.seed..).take(arguments.runs as usize) {
+        small.push(measure(&arguments.plan(arguments.small, arguments.small_routers, seed), &files)?);
+        large.push(measure(&arguments.plan(arguments.large, arguments.large_routers, seed), &files)?);
+    }
+    let comparison = Comparison::new((arguments.small, small), (arguments.large, large));
+    print!("{comparison}");
+    if let Some(path) = &arguments.json {
+        write_json(path, &comparison)?;
+    }
+    match comparison.exceeded() {
+        0 => Ok(()),
+        rows => Err(CommandError::BoundsExceeded(rows)),
+    }
+}
+
+fn measure(plan: &ScalePlan, files: &RouterFiles) -> Result<Measurement, CommandError> {
+    let measurement = Measurement::run(plan, &files.program, &files.example)?;
+    let Measurement { requests, completed, rejected, aborted, unanswered, .. } = &measurement;
+    eprintln!(
+        "{} hosts, seed {}: {requests} requests, {completed} completed, {rejected} rejected, {aborted} aborted, \
+         {unanswered} unanswered",
+        plan.hosts, plan.seed
+    );
+    Ok(measurement)
+}
+
+fn write_json(path: &Path, comparison: &Comparison) -> Result<(), CommandError> {
+    let text = serde_json::to_string_pretty(comparison).map_err(io::Error::from)?;
+    fs::write(path, text).map_err(|source| CommandError::File { path: path.to_path_buf(), source })
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -9,6 +9,7 @@
 //! - [`scripted_peer`]: an endpoint and a discovery whose answers a test gives by hand
 //! - [`fault_proxy`]: forwards datagrams and connections, with faults
 //! - [`cluster`]: many router processes with proxies between them, load, and fault schedules
+//! - [`scale`]: one router in a small and in a large deployment, compared
 //! - [`audit`]: checks the routers' audit files against the budgets
 //! - [`command`]: the command line
 #![warn(clippy::shadow_unrelated)]
@@ -18,6 +19,7 @@
 pub mod cluster;
 pub mod command;
 pub mod fault_proxy;
+pub mod scale;
 pub mod scripted_peer;
 pub mod stand_in;
 mod sync;
--- a/crates/testkit/src/scripted_peer/discovery.rs
+++ b/crates/testkit/src/scripted_peer/discovery.rs
@@ -98,7 +98,13 @@
 pub fn endpoint_list(version: u64, endpoints: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<_> = endpoints
         .iter()
-        .map(|(name, address, health)| ListedEndpoint { name, address: *address, health, started_ms: 0 })
+        .map(|(name, address, health)| ListedEndpoint {
+            name,
+            address: *address,
+            group: 1,
+            health,
+            started_ms: 0,
+        })
         .collect();
-    endpoint_list_json(version, &entries)
+    endpoint_list_json(version, true, &entries)
 }
--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -31,6 +31,7 @@
 
 /// Serves a connection until either side closes it.
 pub(super) fn serve(store: &StandInStore, endpoint: usize, mut client: TcpStream) -> io::Result<()> {
+    store.lock().connections_accepted += 1;
     client.set_nodelay(true)?;
     read_startup(&mut client)?;
     if store.lock().endpoints[endpoint].behaviour == Behaviour::Mute {
--- a/crates/testkit/src/stand_in/discovery.rs
+++ b/crates/testkit/src/stand_in/discovery.rs
@@ -60,7 +60,9 @@
     while state.discovery_is_silent {
         state = store.changed().wait(state).unwrap_or_else(PoisonError::into_inner);
     }
-    state.endpoint_list(proxied)
+    let list = state.endpoint_list(request.since, proxied);
+    state.list_bytes_sent += list.len() as u64;
+    list
 }
 
 fn response(list: &str, closes: bool) -> String {
--- a/crates/testkit/src/stand_in/state.rs
+++ b/crates/testkit/src/stand_in/state.rs
@@ -12,6 +12,8 @@
 
 /// SQLSTATE of a statement that the store does not understand.
 const SYNTAX_ERROR: &str = "42601";
+/// The health of an endpoint in service, as discovery tells it.
+pub(super) const ACTIVE: &str = "active";
 /// SQLSTATE of a write at a replica.
 const READ_ONLY: &str = "25006";
 
@@ -31,6 +33,12 @@
 /// One endpoint of the store.
 pub(super) struct Endpoint {
     pub(super) address: SocketAddr,
+    /// The number of its replica set.
+    pub(super) group: u64,
+    /// Whether discovery names it.
+    pub(super) is_listed: bool,
+    /// The version of the list in which it last changed.
+    changed_in: u64,
     pub(super) behaviour: Behaviour,
     /// Whether it runs writes; a behaviour that is no role leaves it as it was.
     pub(super) is_primary: bool,
@@ -46,12 +54,15 @@
 }
 
 impl Endpoint {
-    fn new(address: SocketAddr, is_primary: bool) -> Endpoint {
+    fn new(address: SocketAddr, group: u64, is_primary: bool) -> Endpoint {
         Endpoint {
             address,
+            group,
+            is_listed: true,
+            changed_in: 0,
             behaviour: if is_primary { Behaviour::Primary } else { Behaviour::Replica },
             is_primary,
-            health: "active",
+            health: ACTIVE,
             started_ms: 0,
             received: Vec::new(),
             under_way: 0,
@@ -89,6 +100,12 @@
     pub(super) version: u64,
     pub(super) discovery_is_silent: bool,
     pub(super) discovery_closes: bool,
+    /// Whether calls that name a version are answered with what has changed since.
+    pub(super) sends_changes_only: bool,
+    /// Bytes of lists that discovery has sent.
+    pub(super) list_bytes_sent: u64,
+    /// Connections that endpoints have accepted.
+    pub(super) connections_accepted: u64,
     /// How long a statement takes; nothing at first.
     pub(super) statement_duration: Duration,
     values: HashMap<String, Vec<u8>>,
@@ -97,14 +114,23 @@
 }
 
 impl State {
-    /// Adds an endpoint and returns its index; the first is the primary.
-    pub(super) fn add_endpoint(&mut self, address: SocketAddr) -> usize {
+    /// Adds an endpoint and returns its index; the first of a replica set is the primary.
+    pub(super) fn add_endpoint(&mut self, address: SocketAddr, group: u64, is_listed: bool) -> usize {
         let index = self.endpoints.len();
-        self.endpoints.push(Endpoint::new(address, index == 0));
+        let is_first = self.endpoints.iter().all(|endpoint| endpoint.group != group);
+        self.endpoints.push(Endpoint::new(address, group, is_first));
         self.version += 1;
+        self.change_endpoint(index, |endpoint| endpoint.is_listed = is_listed);
         index
     }
 
+    /// Changes an endpoint in the version of the list that is current.
+    pub(super) fn change_endpoint(&mut self, endpoint: usize, change: impl FnOnce(&mut Endpoint)) {
+        let endpoint = &mut self.endpoints[endpoint];
+        change(endpoint);
+        endpoint.changed_in = self.version;
+    }
+
     /// The result of a statement that the endpoint runs.
     pub(super) fn execute(&mut self, endpoint: usize, text: &str) -> Vec<u8> {
         if text.trim().is_empty() {
@@ -133,17 +159,24 @@
         self.writing_views.iter().any(|view| text.contains(view.as_str()))
     }
 
-    /// Discovery's list, with the proxied address of each endpoint that has one.
-    pub(super) fn endpoint_list(&self, proxied: &[SocketAddr]) -> String {
+    /// Discovery's list, with the proxied address of each endpoint that has one; only what has changed after the version
+    /// `since`, if discovery tells changes.
+    pub(super) fn endpoint_list(&self, since: Option<u64>, proxied: &[SocketAddr]) -> String {
+        let since = since.filter(|_| self.sends_changes_only);
         let names: Vec<String> = (0..self.endpoints.len()).map(|index| format!("toy-{index}")).collect();
+        let is_wanted = |endpoint: &Endpoint| {
+            endpoint.is_listed && since.is_none_or(|version| endpoint.changed_in > version)
+        };
+        let wanted = self.endpoints.iter().enumerate().filter(|(_, endpoint)| is_wanted(endpoint));
         let entry = |(index, endpoint): (usize, &Endpoint)| ListedEndpoint {
             name: names[index].as_str(),
             address: proxied.get(index).copied().unwrap_or(endpoint.address),
+            group: endpoint.group,
             health: endpoint.health,
             started_ms: endpoint.started_ms,
         };
-        let entries: Vec<_> = self.endpoints.iter().enumerate().map(entry).collect();
-        endpoint_list_json(self.version, &entries)
+        let entries: Vec<_> = wanted.map(entry).collect();
+        endpoint_list_json(self.version, since.is_none(), &entries)
     }
 }
 
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -1,34 +1,63 @@
 //! The store as a test holds it: starts endpoints and discovery, changes how they behave, tells what they received.
 
 use std::io;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
-use std::thread;
 use std::time::Duration;
 
 use crate::clock::unix_ms;
 use crate::sync::lock;
 
+use super::acceptor::{Acceptor, Serve};
 use super::behaviour::Behaviour;
+use super::membership::MembershipChange;
 use super::state::{Execution, State};
 use super::{database, discovery};
 
+/// The replica set of endpoints that are added without one.
+pub(crate) const DEFAULT_GROUP: u64 = 1;
+
 /// A stand-in store. Clones share their endpoints and data. Its threads live as long as the process.
 #[derive(Clone, Default)]
 pub struct StandInStore {
     state: Arc<Mutex<State>>,
     changed: Arc<Condvar>,
+    /// Started with the first listener.
+    acceptor: Arc<Mutex<Option<Acceptor>>>,
 }
 
 impl StandInStore {
     /// Starts an endpoint at that address and returns where it listens; the first is the primary. Fails if the address
     /// can't be bound.
     pub fn add_endpoint(&self, address: &str) -> io::Result<SocketAddr> {
+        let endpoint = self.add_member(address, DEFAULT_GROUP)?;
+        Ok(self.endpoint_address(endpoint))
+    }
+
+    /// Starts an endpoint of that replica set and returns its index; the first of each is the primary. Fails if the
+    /// address can't be bound.
+    pub fn add_member(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
+        self.start_endpoint(address, group, true)
+    }
+
+    /// The same, but discovery does not list it until it joins by [`change_members`](Self::change_members).
+    pub fn add_successor(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
+        self.start_endpoint(address, group, false)
+    }
+
+    fn start_endpoint(&self, address: impl ToSocketAddrs, group: u64, is_listed: bool) -> io::Result<usize> {
         let listener = TcpListener::bind(address)?;
-        let bound_to = listener.local_addr()?;
-        let index = self.lock().add_endpoint(bound_to);
-        self.accept(listener, move |store, client| database::serve(store, index, client));
-        Ok(bound_to)
+        let endpoint = self.lock().add_endpoint(listener.local_addr()?, group, is_listed);
+        let store = self.clone();
+        self.accept(listener, Arc::new(move |client| database::serve(&store, endpoint, client)))?;
+        Ok(endpoint)
+    }
+
+    /// Closes all listeners, of endpoints and of discovery; connections go on.
+    pub fn stop_listening(&self) {
+        if let Some(acceptor) = lock(&self.acceptor).as_ref() {
+            acceptor.close_all();
+        }
     }
 
     /// Starts a discovery service at that address and returns where it listens. Fails if the address can't be bound.
@@ -40,8 +69,8 @@
     pub fn add_discovery_via(&self, address: &str, proxied: Vec<SocketAddr>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
         let bound_to = listener.local_addr()?;
-        let proxied: Arc<[SocketAddr]> = proxied.into();
-        self.accept(listener, move |store, client| discovery::serve(store, client, &proxied));
+        let store = self.clone();
+        self.accept(listener, Arc::new(move |client| discovery::serve(&store, client, &proxied)))?;
         Ok(bound_to)
     }
 
@@ -52,12 +81,34 @@
 
     /// Changes an endpoint's health as discovery tells it: `active`, `leaving` or `left`.
     pub fn set_health(&self, endpoint: usize, health: &'static str) {
-        self.change_list(|state| state.endpoints[endpoint].health = health);
+        self.change_list(|state| state.change_endpoint(endpoint, |endpoint| endpoint.health = health));
     }
 
     /// Discovery says from now on that the endpoint has just started.
     pub fn set_just_started(&self, endpoint: usize) {
-        self.change_list(|state| state.endpoints[endpoint].started_ms = unix_ms());
+        self.change_list(|state| {
+            state.change_endpoint(endpoint, |endpoint| endpoint.started_ms = unix_ms());
+        });
+    }
+
+    /// Endpoints join and leave, all in one change of the list.
+    pub fn change_members(&self, change: &MembershipChange) {
+        self.change_list(|state| state.change_members(change));
+    }
+
+    /// From now on discovery answers a call that names a version with what has changed since, not with the whole list.
+    pub fn send_changes_only(&self) {
+        self.lock().sends_changes_only = true;
+    }
+
+    /// How many bytes of lists discovery has sent.
+    pub fn list_bytes_sent(&self) -> u64 {
+        self.lock().list_bytes_sent
+    }
+
+    /// How many connections all endpoints have accepted.
+    pub fn connections_accepted(&self) -> u64 {
+        self.lock().connections_accepted
     }
 
     /// Whether discovery accepts calls and answers none.
@@ -115,26 +166,20 @@
         &self.changed
     }
 
+    /// Makes a change of the list, and wakes the calls that wait for one.
     fn change_list(&self, change: impl FnOnce(&mut State)) {
         let mut state = self.lock();
-        change(&mut state);
         state.version += 1;
+        change(&mut state);
         self.changed.notify_all();
     }
 
-    /// Serves each connection of the listener in a thread of its own.
-    fn accept(
-        &self,
-        listener: TcpListener,
-        serve: impl Fn(&StandInStore, TcpStream) -> io::Result<()> + Send + Clone + 'static,
-    ) {
-        let store = self.clone();
-        thread::spawn(move || {
-            for client in listener.incoming().flatten() {
-                let (store, serve) = (store.clone(), serve.clone());
-                // An error on a connection concerns its client only.
-                thread::spawn(move || serve(&store, client));
-            }
-        });
+    /// Has each connection of the listener served in a thread of its own.
+    fn accept(&self, listener: TcpListener, serve: Serve) -> io::Result<()> {
+        let mut acceptor = lock(&self.acceptor);
+        if acceptor.is_none() {
+            *acceptor = Some(Acceptor::start()?);
+        }
+        acceptor.as_ref().map_or(Ok(()), |acceptor| acceptor.add(listener, serve))
     }
 }
