--- a/crates/testkit/src/scale/measurement.rs
+++ b/crates/testkit/src/scale/measurement.rs
@@ -9,7 +9,7 @@
 
 use serde::Serialize;
 
-use crate::cluster::{Answers, Launcher, PATIENCE, RouterAddresses, RouterProcess, unused_ip};
+use crate::cluster::{Answers, ClusterError, Launcher, PATIENCE, RouterAddresses, RouterProcess, unused_ip};
 use crate::stand_in::Client;
 
 use super::discovery::play_changes;
@@ -21,6 +21,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// The setting of the example that tells how many routers there are.
 const ROUTERS_SETTING: &str = "\"balancers\": 1,";
+/// The setting of the example that tells after how long an idle connection to an endpoint is closed.
+const KEEPALIVE_SETTING: &str = "\"keepalive_ms\": 15000";
 /// What the log line with the counters begins with.
 const COUNTERS: &str = "counters: ";
 
@@ -55,7 +57,7 @@
 
 impl Measurement {
     /// Plays the plan on one router. `program` is the built router, `example` the text of `example/router.json`, whose
-    /// addresses and number of routers are replaced.
+    /// addresses, number of routers and idle time of connections are replaced.
     pub fn run(plan: &ScalePlan, program: &Path, example: &str) -> Result<Measurement, ScaleError> {
         let hosts = Hosts::start(plan)?;
         let router = MeasuredRouter::start(plan, &hosts, program, example)?;
@@ -95,11 +97,10 @@
         let ip = unused_ip();
         let discovery = hosts.store.add_discovery(&format!("{ip}:0")).map_err(ScaleError::Store)?;
         let folder = std::env::temp_dir().join(format!("ottersill-scale-{}-{ip}", std::process::id()));
-        fs::create_dir_all(&folder).map_err(crate::cluster::ClusterError::file(&folder))?;
+        fs::create_dir_all(&folder).map_err(ClusterError::file(&folder))?;
         let process = RouterProcess::new("router".to_string(), &folder, RouterAddresses::new(ip, 0));
         let mut router = MeasuredRouter { process, folder };
-        let example = example.replace(ROUTERS_SETTING, &format!("\"balancers\": {},", plan.routers));
-        router.process.write_config(&example, discovery, plan.seed)?;
+        router.process.write_config(&settings(plan, example), discovery, plan.seed)?;
         let launcher = Launcher {
             program: program.to_path_buf(),
             folder: router.folder.clone(),
@@ -163,6 +164,13 @@
     }
 }
 
+/// The settings of the example, with those of the plan in place of its own.
+fn settings(plan: &ScalePlan, example: &str) -> String {
+    example
+        .replace(ROUTERS_SETTING, &format!("\"balancers\": {},", plan.routers))
+        .replace(KEEPALIVE_SETTING, &format!("\"keepalive_ms\": {}", plan.keepalive.as_millis()))
+}
+
 /// The value of a counter.
 fn counter(counters: &str, name: &'static str) -> Result<u64, ScaleError> {
     let pairs = counters.split([' ', ',']).filter_map(|word| word.split_once('='));
