--- a/crates/testkit/src/command/scale.rs
+++ b/crates/testkit/src/command/scale.rs
@@ -26,9 +26,9 @@
     /// Routers that the settings tell of in the large deployment.
     #[arg(long, default_value_t = 900)]
     large_routers: usize,
-    /// After how many milliseconds the settings have idle connections to hosts closed.
-    #[arg(long, default_value_t = 3000)]
-    keepalive_ms: u64,
+    /// After how many milliseconds idle connections to hosts are closed; else as the settings say.
+    #[arg(long)]
+    keepalive_ms: Option<u64>,
     /// Requests a second; a fifth are writes.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
@@ -60,7 +60,7 @@
         ScalePlan {
             hosts,
             routers,
-            keepalive: Duration::from_millis(self.keepalive_ms),
+            keepalive: self.keepalive_ms.map(Duration::from_millis),
             rate: self.rate,
             duration: Duration::from_secs_f64(self.seconds),
             replaced: self.replaced,
--- a/crates/testkit/src/scale/measurement.rs
+++ b/crates/testkit/src/scale/measurement.rs
@@ -166,9 +166,9 @@
 
 /// The settings of the example, with those of the plan in place of its own.
 fn settings(plan: &ScalePlan, example: &str) -> String {
-    example
-        .replace(ROUTERS_SETTING, &format!("\"balancers\": {},", plan.routers))
-        .replace(KEEPALIVE_SETTING, &format!("\"keepalive_ms\": {}", plan.keepalive.as_millis()))
+    let settings = example.replace(ROUTERS_SETTING, &format!("\"balancers\": {},", plan.routers));
+    let Some(keepalive) = plan.keepalive else { return settings };
+    settings.replace(KEEPALIVE_SETTING, &format!("\"keepalive_ms\": {}", keepalive.as_millis()))
 }
 
 /// The value of a counter.
--- a/crates/testkit/src/scale/plan.rs
+++ b/crates/testkit/src/scale/plan.rs
@@ -14,8 +14,8 @@
     pub hosts: usize,
     /// How many routers the settings tell of; one of them is started.
     pub routers: usize,
-    /// After how long an idle connection to an endpoint is closed, as the settings say.
-    pub keepalive: Duration,
+    /// After how long an idle connection to an endpoint is closed, in place of what the example's settings say.
+    pub keepalive: Option<Duration>,
     /// Requests a second.
     pub rate: f64,
     /// One request in so many is a write; none if that is zero.
@@ -56,7 +56,7 @@
         ScalePlan {
             hosts: 200,
             routers: 300,
-            keepalive: Duration::from_secs(3),
+            keepalive: None,
             rate: 20.0,
             write_every: 5,
             duration: Duration::from_secs(20),
