--- a/crates/testkit/src/scale/discovery.rs
+++ b/crates/testkit/src/scale/discovery.rs
@@ -8,7 +8,7 @@
 use super::plan::CHANGE_INTERVAL;
 
 /// Until the first change.
-const FIRST_CHANGE: Duration = CHANGE_INTERVAL.checked_div(2).expect("two is not zero");
+const FIRST_CHANGE: Duration = Duration::from_millis(500);
 
 /// Makes all changes; returns after the last.
 pub(super) fn play_changes(store: &StandInStore, changes: &[MembershipChange]) {
--- a/crates/testkit/src/scale/error.rs
+++ b/crates/testkit/src/scale/error.rs
@@ -16,6 +16,9 @@
     /// What the kernel tells of the router's process could not be read.
     #[error("the router's process: {0}")]
     Process(#[source] io::Error),
+    /// The settings of the example lack one that is replaced.
+    #[error("the example's settings have no {0}")]
+    NoSetting(&'static str),
     /// The router did not answer clients in time.
     #[error("the router did not come up")]
     NotReady,
--- a/crates/testkit/src/scale/mod.rs
+++ b/crates/testkit/src/scale/mod.rs
@@ -16,6 +16,7 @@
 mod plan;
 mod process_usage;
 mod report;
+mod router;
 
 pub use error::ScaleError;
 pub use growth::{Growth, Quantity};
