--- a/crates/testkit/src/cluster/harness.rs
+++ b/crates/testkit/src/cluster/harness.rs
@@ -203,7 +203,7 @@
 
 /// An address for this cluster alone: connections that other tests open take ports of 127.0.0.1, which may be the very
 /// one at which a router is about to listen.
-fn unused_ip() -> IpAddr {
+pub(crate) fn unused_ip() -> IpAddr {
     static CLUSTERS: AtomicU64 = AtomicU64::new(0);
     let [low, high, ..] = std::process::id().to_le_bytes();
     // Wraps around like the address: 1 to 250.
