--- a/crates/testkit/src/stand_in/acceptor.rs
+++ b/crates/testkit/src/stand_in/acceptor.rs
@@ -67,7 +67,7 @@
             Err(_) => return,
         }
         for event in events.drain(..) {
-            accept_one(services, event.data.u64() as usize);
+            accept_one(services, service_index(event.data.u64()));
         }
     }
 }
@@ -81,3 +81,8 @@
     // Without a thread for it the connection is closed.
     let _ = thread::Builder::new().spawn(move || serve(connection));
 }
+
+/// The index that a listener was registered under.
+fn service_index(key: u64) -> usize {
+    usize::try_from(key).expect("each key was an index")
+}
