--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -11,8 +11,8 @@
     MAX_BODY_BYTES, authentication_ok, corrupt_column_length, error_response, query_text, read_message,
     read_startup, ready_for_query,
 };
+use super::shared_state::SharedState;
 use super::state::is_statement;
-use super::store::StandInStore;
 
 /// What an endpoint that [`Behaviour::Babbles`] sends.
 const NO_MESSAGE: &[u8] = b"?what is this\0";
@@ -30,7 +30,7 @@
 }
 
 /// Serves a connection until either side closes it.
-pub(super) fn serve(store: &StandInStore, endpoint: usize, mut client: TcpStream) -> io::Result<()> {
+pub(super) fn serve(store: &SharedState, endpoint: usize, mut client: TcpStream) -> io::Result<()> {
     store.lock().connections_accepted += 1;
     client.set_nodelay(true)?;
     read_startup(&mut client)?;
@@ -62,14 +62,14 @@
     client.read_exact(&mut [0; 4])
 }
 
-fn ready(store: &StandInStore, endpoint: usize) -> Vec<u8> {
+fn ready(store: &SharedState, endpoint: usize) -> Vec<u8> {
     let state = store.lock();
     let endpoint = &state.endpoints[endpoint];
     ready_for_query(endpoint.is_primary, endpoint.position_ms())
 }
 
 /// Answers a query as the endpoint behaves at the time it is received.
-fn reply(store: &StandInStore, endpoint: usize, text: &str) -> Reply {
+fn reply(store: &SharedState, endpoint: usize, text: &str) -> Reply {
     let behaviour = store.lock().endpoints[endpoint].behaviour;
     if !is_statement(text) {
         let answer = execute(store, endpoint, text);
@@ -93,12 +93,12 @@
     send(behaviour, answer)
 }
 
-fn execute(store: &StandInStore, endpoint: usize, text: &str) -> Vec<u8> {
+fn execute(store: &SharedState, endpoint: usize, text: &str) -> Vec<u8> {
     store.lock().execute(endpoint, text)
 }
 
 /// The answer with what ends it.
-fn finish(store: &StandInStore, endpoint: usize, mut answer: Vec<u8>) -> Vec<u8> {
+fn finish(store: &SharedState, endpoint: usize, mut answer: Vec<u8>) -> Vec<u8> {
     answer.extend(ready(store, endpoint));
     answer
 }
@@ -108,7 +108,7 @@
 }
 
 /// Takes the time that a statement takes, and records that it ran.
-fn spend_time(store: &StandInStore, endpoint: usize, text: &str) {
+fn spend_time(store: &SharedState, endpoint: usize, text: &str) {
     let began = unix_seconds();
     let duration = {
         let mut state = store.lock();
--- a/crates/testkit/src/stand_in/discovery.rs
+++ b/crates/testkit/src/stand_in/discovery.rs
@@ -5,8 +5,8 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use super::shared_state::SharedState;
 use super::state::State;
-use super::store::StandInStore;
 
 /// Longest that a call waits for a newer list.
 const MAX_WAIT_MS: u64 = 60_000;
@@ -19,7 +19,7 @@
 }
 
 /// Answers calls until either side closes the connection.
-pub(super) fn serve(store: &StandInStore, client: TcpStream, proxied: &[SocketAddr]) -> io::Result<()> {
+pub(super) fn serve(store: &SharedState, client: TcpStream, proxied: &[SocketAddr]) -> io::Result<()> {
     let mut out = client.try_clone()?;
     let mut lines = BufReader::new(client).lines();
     while let Some(request) = read_request(&mut lines)? {
@@ -49,16 +49,16 @@
 }
 
 /// The list, once there is a newer one or the wait is over.
-fn wait_for_list(store: &StandInStore, request: &ListRequest, proxied: &[SocketAddr]) -> String {
+fn wait_for_list(store: &SharedState, request: &ListRequest, proxied: &[SocketAddr]) -> String {
     let waits = |state: &mut State| {
         state.discovery_is_silent || request.since.is_some_and(|since| state.version <= since)
     };
     let mut state = store
-        .changed()
+        .list_changed()
         .wait_timeout_while(store.lock(), request.wait, waits)
         .map_or_else(|poisoned| poisoned.into_inner().0, |waited| waited.0);
     while state.discovery_is_silent {
-        state = store.changed().wait(state).unwrap_or_else(PoisonError::into_inner);
+        state = store.list_changed().wait(state).unwrap_or_else(PoisonError::into_inner);
     }
     let list = state.endpoint_list(request.since, proxied);
     state.list_bytes_sent += list.len() as u64;
--- a/crates/testkit/src/stand_in/mod.rs
+++ b/crates/testkit/src/stand_in/mod.rs
@@ -16,6 +16,7 @@
 pub(crate) mod endpoint_list;
 mod membership;
 pub(crate) mod pg_messages;
+mod shared_state;
 mod state;
 mod store;
 
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
 use crate::sync::lock;
@@ -10,6 +10,7 @@
 use super::acceptor::{Acceptor, Serve};
 use super::behaviour::Behaviour;
 use super::membership::MembershipChange;
+use super::shared_state::SharedState;
 use super::state::{Execution, State};
 use super::{database, discovery};
 
@@ -19,8 +20,7 @@
 /// A stand-in store. Clones share their endpoints and data. Its threads live as long as the process.
 #[derive(Clone, Default)]
 pub struct StandInStore {
-    state: Arc<Mutex<State>>,
-    changed: Arc<Condvar>,
+    shared: Arc<SharedState>,
     /// Started with the first listener.
     acceptor: Arc<Mutex<Option<Acceptor>>>,
 }
@@ -47,8 +47,8 @@
     fn start_endpoint(&self, address: impl ToSocketAddrs, group: u64, is_listed: bool) -> io::Result<usize> {
         let listener = TcpListener::bind(address)?;
         let endpoint = self.lock().add_endpoint(listener.local_addr()?, group, is_listed);
-        let store = self.clone();
-        self.accept(listener, Arc::new(move |client| database::serve(&store, endpoint, client)))?;
+        let shared = Arc::clone(&self.shared);
+        self.accept(listener, Arc::new(move |client| database::serve(&shared, endpoint, client)))?;
         Ok(endpoint)
     }
 
@@ -68,8 +68,8 @@
     pub fn add_discovery_via(&self, address: &str, proxied: Vec<SocketAddr>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
         let bound_to = listener.local_addr()?;
-        let store = self.clone();
-        self.accept(listener, Arc::new(move |client| discovery::serve(&store, client, &proxied)))?;
+        let shared = Arc::clone(&self.shared);
+        self.accept(listener, Arc::new(move |client| discovery::serve(&shared, client, &proxied)))?;
         Ok(bound_to)
     }
 
@@ -80,12 +80,12 @@
 
     /// Changes an endpoint's health as discovery tells it: `active`, `leaving` or `left`.
     pub fn set_health(&self, endpoint: usize, health: &'static str) {
-        self.change_list(|state| state.change_endpoint(endpoint, |endpoint| endpoint.health = health));
+        self.shared.change_list(|state| state.change_endpoint(endpoint, |endpoint| endpoint.health = health));
     }
 
     /// Discovery says from now on that the endpoint has just started, by the endpoint's clock.
     pub fn set_just_started(&self, endpoint: usize) {
-        self.change_list(|state| {
+        self.shared.change_list(|state| {
             state.change_endpoint(endpoint, |endpoint| endpoint.started_ms = endpoint.position_ms());
         });
     }
@@ -98,7 +98,7 @@
 
     /// Endpoints join and leave, all in one change of the list.
     pub fn change_members(&self, change: &MembershipChange) {
-        self.change_list(|state| state.change_members(change));
+        self.shared.change_list(|state| state.change_members(change));
     }
 
     /// From now on discovery answers a call that names a version with what has changed since, not with the whole list.
@@ -119,7 +119,7 @@
     /// Whether discovery accepts calls and answers none.
     pub fn silence_discovery(&self, silent: bool) {
         self.lock().discovery_is_silent = silent;
-        self.changed.notify_all();
+        self.shared.list_changed().notify_all();
     }
 
     /// Discovery closes the connection after each answer from now on.
@@ -162,21 +162,8 @@
         self.lock().endpoints.len()
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, State> {
-        lock(&self.state)
-    }
-
-    /// Wakes up when discovery's list or its silence changes.
-    pub(super) fn changed(&self) -> &Condvar {
-        &self.changed
-    }
-
-    /// Makes a change of the list, and wakes the calls that wait for one.
-    fn change_list(&self, change: impl FnOnce(&mut State)) {
-        let mut state = self.lock();
-        state.version += 1;
-        change(&mut state);
-        self.changed.notify_all();
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.shared.lock()
     }
 
     /// Has each connection of the listener served in a thread of its own.
