--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -1,6 +1,7 @@
 //! A request arrives: what it is worth, by when it has to be sent, whether it is admitted.
 
 use crate::admission;
+use crate::convert::count_to_f64;
 use crate::ids::{ClassId, GroupId, Id, RequestId};
 use crate::interface::{Request, WorkEstimate};
 use crate::request::{RequestState, TrackedRequest};
@@ -69,7 +70,7 @@
     /// docs/design.md).
     fn tenant_factor(&mut self, now: f64, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
-        let rate = self.config.tenant_rates[tenant] / self.config.routers as f64;
+        let rate = self.config.tenant_rates[tenant] / count_to_f64(self.config.routers);
         if self.tenants.take(now, tenant, rate) { 1.0 } else { self.config.over_share }
     }
 
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -4,6 +4,8 @@
 //! crowded and paused endpoints without knowing the cause. Where routers are many it goes below one; the fraction is then
 //! kept by a sample that is drawn once for each request.
 
+use crate::convert::count_to_f64;
+
 /// Attempts in flight, from all routers together, at an endpoint that nothing is known of yet.
 const INITIAL_LIMIT: f64 = 20.0;
 /// The least that one router starts with.
@@ -52,7 +54,7 @@
 impl ConcurrencyLimit {
     /// The limit at an endpoint that nothing is known of, for one of so many routers.
     pub(crate) fn initial(routers: usize) -> f64 {
-        (INITIAL_LIMIT / routers as f64).max(MIN_INITIAL_LIMIT)
+        (INITIAL_LIMIT / count_to_f64(routers)).max(MIN_INITIAL_LIMIT)
     }
 
     /// A limit with nothing in flight and latencies at the bound below which it grows.
@@ -88,7 +90,7 @@
     /// Whether one more attempt lies within `fraction` of the limit. `since_answer` is in seconds; `sample` stands for
     /// the fractional part of the limit.
     pub(crate) fn has_capacity(&self, since_answer: f64, fraction: f64, sample: f64) -> bool {
-        let in_flight = self.in_flight as f64;
+        let in_flight = count_to_f64(self.in_flight);
         if self.quota.is_some_and(|quota| in_flight >= quota) {
             return false;
         }
@@ -128,7 +130,7 @@
             weight: weight.clamp(MIN_ANSWER_WEIGHT, MAX_ANSWER_WEIGHT),
             latency: latency.unwrap_or(self.latency),
             // Guards against limits that fall at endpoints which are slow by nature: fewer attempts would be no quicker.
-            floor: self.limit.min(LOW_CONCURRENCY / routers as f64),
+            floor: self.limit.min(LOW_CONCURRENCY / count_to_f64(routers)),
         }
     }
 
@@ -136,7 +138,7 @@
     pub(crate) fn record_success(&mut self, observation: &Observation, fraction: f64) {
         let Observation { weight, latency, floor } = *observation;
         self.latency += weight * (latency - self.latency);
-        let is_used_up = self.in_flight as f64 >= self.limit * fraction - 1.0;
+        let is_used_up = count_to_f64(self.in_flight) >= self.limit * fraction - 1.0;
         if self.latency < LOW_LATENCY && is_used_up {
             self.limit += (1.0 / self.limit).min(self.limit);
         } else if self.latency > HIGH_LATENCY {
@@ -158,7 +160,7 @@
     pub(crate) fn record_full(&mut self, now: f64, observation: &Observation) {
         self.full_at = now;
         // Full with no more than this in flight: a limit beyond that means nothing.
-        self.limit = self.limit.min(self.in_flight as f64);
+        self.limit = self.limit.min(count_to_f64(self.in_flight));
         self.record_failure(observation);
     }
 
--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -4,6 +4,8 @@
 //! something. Checks are paid for by requests, or many routers would ask more than they send; a request that waits has a
 //! few members asked without that, and all of them only once it has waited for some time (departure 32 of docs/design.md).
 
+use crate::convert::{count_to_f64, to_count};
+
 /// Seconds between health checks of an endpoint while its group polls.
 pub(crate) const POLL_INTERVAL: f64 = 1.0;
 /// The same where the next report decides something.
@@ -72,7 +74,7 @@
         if self.has_failed || self.longest_wait >= FEW_CHECKS_TIME || self.time_left < HURRY {
             return None;
         }
-        let share = (self.members as f64 * share_of_first_checks(routers)).ceil() as usize;
+        let share = to_count((count_to_f64(self.members) * share_of_first_checks(routers)).ceil());
         let few = if self.needs_primary { CHECKS_FOR_PRIMARY } else { CHECKS_FOR_READ };
         Some(few.max(share).saturating_sub(self.in_flight))
     }
@@ -129,7 +131,7 @@
 
 /// The part of all endpoints that one of so many routers checks, whether it is asked for something there or not.
 pub(crate) fn share_of_first_checks(routers: usize) -> f64 {
-    (FIRST_CHECKS / routers as f64).min(1.0)
+    (FIRST_CHECKS / count_to_f64(routers)).min(1.0)
 }
 
 /// Health checks that requests have paid for.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,12 +16,13 @@
 //!    endpoints that have left.
 //! 7. One concern each, with its own state: `primary`, `consistency`, `retry`, `admission`, `concurrency_limit`,
 //!    `slow_start`, `throughput`, `outlier`, `health_check`, `departure`, `stats`.
-//! 8. What holds these: `endpoint`, `replica_set`, `state`; and `ids`, `clock`, `sampling` below all.
+//! 8. What holds these: `endpoint`, `replica_set`, `state`; and `ids`, `clock`, `sampling`, `convert` below all.
 //!
-//! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling` and
+//! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling`, `convert` and
 //! `interface`.
 
 #![warn(missing_docs)]
+#![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![allow(
     clippy::needless_pass_by_value,
     reason = "the facade takes requests and events by value, as its callers have no use for them after"
@@ -33,6 +34,7 @@
 pub mod clock_offset;
 mod concurrency_limit;
 mod consistency;
+mod convert;
 mod departure;
 mod dispatch;
 mod eligibility;
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -1,6 +1,7 @@
 //! Keeping track of endpoints beside their answers: reports, health checks, silence, ejection, lagging replicas.
 
 use crate::concurrency_limit::ConcurrencyLimit;
+use crate::convert::count_to_u64;
 use crate::eligibility::View;
 use crate::endpoint::Endpoint;
 use crate::health_check::{POLL_INTERVAL, Reasons, URGENT_INTERVAL, WaitingNeeds, share_of_first_checks};
@@ -54,7 +55,7 @@
 
     /// Ejects the endpoints that take attempts and answer none (departure 5 of docs/design.md).
     pub(crate) fn eject_silent(&mut self, now: f64) {
-        self.work.requests += self.requests.in_flight_ids().len() as u64;
+        self.work.requests += count_to_u64(self.requests.in_flight_ids().len());
         let mut detector = SilenceDetector::default();
         for (request, id) in self.requests.in_flight() {
             let endpoint = &self.endpoints[id];
--- a/crates/routing/src/sampling.rs
+++ b/crates/routing/src/sampling.rs
@@ -5,6 +5,8 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
+use crate::convert::hash_to_fraction;
+
 /// Draws samples that are uniform in `0.0..=1.0`.
 #[derive(Clone, Debug)]
 pub(crate) struct Sampler {
@@ -32,7 +34,7 @@
     pub(crate) fn sample(&self, counter: u64, key: usize) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, counter, key).hash(&mut hasher);
-        hasher.finish() as f64 / u64::MAX as f64
+        hash_to_fraction(hasher.finish())
     }
 
     /// The sample of that key at the present counter.
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -5,6 +5,7 @@
 //! more than that are departures of docs/design.md, named by their numbers below.
 
 use crate::concurrency_limit::PRIMARY_READ_FRACTION;
+use crate::convert::{count_to_f64, to_count};
 use crate::eligibility::View;
 use crate::health_check::{POLL_INTERVAL, URGENT_INTERVAL};
 use crate::ids::{EndpointId, GroupId, Id};
@@ -161,7 +162,7 @@
         let mut kept = self.group.members().to_vec();
         kept.retain(|endpoint| self.view.is_usable(*endpoint));
         let least = if share > 0.0 { 1.0 } else { 0.0 };
-        let count = (share * kept.len() as f64).round().max(least) as usize;
+        let count = to_count((share * count_to_f64(kept.len())).round().max(least));
         kept.retain(|endpoint| !self.group.tracker.is_primary(*endpoint));
         kept.sort_by_key(|endpoint| self.view.endpoint(*endpoint).order());
         kept.truncate(count);
@@ -204,7 +205,7 @@
         let writes = classes.work_share(super::stats::ClassStats::is_write);
         let reads =
             classes.work_share(|class| !matches!(class.needs(), Consistency::Primary | Consistency::Any));
-        let fair_share = (writes + reads) / (fresh + 1) as f64;
+        let fair_share = (writes + reads) / count_to_f64(fresh + 1);
         let spare_capacity = self.view.endpoint(primary).spare_capacity(self.view.now);
         let share_of_reads = (fair_share - writes) / reads.max(MIN_SHARE) * spare_capacity;
         let sample = self.view.state.sampler.sample(self.request.sample_counter, PRIMARY_SAMPLE_KEY);
