--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -4,7 +4,7 @@
 //! something. Checks are paid for by requests, or many routers would ask more than they send; a request that waits has a
 //! few members asked without that, and all of them only once it has waited for some time (departure 32 of docs/design.md).
 
-use crate::convert::{count_to_f64, to_count};
+use crate::convert::count_to_f64;
 
 /// Seconds between health checks of an endpoint while its group polls.
 pub(crate) const POLL_INTERVAL: f64 = 1.0;
@@ -12,6 +12,9 @@
 pub(crate) const URGENT_INTERVAL: f64 = 0.25;
 /// Health checks that one request pays for: what is told of an endpoint is worth as much as is asked of it.
 const CHECKS_PER_REQUEST: f64 = 0.12;
+/// Most routers of which each checks all members of a group for a request that waits: together they are little to a member,
+/// and know more of it.
+const MAX_ROUTERS_CHECKING_ALL: usize = 100;
 /// Health checks that a waiting read has in flight in its group, unless there is a reason for more.
 const CHECKS_FOR_READ: usize = 1;
 /// The same for a request that waits for a primary that is not known.
@@ -62,8 +65,6 @@
     pub(crate) longest_wait: f64,
     /// Seconds until the first of them has to be sent.
     pub(crate) time_left: f64,
-    /// Members of the group that may be checked.
-    pub(crate) members: usize,
     /// Checks of them that are in flight.
     pub(crate) in_flight: usize,
 }
@@ -71,12 +72,12 @@
 impl WaitingNeeds {
     /// How many more checks one of so many routers may send without credit; `None` if there is no bound.
     pub(crate) fn free_checks(self, routers: usize) -> Option<usize> {
-        if self.has_failed || self.longest_wait >= FEW_CHECKS_TIME || self.time_left < HURRY {
+        let is_urgent = self.has_failed || self.longest_wait >= FEW_CHECKS_TIME || self.time_left < HURRY;
+        if is_urgent || checks_all_members(routers) {
             return None;
         }
-        let share = to_count((count_to_f64(self.members) * share_of_first_checks(routers)).ceil());
         let few = if self.needs_primary { CHECKS_FOR_PRIMARY } else { CHECKS_FOR_READ };
-        Some(few.max(share).saturating_sub(self.in_flight))
+        Some(few.saturating_sub(self.in_flight))
     }
 }
 
@@ -129,8 +130,13 @@
     }
 }
 
+/// Whether one of so many routers checks all members of a group for each request that waits.
+pub(crate) fn checks_all_members(routers: usize) -> bool {
+    routers <= MAX_ROUTERS_CHECKING_ALL
+}
+
 /// The part of all endpoints that one of so many routers checks, whether it is asked for something there or not.
-pub(crate) fn share_of_first_checks(routers: usize) -> f64 {
+fn share_of_first_checks(routers: usize) -> f64 {
     (FIRST_CHECKS / count_to_f64(routers)).min(1.0)
 }
 
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -4,7 +4,7 @@
 use crate::convert::count_to_u64;
 use crate::eligibility::View;
 use crate::endpoint::Endpoint;
-use crate::health_check::{POLL_INTERVAL, Reasons, URGENT_INTERVAL, WaitingNeeds, share_of_first_checks};
+use crate::health_check::{POLL_INTERVAL, Reasons, URGENT_INTERVAL, WaitingNeeds, checks_all_members};
 use crate::ids::{EndpointId, GroupId, Id};
 use crate::interface::{AttemptOutcome, Consistency, EndpointState, EndpointUpdate, LoadReport, Transport};
 use crate::outlier::{self, SilenceDetector, Verdict};
@@ -113,7 +113,7 @@
 
     /// How many members may be checked without credit for what waits in a group; `None` if there is no bound.
     fn free_checks(&self, now: f64, group: GroupId) -> Option<usize> {
-        if share_of_first_checks(self.config.routers) >= 1.0 {
+        if checks_all_members(self.config.routers) {
             return None;
         }
         self.waiting_needs(now, group).free_checks(self.config.routers)
@@ -126,7 +126,6 @@
         let has_primary = self.replica_sets[group].primary().is_some();
         let mut needs = WaitingNeeds {
             time_left: f64::INFINITY,
-            members: members.clone().count(),
             in_flight: members.clone().filter(|member| member.health_check.is_in_flight()).count(),
             has_failed: members.clone().any(|member| member.outlier.is_ejected()),
             ..WaitingNeeds::default()
