--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -45,7 +45,7 @@
     pub id: u64,
     /// Outlives the message it came in, as it may be sent more than once; dropped with the final answer.
     pub text: StatementText,
-    /// What is known of its shape stands there.
+    /// What is known of its fingerprint is stored there.
     pub cache_key: Option<CacheKey>,
     /// When its client stops waiting.
     pub deadline: f64,
--- a/crates/statement/src/cost_model.rs
+++ b/crates/statement/src/cost_model.rs
@@ -79,7 +79,7 @@
     pub spread: f64,
 }
 
-/// A host's delay, as the executions of late have shown it.
+/// An endpoint's delay, as the attempts of late have shown it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueueingDelay {
     /// Sums of waits by what they are worth, and of these.
@@ -99,7 +99,7 @@
         if self.worth > 0.0 { self.sum / self.worth } else { 0.0 }
     }
 
-    /// An execution of a fingerprint with that floor took so long: the shorter its own work, the more that tells.
+    /// An attempt of a fingerprint with that floor took so long: the shorter its own work, the more that tells.
     fn record(&mut self, now: f64, took: f64, cost: &CostModel) {
         self.fade(now);
         let own = cost.work();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Seconds of work, by the fingerprint's own executions.
+    /// Seconds of work, by the fingerprint's own attempts.
     pub fn work(&self) -> f64 {
         f64::from(self.work)
     }
@@ -158,12 +158,12 @@
         Estimate { work, typical, spread }
     }
 
-    /// Seconds in which few executions end, unless they waited for nothing.
+    /// Seconds in which few attempts end, unless they waited for nothing.
     fn floor(&self) -> f64 {
         f64::from(self.now.floor().min(self.last.floor()))
     }
 
-    /// An execution that was completed took so long, from its sending to its answer; seconds.
+    /// An attempt that was completed took so long, from its sending to its answer; seconds.
     pub fn record(&mut self, now: f64, took: f64, delay: &mut QueueingDelay) {
         if !(took.is_finite() && took > 0.0) {
             return;
@@ -171,7 +171,7 @@
         delay.fade(now);
         self.follow(now, took);
         let floor = self.floor();
-        // By the other executions, as this one's own is told by what it takes.
+        // By the other attempts, as this one's own is told by what it takes.
         let work = took - delay.seconds();
         if (floor..=floor * QUEUED_RATIO).contains(&work) || took < floor * 1.1 {
             let work = work.max(floor);
