--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -10,18 +10,18 @@
 use crate::stats::ClassStats;
 
 /// Estimated latencies that an attempt needs to be likely in time.
-const SAFE_LATENCIES: f64 = 1.4;
+const SAFE_MARGIN_LATENCIES: f64 = 1.4;
 /// Estimated latencies that are worth an attempt at once.
-const HASTY_LATENCIES: f64 = 0.7;
+const URGENT_MARGIN_LATENCIES: f64 = 0.7;
 /// Seconds for which they are.
-const HASTE_WINDOW: f64 = 0.002;
+const URGENT_WINDOW_SECONDS: f64 = 0.002;
 /// Standard error of a fingerprint's logarithmic work from which on nothing is believed of it.
 const MAX_WORK_SPREAD: f64 = 0.7;
 
 impl RouterState {
     /// Takes a request in: it waits from now on.
     pub(crate) fn register(&mut self, now: f64, id: RequestId, statement: &Request) {
-        let request = self.describe(now, statement);
+        let request = self.build_request(now, statement);
         self.replica_set_mut(request.group);
         self.requests.insert(id, request);
         self.retries.deposit_for_request();
@@ -31,11 +31,11 @@
     }
 
     /// Works out what is known of a request from its statement and from what was learnt of its class.
-    fn describe(&mut self, now: f64, statement: &Request) -> TrackedRequest {
+    fn build_request(&mut self, now: f64, statement: &Request) -> TrackedRequest {
         let class_id = self.classes.classify(statement.workload, statement.writes);
-        let client = self.recognize_client_retry(class_id, statement);
+        let client = self.detect_client_retry(class_id, statement);
         let class = self.classes.get(class_id);
-        let extra_work = statement.work.map_or(0.0, believable_extra_work);
+        let extra_work = statement.work.map_or(0.0, discounted_extra_work);
         let estimate = class.estimate(extra_work);
         let time_left = useful_time(class, statement, client);
         let priority_weight = class.settings().priority_weight;
@@ -60,10 +60,10 @@
     }
 
     /// Whether the client has sent this request before, as far as can be told.
-    fn recognize_client_retry(&mut self, class: ClassId, statement: &Request) -> ClientAttempt {
+    fn detect_client_retry(&mut self, class: ClassId, statement: &Request) -> ClientAttempt {
         let class = self.classes.get_mut(class);
-        let full_time = class.settings().statement_timeout;
-        class.client_retries().observe(statement.repeat, statement.time_left, full_time)
+        let statement_timeout = class.settings().statement_timeout;
+        class.client_retries().observe(statement.repeat, statement.time_left, statement_timeout)
     }
 
     /// What the request's importance is multiplied by, as its tenant is within its share or not (departure 11 of
@@ -106,9 +106,9 @@
 
 /// Seconds that a request takes over the usual work of its class, as far as the spread lets the figure be believed
 /// (departure 22 of docs/design.md).
-fn believable_extra_work(work: WorkEstimate) -> f64 {
-    let belief = (1.0 - work.spread / MAX_WORK_SPREAD).max(0.0);
-    belief * (work.own - work.usual)
+fn discounted_extra_work(work: WorkEstimate) -> f64 {
+    let confidence = (1.0 - work.spread / MAX_WORK_SPREAD).max(0.0);
+    confidence * (work.own - work.usual)
 }
 
 /// Seconds in which an answer is still worth something to the client (departure 10 of docs/design.md).
@@ -122,7 +122,7 @@
 
 /// The time from which on an attempt would come too late. A request with little time left is worth an attempt at once.
 fn latest_start(now: f64, time_left: f64, estimate: f64) -> f64 {
-    let safe = time_left - SAFE_LATENCIES * estimate;
-    let hasty = (time_left - HASTY_LATENCIES * estimate).min(HASTE_WINDOW);
-    now + safe.max(hasty)
+    let safe = time_left - SAFE_MARGIN_LATENCIES * estimate;
+    let urgent = (time_left - URGENT_MARGIN_LATENCIES * estimate).min(URGENT_WINDOW_SECONDS);
+    now + safe.max(urgent)
 }
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatching requests: sending an attempt, giving a request its final answer, cancelling an attempt for a retry.
 
-use crate::clock::TICK;
+use crate::clock::TICK_SECONDS;
 use crate::eligibility::View;
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{Consistency, Effect, Transport};
@@ -10,16 +10,16 @@
 use crate::state::RouterState;
 
 /// Seconds after which a client that is rejected in time may try again.
-const RETRY_AFTER: f64 = 0.1;
+const RETRY_AFTER_SECONDS: f64 = 0.1;
 /// Clients that are expected back for a first try that is rejected.
-const RETURNS_AFTER_FIRST_TRY: f64 = 1.0;
+const RETRIES_AFTER_FIRST_ATTEMPT: f64 = 1.0;
 /// The same for a later try.
-const RETURNS_AFTER_RETRY: f64 = 0.5;
+const RETRIES_AFTER_RETRY: f64 = 0.5;
 /// Part of its SLO time that a trial of an ejected endpoint gets, so that another attempt elsewhere may be in time.
-const TRIAL_TIME: f64 = 0.5;
+const TRIAL_TIMEOUT_FRACTION: f64 = 0.5;
 /// Part of its time after which a request that was never sent is rejected: later, it costs its client more than it may
 /// still earn (departure 2 of docs/design.md).
-const UNSENT_TIME: f64 = 0.5;
+const MAX_UNSENT_FRACTION: f64 = 0.5;
 
 impl RouterState {
     /// Dispatches what waits in a group, as far as endpoints accept it.
@@ -42,7 +42,7 @@
     pub(crate) fn try_dispatch(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         self.sampler.advance();
         let request = self.requests.get(id);
-        if now >= give_up_at(request, self.classes.get(request.class).effect()) {
+        if now >= dispatch_deadline(request, self.classes.get(request.class).effect()) {
             self.shed(now, id, transport);
             return;
         }
@@ -57,7 +57,7 @@
         let request = *self.requests.get(id);
         let class = self.classes.get(request.class);
         let is_trial = self.endpoints[endpoint].outlier.is_ejected();
-        let timeout = if is_trial { class.settings().slo_time * TRIAL_TIME } else { 0.0 };
+        let timeout = if is_trial { class.settings().slo_time * TRIAL_TIMEOUT_FRACTION } else { 0.0 };
         self.endpoints[endpoint].outlier.record_attempt(now);
         if request.possible_effect.is_some() {
             self.retries.withdraw();
@@ -66,7 +66,7 @@
             self.watermarks.begin_write(request.group, session);
         }
         self.requests.get_mut(id).record_attempt(now, endpoint);
-        self.transition(id, RequestState::Executing(endpoint));
+        self.transition(id, RequestState::InFlight(endpoint));
         transport.start_attempt(id.index(), endpoint.index(), timeout);
     }
 
@@ -81,9 +81,10 @@
         let request = *self.requests.get(id);
         self.transition(id, RequestState::Free);
         let class = self.classes.get_mut(request.class);
-        let is_first_try = request.weight > 0.0;
-        let returns = if is_first_try { RETURNS_AFTER_FIRST_TRY } else { RETURNS_AFTER_RETRY };
-        class.client_retries().expect(returns);
+        let is_first_attempt = request.weight > 0.0;
+        let expected_retries =
+            if is_first_attempt { RETRIES_AFTER_FIRST_ATTEMPT } else { RETRIES_AFTER_RETRY };
+        class.client_retries().expect_retries(expected_retries);
         let settings = class.settings();
         if settings.bound().is_some() {
             self.demands.record_rejected_read(request.group, request.weight);
@@ -97,7 +98,7 @@
         // A client that comes back after its SLO time only adds load; until then the sooner the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
         let max_retry_after = self.config.max_retry_after;
-        let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER) };
+        let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER_SECONDS) };
         transport.reject(id.index(), retry_after);
     }
 
@@ -119,10 +120,10 @@
         for id in in_flight {
             self.work.requests += 1;
             let request = self.requests.get(id);
-            if let RequestState::Executing(endpoint) = self.requests.state(id)
+            if let RequestState::InFlight(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
                 && self.is_last_moment(now, request)
-                && self.may_cancel_attempts(request)
+                && self.may_cancel_and_retry(request)
             {
                 let attempt = request.attempts - 1;
                 self.transition(id, RequestState::Cancelling(endpoint));
@@ -144,7 +145,7 @@
     }
 
     /// Whether the attempt may be cancelled and followed by another one.
-    fn may_cancel_attempts(&self, request: &TrackedRequest) -> bool {
+    fn may_cancel_and_retry(&self, request: &TrackedRequest) -> bool {
         let may_repeat = self.classes.get(request.class).effect() == Effect::Idempotent;
         let has_attempts_left = request.attempts < self.config.max_attempts;
         self.config.may_cancel_attempts && has_attempts_left && may_repeat && self.retries.is_available()
@@ -153,10 +154,10 @@
 
 /// When a waiting request is given up: once an attempt would come too late, or is no longer safe, or, if none was sent, after
 /// half of its time.
-fn give_up_at(request: &TrackedRequest, effect: Effect) -> f64 {
+fn dispatch_deadline(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
         return request.start_by.min(retry::safe_until(effect, request.possible_effect));
     }
-    let unsent_time = request.time_left * UNSENT_TIME - TICK;
+    let unsent_time = request.time_left * MAX_UNSENT_FRACTION - TICK_SECONDS;
     request.start_by.min(request.arrived_at + unsent_time)
 }
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -43,11 +43,11 @@
     /// Whether the endpoint may be sent anything at all: it was heard of, does not drain, and is not ejected.
     pub(crate) fn is_usable(&self, endpoint: EndpointId) -> bool {
         let is_available = self.endpoint(endpoint).outlier.is_available(self.now);
-        self.was_heard(endpoint) && !self.state.is_excluded(endpoint) && is_available
+        self.has_known_role(endpoint) && !self.state.is_excluded(endpoint) && is_available
     }
 
     /// Whether the endpoint has told its role, where it can be asked for that.
-    fn was_heard(&self, endpoint: EndpointId) -> bool {
+    fn has_known_role(&self, endpoint: EndpointId) -> bool {
         !self.endpoint(endpoint).role.is_unknown() || !self.state.config.may_check_health
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// The rules on data and effects for one more attempt there now.
-    pub(crate) fn meets_rules(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
+    pub(crate) fn meets_correctness_rules(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         self.has_position(endpoint, request) && self.is_retry_safe(endpoint, request)
     }
 
@@ -87,7 +87,7 @@
 
     /// Whether the endpoint may be sent one more attempt, for this request.
     pub(crate) fn can_accept(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
-        self.meets_rules(endpoint, request) && self.is_available_for(endpoint, request)
+        self.meets_correctness_rules(endpoint, request) && self.is_available_for(endpoint, request)
     }
 
     /// The part of [`View::can_accept`] that goes by the endpoint's health and load.
@@ -120,7 +120,8 @@
     /// What those members of a group can do together that were heard of and are not excluded.
     pub(crate) fn group_capacity(&self, group: GroupId) -> f64 {
         let members = self.state.replica_sets[group].members().iter().copied();
-        let present = members.filter(|member| !self.state.is_excluded(*member) && self.was_heard(*member));
+        let present =
+            members.filter(|member| !self.state.is_excluded(*member) && self.has_known_role(*member));
         present.map(|member| self.capacity(member)).sum()
     }
 
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -118,7 +118,7 @@
 struct Slot {
     is_taken: bool,
     /// Decided, and not picked up yet.
-    choice: Option<Decision>,
+    decision: Option<Decision>,
     /// The request has its final answer, or its client left.
     is_over: bool,
     in_flight: u32,
@@ -134,9 +134,9 @@
     }
 
     /// The request's number, which is its own until it is over and no attempt of it is in flight, and what to do.
-    pub fn pick(&mut self, now: f64, ask: PickRequest) -> (usize, Decision) {
+    pub fn pick(&mut self, now: f64, pick_request: PickRequest) -> (usize, Decision) {
         self.pending.now = now;
-        let index = match ask {
+        let index = match pick_request {
             PickRequest::New(request) => {
                 let index = self.pending.allocate();
                 self.pending.picking = Some(index);
@@ -146,8 +146,8 @@
             }
             PickRequest::Waiting(index) => index,
         };
-        let choice = self.pending.slots[index].choice.take().unwrap_or(Decision::Wait);
-        match choice {
+        let decision = self.pending.slots[index].decision.take().unwrap_or(Decision::Wait);
+        match decision {
             Decision::Dispatch { .. } => self.pending.slots[index].in_flight += 1,
             Decision::Reject { .. } | Decision::Abort => {
                 self.pending.slots[index].is_over = true;
@@ -155,13 +155,13 @@
             }
             Decision::Wait => {}
         }
-        (index, choice)
+        (index, decision)
     }
 
     /// Takes in what was learnt.
-    pub fn report(&mut self, now: f64, news: RoutingEvent) {
+    pub fn report(&mut self, now: f64, event: RoutingEvent) {
         self.pending.now = now;
-        match news {
+        match event {
             RoutingEvent::AttemptEnded { request, endpoint, outcome, elapsed, observed, report } => {
                 let observed = self.convert_report(now, endpoint, PositionSource::Answer, observed);
                 let report =
@@ -188,7 +188,7 @@
                 let list = self.times.local_updates(now, list);
                 self.router.on_endpoint_list(now, &list, &mut self.pending);
             }
-            RoutingEvent::Quota(parts) => self.router.on_quota(now, parts, &mut self.pending),
+            RoutingEvent::Quota(quotas) => self.router.on_quota(now, quotas, &mut self.pending),
             RoutingEvent::EndpointListFailed => self.router.on_endpoint_list_failed(),
             RoutingEvent::ClientGone(request) => self.client_gone(now, request),
         }
@@ -202,7 +202,7 @@
         source: PositionSource,
         report: LoadReport,
     ) -> LoadReport {
-        let change = self.times.learn(now, endpoint, source, &report);
+        let change = self.times.observe(now, endpoint, source, &report);
         if change == OffsetChange::Stepped {
             self.router.on_clock_step(now);
         }
@@ -227,7 +227,7 @@
             return;
         }
         self.pending.slots[request].is_over = true;
-        match self.pending.slots[request].choice.take() {
+        match self.pending.slots[request].decision.take() {
             // Decided, and not picked up: the router no longer holds it.
             Some(Decision::Reject { .. } | Decision::Abort) => {}
             Some(Decision::Dispatch { endpoint, .. }) => {
@@ -328,17 +328,17 @@
     /// Frees the slot of a request that is over, once no attempt of it is in flight.
     fn free_if_over(&mut self, index: usize) {
         let slot = self.slots[index];
-        if slot.is_taken && slot.is_over && slot.in_flight == 0 && slot.choice.is_none() {
+        if slot.is_taken && slot.is_over && slot.in_flight == 0 && slot.decision.is_none() {
             self.slots[index].is_taken = false;
             self.free.push(index);
         }
     }
 
     /// Keeps a choice until it is picked up, and names the request as due unless it is being picked right now.
-    fn record_choice(&mut self, index: usize, choice: Decision) {
-        let free = self.slots[index].choice.is_none() && !self.slots[index].is_over;
+    fn record_decision(&mut self, index: usize, decision: Decision) {
+        let free = self.slots[index].decision.is_none() && !self.slots[index].is_over;
         self.check_invariant(free, "one choice at a time, and none after the last");
-        self.slots[index].choice = Some(choice);
+        self.slots[index].decision = Some(decision);
         if self.picking != Some(index) {
             self.due.push_back(RoutingAction::Pick(index));
         }
@@ -347,18 +347,18 @@
 
 impl Transport for Pending {
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
-        self.record_choice(request, Decision::Dispatch { endpoint, timeout });
+        self.record_decision(request, Decision::Dispatch { endpoint, timeout });
     }
 
     fn reject(&mut self, request: usize, retry_after: f64) {
-        self.record_choice(request, Decision::Reject { retry_after });
+        self.record_decision(request, Decision::Reject { retry_after });
     }
 
     fn abort(&mut self, request: usize) {
-        self.record_choice(request, Decision::Abort);
+        self.record_decision(request, Decision::Abort);
     }
 
-    fn cancel_attempt(&mut self, request: usize, _execution: u32) {
+    fn cancel_attempt(&mut self, request: usize, _attempt: u32) {
         self.due.push_back(RoutingAction::CancelAttempt(request));
     }
 
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,10 +1,10 @@
 //! The lifecycle of a request.
 //!
 //! ```text
-//! Free -> Waiting -> Executing -> (result) -> Free, or Waiting again
-//!                    Executing -> Cancelling -> (result) -> ...
+//! Free -> Waiting -> InFlight -> (result) -> Free, or Waiting again
+//!                    InFlight -> Cancelling -> (result) -> ...
 //!         Waiting -> Free                        shed, or its client left
-//!                    Executing, Cancelling -> Abandoned -> (result) -> Free
+//!                    InFlight, Cancelling -> Abandoned -> (result) -> Free
 //! ```
 //!
 //! Every change passes through [`Requests::transition`]. A request has at most one attempt in flight.
@@ -22,7 +22,7 @@
     /// Held until an endpoint may take it.
     Waiting,
     /// An attempt is in flight.
-    Executing(EndpointId),
+    InFlight(EndpointId),
     /// The attempt was cancelled; its result is still to come.
     Cancelling(EndpointId),
     /// It has its final answer, or its client left, while an attempt is still in flight.
@@ -33,7 +33,7 @@
     /// The endpoint of the attempt in flight.
     pub(crate) fn endpoint(self) -> Option<EndpointId> {
         match self {
-            RequestState::Executing(endpoint)
+            RequestState::InFlight(endpoint)
             | RequestState::Cancelling(endpoint)
             | RequestState::Abandoned(endpoint) => Some(endpoint),
             RequestState::Free | RequestState::Waiting => None,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -5,15 +5,15 @@
 use crate::interface::{DeduplicationScope, Effect};
 
 /// Retries earned by one request, for attempts that follow one that may have run.
-const RETRIES_PER_REQUEST: f64 = 0.1;
+const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Retries that may be sent at the start.
-const INITIAL_RETRIES: f64 = 5.0;
+const INITIAL_TOKENS: f64 = 5.0;
 /// Most retries that are saved up by requests.
-const MAX_RETRIES: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 /// Time constant in seconds with which the number of expected clients fades.
-const EXPECTED_MEMORY: f64 = 5.0;
+const EXPECTED_RETRIES_DECAY_SECONDS: f64 = 5.0;
 /// Seconds by which two times that a client gives may differ and count as the same.
-const SAME_TIME: f64 = 0.02;
+const SAME_TIMEOUT_TOLERANCE_SECONDS: f64 = 0.02;
 
 /// The earliest attempt of a request that may have had an effect.
 #[derive(Clone, Copy, Debug)]
@@ -68,38 +68,38 @@
 /// Only attempts that follow one which may have run are paid for; what had no effect cost next to nothing.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
-    retries: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
     /// The budget of a router that has just started.
     pub(crate) fn new() -> RetryBudget {
-        RetryBudget { retries: INITIAL_RETRIES }
+        RetryBudget { tokens: INITIAL_TOKENS }
     }
 
     /// A request arrived.
     pub(crate) fn deposit_for_request(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
     /// A retry is sent.
     pub(crate) fn withdraw(&mut self) {
-        self.retries -= 1.0;
+        self.tokens -= 1.0;
     }
 
     /// A retry that was answered in full is not counted.
     pub(crate) fn refund(&mut self) {
-        self.retries += 1.0;
+        self.tokens += 1.0;
     }
 
     /// Takes over what the fleet grants.
-    pub(crate) fn set(&mut self, retries: f64) {
-        self.retries = retries;
+    pub(crate) fn set(&mut self, tokens: f64) {
+        self.tokens = tokens;
     }
 
     /// Whether a retry may be sent.
     pub(crate) fn is_available(&self) -> bool {
-        self.retries >= 1.0
+        self.tokens >= 1.0
     }
 }
 
@@ -118,49 +118,49 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClientRetryDetector {
     /// Seconds that most clients give a first try, by a running majority vote.
-    usual_time: f64,
+    usual_timeout: f64,
     votes: i32,
     /// Requests that failed here of late and whose clients may come back.
-    expected: f64,
+    expected_retries: f64,
 }
 
 impl ClientRetryDetector {
-    /// Takes a request into account. `marked` says that the client marked it as a repeat, `full_time` is the time in
+    /// Takes a request into account. `flagged` says that the client marked it as a repeat, `statement_timeout` is the time in
     /// seconds that a first try may have at most.
-    pub(crate) fn observe(&mut self, marked: bool, time_left: f64, full_time: f64) -> ClientAttempt {
-        if !marked {
+    pub(crate) fn observe(&mut self, flagged: bool, time_left: f64, statement_timeout: f64) -> ClientAttempt {
+        if !flagged {
             self.vote(time_left);
         }
-        let unusual = (time_left - self.usual_time).abs() >= SAME_TIME;
+        let unusual = (time_left - self.usual_timeout).abs() >= SAME_TIMEOUT_TOLERANCE_SECONDS;
         // Without a mark an unusual time means a retry only as far as requests have failed here.
-        let is_retry = marked || unusual && self.expected >= 1.0;
+        let is_retry = flagged || unusual && self.expected_retries >= 1.0;
         if !(unusual && is_retry) {
             return ClientAttempt { is_retry, elapsed: 0.0 };
         }
-        self.expected -= self.expected.min(1.0);
-        ClientAttempt { is_retry, elapsed: (full_time - time_left).max(0.0) }
+        self.expected_retries -= self.expected_retries.min(1.0);
+        ClientAttempt { is_retry, elapsed: (statement_timeout - time_left).max(0.0) }
     }
 
     /// Counts a vote for the usual time of a first try.
     fn vote(&mut self, time_left: f64) {
-        if (time_left - self.usual_time).abs() < SAME_TIME {
+        if (time_left - self.usual_timeout).abs() < SAME_TIMEOUT_TOLERANCE_SECONDS {
             self.votes += 1;
         } else {
             self.votes -= 1;
         }
         if self.votes < 0 {
-            self.usual_time = time_left;
+            self.usual_timeout = time_left;
             self.votes = 1;
         }
     }
 
     /// Clients are expected back, by this number on average.
-    pub(crate) fn expect(&mut self, clients: f64) {
-        self.expected += clients;
+    pub(crate) fn expect_retries(&mut self, retries: f64) {
+        self.expected_retries += retries;
     }
 
     /// Lets the number of expected clients decay by one tick.
     pub(crate) fn tick(&mut self) {
-        self.expected = decayed(self.expected, EXPECTED_MEMORY);
+        self.expected_retries = decayed(self.expected_retries, EXPECTED_RETRIES_DECAY_SECONDS);
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::clock::TICK;
+use crate::clock::TICK_SECONDS;
 use crate::eligibility::View;
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{
@@ -22,16 +22,16 @@
     /// The endpoint list has to be asked for.
     must_request_list: bool,
     /// The group that the last tick looked at though nothing waits there.
-    idle_group: usize,
+    rotation_group: usize,
 }
 
 impl Router {
     /// A router that knows no endpoint yet; asks `transport` for the first timer call.
     pub fn start(now: f64, config: RoutingConfig, transport: &mut impl Transport) -> Router {
-        transport.schedule_tick(TICK);
+        transport.schedule_tick(TICK_SECONDS);
         Router {
             must_request_list: config.list_on_request,
-            idle_group: 0,
+            rotation_group: 0,
             state: RouterState::new(now, config),
         }
     }
@@ -118,17 +118,17 @@
     }
 
     /// What the fleet leaves this router of its budgets; they apply beside the router's own limits.
-    pub fn on_quota(&mut self, now: f64, parts: &FleetQuota, transport: &mut impl Transport) {
+    pub fn on_quota(&mut self, now: f64, quotas: &FleetQuota, transport: &mut impl Transport) {
         let state = &mut self.state;
-        for part in &parts.endpoints {
-            let endpoint = &mut state.endpoints[EndpointId::new(part.endpoint)];
-            endpoint.limit.set_quota(part.units);
-            endpoint.slow_start.set_tokens(part.tokens);
+        for quota in &quotas.endpoints {
+            let endpoint = &mut state.endpoints[EndpointId::new(quota.endpoint)];
+            endpoint.limit.set_quota(quota.units);
+            endpoint.slow_start.set_tokens(quota.tokens);
         }
-        if let Some(routers) = parts.routers {
+        if let Some(routers) = quotas.routers {
             state.config.routers = routers;
         }
-        if let Some(retries) = parts.retries {
+        if let Some(retries) = quotas.retries {
             state.retries.set(retries);
         }
         state.dispatch_all_waiting(now, transport);
@@ -162,7 +162,7 @@
     pub fn on_client_gone(&mut self, index: usize) {
         let id = RequestId::new(index);
         let class = self.state.requests.get(id).class;
-        self.state.classes.get_mut(class).client_retries().expect(1.0);
+        self.state.classes.get_mut(class).client_retries().expect_retries(1.0);
         let next = match self.state.requests.state(id).endpoint() {
             Some(endpoint) => RequestState::Abandoned(endpoint),
             None => RequestState::Free,
@@ -183,17 +183,17 @@
         self.state.adjust_write_throttles(now);
         self.visit_groups(now, transport);
         self.state.forget_watermarks();
-        transport.schedule_tick(TICK);
+        transport.schedule_tick(TICK_SECONDS);
     }
 
     /// Looks at the groups in which something waits, and at one more in turn.
     fn visit_groups(&mut self, now: f64, transport: &mut impl Transport) {
         let state = &mut self.state;
         let groups = state.replica_sets.len();
-        self.idle_group = (self.idle_group + 1) % groups.max(1);
+        self.rotation_group = (self.rotation_group + 1) % groups.max(1);
         let mut visited: BTreeSet<GroupId> = state.requests.groups_waiting().collect();
-        if self.idle_group < groups {
-            visited.insert(GroupId::new(self.idle_group));
+        if self.rotation_group < groups {
+            visited.insert(GroupId::new(self.rotation_group));
         }
         for group in visited {
             state.work.groups += 1;
@@ -226,7 +226,8 @@
     pub fn may_begin(&self, now: f64, index: usize, endpoint: usize) -> bool {
         let endpoint = EndpointId::new(endpoint);
         let request = self.state.requests.get(RequestId::new(index));
-        !self.state.is_excluded(endpoint) && View::new(now, &self.state).meets_rules(endpoint, request)
+        !self.state.is_excluded(endpoint)
+            && View::new(now, &self.state).meets_correctness_rules(endpoint, request)
     }
 
     /// The same of a health check.
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -14,13 +14,13 @@
 use crate::request::TrackedRequest;
 
 /// Seconds that a read for which no replica is fresh enough waits before it goes to the primary.
-const PRIMARY_READ_DELAY: f64 = 0.03;
+const PRIMARY_READ_DELAY_SECONDS: f64 = 0.03;
 /// Weight of an endpoint at the router's own site, relative to others.
 const OWN_SITE_WEIGHT: f64 = 1.5;
 /// The least latency, as a fraction of the SLO time, by which endpoints are weighted.
-const MIN_WEIGHED_LATENCY: f64 = 0.1;
+const MIN_LATENCY_FRACTION: f64 = 0.1;
 /// Added to a request's sample counter for the sample against the primary's spare capacity.
-const SPARE_CAPACITY_SAMPLE: u64 = 2;
+const SPARE_CAPACITY_SAMPLE_OFFSET: u64 = 2;
 /// Key of a request's sample for its group's primary, whichever endpoint that is.
 const PRIMARY_SAMPLE_KEY: usize = usize::MAX;
 /// Keeps shares of work defined while there is none.
@@ -46,7 +46,7 @@
         let is_due = !health_check.is_in_flight() && view.now - health_check.sent_at() >= URGENT_INTERVAL;
         is_due
             && !group.tracker.is_primary(endpoint)
-            && !view.meets_rules(endpoint, request)
+            && !view.meets_correctness_rules(endpoint, request)
             && view.is_available_for(endpoint, request)
     })
 }
@@ -72,7 +72,7 @@
     let target = view.endpoint(endpoint);
     let is_near = target.site() == view.state.config.site;
     let site_weight = if is_near { OWN_SITE_WEIGHT } else { 1.0 };
-    let latency = target.limit.latency().max(MIN_WEIGHED_LATENCY);
+    let latency = target.limit.latency().max(MIN_LATENCY_FRACTION);
     let weight = target.size() * site_weight * target.spare_capacity(view.now) / latency.powi(2);
     -view.state.sampler.current(endpoint.index()).ln() / weight
 }
@@ -109,7 +109,7 @@
             let kept = self.long_read_replicas().len();
             self.narrow_for_long_read(&mut fresh, kept);
             self.ejected_primary().or_else(|| self.choose_for_long_read(&fresh, kept))
-        } else if self.is_bounded() {
+        } else if self.requires_position() {
             self.avoid_long_read_replicas(&mut fresh);
             self.ejected_primary().or_else(|| self.primary_for_share_of_reads(fresh.len()))
         } else {
@@ -124,7 +124,7 @@
     }
 
     /// Whether the read needs data of some age.
-    fn is_bounded(&self) -> bool {
+    fn requires_position(&self) -> bool {
         self.view.required_position(self.request) > f64::NEG_INFINITY
     }
 
@@ -137,10 +137,10 @@
     /// The usable replicas.
     fn replicas(&self) -> Replicas {
         let required = self.view.required_position(self.request);
-        let is_bounded = self.is_bounded();
+        let requires_position = self.requires_position();
         let is_fresh = |endpoint: &EndpointId| {
             let position = &self.view.endpoint(*endpoint).position;
-            let has_rejected = is_bounded && position.rejects_reads();
+            let has_rejected = requires_position && position.rejects_reads();
             position.expected(self.view.now) >= required && !has_rejected
         };
         let members = self.group.members().iter().copied();
@@ -185,12 +185,12 @@
     /// others, if there are any.
     fn avoid_long_read_replicas(&self, fresh: &mut Vec<EndpointId>) {
         let kept = self.long_read_replicas();
-        let is_apart = |endpoint: &EndpointId| {
+        let is_unaffected = |endpoint: &EndpointId| {
             let reported_at = self.view.endpoint(*endpoint).position.reported_at();
             !kept.contains(endpoint) || self.view.now - reported_at < POLL_INTERVAL
         };
-        if fresh.iter().any(is_apart) {
-            fresh.retain(is_apart);
+        if fresh.iter().any(is_unaffected) {
+            fresh.retain(is_unaffected);
         }
     }
 
@@ -244,9 +244,10 @@
 
     /// Whether no replica is expected to become fresh enough in a moment.
     fn has_waited(&self, fresh: &[EndpointId]) -> bool {
-        let is_known_fresh = |endpoint: &EndpointId| self.view.meets_rules(*endpoint, self.request);
+        let is_known_fresh =
+            |endpoint: &EndpointId| self.view.meets_correctness_rules(*endpoint, self.request);
         self.view.state.config.endpoints_check_reads
-            || self.view.now - self.request.arrived_at >= PRIMARY_READ_DELAY
+            || self.view.now - self.request.arrived_at >= PRIMARY_READ_DELAY_SECONDS
             || fresh.iter().any(is_known_fresh)
     }
 
@@ -255,7 +256,7 @@
         if self.group.is_heard_often(self.view.now) {
             return true;
         }
-        let counter = self.request.sample_counter + SPARE_CAPACITY_SAMPLE;
+        let counter = self.request.sample_counter + SPARE_CAPACITY_SAMPLE_OFFSET;
         let sample = self.view.state.sampler.sample(counter, primary.index());
         sample <= self.view.endpoint(primary).spare_capacity(self.view.now)
     }
--- a/crates/routing/src/time_conversion.rs
+++ b/crates/routing/src/time_conversion.rs
@@ -23,7 +23,7 @@
 
 impl TimeConversion {
     /// Learns from the position in a report, and says whether times are converted in another way from now on.
-    pub(crate) fn learn(
+    pub(crate) fn observe(
         &mut self,
         now: f64,
         endpoint: usize,
