--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -1,4 +1,5 @@
-//! A request arrives: what it is worth, by when it has to be sent, whether it is admitted.
+//! Arrival of a request: estimates its cost and priority, sets the time by which it has to be sent, and decides whether
+//! it is admitted.
 
 use crate::admission;
 use crate::convert::count_to_f64;
@@ -9,17 +10,17 @@
 use crate::state::RouterState;
 use crate::stats::ClassStats;
 
-/// Estimated latencies that an attempt needs to be likely in time.
+/// Time left with which an attempt is likely to be answered in time, in estimated latencies.
 const SAFE_MARGIN_LATENCIES: f64 = 1.4;
-/// Estimated latencies that are worth an attempt at once.
+/// Time left with which an immediate attempt is still worthwhile, in estimated latencies.
 const URGENT_MARGIN_LATENCIES: f64 = 0.7;
-/// Seconds for which they are.
+/// Seconds after its arrival for which a request with little time left may be sent with the smaller margin.
 const URGENT_WINDOW_SECONDS: f64 = 0.002;
-/// Standard error of a fingerprint's logarithmic work from which on nothing is believed of it.
+/// Standard error of the logarithm of a fingerprint's work, from which on the estimate is ignored.
 const MAX_WORK_SPREAD: f64 = 0.7;
 
 impl RouterState {
-    /// Takes a request in: it waits from now on.
+    /// Registers a request; it waits from now on.
     pub(crate) fn register(&mut self, now: f64, id: RequestId, statement: &Request) {
         let request = self.build_request(now, statement);
         self.replica_set_mut(request.group);
@@ -30,7 +31,7 @@
         self.record_demand(id);
     }
 
-    /// Works out what is known of a request from its statement and from what was learnt of its class.
+    /// Builds the record of a request from its statement and from the statistics of its class.
     fn build_request(&mut self, now: f64, statement: &Request) -> TrackedRequest {
         let class_id = self.classes.classify(statement.workload, statement.writes);
         let client = self.detect_client_retry(class_id, statement);
@@ -59,22 +60,22 @@
         }
     }
 
-    /// Whether the client has sent this request before, as far as can be told.
+    /// Detects whether the request is a client's retry, as far as that can be determined.
     fn detect_client_retry(&mut self, class: ClassId, statement: &Request) -> ClientAttempt {
         let class = self.classes.get_mut(class);
         let statement_timeout = class.settings().statement_timeout;
         class.client_retries().observe(statement.repeat, statement.time_left, statement_timeout)
     }
 
-    /// What the request's importance is multiplied by, as its tenant is within its share or not (departure 11 of
-    /// docs/design.md).
+    /// Returns the factor on the request's priority, which depends on whether its tenant is within its share (departure
+    /// 11 of docs/design.md).
     fn tenant_factor(&mut self, now: f64, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
         let rate = self.config.tenant_rates[tenant] / count_to_f64(self.config.routers);
         if self.tenants.take(now, tenant, rate) { 1.0 } else { self.config.over_share }
     }
 
-    /// Counts the request among those that its group is asked for.
+    /// Adds the request to the demand of its group.
     fn record_demand(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let (group, weight) = (request.group, request.weight);
@@ -87,14 +88,14 @@
         }
     }
 
-    /// Whether the request is a long read, by its estimate.
+    /// Returns whether the request is a long read, according to its estimate.
     fn is_long_read(&self, request: &TrackedRequest) -> bool {
         let class = self.classes.get(request.class);
         self.classes.is_long_read(class, class.estimate(request.extra_work))
     }
 
-    /// Whether a request that was just taken in is admitted, by a sample against its group's admission ratio (departures
-    /// 4 and 18 of docs/design.md).
+    /// Returns whether a request that was just registered is admitted, by a sample against its group's admission ratio
+    /// (departures 4 and 18 of docs/design.md).
     pub(crate) fn is_admitted(&self, now: f64, id: RequestId) -> bool {
         let request = self.requests.get(id);
         let is_write = self.classes.get(request.class).is_write();
@@ -104,14 +105,14 @@
     }
 }
 
-/// Seconds that a request takes over the usual work of its class, as far as the spread lets the figure be believed
-/// (departure 22 of docs/design.md).
+/// Seconds of work that a request takes beyond the usual work of its class, discounted by the uncertainty of the
+/// estimate (departure 22 of docs/design.md).
 fn discounted_extra_work(work: WorkEstimate) -> f64 {
     let confidence = (1.0 - work.spread / MAX_WORK_SPREAD).max(0.0);
     confidence * (work.own - work.usual)
 }
 
-/// Seconds in which an answer is still worth something to the client (departure 10 of docs/design.md).
+/// Seconds within which an answer still has value for the client (departure 10 of docs/design.md).
 fn useful_time(class: &ClassStats, statement: &Request, client: ClientAttempt) -> f64 {
     let settings = class.settings();
     if settings.late_share > 0.0 {
@@ -120,7 +121,8 @@
     statement.time_left.min(settings.slo_time - client.elapsed)
 }
 
-/// The time from which on an attempt would come too late. A request with little time left is worth an attempt at once.
+/// Latest time at which an attempt is sent; a later one would be answered too late. A request that has little time left
+/// is still worth an immediate attempt.
 fn latest_start(now: f64, time_left: f64, estimate: f64) -> f64 {
     let safe = time_left - SAFE_MARGIN_LATENCIES * estimate;
     let urgent = (time_left - URGENT_MARGIN_LATENCIES * estimate).min(URGENT_WINDOW_SECONDS);
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatching requests: sending an attempt, giving a request its final answer, cancelling an attempt for a retry.
+//! Dispatching requests: sends attempts, gives requests their final answers, and cancels attempts in order to retry
+//! them.
 
 use crate::clock::TICK_SECONDS;
 use crate::eligibility::View;
@@ -9,27 +10,28 @@
 use crate::selection;
 use crate::state::RouterState;
 
-/// Seconds after which a client that is rejected in time may try again.
+/// Seconds after which a client that is rejected within its SLO time may retry.
 const RETRY_AFTER_SECONDS: f64 = 0.1;
-/// Clients that are expected back for a first try that is rejected.
+/// Average number of client retries to expect after a client's first attempt is rejected.
 const RETRIES_AFTER_FIRST_ATTEMPT: f64 = 1.0;
-/// The same for a later try.
+/// Average number of client retries to expect after a client's retry is rejected.
 const RETRIES_AFTER_RETRY: f64 = 0.5;
-/// Part of its SLO time that a trial of an ejected endpoint gets, so that another attempt elsewhere may be in time.
+/// Timeout of a trial of an ejected endpoint, as a fraction of the SLO time, so that another attempt elsewhere may
+/// still be in time.
 const TRIAL_TIMEOUT_FRACTION: f64 = 0.5;
-/// Part of its time after which a request that was never sent is rejected: later, it costs its client more than it may
-/// still earn (departure 2 of docs/design.md).
+/// Fraction of its time left after which a request that was never sent is rejected: waiting longer would cost its
+/// client more than the answer may still be worth (departure 2 of docs/design.md).
 const MAX_UNSENT_FRACTION: f64 = 0.5;
 
 impl RouterState {
-    /// Dispatches what waits in a group, as far as endpoints accept it.
+    /// Dispatches the requests that wait in a group, as far as endpoints accept them.
     pub(crate) fn dispatch_waiting(&mut self, now: f64, group: GroupId, transport: &mut impl Transport) {
         for request in self.requests.waiting(group).to_vec() {
             self.try_dispatch(now, request, transport);
         }
     }
 
-    /// The same for all groups, as what is known of endpoints has changed.
+    /// Dispatches the waiting requests of all groups, after the state of endpoints has changed.
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
         let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
         for group in waiting {
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Sends an attempt of a waiting request, or rejects it if it is too late for that, or leaves it waiting.
+    /// Sends an attempt of a waiting request if an endpoint accepts it, rejects the request if it is too late for an
+    /// attempt, or leaves it waiting.
     pub(crate) fn try_dispatch(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         self.sampler.advance();
         let request = self.requests.get(id);
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Sends an attempt; the one place where this is done.
+    /// Sends an attempt; all attempts are sent here.
     fn send(&mut self, now: f64, id: RequestId, endpoint: EndpointId, transport: &mut impl Transport) {
         let request = *self.requests.get(id);
         let class = self.classes.get(request.class);
@@ -70,13 +73,14 @@
         transport.start_attempt(id.index(), endpoint.index(), timeout);
     }
 
-    /// The session of a write, where the router has to remember what sessions have written.
+    /// Returns the session of a write, if the router has to remember the writes of sessions.
     pub(crate) fn remembered_session(&self, request: &TrackedRequest) -> Option<u64> {
         let is_remembered = self.config.remembers_writes && self.classes.get(request.class).is_write();
         request.session.filter(|_| is_remembered)
     }
 
-    /// Gives a request its final answer at once, as nothing better can come of it.
+    /// Sheds a request: gives it its final answer immediately, a rejection if its client may safely repeat it, else an
+    /// abort.
     pub(crate) fn shed(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         let request = *self.requests.get(id);
         self.transition(id, RequestState::Free);
@@ -95,26 +99,26 @@
         }
         let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
         self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
-        // A client that comes back after its SLO time only adds load; until then the sooner the better.
+        // A client that returns after its SLO time only adds load; before that, the sooner it returns the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
         let max_retry_after = self.config.max_retry_after;
         let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER_SECONDS) };
         transport.reject(id.index(), retry_after);
     }
 
-    /// Whether a request may be sent again after an attempt failed, by the class that it has now: a `ReadOnly` answer shows that
-    /// the text writes, also for earlier attempts that may have run.
+    /// Returns whether a request may be retried after an attempt failed, by its present class: a `ReadOnly` answer
+    /// reveals that the text writes, which also holds for earlier attempts that may have run.
     pub(crate) fn may_retry(&self, id: RequestId) -> bool {
         let request = self.requests.get(id);
         let effect = self.classes.get(request.class).effect();
         let may_have_run = request.possible_effect.is_some();
-        // Retries must not feed the overload that made them needed.
+        // Guards against retries that feed the overload which caused them.
         let is_refused = may_have_run && (effect == Effect::NonIdempotent || !self.retries.is_available());
         !is_refused && request.attempts < self.config.max_attempts
     }
 
-    /// Cancels reads at ejected endpoints that have fallen silent, at the last moment for another endpoint to answer in
-    /// time (departure 6 of docs/design.md).
+    /// Cancels reads at ejected endpoints that have stopped answering, at the last moment at which another endpoint can
+    /// still answer in time (departure 6 of docs/design.md).
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
         let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
         for id in in_flight {
@@ -132,19 +136,20 @@
         }
     }
 
-    /// Whether the request's attempt is at an ejected endpoint that has answered nothing since it was sent.
+    /// Returns whether the request's attempt is at an ejected endpoint that has answered nothing since the attempt was
+    /// sent.
     fn is_stuck(&self, request: &TrackedRequest, endpoint: EndpointId) -> bool {
         let endpoint = &self.endpoints[endpoint];
         endpoint.outlier.is_ejected() && endpoint.last_answer_at() < request.sent_at
     }
 
-    /// Whether another attempt sent now would just be in time.
+    /// Returns whether another attempt sent now would be only just in time.
     fn is_last_moment(&self, now: f64, request: &TrackedRequest) -> bool {
         let estimate = self.classes.get(request.class).estimate(request.extra_work);
         now >= request.start_by - estimate && now < request.start_by
     }
 
-    /// Whether the attempt may be cancelled and followed by another one.
+    /// Returns whether the attempt may be cancelled and followed by another one.
     fn may_cancel_and_retry(&self, request: &TrackedRequest) -> bool {
         let may_repeat = self.classes.get(request.class).effect() == Effect::Idempotent;
         let has_attempts_left = request.attempts < self.config.max_attempts;
@@ -152,8 +157,8 @@
     }
 }
 
-/// When a waiting request is given up: once an attempt would come too late, or is no longer safe, or, if none was sent, after
-/// half of its time.
+/// Time at which a waiting request is given up: once an attempt would come too late or would no longer be safe or, if
+/// none was sent, after half of its time, less one tick.
 fn dispatch_deadline(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
         return request.start_by.min(retry::safe_until(effect, request.possible_effect));
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -1,6 +1,7 @@
-//! Whether an endpoint may be sent one more attempt: first by the rules on data and effects, then by its health and load.
+//! Decides whether an endpoint may be sent another attempt: first by the rules on data and effects, then by its health
+//! and load.
 //!
-//! [`View::can_accept`] is the one gate before an attempt is sent.
+//! Every attempt has to pass [`View::can_accept`] before it is sent.
 
 use crate::endpoint::Endpoint;
 use crate::ids::{EndpointId, GroupId, Id};
@@ -12,7 +13,7 @@
 use crate::stats::ClassStats;
 use crate::throughput;
 
-/// A read-only view of a router's state at one time.
+/// Read-only view of a router's state at one point in time.
 #[derive(Clone, Copy)]
 pub(crate) struct View<'a> {
     pub(crate) now: f64,
@@ -20,38 +21,39 @@
 }
 
 impl<'a> View<'a> {
-    /// The state as of now.
+    /// Returns a view of the state at time `now`.
     pub(crate) fn new(now: f64, state: &'a RouterState) -> View<'a> {
         View { now, state }
     }
 
-    /// What is known of the endpoint.
     pub(crate) fn endpoint(&self, endpoint: EndpointId) -> &'a Endpoint {
         &self.state.endpoints[endpoint]
     }
 
-    /// The request's class.
     pub(crate) fn class_of(&self, request: &TrackedRequest) -> &'a ClassStats {
         self.state.classes.get(request.class)
     }
 
-    /// The request's own sample for that endpoint, the same as often as it is asked for.
+    /// Returns the request's own sample for that endpoint; repeated calls return the same value.
     pub(crate) fn sample_of(&self, request: &TrackedRequest, endpoint: EndpointId) -> f64 {
         self.state.sampler.sample(request.sample_counter, endpoint.index())
     }
 
-    /// Whether the endpoint may be sent anything at all: it was heard of, does not drain, and is not ejected.
+    /// Returns whether the endpoint may be sent anything at all: its role is known, it is not excluded (draining, for
+    /// example), and it is not ejected or is due for a trial.
     pub(crate) fn is_usable(&self, endpoint: EndpointId) -> bool {
         let is_available = self.endpoint(endpoint).outlier.is_available(self.now);
         self.has_known_role(endpoint) && !self.state.is_excluded(endpoint) && is_available
     }
 
-    /// Whether the endpoint has told its role, where it can be asked for that.
+    /// Returns whether the endpoint has reported its role; true as well where health checks, which ask for it, may not
+    /// be sent.
     fn has_known_role(&self, endpoint: EndpointId) -> bool {
         !self.endpoint(endpoint).role.is_unknown() || !self.state.config.may_check_health
     }
 
-    /// The position that an endpoint needs to serve the request from its own data; infinite where only the primary will do.
+    /// Returns the position that an endpoint needs to serve the request from its own data; infinite if only the primary
+    /// will do.
     pub(crate) fn required_position(&self, request: &TrackedRequest) -> f64 {
         match self.class_of(request).needs() {
             Consistency::Primary | Consistency::Fresh => f64::INFINITY,
@@ -64,12 +66,12 @@
         }
     }
 
-    /// The rules on data and effects for one more attempt there now.
+    /// Returns whether the rules on data and effects allow another attempt at the endpoint now.
     pub(crate) fn meets_correctness_rules(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         self.has_position(endpoint, request) && self.is_retry_safe(endpoint, request)
     }
 
-    /// Whether the endpoint's data are known to be new enough, or it checks that itself.
+    /// Returns whether the endpoint is known to have recent enough data, or checks that itself.
     fn has_position(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         let target = self.endpoint(endpoint);
         let is_primary = self.state.replica_sets[target.group()].tracker.is_primary(endpoint);
@@ -78,46 +80,47 @@
             || target.position.known() >= self.required_position(request)
     }
 
-    /// Whether an attempt there can't repeat an effect of an earlier one.
+    /// Returns whether an attempt at the endpoint can't repeat the effect of an earlier one.
     fn is_retry_safe(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         let effect = self.class_of(request).effect();
         let same_site = |earlier| self.endpoint(earlier).site() == self.endpoint(endpoint).site();
         retry::is_safe(self.now, effect, request.possible_effect, same_site)
     }
 
-    /// Whether the endpoint may be sent one more attempt, for this request.
+    /// Returns whether the endpoint may be sent another attempt, for this request.
     pub(crate) fn can_accept(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         self.meets_correctness_rules(endpoint, request) && self.is_available_for(endpoint, request)
     }
 
-    /// The part of [`View::can_accept`] that goes by the endpoint's health and load.
+    /// Checks the part of [`View::can_accept`] that depends on the endpoint's health and load.
     pub(crate) fn is_available_for(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         self.is_healthy(endpoint, request)
             && self.slow_start_allows(endpoint, request)
             && self.endpoint(endpoint).has_capacity(self.now, 1.0, self.sample_of(request, endpoint))
     }
 
-    /// Whether nothing speaks against the endpoint: it is usable, or due for a trial, and was not full.
+    /// Returns whether the endpoint is usable and was not full since the request arrived. An ejected endpoint gets only
+    /// a trial: an idempotent request, while no other attempt is in flight there.
     fn is_healthy(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         let target = self.endpoint(endpoint);
         let is_idempotent = self.class_of(request).effect() == Effect::Idempotent;
         let may_be_trial = target.limit.in_flight() == 0 && is_idempotent;
-        // Guards against asking a full endpoint again and again for the same request.
+        // Guards against sending the same request to a full endpoint again and again.
         let was_full = target.limit.full_at() >= request.arrived_at;
         (!target.outlier.is_ejected() || may_be_trial) && self.is_usable(endpoint) && !was_full
     }
 
-    /// The part of its capacity that the endpoint has at least.
+    /// Returns the fraction of its full capacity that the endpoint has at least.
     pub(crate) fn capacity_fraction(&self, endpoint: EndpointId) -> f64 {
         self.endpoint(endpoint).slow_start.capacity_fraction(self.now, &self.state.config)
     }
 
-    /// What the endpoint can do now, in sizes of warm ones.
+    /// Returns the endpoint's present capacity, in units of a warm endpoint of size 1.
     pub(crate) fn capacity(&self, endpoint: EndpointId) -> f64 {
         throughput::capacity(self.endpoint(endpoint).size(), self.capacity_fraction(endpoint))
     }
 
-    /// What those members of a group can do together that were heard of and are not excluded.
+    /// Returns the total capacity of those members of a group whose role is known and that are not excluded.
     pub(crate) fn group_capacity(&self, group: GroupId) -> f64 {
         let members = self.state.replica_sets[group].members().iter().copied();
         let present =
@@ -125,12 +128,12 @@
         present.map(|member| self.capacity(member)).sum()
     }
 
-    /// Whether the endpoint was started so recently that it has not all of its capacity.
+    /// Returns whether the endpoint started so recently that it does not have its full capacity yet.
     pub(crate) fn is_warming(&self, endpoint: EndpointId) -> bool {
         self.capacity_fraction(endpoint) < 1.0
     }
 
-    /// Whether slow start lets the request through, if the endpoint is warming.
+    /// Returns whether slow start admits the request, if the endpoint is warming.
     fn slow_start_allows(&self, endpoint: EndpointId, request: &TrackedRequest) -> bool {
         let target = self.endpoint(endpoint);
         let group = &self.state.replica_sets[target.group()];
@@ -144,7 +147,7 @@
             throughput: &group.throughput,
             ticks: self.state.throughput_ticks,
         };
-        // Each attempt of a request has a sample of its own.
+        // Each attempt of a request has its own sample.
         let counter = request.sample_counter + u64::from(request.attempts);
         let sample = || self.state.sampler.sample(counter, endpoint.index());
         target.slow_start.allows(self.now, &self.state.config, candidate, sample)
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,18 +1,18 @@
-//! Retries: which are safe, what pays for them, and which requests are themselves retries of a client.
+//! Retries: which ones are safe, the budget that funds them, and which requests are themselves retries by a client.
 
 use crate::clock::decayed;
 use crate::ids::EndpointId;
 use crate::interface::{DeduplicationScope, Effect};
 
-/// Retries earned by one request, for attempts that follow one that may have run.
+/// Tokens added for each request; they fund attempts that follow one which may have run.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// Retries that may be sent at the start.
+/// Tokens of a router that has just started.
 const INITIAL_TOKENS: f64 = 5.0;
-/// Most retries that are saved up by requests.
+/// Maximum number of tokens that requests accumulate.
 const MAX_TOKENS: f64 = 20.0;
-/// Time constant in seconds with which the number of expected clients fades.
+/// Time constant in seconds with which the number of expected client retries decays.
 const EXPECTED_RETRIES_DECAY_SECONDS: f64 = 5.0;
-/// Seconds by which two times that a client gives may differ and count as the same.
+/// Two timeouts set by clients that differ by less than this many seconds count as equal.
 const SAME_TIMEOUT_TOLERANCE_SECONDS: f64 = 0.02;
 
 /// The earliest attempt of a request that may have had an effect.
@@ -22,10 +22,10 @@
     pub(crate) endpoint: EndpointId,
 }
 
-/// Whether another attempt can't repeat an effect.
+/// Returns whether another attempt can't repeat an effect.
 ///
-/// `same_site` says whether the endpoint to be used is at the site of the earlier attempt's. A group's idempotency
-/// window needs no such check, as a request never leaves its group.
+/// `same_site` returns whether the endpoint to be used is at the same site as the endpoint of the earlier attempt. A
+/// group's idempotency window needs no such check, since a request never leaves its group.
 pub(crate) fn is_safe(
     now: f64,
     effect: Effect,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Until when another attempt may be safe; nowhere after that.
+/// Returns the time until which another attempt may be safe; after that it is safe at no endpoint.
 pub(crate) fn safe_until(effect: Effect, earlier: Option<PossibleEffect>) -> f64 {
     match (effect, earlier) {
         (Effect::Deduplicated { window, .. }, Some(earlier)) => earlier.sent_at + window,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a client that is rejected may send its request again without repeating an effect.
+/// Returns whether a client that is rejected may send its request again without repeating an effect.
 pub(crate) fn client_may_repeat(effect: Effect, earlier: Option<PossibleEffect>) -> bool {
     if earlier.is_none() {
         return true;
@@ -63,76 +63,78 @@
     }
 }
 
-/// Guards against retries that feed the overload which made them needed.
+/// Guards against retries that feed the overload which caused them.
 ///
-/// Only attempts that follow one which may have run are paid for; what had no effect cost next to nothing.
+/// Only an attempt that follows one which may have run spends a token; an attempt that had no effect cost next to
+/// nothing.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// The budget of a router that has just started.
+    /// Returns the budget of a router that has just started.
     pub(crate) fn new() -> RetryBudget {
         RetryBudget { tokens: INITIAL_TOKENS }
     }
 
-    /// A request arrived.
+    /// Adds the tokens for a request that arrived.
     pub(crate) fn deposit_for_request(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// A retry is sent.
+    /// Spends a token on a retry that is sent.
     pub(crate) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// A retry that was answered in full is not counted.
+    /// Gives back the token of a retry that was answered in full.
     pub(crate) fn refund(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// Takes over what the fleet grants.
+    /// Replaces the tokens by the number that the fleet grants.
     pub(crate) fn set(&mut self, tokens: f64) {
         self.tokens = tokens;
     }
 
-    /// Whether a retry may be sent.
+    /// Returns whether there is a token for a retry.
     pub(crate) fn is_available(&self) -> bool {
         self.tokens >= 1.0
     }
 }
 
-/// What is known of a request's earlier tries by its client.
+/// What is known of a client's earlier attempts of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientAttempt {
-    /// The client has sent this request before.
+    /// Whether the client has sent this request before.
     pub(crate) is_retry: bool,
-    /// Seconds since it did so first, by its remaining time.
+    /// Seconds since the client first sent it, derived from its remaining time.
     pub(crate) elapsed: f64,
 }
 
-/// Recognizes requests that clients send again after a failure, for one class.
+/// Detects requests that clients send again after a failure, for one class.
 ///
-/// A client gives each first try the same time and each later one what is left of its patience.
+/// A client gives each first attempt the same timeout, and each retry what is left of that timeout.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClientRetryDetector {
-    /// Seconds that most clients give a first try, by a running majority vote.
+    /// Seconds that most clients allow for a first attempt, by a running majority vote.
     usual_timeout: f64,
     votes: i32,
-    /// Requests that failed here of late and whose clients may come back.
+    /// Number of requests that failed here recently and that their clients may retry.
     expected_retries: f64,
 }
 
 impl ClientRetryDetector {
-    /// Takes a request into account. `flagged` says that the client marked it as a repeat, `statement_timeout` is the time in
-    /// seconds that a first try may have at most.
+    /// Records a request, and returns what is known of its client's earlier attempts. `flagged` says that the client
+    /// flagged it as a retry; `statement_timeout` is the longest time in seconds that a first attempt may have.
     pub(crate) fn observe(&mut self, flagged: bool, time_left: f64, statement_timeout: f64) -> ClientAttempt {
         if !flagged {
             self.vote(time_left);
         }
         let unusual = (time_left - self.usual_timeout).abs() >= SAME_TIMEOUT_TOLERANCE_SECONDS;
-        // Without a mark an unusual time means a retry only as far as requests have failed here.
+        // An unusual timeout that is not flagged counts as a retry only while failed requests are expected to be
+        // retried.
         let is_retry = flagged || unusual && self.expected_retries >= 1.0;
         if !(unusual && is_retry) {
             return ClientAttempt { is_retry, elapsed: 0.0 };
@@ -141,7 +143,7 @@
         ClientAttempt { is_retry, elapsed: (statement_timeout - time_left).max(0.0) }
     }
 
-    /// Counts a vote for the usual time of a first try.
+    /// Counts a vote for the usual timeout of a first attempt.
     fn vote(&mut self, time_left: f64) {
         if (time_left - self.usual_timeout).abs() < SAME_TIMEOUT_TOLERANCE_SECONDS {
             self.votes += 1;
@@ -154,12 +156,12 @@
         }
     }
 
-    /// Clients are expected back, by this number on average.
+    /// Expects this many more client retries on average.
     pub(crate) fn expect_retries(&mut self, retries: f64) {
         self.expected_retries += retries;
     }
 
-    /// Lets the number of expected clients decay by one tick.
+    /// Lets the number of expected client retries decay by one tick.
     pub(crate) fn tick(&mut self) {
         self.expected_retries = decayed(self.expected_retries, EXPECTED_RETRIES_DECAY_SECONDS);
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The entry points of the crate: what happens is handed to the concerns in a fixed order.
+//! Entry points of the crate. Each passes an event on to the modules that handle it, in a fixed order.
 
 use std::collections::BTreeSet;
 
@@ -13,20 +13,21 @@
 use crate::state::RouterState;
 use crate::stats;
 
-/// Decides for each request which endpoint it is sent to, whether it is retried, and when it is shed.
+/// Decides which endpoint each request is sent to, whether it is retried, and when it is shed.
 ///
-/// It does no I/O and has no clock: each call hands in the time, and the [`Transport`] that it is lent carries out what it
-/// decides. Indices of endpoints, groups, tenants and requests are those of the caller; they are small and dense.
+/// The router does no I/O and has no clock: the caller passes the time to each call, and the [`Transport`] that it
+/// passes along carries out the decisions. Indices of endpoints, groups, tenants and requests are assigned by the
+/// caller; they are small and dense.
 pub struct Router {
     state: RouterState,
-    /// The endpoint list has to be asked for.
+    /// Whether the next tick requests the endpoint list.
     must_request_list: bool,
-    /// The group that the last tick looked at though nothing waits there.
+    /// The group that the last tick visited in rotation, whether or not a request waits there.
     rotation_group: usize,
 }
 
 impl Router {
-    /// A router that knows no endpoint yet; asks `transport` for the first timer call.
+    /// Returns a router that knows no endpoints, and schedules its first tick with `transport`.
     pub fn start(now: f64, config: RoutingConfig, transport: &mut impl Transport) -> Router {
         transport.schedule_tick(TICK_SECONDS);
         Router {
@@ -36,13 +37,14 @@
         }
     }
 
-    /// Seconds that an answer of a workload is taken to need before any came.
+    /// Returns the latency in seconds that is assumed for a workload before it has had any answer.
     #[must_use]
     pub fn typical(workload: &RequestClass) -> f64 {
         stats::initial_latency(workload)
     }
 
-    /// A request arrives; `index` is its own until it has its final answer and no attempt is in flight.
+    /// Handles the arrival of a request. `index` belongs to the request until it has its final answer and no attempt of
+    /// it is in flight.
     pub fn on_request(&mut self, now: f64, index: usize, request: Request, transport: &mut impl Transport) {
         let id = RequestId::new(index);
         self.state.register(now, id, &request);
@@ -54,7 +56,7 @@
         self.state.poll(now, GroupId::new(request.group), transport);
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub fn on_attempt_result(&mut self, now: f64, result: &AttemptResult, transport: &mut impl Transport) {
         let state = &mut self.state;
         let id = RequestId::new(result.request);
@@ -75,7 +77,7 @@
         state.dispatch_waiting(now, before.group, transport);
     }
 
-    /// A health check ended; `report` is what the endpoint said, if it answered.
+    /// Handles the end of a health check; `report` is what the endpoint reported, if it answered.
     pub fn on_health_check(
         &mut self,
         now: f64,
@@ -88,7 +90,7 @@
         let id = EndpointId::new(endpoint);
         state.endpoints[id].health_check.end();
         if outcome == AttemptOutcome::NeverSent {
-            // Its endpoint is not the cause: taken for an answer, it would end an ejection.
+            // The endpoint is not the cause. Treated as an answer, this outcome would end an ejection.
             return;
         }
         state.record_health_check(now, id, outcome);
@@ -98,15 +100,15 @@
         state.apply_report(now, id, report, false);
         let group = state.endpoints[id].group();
         state.dispatch_waiting(now, group, transport);
-        // What still waits needs another one checked. After a check that failed the next tick does that, as a refusal comes
-        // at once.
+        // Checks further members for the requests that still wait. After a failed check this is left to the next tick,
+        // since a refusal comes back immediately.
         if report.role.is_some() {
             state.poll_further(now, group, transport);
         }
     }
 
-    /// The endpoint list, or entries of it that have changed. New endpoints come in the order of their indices, or under
-    /// those of endpoints that are forgotten.
+    /// Applies the endpoint list, or those of its entries that have changed. New endpoints appear in the order of their
+    /// indices, or reuse the indices of forgotten endpoints.
     pub fn on_endpoint_list(&mut self, now: f64, list: &[EndpointUpdate], transport: &mut impl Transport) {
         if list.is_empty() {
             return;
@@ -117,7 +119,7 @@
         self.state.dispatch_all_waiting(now, transport);
     }
 
-    /// What the fleet leaves this router of its budgets; they apply beside the router's own limits.
+    /// Applies the quotas that the fleet grants this router; they apply in addition to the router's own limits.
     pub fn on_quota(&mut self, now: f64, quotas: &FleetQuota, transport: &mut impl Transport) {
         let state = &mut self.state;
         for quota in &quotas.endpoints {
@@ -134,31 +136,33 @@
         state.dispatch_all_waiting(now, transport);
     }
 
-    /// The endpoints that left the list and of which the router needs nothing any more: nothing is in flight there, no
-    /// request names them, and nothing may be sent there. They may be handed to [`Router::forget_endpoints`].
+    /// Returns the endpoints that have left the list and that the router no longer needs: nothing is in flight there,
+    /// no request refers to them, and nothing may be sent to them. They can be passed to [`Router::forget_endpoints`].
     #[must_use]
     pub fn forgettable_endpoints(&self, now: f64) -> Vec<usize> {
         self.state.forgettable(now).into_iter().map(Id::index).collect()
     }
 
-    /// Forgets these endpoints, but for those that the router still needs. Returns which it has forgotten: their indices
-    /// may be listed as other endpoints' from now on.
+    /// Forgets these endpoints, except those that the router still needs. Returns the forgotten ones; the caller may
+    /// reuse their indices for other endpoints.
     pub fn forget_endpoints(&mut self, now: f64, endpoints: &[usize]) -> Vec<usize> {
         let endpoints = endpoints.iter().copied().map(EndpointId::new).collect();
         self.state.forget(now, endpoints).into_iter().map(Id::index).collect()
     }
 
-    /// From now on positions are told on a clock that was set: those that were told before can't be compared with them.
+    /// Forgets all replication positions, because the clock that they are measured on was set: earlier positions can't
+    /// be compared with later ones.
     pub fn on_clock_step(&mut self, now: f64) {
         self.state.forget_positions(now);
     }
 
-    /// The endpoint list was asked for and did not come.
+    /// Handles a request for the endpoint list that got no answer; the next tick repeats it where the list is sent only
+    /// on request.
     pub fn on_endpoint_list_failed(&mut self) {
         self.must_request_list = self.state.config.list_on_request;
     }
 
-    /// The client left, or its time is up: no answer is needed any more.
+    /// Handles a client that left, or whose deadline has passed: its request no longer needs an answer.
     pub fn on_client_gone(&mut self, index: usize) {
         let id = RequestId::new(index);
         let class = self.state.requests.get(id).class;
@@ -170,7 +174,7 @@
         self.state.transition(id, next);
     }
 
-    /// What is done at regular intervals; asks `transport` for the next call.
+    /// Does the periodic work, and schedules the next tick with `transport`.
     pub fn on_tick(&mut self, now: f64, transport: &mut impl Transport) {
         if std::mem::take(&mut self.must_request_list) {
             transport.request_endpoint_list();
@@ -186,7 +190,7 @@
         transport.schedule_tick(TICK_SECONDS);
     }
 
-    /// Looks at the groups in which something waits, and at one more in turn.
+    /// Dispatches and polls in the groups where requests wait, and in one more group in rotation.
     fn visit_groups(&mut self, now: f64, transport: &mut impl Transport) {
         let state = &mut self.state;
         let groups = state.replica_sets.len();
@@ -202,26 +206,26 @@
         }
     }
 
-    /// Whether an endpoint is taken for one that is not warm yet.
+    /// Returns whether the endpoint is treated as not warm yet.
     #[must_use]
     pub fn is_warming(&self, now: f64, endpoint: usize) -> bool {
         View::new(now, &self.state).is_warming(EndpointId::new(endpoint))
     }
 
-    /// How many requests wait in a group.
+    /// Returns the number of requests that wait in a group.
     #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.state.requests.waiting(GroupId::new(group)).len()
     }
 
-    /// What the router has looked at since it started.
+    /// Returns counts of what the router has examined since it started.
     #[must_use]
     pub fn work(&self) -> Work {
         self.state.work
     }
 
-    /// Whether an attempt that was decided on may still be sent, as the list, a role or the time may have changed
-    /// meanwhile.
+    /// Returns whether an attempt that was decided on may still be sent: the endpoint list, a role or the time may have
+    /// changed since.
     #[must_use]
     pub fn may_begin(&self, now: f64, index: usize, endpoint: usize) -> bool {
         let endpoint = EndpointId::new(endpoint);
@@ -230,7 +234,7 @@
             && View::new(now, &self.state).meets_correctness_rules(endpoint, request)
     }
 
-    /// The same of a health check.
+    /// Returns whether a health check that was decided on may still be sent.
     #[must_use]
     pub fn may_check_health(&self, endpoint: usize) -> bool {
         !self.state.is_excluded(EndpointId::new(endpoint))
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -1,8 +1,8 @@
-//! Choosing an endpoint for a request among those that may take it.
+//! Selects an endpoint for a request among those that may accept it.
 //!
-//! Writes and fresh reads go to the primary. A read goes to the fresh-enough replica with fewest attempts in flight; if
-//! none is fresh, to the most advanced one where endpoints check reads, else after a short wait to the primary. What is
-//! more than that are departures of docs/design.md, named by their numbers below.
+//! Writes and fresh reads go to the primary. A read goes to the fresh-enough replica with the fewest attempts in
+//! flight. If none is fresh, it goes to the most advanced replica where endpoints check reads themselves, else to the
+//! primary after a short wait. Everything beyond that is a departure of docs/design.md, cited by its number below.
 
 use crate::concurrency_limit::PRIMARY_READ_FRACTION;
 use crate::convert::{count_to_f64, to_count};
@@ -13,20 +13,20 @@
 use crate::replica_set::ReplicaSet;
 use crate::request::TrackedRequest;
 
-/// Seconds that a read for which no replica is fresh enough waits before it goes to the primary.
+/// Seconds that a read waits for a fresh-enough replica before it goes to the primary.
 const PRIMARY_READ_DELAY_SECONDS: f64 = 0.03;
-/// Weight of an endpoint at the router's own site, relative to others.
+/// Weight of an endpoint at the router's own site, relative to endpoints at other sites.
 const OWN_SITE_WEIGHT: f64 = 1.5;
-/// The least latency, as a fraction of the SLO time, by which endpoints are weighted.
+/// Lower bound of the latency by which endpoints are weighted, as a fraction of the SLO time.
 const MIN_LATENCY_FRACTION: f64 = 0.1;
-/// Added to a request's sample counter for the sample against the primary's spare capacity.
+/// Offset from a request's sample counter to the counter of its sample against the primary's spare capacity.
 const SPARE_CAPACITY_SAMPLE_OFFSET: u64 = 2;
-/// Key of a request's sample for its group's primary, whichever endpoint that is.
+/// Sampler key of a request's sample for its group's primary, whichever endpoint that is.
 const PRIMARY_SAMPLE_KEY: usize = usize::MAX;
-/// Keeps shares of work defined while there is none.
+/// Guards against a division by zero while there is no recent work.
 const MIN_SHARE: f64 = 1e-9;
 
-/// The endpoint to send the request to now; `None` means that it has to wait.
+/// Returns the endpoint to send the request to now; `None` if the request has to wait.
 pub(crate) fn choose(view: View<'_>, request: &TrackedRequest) -> Option<EndpointId> {
     let group = &view.state.replica_sets[request.group];
     let selection = Selection { view, request, group };
@@ -36,7 +36,8 @@
     }
 }
 
-/// The replica to health-check for the sake of a waiting read that none is known to be fresh enough for (departure 27).
+/// Returns the replica to health-check on behalf of a waiting read for which no replica is known to be fresh enough
+/// (departure 27).
 pub(crate) fn replica_to_check(view: View<'_>, group: GroupId) -> Option<EndpointId> {
     let mut waiting = view.state.requests.waiting(group).iter().map(|id| view.state.requests.get(*id));
     let request = waiting.find(|request| view.required_position(request).is_finite())?;
@@ -51,8 +52,8 @@
     })
 }
 
-/// Of the accepted endpoints with fewest attempts in flight, nearly all where routers are many, draws one by a weighted
-/// sample (departure 16).
+/// Selects one of the accepted endpoints with the fewest attempts in flight by a weighted sample (departure 16). Where
+/// there are many routers, nearly all accepted endpoints tie.
 fn fewest_in_flight(
     view: View<'_>,
     among: &[EndpointId],
@@ -66,8 +67,8 @@
     drawn.min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, endpoint)| endpoint)
 }
 
-/// A sample of an exponential distribution whose rate is the endpoint's weight: the least of several is each one's with a
-/// probability in proportion to its weight.
+/// Draws a sample of an exponential distribution whose rate is the endpoint's weight. The smallest of several such
+/// samples belongs to each endpoint with a probability proportional to its weight.
 fn weighted_sample(view: View<'_>, endpoint: EndpointId) -> f64 {
     let target = view.endpoint(endpoint);
     let is_near = target.site() == view.state.config.site;
@@ -77,31 +78,32 @@
     -view.state.sampler.current(endpoint.index()).ln() / weight
 }
 
-/// The choice for one request.
+/// The selection of an endpoint for one request.
 struct Selection<'a> {
     view: View<'a>,
     request: &'a TrackedRequest,
     group: &'a ReplicaSet,
 }
 
-/// Usable replicas, by whether they should have the position that a read needs.
+/// Usable replicas, split by whether they are expected to have the position that a read needs.
 struct Replicas {
     fresh: Vec<EndpointId>,
     stale: Vec<EndpointId>,
 }
 
 impl Selection<'_> {
-    /// Whether the endpoint may be sent the request.
+    /// Returns whether the endpoint may be sent the request.
     fn accepts(&self, endpoint: EndpointId) -> bool {
         self.view.can_accept(endpoint, self.request)
     }
 
-    /// The primary, if it may be sent the request.
+    /// Returns the primary if it may be sent the request.
     fn accepting_primary(&self) -> Option<EndpointId> {
         self.group.primary().filter(|primary| self.accepts(*primary))
     }
 
-    /// The first of: a preferred endpoint, the replica with fewest attempts in flight, the most advanced replica, the primary.
+    /// Returns the first available of: a preferred endpoint, the replica with the fewest attempts in flight, the most
+    /// advanced replica, the primary.
     fn choose_for_read(&self) -> Option<EndpointId> {
         let Replicas { mut fresh, stale } = self.replicas();
         let is_long = self.is_long();
@@ -123,18 +125,18 @@
             .or_else(|| self.primary_as_last_resort(&fresh))
     }
 
-    /// Whether the read needs data of some age.
+    /// Returns whether the read requires some replication position.
     fn requires_position(&self) -> bool {
         self.view.required_position(self.request) > f64::NEG_INFINITY
     }
 
-    /// Whether the request is a long read, by its estimate.
+    /// Returns whether the request is a long read, according to its estimate.
     fn is_long(&self) -> bool {
         let class = self.view.class_of(self.request);
         self.view.state.classes.is_long_read(class, class.estimate(self.request.extra_work))
     }
 
-    /// The usable replicas.
+    /// Returns the usable replicas, split by expected freshness.
     fn replicas(&self) -> Replicas {
         let required = self.view.required_position(self.request);
         let requires_position = self.requires_position();
@@ -150,13 +152,14 @@
         Replicas { fresh, stale }
     }
 
-    /// A primary that is ejected is tried with a read: a write that is not answered could not be retried.
+    /// Returns the primary if it is ejected. It is tried with a read, because an unanswered write could not be retried.
     fn ejected_primary(&self) -> Option<EndpointId> {
         self.group.primary().filter(|primary| self.view.endpoint(*primary).outlier.is_ejected())
     }
 
-    /// The replicas that long reads are kept together on (departure 3): as many as their part of all work fills, in an
-    /// order that is the same at all routers, so that hundreds of routers agree without communication.
+    /// Returns the replicas on which long reads are concentrated (departure 3): as many as the long reads' share of all
+    /// work fills, in an order that is the same at all routers, so that hundreds of routers agree without
+    /// communication.
     fn long_read_replicas(&self) -> Vec<EndpointId> {
         let share = self.view.state.classes.long_read_share();
         let mut kept = self.group.members().to_vec();
@@ -169,20 +172,22 @@
         kept
     }
 
-    /// Guards against long reads that stop replication: spread evenly, a few hold every replica back.
+    /// Keeps the first half of the fresh replicas, but at least `kept`. Guards against long reads that stop
+    /// replication: spread evenly, a few of them hold every replica back.
     fn narrow_for_long_read(&self, fresh: &mut Vec<EndpointId>, kept: usize) {
         fresh.sort_by_key(|endpoint| self.view.endpoint(*endpoint).order());
         fresh.truncate(fresh.len().div_ceil(2).max(kept));
     }
 
-    /// One of the first `kept` replicas, which serve the other long reads, or the first other one that accepts it.
+    /// Returns one of the first `kept` replicas, which serve the other long reads, or else the first other replica that
+    /// accepts the request.
     fn choose_for_long_read(&self, fresh: &[EndpointId], kept: usize) -> Option<EndpointId> {
         let together = fewest_in_flight(self.view, &fresh[..kept], |endpoint| self.accepts(endpoint));
         together.or_else(|| fresh.iter().copied().find(|endpoint| self.accepts(*endpoint)))
     }
 
-    /// Where the long reads are replication stands still, unless a replica has reported otherwise just now. Leaves the
-    /// others, if there are any.
+    /// Removes the replicas that serve long reads, unless no others are left: replication does not advance there. A
+    /// replica that has reported its position within the last poll interval stays.
     fn avoid_long_read_replicas(&self, fresh: &mut Vec<EndpointId>) {
         let kept = self.long_read_replicas();
         let is_unaffected = |endpoint: &EndpointId| {
@@ -194,8 +199,9 @@
         }
     }
 
-    /// The primary, for as much of the reads as leaves it no more work than each of few fresh replicas has (departure 8).
-    /// Only where the group is heard of rarely: else the limits of the replicas tell when the primary is needed.
+    /// Returns the primary for such a share of the reads that it has no more work than each of a few fresh replicas
+    /// (departure 8). Applies only while results from the group are infrequent: otherwise the concurrency limits of the
+    /// replicas show when the primary is needed.
     fn primary_for_share_of_reads(&self, fresh: usize) -> Option<EndpointId> {
         if self.group.is_heard_often(self.view.now) {
             return None;
@@ -213,13 +219,14 @@
         (is_drawn && self.accepts(primary)).then_some(primary)
     }
 
-    /// A warming replica that the request's sample lets it go to is taken, as its share is counted by samples alone.
+    /// Returns a warming replica that the request's sample admits. It takes precedence, because samples alone determine
+    /// its share of the requests.
     fn warming_replica(&self, fresh: &[EndpointId]) -> Option<EndpointId> {
         let mut fresh = fresh.iter().copied();
         fresh.find(|endpoint| self.view.is_warming(*endpoint) && self.accepts(*endpoint))
     }
 
-    /// Where endpoints check reads themselves and none is fresh enough, the replica with the newest position.
+    /// Returns the replica with the newest position, where endpoints check reads themselves and none is fresh enough.
     fn most_advanced(&self, fresh: &[EndpointId], stale: &[EndpointId]) -> Option<EndpointId> {
         if !fresh.is_empty() || !self.view.state.config.endpoints_check_reads {
             return None;
@@ -230,7 +237,7 @@
         (self.accepts(newest) && !rejects_reads).then_some(newest)
     }
 
-    /// The last resort is the primary, of which writes keep their part (departure 8).
+    /// Returns the primary as the last resort; part of its capacity stays reserved for writes (departure 8).
     fn primary_as_last_resort(&self, fresh: &[EndpointId]) -> Option<EndpointId> {
         let primary = self.accepting_primary()?;
         let target = self.view.endpoint(primary);
@@ -242,7 +249,7 @@
         is_taken.then_some(primary)
     }
 
-    /// Whether no replica is expected to become fresh enough in a moment.
+    /// Returns whether the read has waited long enough: no replica is expected to become fresh enough shortly.
     fn has_waited(&self, fresh: &[EndpointId]) -> bool {
         let is_known_fresh =
             |endpoint: &EndpointId| self.view.meets_correctness_rules(*endpoint, self.request);
@@ -251,7 +258,8 @@
             || fresh.iter().any(is_known_fresh)
     }
 
-    /// Where the group is heard of rarely, the primary's own report tells what all routers send there.
+    /// Returns whether a sample lies within the primary's spare capacity. Applies only while results from the group are
+    /// infrequent: the primary's own report then shows the load that all routers send there.
     fn has_spare_capacity(&self, primary: EndpointId) -> bool {
         if self.group.is_heard_often(self.view.now) {
             return true;
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,4 +1,4 @@
-//! All that a router knows, one field for each concern.
+//! The complete state of a router, one field per concern.
 //!
 //! [`crate::eligibility`] and [`crate::selection`] read it; [`crate::dispatch`], [`crate::feedback`] and
 //! [`crate::monitoring`] change it; [`crate::router`] calls these in a fixed order.
@@ -28,11 +28,11 @@
     pub(crate) endpoints: Table<EndpointId, Endpoint>,
     pub(crate) departures: Departures,
     pub(crate) replica_sets: Table<GroupId, ReplicaSet>,
-    /// The groups of which an attempt ended a moment ago, that reject some writes, or that are new: the write throttle of
-    /// all others stays as it is.
+    /// Groups whose write throttle the next tick may change: those in which an attempt has just ended, those that
+    /// reject some writes, and new ones.
     pub(crate) throttled_or_heard: BTreeSet<GroupId>,
     pub(crate) demands: Demands,
-    /// Ticks by which the groups' counts of answers and rejections decay.
+    /// Tick count by which the groups' counts of answers and rejections decay.
     pub(crate) throughput_ticks: TickCount,
     pub(crate) requests: Requests,
     pub(crate) watermarks: SessionWatermarks,
@@ -46,7 +46,7 @@
 }
 
 impl RouterState {
-    /// The state of a router that has just started.
+    /// Returns the state of a router that has just started.
     pub(crate) fn new(now: f64, config: RoutingConfig) -> RouterState {
         let bounds = config.workloads.iter().filter_map(super::interface::RequestClass::bound);
         RouterState {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The group with that identifier; it is new if nothing named it before.
+    /// Returns the group with that identifier, and adds it if it is new.
     pub(crate) fn replica_set_mut(&mut self, group: GroupId) -> &mut ReplicaSet {
         let known = self.replica_sets.len();
         self.replica_sets.grow_to(group, ReplicaSet::new);
@@ -80,12 +80,12 @@
         &mut self.replica_sets[group]
     }
 
-    /// Whether nothing may be sent to the endpoint.
+    /// Returns whether nothing may be sent to the endpoint.
     pub(crate) fn is_excluded(&self, endpoint: EndpointId) -> bool {
         self.endpoints[endpoint].is_excluded(&self.config)
     }
 
-    /// Changes a request's state, and keeps count of the attempts in flight at its endpoints.
+    /// Changes a request's state, and updates the counts of attempts in flight at its endpoints.
     pub(crate) fn transition(&mut self, request: RequestId, to: RequestState) {
         let from = self.requests.transition(request, to);
         if let Some(endpoint) = from.endpoint() {
