--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -1,11 +1,11 @@
-//! Routing in blocking style, for network code: [`Facade::pick`], [`Facade::report`], [`Facade::tick`].
-//! Nothing here decides; it keeps what the [`Router`] asked for until it is picked up.
+//! Blocking-style interface to routing, for network code: [`Facade::pick`], [`Facade::report`], [`Facade::tick`]. The
+//! facade makes no decisions; it keeps those of the [`Router`] until the caller collects them.
 //!
-//! Times that others tell (positions, start times) are handed in as they were told, in Unix seconds like `now`. The router gets
-//! them on its own clock, which may be wrong ([`crate::clock_offset`]).
+//! Times that other processes report (positions, start times) are passed in as they were reported, in Unix seconds like
+//! `now`. The router gets them converted to its own clock, which may be wrong ([`crate::clock_offset`]).
 //!
-//! One loop can't block in `pick`, so it answers [`Decision::Wait`] instead, and what waits is picked again once
-//! [`Facade::tick`] names it. After each `pick` and `report` call `tick` until it names nothing.
+//! A single event loop can't block in `pick`, so `pick` returns [`Decision::Wait`] instead, and the caller picks the
+//! request again once [`Facade::tick`] names it. After each `pick` and `report`, call `tick` until it returns nothing.
 
 use std::collections::VecDeque;
 
@@ -16,36 +16,36 @@
 };
 use crate::time_conversion::TimeConversion;
 
-/// What [`Facade::pick`] is called for.
+/// The request that [`Facade::pick`] decides on.
 pub enum PickRequest {
     /// A request that has just arrived.
     New(Request),
-    /// One that `tick` has named.
+    /// A waiting request that `tick` has named.
     Waiting(usize),
 }
 
-/// What to do now for a request.
+/// What the caller has to do for a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     /// Send an attempt.
     Dispatch {
-        /// To that endpoint.
+        /// The endpoint to send it to.
         endpoint: usize,
-        /// Seconds after which it counts as not answered; 0 means when its client gives up.
+        /// Seconds after which the attempt counts as not answered; 0 means when its client gives up.
         timeout: f64,
     },
     /// Wait until [`Facade::tick`] names the request.
     Wait,
-    /// Final: nothing took effect, trying again is harmless.
+    /// Final answer: nothing took effect, and the client may safely retry.
     Reject {
-        /// Seconds after which its client may try again.
+        /// Seconds after which the client may retry.
         retry_after: f64,
     },
-    /// Final, and promises nothing.
+    /// Final answer that says nothing about effects.
     Abort,
 }
 
-/// What was learnt.
+/// An event that the router has to be informed of.
 pub enum RoutingEvent<'a> {
     /// An attempt ended.
     AttemptEnded {
@@ -57,7 +57,7 @@
         outcome: AttemptOutcome,
         /// Seconds from its start to its end.
         elapsed: f64,
-        /// What the answer itself showed.
+        /// What the answer itself shows.
         observed: LoadReport,
         /// The load report that came with the answer.
         report: Option<LoadReport>,
@@ -68,45 +68,45 @@
         endpoint: usize,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What the endpoint said, if it answered.
+        /// What the endpoint reported, if it answered.
         report: LoadReport,
     },
-    /// The endpoint list, or entries of it that have changed.
+    /// The endpoint list, or those of its entries that have changed.
     EndpointList(&'a [EndpointUpdate]),
-    /// What the fleet leaves this router of its budgets.
+    /// The quotas that the fleet grants this router.
     Quota(&'a FleetQuota),
-    /// The endpoint list was asked for and did not come.
+    /// A request for the endpoint list got no answer.
     EndpointListFailed,
     /// The client left before its answer.
     ClientGone(usize),
 }
 
-/// What [`Facade::tick`] names as due.
+/// A due action, as returned by [`Facade::tick`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RoutingAction {
     /// Pick that request again.
     Pick(usize),
-    /// Cancel the request's attempt; its end is still to be reported.
+    /// Cancel the request's attempt; its end still has to be reported.
     CancelAttempt(usize),
-    /// Health-check that endpoint.
+    /// Send a health check to that endpoint.
     HealthCheck(usize),
 }
 
-/// A router in blocking style.
+/// A router with a blocking-style interface.
 pub struct Facade {
     router: Router,
     times: TimeConversion,
     pending: Pending,
 }
 
-/// What the router asked for and network code has not picked up yet.
+/// Decisions of the router that network code has not collected yet.
 #[derive(Default)]
 struct Pending {
-    /// As many as there were ever requests at once; a slot is free again once its request is over and no attempt is in
-    /// flight.
+    /// Has as many entries as requests were ever held at once; a slot is free again once its request is over and no
+    /// attempt of it is in flight.
     slots: Vec<Slot>,
     free: Vec<usize>,
-    /// Emptied by each `tick`.
+    /// Emptied by each call of `tick`.
     due: VecDeque<RoutingAction>,
     picking: Option<usize>,
     now: f64,
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Default)]
 struct Slot {
     is_taken: bool,
-    /// Decided, and not picked up yet.
+    /// Made by the router and not collected yet.
     decision: Option<Decision>,
     /// The request has its final answer, or its client left.
     is_over: bool,
@@ -125,7 +125,7 @@
 }
 
 impl Facade {
-    /// A router that knows no endpoint yet.
+    /// Returns a router that knows no endpoints.
     #[must_use]
     pub fn start(now: f64, config: RoutingConfig) -> Facade {
         let mut pending = Pending { now, ..Pending::default() };
@@ -133,7 +133,8 @@
         Facade { router, times: TimeConversion::default(), pending }
     }
 
-    /// The request's number, which is its own until it is over and no attempt of it is in flight, and what to do.
+    /// Returns the request's index and what to do for the request. The index belongs to it until it is over and no
+    /// attempt of it is in flight.
     pub fn pick(&mut self, now: f64, pick_request: PickRequest) -> (usize, Decision) {
         self.pending.now = now;
         let index = match pick_request {
@@ -158,7 +159,7 @@
         (index, decision)
     }
 
-    /// Takes in what was learnt.
+    /// Processes an event.
     pub fn report(&mut self, now: f64, event: RoutingEvent) {
         self.pending.now = now;
         match event {
@@ -168,7 +169,7 @@
                     report.map(|report| self.convert_report(now, endpoint, PositionSource::Report, report));
                 let slot = &mut self.pending.slots[request];
                 let known = slot.is_taken && slot.in_flight > 0;
-                self.pending.check_invariant(known, "an execution that was picked ends once");
+                self.pending.check_invariant(known, "an attempt that was picked ends once");
                 if known {
                     let slot = &mut self.pending.slots[request];
                     slot.in_flight -= 1;
@@ -194,7 +195,8 @@
         }
     }
 
-    /// A report with its position on the router's clock, of which the position itself may tell something new.
+    /// Converts the position in a report to the router's clock. The position itself may change what is known of the
+    /// clock offset.
     fn convert_report(
         &mut self,
         now: f64,
@@ -213,22 +215,23 @@
         self.times.local_report(now, endpoint, source, report)
     }
 
-    /// Seconds since a commit that a client names by its position, for [`Request::since_write`].
+    /// Returns the seconds since a commit that a client identifies by its position, for [`Request::since_write`].
     #[must_use]
     pub fn since_commit(&self, now: f64, position: f64) -> f64 {
         self.times.since_commit(now, position)
     }
 
-    /// The client left before its answer.
+    /// Handles a client that left before its answer.
     fn client_gone(&mut self, now: f64, request: usize) {
         let slot = self.pending.slots[request];
-        self.pending.check_invariant(slot.is_taken && !slot.is_over, "a client leaves before its answer");
+        self.pending
+            .check_invariant(slot.is_taken && !slot.is_over, "a client leaves only before its final answer");
         if !slot.is_taken || slot.is_over {
             return;
         }
         self.pending.slots[request].is_over = true;
         match self.pending.slots[request].decision.take() {
-            // Decided, and not picked up: the router no longer holds it.
+            // Decided and not collected: the router no longer holds the request.
             Some(Decision::Reject { .. } | Decision::Abort) => {}
             Some(Decision::Dispatch { endpoint, .. }) => {
                 self.router.on_client_gone(request);
@@ -249,7 +252,7 @@
         self.pending.free_if_over(request);
     }
 
-    /// What is due now; nothing is named twice for the same reason.
+    /// Returns the actions that are due; none is named twice for the same reason.
     pub fn tick(&mut self, now: f64) -> VecDeque<RoutingAction> {
         self.pending.now = now;
         if now >= self.pending.wake_at {
@@ -259,51 +262,52 @@
         std::mem::take(&mut self.pending.due)
     }
 
-    /// The endpoints that left the list and of which routing needs nothing any more.
+    /// Returns the endpoints that have left the list and that routing no longer needs.
     #[must_use]
     pub fn forgettable_endpoints(&self, now: f64) -> Vec<usize> {
         self.router.forgettable_endpoints(now)
     }
 
-    /// Forgets these endpoints, but for those that routing still needs. Returns which it has forgotten: their indices may
-    /// be listed as other endpoints' from now on.
+    /// Forgets these endpoints, except those that routing still needs. Returns the forgotten ones; the caller may reuse
+    /// their indices for other endpoints.
     pub fn forget_endpoints(&mut self, now: f64, endpoints: &[usize]) -> Vec<usize> {
         let forgotten = self.router.forget_endpoints(now, endpoints);
         forgotten.iter().for_each(|endpoint| self.times.forget(*endpoint));
         forgotten
     }
 
-    /// Whether an endpoint is taken for one that is not warm yet.
+    /// Returns whether the endpoint is treated as not warm yet.
     #[must_use]
     pub fn is_warming(&self, now: f64, endpoint: usize) -> bool {
         self.router.is_warming(now, endpoint)
     }
 
-    /// Whether an attempt that was picked may still be sent; to be asked when its bytes are about to go out.
+    /// Returns whether an attempt that was picked may still be sent; to be checked when its bytes are about to be
+    /// written.
     #[must_use]
     pub fn may_begin(&self, now: f64, request: usize, endpoint: usize) -> bool {
         self.router.may_begin(now, request, endpoint)
     }
 
-    /// The same of a health check.
+    /// Returns whether a health check that was decided on may still be sent.
     #[must_use]
     pub fn may_check_health(&self, endpoint: usize) -> bool {
         self.router.may_check_health(endpoint)
     }
 
-    /// Requests that wait in a group for an endpoint that may take them.
+    /// Returns the number of requests in a group that wait for an endpoint to accept them.
     #[must_use]
     pub fn waiting(&self, group: usize) -> usize {
         self.router.waiting(group)
     }
 
-    /// When `tick` wants to be called, if nothing else happens before.
+    /// Returns when `tick` has to be called next, if nothing else happens before.
     #[must_use]
     pub fn wake_at(&self) -> f64 {
         self.pending.wake_at
     }
 
-    /// How often something that must hold did not.
+    /// Returns the number of invariant violations so far.
     #[must_use]
     pub fn invariant_violations(&self) -> u64 {
         self.pending.violations
@@ -311,13 +315,13 @@
 }
 
 impl Pending {
-    /// What must hold: panics in a debug build, counts a violation in a release build.
+    /// Checks an invariant: a violation panics in a debug build, and is counted in a release build.
     fn check_invariant(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         self.violations += u64::from(!holds);
     }
 
-    /// A free slot for a new request.
+    /// Allocates a free slot for a new request.
     fn allocate(&mut self) -> usize {
         let index = self.free.pop().unwrap_or(self.slots.len());
         self.slots.resize(self.slots.len().max(index + 1), Slot::default());
@@ -334,10 +338,11 @@
         }
     }
 
-    /// Keeps a choice until it is picked up, and names the request as due unless it is being picked right now.
+    /// Keeps a decision until it is collected, and adds the request to the due actions unless it is being picked right
+    /// now.
     fn record_decision(&mut self, index: usize, decision: Decision) {
         let free = self.slots[index].decision.is_none() && !self.slots[index].is_over;
-        self.check_invariant(free, "one choice at a time, and none after the last");
+        self.check_invariant(free, "a request has one decision at a time, and none after its final answer");
         self.slots[index].decision = Some(decision);
         if self.picking != Some(index) {
             self.due.push_back(RoutingAction::Pick(index));
@@ -370,7 +375,7 @@
         self.wake_at = self.now + after;
     }
 
-    /// On sockets discovery is watched from the start, whether asked for or not.
+    /// Does nothing: on sockets discovery is watched from the start, whether requested or not.
     fn request_endpoint_list(&mut self) {}
 
     fn log(&mut self, _text: &str) {}
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -1,16 +1,16 @@
-//! Typed indices, and tables that are read by them.
+//! Typed indices, and tables that are indexed by them.
 //!
-//! The public interface names endpoints, groups, workloads and requests by bare `usize`; inside the crate each kind
-//! has a type of its own, so that one can't stand where another is meant.
+//! The public interface identifies endpoints, groups, workloads and requests by plain `usize`; inside the crate each
+//! kind has its own type, so that one can't be used in place of another.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
 /// An index into a [`Table`].
 pub(crate) trait Id: Copy {
-    /// The identifier with that index.
+    /// Returns the identifier with that index.
     fn new(index: usize) -> Self;
-    /// Its index.
+    /// Returns the identifier's index.
     fn index(self) -> usize;
 }
 
@@ -35,15 +35,16 @@
 ids! {
     /// A database server.
     EndpointId;
-    /// A request that the router holds; free again once it has its final answer and no attempt is in flight.
+    /// A request that the router holds; free again once the request has its final answer and no attempt of it is in
+    /// flight.
     RequestId;
-    /// A workload as the settings name it, or its stricter twin for texts that may write.
+    /// A workload of the settings, or its stricter counterpart for texts that may write.
     ClassId;
     /// A replicated group of endpoints.
     GroupId;
 }
 
-/// A list whose entries are read by one kind of identifier.
+/// A list that is indexed by one kind of identifier.
 #[derive(Clone, Debug)]
 pub(crate) struct Table<I, T> {
     entries: Vec<T>,
@@ -57,22 +58,21 @@
 }
 
 impl<I: Id, T> Table<I, T> {
-    /// A table of these entries, in their order.
+    /// Returns a table of these entries, in their order.
     pub(crate) fn of(entries: Vec<T>) -> Self {
         Table { entries, kind: PhantomData }
     }
 
-    /// How many entries there are.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The entry, if there is one.
+    /// Returns the entry, if it exists.
     pub(crate) fn get(&self, id: I) -> Option<&T> {
         self.entries.get(id.index())
     }
 
-    /// Replaces an entry, or adds one under the next identifier.
+    /// Replaces an entry, or appends one under the next identifier.
     pub(crate) fn set(&mut self, id: I, entry: T) {
         if id.index() == self.entries.len() {
             self.entries.push(entry);
@@ -81,19 +81,19 @@
         }
     }
 
-    /// Makes sure that there is an entry with that identifier; what is missing before it is filled alike.
+    /// Grows the table so that it has an entry with that identifier; `fill` creates each missing entry.
     pub(crate) fn grow_to(&mut self, id: I, fill: impl FnMut() -> T) {
         if id.index() >= self.entries.len() {
             self.entries.resize_with(id.index() + 1, fill);
         }
     }
 
-    /// All entries, in the order of their identifiers.
+    /// Returns all entries, in the order of their identifiers.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, T> {
         self.entries.iter()
     }
 
-    /// The same, to be changed.
+    /// Returns all entries for modification, in the order of their identifiers.
     pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, T> {
         self.entries.iter_mut()
     }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,71 +1,71 @@
-//! What passes between [`Router`](crate::Router) and its caller. Nothing here decides.
+//! Types that pass between [`Router`](crate::Router) and its caller. This module makes no decisions.
 //!
-//! All times are seconds. `now` is any clock that never goes back; a position in the replication log (`lsn`) is the time on
-//! that same clock up to which an endpoint has every commit. Endpoints, groups, workloads, sites, tenants and
-//! requests are small, dense indices that the caller hands out; a request's index is free again once the request
-//! has its final answer and no attempt of it is in flight.
+//! All times are in seconds. `now` is read from any clock that never goes back; a position in the replication log
+//! (`lsn`) is the time on that same clock up to which an endpoint has every commit. Endpoints, groups, workloads,
+//! sites, tenants and requests are small, dense indices that the caller assigns; a request's index is free again once
+//! the request has its final answer and no attempt of it is in flight.
 
 /// How often a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// May run again.
+    /// May run more than once.
     Idempotent,
-    /// It has an idempotency key: repeats are dropped for a time.
+    /// Carries an idempotency key: repeats are dropped for a limited time.
     Deduplicated {
-        /// Among which endpoints.
+        /// Endpoints among which a repeat is recognized.
         within: DeduplicationScope,
-        /// Seconds after the first attempt.
+        /// Seconds after the first attempt during which repeats are dropped.
         window: f64,
     },
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// The endpoints among which a repeat of a deduplicated request is known.
+/// The endpoints among which a repeat of a deduplicated request is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
     Everywhere,
-    /// Those of one site.
+    /// The endpoints of one site.
     Site,
-    /// Those of one group.
+    /// The endpoints of one group.
     Group,
 }
 
-/// What data a workload needs.
+/// The data that a workload needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Consistency {
-    /// The primary, for a write.
+    /// The data of the primary, for a write.
     Primary,
     /// All commits made before the request arrived.
     Fresh,
     /// The writes of its own session.
     Session,
-    /// Data at most this many seconds old when an attempt is sent.
+    /// Data that are at most this many seconds old when an attempt is sent.
     Bounded(f64),
-    /// Whatever an endpoint holds.
+    /// Whatever data an endpoint holds.
     Any,
 }
 
-/// The settings of one workload.
+/// Settings of one workload.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// What data it needs.
+    /// The data that it needs.
     pub needs: Consistency,
-    /// How often a request of it may take effect.
+    /// How often one of its requests may take effect.
     pub effect: Effect,
-    /// Priority weight: what an answer in time is worth.
+    /// Priority weight: the value of an answer in time.
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer after the SLO time still earns.
+    /// Fraction of the priority weight that an answer after the SLO time still earns.
     pub late_share: f64,
-    /// Seconds from a client's first try within which an answer is in time.
+    /// Seconds from a client's first attempt within which an answer is in time.
     pub slo_time: f64,
-    /// Seconds that a client gives a first try at most.
+    /// Longest time in seconds that a client allows for a first attempt.
     pub statement_timeout: f64,
 }
 
 impl RequestClass {
-    /// How old the data of a bounded read may be, in seconds; `None` if it is no bounded read.
+    /// Returns the staleness bound in seconds; `None` if the workload is not a bounded read.
     #[must_use]
     pub fn bound(&self) -> Option<f64> {
         match self.needs {
@@ -75,68 +75,70 @@
     }
 }
 
-/// Where load reports travel.
+/// What carries load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With answers, and with health checks.
+    /// Answers and health checks.
     WithAnswers,
-    /// With health checks alone.
+    /// Health checks alone.
     WithHealthChecks,
-    /// There are none.
+    /// There are no load reports.
     Nowhere,
 }
 
-/// The settings of a router.
+/// Settings of a router.
 #[derive(Clone, Debug)]
 pub struct RoutingConfig {
     /// Seed of all random choices.
     pub seed: u64,
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
     /// The router's own site.
     pub site: Option<usize>,
-    /// All workloads; requests name them by their index.
+    /// All workloads; requests refer to them by index.
     pub workloads: Vec<RequestClass>,
-    /// Requests a second, over all routers, that lie within each tenant's share.
+    /// Requests per second, summed over all routers, that are within each tenant's share.
     pub tenant_rates: Vec<f64>,
-    /// What a request above its tenant's share is worth, as a part of its priority weight.
+    /// Value of a request above its tenant's share, as a fraction of its priority weight.
     pub over_share: f64,
-    /// Where load reports travel.
+    /// What carries load reports.
     pub reports: ReportSource,
-    /// Endpoints reject a read for which they lag too far, rather than answer it from old data.
+    /// Whether endpoints reject a read for which they lag too far, instead of answering it from old data.
     pub endpoints_check_reads: bool,
-    /// A session's last write is not told with its reads: the router has to remember it.
+    /// Whether the router has to remember the last write of each session, because reads don't state it.
     pub remembers_writes: bool,
-    /// The endpoint list comes only on asking.
+    /// Whether the endpoint list is sent only on request.
     pub list_on_request: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel_attempts: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Most seconds that a rejected client may be told to stay away.
+    /// Maximum number of seconds that a rejected client may be told to wait before it retries.
     pub max_retry_after: f64,
-    /// Only an endpoint seen draining is excluded; one that is merely gone from the list is not.
+    /// Whether only endpoints that were listed as draining are excluded, and not those that are merely gone from the
+    /// list.
     pub only_draining_bars: bool,
-    /// An endpoint that was just started has at least this part of its capacity.
+    /// Fraction of its full capacity that an endpoint has at least when it has just started.
     pub initial_capacity_fraction: f64,
-    /// Seconds after its start from which on an endpoint has all of its capacity.
+    /// Seconds after its start from which on an endpoint has its full capacity.
     pub warmup: f64,
-    /// A warming endpoint that is sent this multiple of what it can do, for `fall_span`, falls over.
+    /// Multiple of its present capacity that makes a warming endpoint fail if it is sent this for `overload_span`
+    /// seconds.
     pub overload_multiple: f64,
-    /// Seconds, see `fall_multiple`.
+    /// Duration of that overload in seconds, see `overload_multiple`.
     pub overload_span: f64,
 }
 
-/// What requests with one fingerprint are known to cost, in seconds of an endpoint's work.
+/// Estimated cost of the requests with one fingerprint, in seconds of an endpoint's work.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkEstimate {
-    /// Of a request with this fingerprint.
+    /// Cost of a request with this fingerprint.
     pub own: f64,
-    /// Of a usual request of its workload.
+    /// Cost of a usual request of its workload.
     pub usual: f64,
-    /// How far off `own` may be: the standard error of its logarithm.
+    /// Uncertainty of `own`: the standard error of its logarithm.
     pub spread: f64,
 }
 
@@ -145,61 +147,62 @@
 pub struct Request {
     /// Index of its workload in the settings.
     pub workload: usize,
-    /// The group that it is for.
+    /// The group that it is sent to.
     pub group: usize,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if there are tenants.
     pub tenant: Option<usize>,
-    /// Its session, where there are sessions.
+    /// Its session, if there are sessions.
     pub session: Option<u64>,
-    /// Seconds until the client gives this try up.
+    /// Seconds until the client gives up on this attempt.
     pub time_left: f64,
-    /// Seconds since the session's last write was committed, where that is told; negative if the commit lies ahead of the
-    /// router's time.
+    /// Seconds since the session's last write was committed, if the client states it; negative if the commit lies ahead
+    /// of the router's time.
     pub since_write: Option<f64>,
-    /// The client marked this as a repeat.
+    /// Whether the client flagged this as a retry.
     pub repeat: bool,
-    /// Its text may write, whatever its workload is said to do.
+    /// Whether its text may write, regardless of its workload's settings.
     pub writes: bool,
-    /// `None` where texts are not read, or the fingerprint is not known yet.
+    /// Estimated cost; `None` where texts are not read, or while the fingerprint is unknown.
     pub work: Option<WorkEstimate>,
 }
 
-/// What an endpoint is in its group.
+/// Role of an endpoint in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes writes.
+    /// Accepts writes.
     Primary,
-    /// Follows the primary, and serves reads.
+    /// Follows the primary and serves reads.
     Replica,
 }
 
-/// How an attempt, or a health check, ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered in full.
+    /// Answered in full.
     Completed,
-    /// It was answered with an error that proves nothing of its effect.
+    /// Answered with an error, which proves nothing about its effect.
     Error,
-    /// The endpoint rejected it because it was full.
+    /// Rejected by the endpoint because it was full.
     Refused,
-    /// It was not answered in time.
+    /// Not answered in time.
     TimedOut,
-    /// No connection came up.
+    /// No connection was established.
     ConnectFailed,
     /// The connection broke after it was sent.
     Reset,
-    /// It was cancelled by the router.
+    /// Cancelled by the router.
     Cancelled,
     /// It never left this router.
     NeverSent,
-    /// The endpoint is not the one for it: no primary, or too far behind.
+    /// Sent to the wrong endpoint: one that is not the primary, or that lags too far.
     WrongEndpoint,
-    /// The endpoint only reads, and the text writes. An endpoint that tells no difference says `WrongEndpoint`.
+    /// The endpoint only serves reads, and the text writes. An endpoint that doesn't distinguish the two cases reports
+    /// `WrongEndpoint`.
     ReadOnly,
 }
 
 impl AttemptOutcome {
-    /// Whether the outcome proves that the attempt had no effect.
+    /// Returns whether the outcome proves that the attempt had no effect.
     #[must_use]
     pub fn had_no_effect(self) -> bool {
         match self {
@@ -217,14 +220,14 @@
     }
 }
 
-/// What an endpoint said of itself.
+/// What an endpoint reports about itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Its role.
     pub role: Option<Role>,
     /// Its position in the replication log.
     pub lsn: Option<f64>,
-    /// Its utilization: the part of its cores that is busy, by all that it does.
+    /// Its utilization: the fraction of its cores that is busy with any work.
     pub utilization: Option<f64>,
 }
 
@@ -239,23 +242,23 @@
     pub outcome: AttemptOutcome,
     /// Seconds from its start to its end.
     pub elapsed: f64,
-    /// The request has its final answer, by this result or an earlier one.
+    /// Whether the request has its final answer, by this result or an earlier one.
     pub closed: bool,
-    /// What the answer itself showed; for a completed write the position is its commit.
+    /// What the answer itself shows; for a completed write the position is that of its commit.
     pub observed: LoadReport,
     /// The load report that came with the answer.
     pub report: Option<LoadReport>,
 }
 
-/// The state of an endpoint by the endpoint list.
+/// State of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may be sent requests.
+    /// May be sent requests.
     #[default]
     Ready,
-    /// It finishes what it has, and gets nothing new.
+    /// Finishes the requests that it has, and is sent no new ones.
     Draining,
-    /// It is no longer listed.
+    /// No longer listed.
     Removed,
 }
 
@@ -264,71 +267,71 @@
 pub struct EndpointUpdate {
     /// The endpoint.
     pub endpoint: usize,
-    /// An opaque number, the same for an endpoint at every router, as the indices are not.
+    /// An opaque number that is the same for an endpoint at every router, unlike its index.
     pub order: u64,
     /// Its group.
     pub group: usize,
-    /// Its site, where sites are told.
+    /// Its site, if sites are known.
     pub site: Option<usize>,
-    /// Its capacity relative to others.
+    /// Its capacity relative to that of other endpoints.
     pub size: f64,
     /// Its state.
     pub state: EndpointState,
-    /// When the endpoint last started; `None` means long ago.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started_at: Option<f64>,
 }
 
-/// What this router may use of the fleet's budgets at an endpoint; `None` where there is no such budget.
+/// The quotas that the fleet grants this router at one endpoint; `None` where the fleet has no such budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointQuota {
     /// The endpoint.
     pub endpoint: usize,
-    /// Attempts that it may have in flight there.
+    /// Attempts that the router may have in flight there.
     pub units: Option<f64>,
-    /// Attempts that it may send there now while the endpoint warms up.
+    /// Attempts that the router may send there now while the endpoint warms up.
     pub tokens: Option<f64>,
 }
 
-/// This router's parts of the fleet's budgets, as they are now.
+/// The quotas that the fleet grants this router, as of now.
 #[derive(Clone, Debug, Default)]
 pub struct FleetQuota {
-    /// Its parts at endpoints.
+    /// The quotas at endpoints.
     pub endpoints: Vec<EndpointQuota>,
-    /// Routers that are there, as the fleet knows them.
+    /// Number of routers that are present, as far as the fleet knows.
     pub routers: Option<usize>,
-    /// Retries of attempts that may have run that it may send now, where there is a budget for these.
+    /// Retries of attempts that may have run that the router may send now; `None` if there is no budget for these.
     pub retries: Option<f64>,
 }
 
-/// What a router has looked at since it started, beside what each call names. It goes by the traffic and by what changes,
-/// not by the size of the fleet: a figure that grows with the number of endpoints is a fault.
+/// Counts of what a router has examined since it started, beyond what each call names. They depend on the traffic and
+/// on what changes, not on the size of the fleet: a count that grows with the number of endpoints is a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Groups visited by timer calls, and by endpoint lists and quotas for what waits there.
+    /// Groups visited by ticks, and by endpoint lists and quotas in order to dispatch waiting requests.
     pub groups: u64,
-    /// Groups whose members were looked at for a health check.
+    /// Groups whose members were examined for a health check.
     pub polls: u64,
-    /// Requests looked at by timer calls.
+    /// Requests examined by ticks.
     pub requests: u64,
-    /// Watermarks of sessions looked at by timer calls.
+    /// Watermarks of sessions examined by ticks.
     pub watermarks: u64,
 }
 
-/// Carries out what a [`Router`](crate::Router) decides.
+/// Carries out the decisions of a [`Router`](crate::Router).
 pub trait Transport {
-    /// Sends an attempt; after `time_out` seconds it counts as not answered, 0 means when its client gives up.
+    /// Sends an attempt; it counts as not answered after `timeout` seconds, where 0 means when its client gives up.
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64);
-    /// Final answer: nothing took effect, trying again in `retry_after` seconds is harmless.
+    /// Gives the final answer that nothing took effect, and that the client may safely retry in `retry_after` seconds.
     fn reject(&mut self, request: usize, retry_after: f64);
-    /// Final answer that promises nothing.
+    /// Gives a final answer that says nothing about effects.
     fn abort(&mut self, request: usize);
-    /// Cancels the request's attempt with that number, counted from 0; its result still comes.
+    /// Cancels the request's attempt with that number, counted from 0; its result is still reported.
     fn cancel_attempt(&mut self, request: usize, attempt: u32);
     /// Sends a health check.
     fn start_health_check(&mut self, endpoint: usize);
-    /// Asks for one call of `Router::timer`, in `after` seconds.
+    /// Schedules one call of `Router::on_tick`, in `after` seconds.
     fn schedule_tick(&mut self, after: f64);
-    /// Asks that the endpoint list and its changes be sent from now on.
+    /// Requests that the endpoint list and its changes be sent from now on.
     fn request_endpoint_list(&mut self);
     /// Writes a line to the log.
     fn log(&mut self, text: &str);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,31 +1,32 @@
-//! Routing of requests in a replicated store, without I/O and without a clock.
+//! Request routing for a replicated store, without I/O and without a clock.
 //!
-//! [`Router`] decides which endpoint serves a request, whether a failed attempt is retried, and what is shed; whoever
-//! implements [`Transport`](interface::Transport) carries that out. [`facade::Facade`] wraps both in a blocking style for network
-//! code. Times are seconds that the caller hands in; every random choice comes from a seeded hash, so a run can be repeated
-//! exactly.
+//! [`Router`] decides which endpoint serves a request, whether a failed attempt is retried, and which requests are shed; an
+//! implementation of [`Transport`](interface::Transport) carries the decisions out. [`facade::Facade`] wraps both in a
+//! blocking-style interface for network code. Times are seconds that the caller passes in. Every random choice comes from a
+//! seeded hash, so a run can be reproduced exactly.
 //!
-//! The modules in reading order (`docs/architecture.md` says more):
+//! The modules in reading order (`docs/architecture.md` has more detail):
 //!
-//! 1. [`interface`]: settings, requests, results, reports; what the caller has to implement.
-//! 2. [`facade`]: the same for network code, as pick, report, tick.
-//! 3. `router`: the entry points, which hand what happens to the concerns in a fixed order.
-//! 4. `arrival`, `dispatch`: the way of a request from its arrival to its final answer; `request`: its states.
-//! 5. `eligibility`, `selection`: which endpoints may take it, and which of them does.
-//! 6. `feedback`, `monitoring`: what is learnt from results, reports and health checks; `retention`: how long it is kept of
-//!    endpoints that have left.
+//! 1. [`interface`]: settings, requests, results, reports; the trait that the caller has to implement.
+//! 2. [`facade`]: the same for network code, as pick, report and tick.
+//! 3. `router`: the entry points, which pass each event on to the other modules in a fixed order.
+//! 4. `arrival`, `dispatch`: a request from its arrival to its final answer; `request`: its states.
+//! 5. `eligibility`, `selection`: which endpoints may be sent a request, and which of them is chosen.
+//! 6. `feedback`, `monitoring`: what is learnt from results, reports and health checks; `retention`: how long this is kept
+//!    for endpoints that have left the list.
 //! 7. One concern each, with its own state: `primary`, `consistency`, `retry`, `admission`, `concurrency_limit`,
 //!    `slow_start`, `throughput`, `outlier`, `health_check`, `departure`, `stats`.
-//! 8. What holds these: `endpoint`, `replica_set`, `state`; and `ids`, `clock`, `sampling`, `convert` below all.
+//! 8. The types that hold these states: `endpoint`, `replica_set`, `state`; and, below all others, `ids`, `clock`, `sampling`,
+//!    `convert`.
 //!
-//! No two modules import each other; imports go down from `facade` and `router` to `ids`, `clock`, `sampling`, `convert` and
-//! `interface`.
+//! No two modules import each other: imports lead from `facade` and `router` down to `ids`, `clock`, `sampling`, `convert`
+//! and `interface`.
 
 #![warn(missing_docs)]
 #![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
 #![allow(
     clippy::needless_pass_by_value,
-    reason = "the facade takes requests and events by value, as its callers have no use for them after"
+    reason = "the facade takes requests and events by value, because its callers do not use them afterwards"
 )]
 
 mod admission;
--- a/crates/routing/src/time_conversion.rs
+++ b/crates/routing/src/time_conversion.rs
@@ -1,11 +1,12 @@
-//! The times that others tell, on the router's clock: positions, start times, the commits that clients name.
+//! Conversion of times that other processes report to the router's clock: positions, start times, the commits that
+//! clients name.
 //!
-//! What is believed of the clocks is decided in [`crate::clock_offset`].
+//! [`crate::clock_offset`] decides how far the clocks are apart.
 
 use crate::clock_offset::{ClockOffset, OffsetChange, PositionSample, PositionSource};
 use crate::interface::{EndpointUpdate, LoadReport};
 
-/// An endpoint as it was last listed, by the clock of others.
+/// An endpoint as it was last listed, with its start time on the clock of others.
 #[derive(Clone, Copy, Debug, Default)]
 struct ListedEndpoint {
     update: EndpointUpdate,
@@ -13,16 +14,16 @@
     start_listed_at: f64,
 }
 
-/// Converts what others tell to the router's clock.
+/// Converts reported times to the router's clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TimeConversion {
     clock_offset: ClockOffset,
-    /// By endpoint.
+    /// Indexed by endpoint.
     listed: Vec<ListedEndpoint>,
 }
 
 impl TimeConversion {
-    /// Learns from the position in a report, and says whether times are converted in another way from now on.
+    /// Learns from the position in a report, and returns whether times are converted differently from now on.
     pub(crate) fn observe(
         &mut self,
         now: f64,
@@ -34,7 +35,7 @@
         sample.map_or(OffsetChange::None, |sample| self.clock_offset.observe(now, &sample))
     }
 
-    /// A report with its position on the router's clock.
+    /// Returns a report with its position converted to the router's clock.
     pub(crate) fn local_report(
         &self,
         now: f64,
@@ -47,7 +48,7 @@
         LoadReport { lsn, ..report }
     }
 
-    /// Entries of an endpoint list with their start times on the router's clock.
+    /// Returns entries of an endpoint list with their start times converted to the router's clock.
     pub(crate) fn local_updates(&mut self, now: f64, updates: &[EndpointUpdate]) -> Vec<EndpointUpdate> {
         for update in updates {
             self.record_listing(now, update);
@@ -55,20 +56,20 @@
         updates.iter().map(|update| self.local_update(update.endpoint)).collect()
     }
 
-    /// The endpoints that are listed with a start time, with that time on the router's clock.
+    /// Returns the endpoints that are listed with a start time, with that time converted to the router's clock.
     pub(crate) fn started_endpoints(&self) -> Vec<EndpointUpdate> {
         let started = self.listed.iter().filter(|listed| listed.update.started_at.is_some());
         started.map(|listed| self.local_update(listed.update.endpoint)).collect()
     }
 
-    /// The index stands for no endpoint any more, until it is listed again.
+    /// Clears the entry of an index that represents no endpoint until it is listed again.
     pub(crate) fn forget(&mut self, endpoint: usize) {
         if let Some(listed) = self.listed.get_mut(endpoint) {
             *listed = ListedEndpoint::default();
         }
     }
 
-    /// Seconds since a commit that a client names by its position.
+    /// Returns the seconds since a commit that a client identifies by its position.
     pub(crate) fn since_commit(&self, now: f64, position: f64) -> f64 {
         self.clock_offset.since_commit(now, position)
     }
