--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,6 +1,7 @@
-//! Dispatching requests: sending an attempt, giving a request its final answer, cancelling an attempt for a retry.
+//! Dispatching requests: sends attempts, gives requests their final answers, and cancels attempts in order to retry
+//! them.
 
-use crate::clock::TICK;
+use crate::clock::TICK_SECONDS;
 use crate::eligibility::View;
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{Consistency, Effect, Transport};
@@ -9,27 +10,28 @@
 use crate::selection;
 use crate::state::RouterState;
 
-/// Seconds after which a client that is rejected in time may try again.
-const RETRY_AFTER: f64 = 0.1;
-/// Clients that are expected back for a first try that is rejected.
-const RETURNS_AFTER_FIRST_TRY: f64 = 1.0;
-/// The same for a later try.
-const RETURNS_AFTER_RETRY: f64 = 0.5;
-/// Part of its SLO time that a trial of an ejected endpoint gets, so that another attempt elsewhere may be in time.
-const TRIAL_TIME: f64 = 0.5;
-/// Part of its time after which a request that was never sent is rejected: later, it costs its client more than it may
-/// still earn (departure 2 of docs/design.md).
-const UNSENT_TIME: f64 = 0.5;
+/// Seconds after which a client that is rejected within its SLO time may retry.
+const RETRY_AFTER_SECONDS: f64 = 0.1;
+/// Average number of client retries to expect after a client's first attempt is rejected.
+const RETRIES_AFTER_FIRST_ATTEMPT: f64 = 1.0;
+/// Average number of client retries to expect after a client's retry is rejected.
+const RETRIES_AFTER_RETRY: f64 = 0.5;
+/// Timeout of a trial of an ejected endpoint, as a fraction of the SLO time, so that another attempt elsewhere may
+/// still be in time.
+const TRIAL_TIMEOUT_FRACTION: f64 = 0.5;
+/// Fraction of its time left after which a request that was never sent is rejected: waiting longer would cost its
+/// client more than the answer may still be worth (departure 2 of docs/design.md).
+const MAX_UNSENT_FRACTION: f64 = 0.5;
 
 impl RouterState {
-    /// Dispatches what waits in a group, as far as endpoints accept it.
+    /// Dispatches the requests that wait in a group, as far as endpoints accept them.
     pub(crate) fn dispatch_waiting(&mut self, now: f64, group: GroupId, transport: &mut impl Transport) {
         for request in self.requests.waiting(group).to_vec() {
             self.try_dispatch(now, request, transport);
         }
     }
 
-    /// The same for all groups, as what is known of endpoints has changed.
+    /// Dispatches the waiting requests of all groups, after the state of endpoints has changed.
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
         let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
         for group in waiting {
@@ -38,11 +40,12 @@
         }
     }
 
-    /// Sends an attempt of a waiting request, or rejects it if it is too late for that, or leaves it waiting.
+    /// Sends an attempt of a waiting request if an endpoint accepts it, rejects the request if it is too late for an
+    /// attempt, or leaves it waiting.
     pub(crate) fn try_dispatch(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         self.sampler.advance();
         let request = self.requests.get(id);
-        if now >= give_up_at(request, self.classes.get(request.class).effect()) {
+        if now >= dispatch_deadline(request, self.classes.get(request.class).effect()) {
             self.shed(now, id, transport);
             return;
         }
@@ -52,12 +55,12 @@
         }
     }
 
-    /// Sends an attempt; the one place where this is done.
+    /// Sends an attempt; all attempts are sent here.
     fn send(&mut self, now: f64, id: RequestId, endpoint: EndpointId, transport: &mut impl Transport) {
         let request = *self.requests.get(id);
         let class = self.classes.get(request.class);
         let is_trial = self.endpoints[endpoint].outlier.is_ejected();
-        let timeout = if is_trial { class.settings().slo_time * TRIAL_TIME } else { 0.0 };
+        let timeout = if is_trial { class.settings().slo_time * TRIAL_TIMEOUT_FRACTION } else { 0.0 };
         self.endpoints[endpoint].outlier.record_attempt(now);
         if request.possible_effect.is_some() {
             self.retries.withdraw();
@@ -66,24 +69,26 @@
             self.watermarks.begin_write(request.group, session);
         }
         self.requests.get_mut(id).record_attempt(now, endpoint);
-        self.transition(id, RequestState::Executing(endpoint));
+        self.transition(id, RequestState::InFlight(endpoint));
         transport.start_attempt(id.index(), endpoint.index(), timeout);
     }
 
-    /// The session of a write, where the router has to remember what sessions have written.
+    /// Returns the session of a write, if the router has to remember the writes of sessions.
     pub(crate) fn remembered_session(&self, request: &TrackedRequest) -> Option<u64> {
         let is_remembered = self.config.remembers_writes && self.classes.get(request.class).is_write();
         request.session.filter(|_| is_remembered)
     }
 
-    /// Gives a request its final answer at once, as nothing better can come of it.
+    /// Sheds a request: gives it its final answer immediately, a rejection if its client may safely repeat it, else an
+    /// abort.
     pub(crate) fn shed(&mut self, now: f64, id: RequestId, transport: &mut impl Transport) {
         let request = *self.requests.get(id);
         self.transition(id, RequestState::Free);
         let class = self.classes.get_mut(request.class);
-        let is_first_try = request.weight > 0.0;
-        let returns = if is_first_try { RETURNS_AFTER_FIRST_TRY } else { RETURNS_AFTER_RETRY };
-        class.client_retries().expect(returns);
+        let is_first_attempt = request.weight > 0.0;
+        let expected_retries =
+            if is_first_attempt { RETRIES_AFTER_FIRST_ATTEMPT } else { RETRIES_AFTER_RETRY };
+        class.client_retries().expect_retries(expected_retries);
         let settings = class.settings();
         if settings.bound().is_some() {
             self.demands.record_rejected_read(request.group, request.weight);
@@ -94,35 +99,35 @@
         }
         let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
         self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
-        // A client that comes back after its SLO time only adds load; until then the sooner the better.
+        // A client that returns after its SLO time only adds load; before that, the sooner it returns the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
         let max_retry_after = self.config.max_retry_after;
-        let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER) };
+        let retry_after = if is_late { max_retry_after } else { max_retry_after.min(RETRY_AFTER_SECONDS) };
         transport.reject(id.index(), retry_after);
     }
 
-    /// Whether a request may be sent again after an attempt failed, by the class that it has now: a `ReadOnly` answer shows that
-    /// the text writes, also for earlier attempts that may have run.
+    /// Returns whether a request may be retried after an attempt failed, by its present class: a `ReadOnly` answer
+    /// reveals that the text writes, which also holds for earlier attempts that may have run.
     pub(crate) fn may_retry(&self, id: RequestId) -> bool {
         let request = self.requests.get(id);
         let effect = self.classes.get(request.class).effect();
         let may_have_run = request.possible_effect.is_some();
-        // Retries must not feed the overload that made them needed.
+        // Guards against retries that feed the overload which caused them.
         let is_refused = may_have_run && (effect == Effect::NonIdempotent || !self.retries.is_available());
         !is_refused && request.attempts < self.config.max_attempts
     }
 
-    /// Cancels reads at ejected endpoints that have fallen silent, at the last moment for another endpoint to answer in
-    /// time (departure 6 of docs/design.md).
+    /// Cancels reads at ejected endpoints that have stopped answering, at the last moment at which another endpoint can
+    /// still answer in time (departure 6 of docs/design.md).
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
         let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
         for id in in_flight {
             self.work.requests += 1;
             let request = self.requests.get(id);
-            if let RequestState::Executing(endpoint) = self.requests.state(id)
+            if let RequestState::InFlight(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
                 && self.is_last_moment(now, request)
-                && self.may_cancel_attempts(request)
+                && self.may_cancel_and_retry(request)
             {
                 let attempt = request.attempts - 1;
                 self.transition(id, RequestState::Cancelling(endpoint));
@@ -131,32 +136,33 @@
         }
     }
 
-    /// Whether the request's attempt is at an ejected endpoint that has answered nothing since it was sent.
+    /// Returns whether the request's attempt is at an ejected endpoint that has answered nothing since the attempt was
+    /// sent.
     fn is_stuck(&self, request: &TrackedRequest, endpoint: EndpointId) -> bool {
         let endpoint = &self.endpoints[endpoint];
         endpoint.outlier.is_ejected() && endpoint.last_answer_at() < request.sent_at
     }
 
-    /// Whether another attempt sent now would just be in time.
+    /// Returns whether another attempt sent now would be only just in time.
     fn is_last_moment(&self, now: f64, request: &TrackedRequest) -> bool {
         let estimate = self.classes.get(request.class).estimate(request.extra_work);
         now >= request.start_by - estimate && now < request.start_by
     }
 
-    /// Whether the attempt may be cancelled and followed by another one.
-    fn may_cancel_attempts(&self, request: &TrackedRequest) -> bool {
+    /// Returns whether the attempt may be cancelled and followed by another one.
+    fn may_cancel_and_retry(&self, request: &TrackedRequest) -> bool {
         let may_repeat = self.classes.get(request.class).effect() == Effect::Idempotent;
         let has_attempts_left = request.attempts < self.config.max_attempts;
         self.config.may_cancel_attempts && has_attempts_left && may_repeat && self.retries.is_available()
     }
 }
 
-/// When a waiting request is given up: once an attempt would come too late, or is no longer safe, or, if none was sent, after
-/// half of its time.
-fn give_up_at(request: &TrackedRequest, effect: Effect) -> f64 {
+/// Time at which a waiting request is given up: once an attempt would come too late or would no longer be safe or, if
+/// none was sent, after half of its time, less one tick.
+fn dispatch_deadline(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
         return request.start_by.min(retry::safe_until(effect, request.possible_effect));
     }
-    let unsent_time = request.time_left * UNSENT_TIME - TICK;
+    let unsent_time = request.time_left * MAX_UNSENT_FRACTION - TICK_SECONDS;
     request.start_by.min(request.arrived_at + unsent_time)
 }
