--- a/crates/routing/src/departure.rs
+++ b/crates/routing/src/departure.rs
@@ -1,10 +1,10 @@
-//! Which excluded endpoints have left the endpoint list, in which order, and which indices stand for no endpoint.
+//! The excluded endpoints that have left the endpoint list, in order, and the endpoint indices that are vacant.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::EndpointId;
 
-/// When an endpoint left, and as which one of all.
+/// When an endpoint left, in seconds, and its number in the order of departures.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Departure {
     number: u64,
@@ -12,24 +12,25 @@
 }
 
 impl Departure {
-    /// When the endpoint left.
+    /// When the endpoint left, in seconds.
     pub(crate) fn at(&self) -> f64 {
         self.at
     }
 }
 
-/// The endpoints that have left, and the indices that are free.
+/// The endpoints that have left, and the vacant indices.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Departures {
-    /// By the order in which they left.
+    /// The endpoints by their number in the order of departures.
     departed: BTreeMap<u64, EndpointId>,
     next_number: u64,
-    /// Indices below the highest that stand for no endpoint.
+    /// Indices that belong to no endpoint, although they are lower than the highest in use.
     vacant: BTreeSet<EndpointId>,
 }
 
 impl Departures {
-    /// Takes over whether an endpoint has left by its new entry in the list; `departure` is that endpoint's.
+    /// Records whether an endpoint has left according to its new entry in the list; `departure` is that of the
+    /// endpoint.
     pub(crate) fn record(
         &mut self,
         now: f64,
@@ -47,24 +48,24 @@
         }
     }
 
-    /// The endpoints that have left, in that order.
+    /// The endpoints that have left, in the order in which they left.
     pub(crate) fn departed(&self) -> impl ExactSizeIterator<Item = EndpointId> {
         self.departed.values().copied()
     }
 
-    /// How many indices stand for no endpoint.
-    pub(crate) fn vacant(&self) -> usize {
+    /// The number of vacant indices.
+    pub(crate) fn vacant_indices(&self) -> usize {
         self.vacant.len()
     }
 
-    /// From now on the index of an endpoint that has left stands for none.
-    pub(crate) fn vacate(&mut self, id: EndpointId, departure: Departure) {
+    /// Makes the index of an endpoint that has left vacant.
+    pub(crate) fn release_index(&mut self, id: EndpointId, departure: Departure) {
         self.departed.remove(&departure.number);
         self.vacant.insert(id);
     }
 
-    /// Takes an index into use again; false if it stands for an endpoint.
-    pub(crate) fn occupy(&mut self, id: EndpointId) -> bool {
+    /// Reuses a vacant index; returns false if the index is not vacant.
+    pub(crate) fn reuse_index(&mut self, id: EndpointId) -> bool {
         self.vacant.remove(&id)
     }
 }
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint: its entry in the endpoint list, and its state in each concern.
+//! The state of one endpoint: its entry in the endpoint list, and what each concern has recorded about it.
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::consistency::ReplicationPosition;
@@ -10,12 +10,12 @@
 use crate::primary::RoleRecord;
 use crate::slow_start::SlowStart;
 
-/// Time constant in seconds with which a reported utilization fades.
-const UTILIZATION_MEMORY: f64 = 5.0;
-/// The least spare capacity that an endpoint is taken to have.
+/// Time constant in seconds with which a reported utilization decays.
+const UTILIZATION_DECAY_SECONDS: f64 = 5.0;
+/// Smallest spare capacity assumed for an endpoint.
 const MIN_SPARE_CAPACITY: f64 = 0.05;
 
-/// The utilization that an endpoint reported last.
+/// The last utilization that an endpoint reported, and when, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct ReportedUtilization {
     value: f64,
@@ -26,15 +26,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     listing: EndpointUpdate,
-    /// The group that it was first listed in.
-    member_of: GroupId,
-    /// It was listed as draining, and not as ready since.
-    is_drained: bool,
+    /// The group in which it was first listed.
+    member_group: GroupId,
+    /// It was listed as draining, and has not been listed as ready since.
+    is_draining: bool,
     utilization: Option<ReportedUtilization>,
-    /// When an attempt there was last answered, in whatever way; health checks are answered beside the queue and prove
-    /// less.
+    /// When an attempt was last answered there, with whatever result, in seconds. Health checks do not count: they
+    /// are answered outside the endpoint's request queue and prove less.
     last_answer_at: f64,
-    /// Set while it is no longer listed, and excluded.
+    /// Set while the endpoint is excluded and no longer listed.
     pub(crate) departure: Option<Departure>,
     pub(crate) role: RoleRecord,
     pub(crate) position: ReplicationPosition,
@@ -45,12 +45,13 @@
 }
 
 impl Endpoint {
-    /// An endpoint that nothing is known of but its entry in the list, as if health-checked last at `checked_at`.
+    /// Creates an endpoint of which only its entry in the list is known, as if it had last been health-checked at
+    /// `checked_at`.
     pub(crate) fn new(listing: EndpointUpdate, limit: f64, checked_at: f64) -> Endpoint {
         Endpoint {
-            member_of: GroupId::new(listing.group),
+            member_group: GroupId::new(listing.group),
             listing: EndpointUpdate { started_at: None, ..listing },
-            is_drained: false,
+            is_draining: false,
             utilization: None,
             last_answer_at: 0.0,
             departure: None,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes over the endpoint's entry in a list; `initial_limit` applies if it was started anew.
+    /// Applies the endpoint's entry in a list; `initial_limit` becomes its concurrency limit if it was restarted.
     pub(crate) fn apply_update(&mut self, listing: &EndpointUpdate, initial_limit: f64) {
         if let Some(started_at) = listing.started_at
             && self.listing.started_at != listing.started_at
@@ -72,76 +73,78 @@
             self.limit.reset(initial_limit);
         }
         match listing.state {
-            EndpointState::Ready => self.is_drained = false,
-            EndpointState::Draining => self.is_drained = true,
-            // One that drained before it left still counts as draining.
+            EndpointState::Ready => self.is_draining = false,
+            EndpointState::Draining => self.is_draining = true,
+            // An endpoint that was draining before it was removed still counts as draining.
             EndpointState::Removed => {}
         }
         self.listing = *listing;
     }
 
-    /// Whether nothing may be sent to it: it drains, or it is gone from the list where that is binding.
+    /// Whether the endpoint must not be sent anything: it is draining, or it has been removed from the list and
+    /// removal is binding.
     pub(crate) fn is_excluded(&self, config: &RoutingConfig) -> bool {
-        let is_gone = self.listing.state == EndpointState::Removed;
-        self.is_drained || is_gone && !config.only_draining_bars
+        let is_removed = self.listing.state == EndpointState::Removed;
+        self.is_draining || is_removed && !config.only_draining_bars
     }
 
-    /// The group that it is listed in.
+    /// The group in which it is listed.
     pub(crate) fn group(&self) -> GroupId {
         GroupId::new(self.listing.group)
     }
 
-    /// The group that it is a member of since it was first listed.
-    pub(crate) fn member_of(&self) -> GroupId {
-        self.member_of
+    /// The group in which it was first listed, and of which it is a member.
+    pub(crate) fn member_group(&self) -> GroupId {
+        self.member_group
     }
 
-    /// Its site, where sites are told.
+    /// Its site, if sites are known.
     pub(crate) fn site(&self) -> Option<usize> {
         self.listing.site
     }
 
-    /// Its capacity relative to others.
+    /// Its capacity relative to other endpoints.
     pub(crate) fn size(&self) -> f64 {
         self.listing.size
     }
 
-    /// An opaque number that is the same at every router.
+    /// An opaque sort key that is the same at every router.
     pub(crate) fn order(&self) -> u64 {
         self.listing.order
     }
 
-    /// When an attempt there was last answered; `0.0` if none was.
+    /// When an attempt was last answered there, in seconds; `0.0` if none was.
     pub(crate) fn last_answer_at(&self) -> f64 {
         self.last_answer_at
     }
 
-    /// An attempt there was answered, in whatever way.
+    /// Records that an attempt was answered, with whatever result.
     pub(crate) fn record_answer(&mut self, now: f64) {
         self.last_answer_at = now;
         self.outlier.record_answer();
     }
 
-    /// It reported its utilization, of `0.0..=1.0`.
+    /// Records the utilization that the endpoint reported, in `0.0..=1.0`.
     pub(crate) fn record_utilization(&mut self, now: f64, utilization: f64) {
         self.utilization = Some(ReportedUtilization { value: utilization.clamp(0.0, 1.0), at: now });
     }
 
-    /// The part of its capacity that is free, by its own report, or where it sends none by how its answers come.
+    /// The free fraction of its capacity by its own report, or estimated from the latency of its answers if it sends
+    /// none.
     pub(crate) fn spare_capacity(&self, now: f64) -> f64 {
         let utilization = match self.utilization {
-            Some(reported) => reported.value * (-(now - reported.at) / UTILIZATION_MEMORY).exp(),
+            Some(reported) => reported.value * (-(now - reported.at) / UTILIZATION_DECAY_SECONDS).exp(),
             None => self.limit.utilization(),
         };
         (1.0 - utilization).clamp(MIN_SPARE_CAPACITY, 1.0)
     }
 
-    /// Whether one more attempt lies within `fraction` of its concurrency limit.
+    /// Whether one more attempt is within `fraction` of its concurrency limit.
     pub(crate) fn has_capacity(&self, now: f64, fraction: f64, sample: f64) -> bool {
         self.limit.has_capacity(now - self.last_answer_at, fraction, sample)
     }
 
-    /// It is back after an absence: what it was before no longer counts.
+    /// Records that the endpoint has returned after its process was gone, so its earlier state no longer applies.
     pub(crate) fn restart(&mut self, now: f64) {
         self.slow_start.begin(now);
         self.limit.begin_recovery();
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -1,4 +1,4 @@
-//! What is learnt from the result of an attempt about its group, its endpoint and its class.
+//! Updates the state of the group, the endpoint and the class from the result of an attempt.
 
 use crate::concurrency_limit::{Observation, PRIMARY_READ_FRACTION};
 use crate::eligibility::View;
@@ -9,16 +9,17 @@
 use crate::state::RouterState;
 
 impl RouterState {
-    /// Notes what a result says of the effects of its request: an attempt that may have run, a text that writes, a write
-    /// of a session.
+    /// Records what a result shows about the effects of its request: whether an attempt may have run, whether the
+    /// statement writes, whether a write of a session has been committed.
     pub(crate) fn record_effect(&mut self, now: f64, id: RequestId, result: &AttemptResult) {
         let endpoint = EndpointId::new(result.endpoint);
         let had_no_effect = result.outcome.had_no_effect();
         let request = *self.requests.get(id);
         if let Some(session) = self.remembered_session(&request) {
-            // An answer that broke off behind its row, or before, names no commit; it was no later than now.
-            let told = result.observed.lsn.filter(|_| result.outcome == AttemptOutcome::Completed);
-            let commit = (!had_no_effect).then(|| told.unwrap_or(now));
+            // An answer that breaks off before or after its row contains no commit position; the commit was made no
+            // later than now.
+            let reported = result.observed.lsn.filter(|_| result.outcome == AttemptOutcome::Completed);
+            let commit = (!had_no_effect).then(|| reported.unwrap_or(now));
             self.watermarks.end_write(request.group, session, commit);
         }
         let request = self.requests.get_mut(id);
@@ -26,18 +27,19 @@
             request.record_possible_effect(endpoint);
         }
         if result.outcome == AttemptOutcome::ReadOnly {
-            // The text writes, which its classification missed; the endpoint is not at fault.
-            request.class = self.classes.as_write(request.class);
+            // The statement writes, which its classification missed; the endpoint is not at fault.
+            request.class = self.classes.write_class(request.class);
         }
     }
 
-    /// Notes what a result says of the roles and positions of its endpoint; `request` is as it was before.
+    /// Applies what a result shows about the role and replication position of its endpoint; `request` is its state
+    /// before the result.
     pub(crate) fn update_role(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
         let id = EndpointId::new(result.endpoint);
         let needs_primary = self.classes.get(request.class).needs() == Consistency::Primary;
         let is_refused = matches!(result.outcome, AttemptOutcome::WrongEndpoint | AttemptOutcome::ReadOnly);
         if result.outcome == AttemptOutcome::WrongEndpoint && !needs_primary {
-            // It would reject the next read too, and where it waits first that read would come late.
+            // The endpoint would reject the next read too. If it waits before it rejects, that read would be late.
             self.endpoints[id].position.record_rejected_read();
         }
         self.apply_report(now, id, result.observed, true);
@@ -47,18 +49,18 @@
             }
             self.apply_report(now, id, report, false);
         }
-        // One that calls itself the primary in the same answer refused what the text asks for.
+        // An endpoint that reports being the primary in the same answer refused the statement, not the role.
         let claims_primary = result.observed.role == Some(Role::Primary);
         if is_refused && needs_primary && !claims_primary {
-            self.deny_primary(now, id);
-        } else if self.may_be_lost(request, result) {
-            self.unseat(id);
+            self.record_not_primary(now, id);
+        } else if self.may_have_lost_primary(request, result) {
+            self.clear_primary(id);
         }
     }
 
-    /// Whether the result may mean that the endpoint is lost as a primary. One that has answered others since is not: that
-    /// time-out is due to load (departure 7 of docs/design.md).
-    fn may_be_lost(&self, request: &TrackedRequest, result: &AttemptResult) -> bool {
+    /// Whether the result may mean that the endpoint has failed as the primary. An endpoint that has answered other
+    /// attempts since has not: the time-out is due to load (departure 7 of docs/design.md).
+    fn may_have_lost_primary(&self, request: &TrackedRequest, result: &AttemptResult) -> bool {
         let endpoint = &self.endpoints[EndpointId::new(result.endpoint)];
         match result.outcome {
             AttemptOutcome::TimedOut => endpoint.last_answer_at() < request.sent_at,
@@ -67,21 +69,23 @@
         }
     }
 
-    /// Learns from a result; `request` is as it was before.
+    /// Updates all estimates from a result; `request` is its state before the result.
     pub(crate) fn record_result(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
-        // A request that is long itself is no sign of overload; one that is short could hide it.
+        // A long latency does not indicate overload if the request itself is long, and a request that is short could
+        // hide overload.
         let latency = (result.elapsed - request.extra_work).max(0.0);
         self.update_throughput(now, request, result);
         self.update_admission(now, request, result, latency);
         self.update_endpoint(now, request, result, latency);
         self.update_class(request, result, latency);
-        // A retry that was answered in full is not counted.
+        // A retry that completed does not count against the retry budget.
         if result.outcome == AttemptOutcome::Completed && request.possible_effect.is_some() {
             self.retries.refund();
         }
     }
 
-    /// Counts an answer by what its endpoint and its group can do now (departure 30 of docs/design.md).
+    /// Counts an answer relative to the current capacity of its endpoint and of its group (departure 30 of
+    /// docs/design.md).
     fn update_throughput(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
         if result.outcome != AttemptOutcome::Completed {
             return;
@@ -96,8 +100,8 @@
         throughput.record_answer(self.throughput_ticks, needs_primary, endpoint_capacity, group_capacity);
     }
 
-    /// Guards against overload that no router sees by itself: adjusts the group's admission ratio (departure 18 of
-    /// docs/design.md).
+    /// Guards against overload that no router can detect by itself: adjusts the group's admission ratio (departure 18
+    /// of docs/design.md).
     fn update_admission(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
         let slo_time = self.classes.get(request.class).settings().slo_time;
         if result.outcome == AttemptOutcome::Completed {
@@ -105,7 +109,7 @@
         }
         let indicates_load = match result.outcome {
             AttemptOutcome::Completed | AttemptOutcome::Refused => true,
-            // A time-out indicates load only if answers take long too; else an answer was lost.
+            // A time-out indicates load only if completed attempts take long too; otherwise an answer was lost.
             AttemptOutcome::TimedOut => self.latency_pressure.is_high(),
             _ => false,
         };
@@ -161,19 +165,20 @@
         }
     }
 
-    /// An attempt was answered in full: ends an ejection, and adjusts the limit.
+    /// Applies a completed attempt to its endpoint: ends an ejection and adjusts the concurrency limit.
     fn record_success_at(&mut self, id: EndpointId, observation: &Observation) {
         let endpoint = &mut self.endpoints[id];
         if endpoint.outlier.readmit() {
             endpoint.limit.begin_recovery();
         }
-        // Reads fill their part of the primary at most, and it is full with that.
+        // Reads may use only a fraction of the primary's limit, so the limit counts as used up once they fill that
+        // fraction.
         let is_primary = self.replica_sets[endpoint.group()].tracker.is_primary(id);
         let fraction = if is_primary { PRIMARY_READ_FRACTION } else { 1.0 };
         endpoint.limit.record_success(observation, fraction);
     }
 
-    /// Adjusts the expected latency of the class and its part of all work.
+    /// Updates the expected latency of the class and its fraction of all recent work.
     fn update_class(&mut self, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
         let has_stalled = self.stalls.has_stalled_since(request.sent_at);
         let class = self.classes.get_mut(request.class);
--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -1,32 +1,34 @@
-//! Which endpoint is health-checked when, and what pays for it.
+//! When endpoints are health-checked, and the budget that limits the checks.
 //!
-//! A group polls by the paper's rule ([`crate::primary`]); beyond that an endpoint is checked where its next report decides
-//! something. Checks are paid for by requests, or many routers would ask more than they send; a request that waits has a
-//! few members asked without that, and all of them only once it has waited for some time (departure 32 of docs/design.md).
+//! A group polls by the paper's rule ([`crate::primary`]); beyond that, an endpoint is checked where routing depends
+//! on its next report. Checks are funded by requests, as a large number of routers would otherwise send more health
+//! checks than requests. A waiting request may have a few members checked outside the budget, and all of them only
+//! once it has waited for some time (departure 32 of docs/design.md).
 
 use crate::convert::count_to_f64;
 
 /// Seconds between health checks of an endpoint while its group polls.
 pub(crate) const POLL_INTERVAL: f64 = 1.0;
-/// The same where the next report decides something.
+/// Seconds between health checks of an endpoint where routing depends on its next report.
 pub(crate) const URGENT_INTERVAL: f64 = 0.25;
-/// Health checks that one request pays for: what is told of an endpoint is worth as much as is asked of it.
+/// Health checks funded by one request: the value of a report is in proportion to the requests that depend on it.
 const CHECKS_PER_REQUEST: f64 = 0.12;
-/// Most routers of which each checks all members of a group for a request that waits: together they are little to a member,
-/// and know more of it.
+/// Largest number of routers at which each router checks all members of a group for a waiting request. The checks of
+/// so few routers add little load to a member, and each of these routers knows more about it.
 const MAX_ROUTERS_CHECKING_ALL: usize = 100;
-/// Health checks that a waiting read has in flight in its group, unless there is a reason for more.
-const CHECKS_FOR_READ: usize = 1;
-/// The same for a request that waits for a primary that is not known.
-const CHECKS_FOR_PRIMARY: usize = 2;
-/// Seconds that a request waits until all members of its group are checked for it: a few round trips.
-const FEW_CHECKS_TIME: f64 = 0.03;
-/// A request that has to be sent within so many seconds has all of them checked at once.
-const HURRY: f64 = 2.0 * FEW_CHECKS_TIME;
-/// Most health checks that are saved up by requests.
-const MAX_CREDIT: f64 = 20.0;
-/// Routers of a fleet that check each new endpoint in full; more of them share so many checks.
-const FIRST_CHECKS: f64 = 8.0;
+/// Health checks that a group has in flight for a waiting read, unless there is a reason to send more.
+const CHECKS_PER_WAITING_READ: usize = 1;
+/// Health checks that a group has in flight for a request that waits for an unknown primary.
+const CHECKS_FOR_UNKNOWN_PRIMARY: usize = 2;
+/// Seconds for which a request waits before all members of its group are checked for it; a few round trips.
+const CHECK_ALL_AFTER_SECONDS: f64 = 0.03;
+/// A request that has to be sent within this many seconds has all members checked at once.
+const CHECK_ALL_TIME_LEFT_SECONDS: f64 = 2.0 * CHECK_ALL_AFTER_SECONDS;
+/// Upper bound of the tokens that requests add to the budget.
+const MAX_TOKENS: f64 = 20.0;
+/// Number of routers in the fleet up to which each router checks every new endpoint. With more routers, this many of
+/// them on average check each new endpoint.
+const ROUTERS_CHECKING_NEW_ENDPOINT: f64 = 8.0;
 
 /// The health checks of one endpoint.
 #[derive(Clone, Debug)]
@@ -35,135 +37,138 @@
     sent_at: f64,
 }
 
-/// Why an endpoint may have to be checked.
+/// Reasons to check an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reasons {
-    /// The group polls.
+pub(crate) struct CheckReasons {
+    /// The group has to poll.
     pub(crate) group_polls: bool,
-    /// The next report decides something.
-    pub(crate) is_decisive: bool,
-    /// Its position is about to be too old for reads.
-    pub(crate) position_ages: bool,
+    /// The endpoint's role, its health or its group's primary is in doubt, so routing depends on its next report.
+    pub(crate) is_unresolved: bool,
+    /// Its replication position will soon be too old for some reads.
+    pub(crate) position_expires_soon: bool,
     /// A request waits in the group.
-    pub(crate) request_waits: bool,
-    /// It was never heard of.
+    pub(crate) has_waiting_request: bool,
+    /// The endpoint has never reported its role.
     pub(crate) is_unknown: bool,
-    /// A waiting read would go to it if its position were known.
-    pub(crate) is_asked_for: bool,
-    /// The waiting requests may have one more check without credit.
-    pub(crate) is_free: bool,
+    /// A waiting read would be sent to it if its replication position were known.
+    pub(crate) is_needed_by_read: bool,
+    /// The waiting requests may have one more check sent outside the budget.
+    pub(crate) is_exempt: bool,
 }
 
-/// What the requests that wait in a group have checked without credit.
+/// The waiting requests of a group, as far as they decide how many checks may be sent outside the budget.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct WaitingNeeds {
-    /// A request waits for a primary, and none is known.
+pub(crate) struct WaitingRequests {
+    /// A request waits for the primary, which is unknown.
     pub(crate) needs_primary: bool,
-    /// An answer failed: of an attempt of one of them, or of a member that is ejected for it.
+    /// An attempt of one of the waiting requests has failed, or a member of the group is ejected.
     pub(crate) has_failed: bool,
-    /// Seconds that the one which arrived first has waited.
+    /// Seconds for which the oldest of the requests has waited.
     pub(crate) longest_wait: f64,
-    /// Seconds until the first of them has to be sent.
+    /// Seconds until the first of the requests has to be sent.
     pub(crate) time_left: f64,
-    /// Checks of them that are in flight.
+    /// Health checks in flight in the group.
     pub(crate) in_flight: usize,
 }
 
-impl WaitingNeeds {
-    /// How many more checks one of so many routers may send without credit; `None` if there is no bound.
-    pub(crate) fn free_checks(self, routers: usize) -> Option<usize> {
-        let is_urgent = self.has_failed || self.longest_wait >= FEW_CHECKS_TIME || self.time_left < HURRY;
+impl WaitingRequests {
+    /// How many more checks a router may send outside the budget, in a fleet of `routers`; `None` if unlimited.
+    pub(crate) fn checks_outside_budget(self, routers: usize) -> Option<usize> {
+        let is_urgent = self.has_failed
+            || self.longest_wait >= CHECK_ALL_AFTER_SECONDS
+            || self.time_left < CHECK_ALL_TIME_LEFT_SECONDS;
         if is_urgent || checks_all_members(routers) {
             return None;
         }
-        let few = if self.needs_primary { CHECKS_FOR_PRIMARY } else { CHECKS_FOR_READ };
-        Some(few.saturating_sub(self.in_flight))
+        let limit = if self.needs_primary { CHECKS_FOR_UNKNOWN_PRIMARY } else { CHECKS_PER_WAITING_READ };
+        Some(limit.saturating_sub(self.in_flight))
     }
 }
 
 impl HealthCheck {
-    /// The checks of a new endpoint, as if the last one had been sent then.
+    /// Creates the state of a new endpoint, as if its last check had been sent at `sent_at`.
     pub(crate) fn new(sent_at: f64) -> HealthCheck {
         HealthCheck { in_flight: false, sent_at }
     }
 
-    /// Whether a check has not ended yet.
+    /// Whether a check is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// When the last check was sent.
+    /// When the last check was sent, in seconds.
     pub(crate) fn sent_at(&self) -> f64 {
         self.sent_at
     }
 
-    /// A check is sent.
+    /// Records that a check is sent.
     pub(crate) fn begin(&mut self, now: f64) {
         self.in_flight = true;
         self.sent_at = now;
     }
 
-    /// The check ended.
+    /// Records that the check ended.
     pub(crate) fn end(&mut self) {
         self.in_flight = false;
     }
 
-    /// Moves the next check forward by a random part of the urgent interval, as the endpoint was full.
+    /// Brings the next check forward by a random fraction of the urgent interval, because the endpoint was full.
     pub(crate) fn retry_sooner(&mut self, sample: f64) {
         self.sent_at -= sample * URGENT_INTERVAL;
     }
 
-    /// Whether the endpoint is to be checked now.
-    pub(crate) fn is_wanted(&self, now: f64, reasons: Reasons, budget: &HealthCheckBudget) -> bool {
+    /// Whether a check of the endpoint should be sent now.
+    pub(crate) fn should_send(&self, now: f64, reasons: CheckReasons, budget: &HealthCheckBudget) -> bool {
         if self.in_flight {
             return false;
         }
-        if reasons.is_asked_for {
+        if reasons.is_needed_by_read {
             return true;
         }
-        let is_urgent = reasons.is_decisive || reasons.position_ages;
+        let is_urgent = reasons.is_unresolved || reasons.position_expires_soon;
         let interval = if is_urgent { URGENT_INTERVAL } else { POLL_INTERVAL };
-        let is_due = now - self.sent_at >= interval || reasons.request_waits && reasons.is_unknown;
-        let is_free = reasons.request_waits && reasons.is_decisive && reasons.is_free;
-        let is_paid = is_free || budget.is_available();
-        (reasons.group_polls || is_urgent) && is_due && is_paid
+        let is_due = now - self.sent_at >= interval || reasons.has_waiting_request && reasons.is_unknown;
+        let is_exempt = reasons.has_waiting_request && reasons.is_unresolved && reasons.is_exempt;
+        let is_allowed = is_exempt || budget.is_available();
+        (reasons.group_polls || is_urgent) && is_due && is_allowed
     }
 }
 
-/// Whether one of so many routers checks all members of a group for each request that waits.
+/// Whether a router in a fleet of `routers` checks all members of a group for each waiting request.
 pub(crate) fn checks_all_members(routers: usize) -> bool {
     routers <= MAX_ROUTERS_CHECKING_ALL
 }
 
-/// The part of all endpoints that one of so many routers checks, whether it is asked for something there or not.
-fn share_of_first_checks(routers: usize) -> f64 {
-    (FIRST_CHECKS / count_to_f64(routers)).min(1.0)
+/// The fraction of new endpoints that a router in a fleet of `routers` checks even if no request needs them.
+fn new_endpoint_check_fraction(routers: usize) -> f64 {
+    (ROUTERS_CHECKING_NEW_ENDPOINT / count_to_f64(routers)).min(1.0)
 }
 
-/// Health checks that requests have paid for.
+/// The token bucket that limits health checks. Requests and new endpoints add tokens; each check spends one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HealthCheckBudget {
-    credit: f64,
+    tokens: f64,
 }
 
 impl HealthCheckBudget {
-    /// A request arrived.
+    /// Adds the tokens that a request funds.
     pub(crate) fn deposit_for_request(&mut self) {
-        self.credit = (self.credit + CHECKS_PER_REQUEST).min(MAX_CREDIT);
+        self.tokens = (self.tokens + CHECKS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Hundreds of routers that start at once check where they are asked for something; a few check each endpoint.
+    /// Adds tokens for a new endpoint. Of hundreds of routers that start at once only a few check each endpoint; the
+    /// others check only where requests need it.
     pub(crate) fn deposit_for_new_endpoint(&mut self, routers: usize) {
-        self.credit += share_of_first_checks(routers);
+        self.tokens += new_endpoint_check_fraction(routers);
     }
 
-    /// A check is sent, paid for or not.
+    /// Spends the token of a check, or what is left of it if the check was sent outside the budget.
     pub(crate) fn withdraw(&mut self) {
-        self.credit = (self.credit - 1.0).max(0.0);
+        self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Whether a check is paid for.
+    /// Whether the budget allows a check.
     pub(crate) fn is_available(&self) -> bool {
-        self.credit >= 1.0
+        self.tokens >= 1.0
     }
 }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,40 +1,41 @@
-//! Ejection of endpoints that fail or fall silent, and their return.
+//! Ejects endpoints that fail or stop answering, and readmits them.
 //!
-//! An ejected endpoint gets nothing but a trial now and then. How it returns depends on why it was ejected: see
-//! [`Outlier::record_health_check`].
+//! An ejected endpoint is sent only an occasional trial attempt. How it is readmitted depends on why it was ejected:
+//! see [`Outlier::record_health_check`].
 
 use std::collections::BTreeMap;
 
 use crate::ids::EndpointId;
 
-/// Seconds between trials of an ejected endpoint.
-const TRIAL_INTERVAL: f64 = 1.0;
-/// Seconds after an answer within which a failed connection ejects nobody: under a cap on connections some fail at an
-/// endpoint that answers others.
-const RECENT_ANSWER: f64 = 0.5;
-/// Silence, in expected latencies summed over the attempts in flight, that chance hardly explains (e^-7: 1 in 1000).
-const MAX_SILENCE: f64 = 7.0;
+/// Seconds between trial attempts at an ejected endpoint.
+const TRIAL_INTERVAL_SECONDS: f64 = 1.0;
+/// Seconds after an answer during which a failed connection does not eject the endpoint: if the number of connections
+/// is capped, some fail at an endpoint that answers others.
+const RECENT_ANSWER_SECONDS: f64 = 0.5;
+/// Silence, in expected latencies summed over the attempts in flight, that is unlikely to be due to chance (e^-7: 1
+/// in 1000).
+const MAX_SILENCE_LATENCIES: f64 = 7.0;
 
-/// Why and since when an endpoint is ejected.
+/// Why an endpoint is ejected, and when it may be tried again.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     next_trial_at: f64,
     /// Connections failed, rather than answers.
     connection_failed: bool,
-    /// A health check was not answered since: the process is away, and comes back cold.
+    /// A health check has failed since the ejection, so the process is gone and returns with cold caches.
     unreachable: bool,
-    /// A health check was answered since, or none may be sent.
+    /// A health check has been answered since the ejection, or health checks are not permitted.
     trial_allowed: bool,
 }
 
-/// How an endpoint stands after a health check.
+/// The effect of a health check on the ejection of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// As before, ejected or not.
+pub(crate) enum EjectionChange {
+    /// The endpoint is ejected, or not, as before.
     Unchanged,
-    /// No longer ejected, and it was there all the time.
+    /// The endpoint is no longer ejected, and its process was running all the time.
     Readmitted,
-    /// No longer ejected, and it was away: what it was before no longer counts.
+    /// The endpoint is no longer ejected, and its process was gone, so its earlier state no longer applies.
     Restarted,
 }
 
@@ -42,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outlier {
     ejection: Option<Ejection>,
-    /// Attempts that ended without an answer since the last one that was answered.
+    /// Attempts that ended without an answer since the last answer.
     unanswered: u32,
 }
 
@@ -52,116 +53,117 @@
         self.ejection.is_some()
     }
 
-    /// Whether it may be sent an attempt, were it only a trial.
+    /// Whether the endpoint may be sent an attempt, even if only a trial.
     pub(crate) fn is_available(&self, now: f64) -> bool {
         self.ejection.is_none_or(|ejection| now >= ejection.next_trial_at && ejection.trial_allowed)
     }
 
-    /// Ejects the endpoint, unless it is ejected already.
-    pub(crate) fn eject(&mut self, now: f64, connection_failed: bool, may_health_check: bool) {
+    /// Ejects the endpoint, unless it is already ejected.
+    pub(crate) fn eject(&mut self, now: f64, connection_failed: bool, may_check_health: bool) {
         self.ejection.get_or_insert(Ejection {
-            next_trial_at: now + TRIAL_INTERVAL,
+            next_trial_at: now + TRIAL_INTERVAL_SECONDS,
             connection_failed,
             unreachable: false,
-            trial_allowed: !may_health_check,
+            trial_allowed: !may_check_health,
         });
     }
 
-    /// An attempt goes to the endpoint; the next trial has to wait.
+    /// Records that an attempt is sent to the endpoint, which postpones the next trial.
     pub(crate) fn record_attempt(&mut self, now: f64) {
         if let Some(ejection) = &mut self.ejection {
-            ejection.next_trial_at = now + TRIAL_INTERVAL;
+            ejection.next_trial_at = now + TRIAL_INTERVAL_SECONDS;
         }
     }
 
-    /// An attempt was answered, in whatever way.
+    /// Records that an attempt was answered, with whatever result.
     pub(crate) fn record_answer(&mut self) {
         self.unanswered = 0;
     }
 
-    /// An attempt ended without an answer.
+    /// Records that an attempt ended without an answer.
     pub(crate) fn record_no_answer(&mut self) {
         self.unanswered += 1;
     }
 
-    /// Attempts that ended without an answer since the last one that was answered.
+    /// Attempts that ended without an answer since the last answer.
     pub(crate) fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
-    /// Ends the ejection after an attempt that completed; true if there was one.
+    /// Ends the ejection after an attempt has completed; returns whether the endpoint was ejected.
     pub(crate) fn readmit(&mut self) -> bool {
         self.ejection.take().is_some()
     }
 
-    /// A health check ended, `answered` or not.
-    pub(crate) fn record_health_check(&mut self, answered: bool) -> Verdict {
-        let Some(ejection) = &mut self.ejection else { return Verdict::Unchanged };
+    /// Applies the end of a health check, which was answered or not.
+    pub(crate) fn record_health_check(&mut self, answered: bool) -> EjectionChange {
+        let Some(ejection) = &mut self.ejection else { return EjectionChange::Unchanged };
         if !answered {
             ejection.unreachable = true;
-            return Verdict::Unchanged;
+            return EjectionChange::Unchanged;
         }
         if ejection.unreachable {
             self.ejection = None;
-            return Verdict::Restarted;
+            return EjectionChange::Restarted;
         }
-        // It was there all the time: a cap on connections, or an answer that was lost, is no restart.
+        // The process was running all the time: failures due to a cap on connections, or to a lost answer, are no
+        // restart.
         if ejection.connection_failed {
             self.ejection = None;
-            return Verdict::Readmitted;
+            return EjectionChange::Readmitted;
         }
-        // A hung process answers health checks; only an attempt clears it.
+        // A process that hangs may still answer health checks, so only a completed attempt ends the ejection.
         ejection.trial_allowed = true;
-        Verdict::Unchanged
+        EjectionChange::Unchanged
     }
 }
 
-/// Whether a failed connection ejects an endpoint whose last answer came so many seconds ago.
+/// Whether a failed connection ejects an endpoint whose last answer arrived `since_answer` seconds ago.
 pub(crate) fn failed_connection_ejects(since_answer: f64) -> bool {
-    since_answer > RECENT_ANSWER
+    since_answer > RECENT_ANSWER_SECONDS
 }
 
-/// Whether a health check that was not answered ejects an endpoint that last answered an attempt then. One check may be
-/// lost; attempts that are answered outrank it.
+/// Whether an unanswered health check ejects an endpoint that last answered an attempt at `last_answer_at`. A single
+/// check may be lost, so answered attempts take precedence over it.
 pub(crate) fn failed_health_check_ejects(check_sent_at: f64, last_answer_at: f64) -> bool {
-    last_answer_at < check_sent_at - RECENT_ANSWER
+    last_answer_at < check_sent_at - RECENT_ANSWER_SECONDS
 }
 
-/// What the attempts at one endpoint add up to.
+/// The silence of one endpoint, summed over its attempts.
 #[derive(Debug)]
 struct Tally {
-    /// Expected latencies without a sign, summed over the attempts in flight.
+    /// Expected latencies that have passed without an answer, summed over the attempts in flight.
     silence: f64,
-    /// Attempts in flight, and those that ended without an answer before.
+    /// Attempts in flight, and earlier ones that ended without an answer.
     attempts: u32,
 }
 
 impl Tally {
-    /// Two attempts at least have to agree, as a single answer may be lost.
+    /// Requires at least two attempts, as a single answer may be lost.
     fn is_silent(&self) -> bool {
-        self.silence > MAX_SILENCE && self.attempts > 1
+        self.silence > MAX_SILENCE_LATENCIES && self.attempts > 1
     }
 }
 
-/// Guards against endpoints that take attempts and answer none: sums up, for each endpoint, how many expected latencies
-/// have passed for all that is in flight there.
+/// Detects endpoints that are sent attempts and answer none: sums up, for each endpoint, how many expected latencies
+/// have passed for its attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct SilenceDetector {
     tallies: BTreeMap<EndpointId, Tally>,
 }
 
 impl SilenceDetector {
-    /// Adds an attempt in flight that has gone without a sign for `silence` expected latencies; `unanswered` attempts of
-    /// the endpoint have ended without an answer before.
+    /// Adds an attempt in flight that has been without an answer for `silence` expected latencies; `unanswered`
+    /// earlier attempts of the endpoint have ended without an answer.
     pub(crate) fn add(&mut self, endpoint: EndpointId, silence: f64, unanswered: u32) {
         let tally = self.tallies.entry(endpoint).or_insert(Tally { silence: 0.0, attempts: unanswered });
         tally.silence += silence;
         tally.attempts += 1;
     }
 
-    /// The endpoints to eject, of so many. Where most are silent at once none is, as the estimate or the router's own
-    /// network is at fault.
-    pub(crate) fn silent(self, endpoints: usize) -> Vec<EndpointId> {
+    /// The endpoints to eject, of `endpoints` in total. If more than half of them are silent at once, none is
+    /// ejected, as the estimate or the router's own network is at fault.
+    pub(crate) fn silent_endpoints(self, endpoints: usize) -> Vec<EndpointId> {
         let silent = self.tallies.into_iter().filter(|(_, tally)| tally.is_silent());
         let silent: Vec<EndpointId> = silent.map(|(endpoint, _)| endpoint).collect();
         if 2 * silent.len() <= endpoints { silent } else { Vec::new() }
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -1,49 +1,51 @@
-//! Tracking a group's primary by event and poll: the mechanism of the paper.
+//! Tracks the primary of a group by events and polling, following the paper.
 //!
-//! docs/design.md ("What is kept") sets the paper's words beside these functions, and numbers the departures: 7 and 19
-//! say which losses take the role ([`PrimaryTracker::unseat`]), 20 why an endpoint that was never heard of keeps no group
-//! from working. In short: every answer and report that tells an endpoint's role moves the primary in the call that brings
-//! it; a group polls ([`PrimaryTracker::polls`], carried out by `RouterState::poll`) until every member has told its role and
-//! sends reports; writes wait while no primary is known.
+//! docs/design.md ("What is kept") sets the paper's words beside these functions and numbers the departures from it:
+//! 7 and 19 list the failures after which an endpoint stops counting as the primary
+//! ([`PrimaryTracker::clear_primary`]), 20 explains why an endpoint that has never reported its role does not stop
+//! the group from working. In short: every answer and report that contains an endpoint's role updates the primary in
+//! the same call; a group polls ([`PrimaryTracker::needs_polling`], carried out by `RouterState::poll`) until every
+//! member has reported its role and sends reports; writes wait while the primary is unknown.
 
 use crate::ids::EndpointId;
 use crate::interface::Role;
 
-/// What one endpoint says of its role.
+/// The role that one endpoint has reported.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RoleRecord {
     role: Option<Role>,
-    /// Claims of being primary that are not newer than this are disregarded.
-    denied_at: f64,
-    /// It sends reports beside its answers.
+    /// Claims to be the primary are ignored if they are not newer than this time in seconds.
+    not_primary_as_of: f64,
+    /// Whether the endpoint sends load reports along with its answers.
     sends_reports: bool,
 }
 
 impl RoleRecord {
-    /// Whether the endpoint has never told its role.
+    /// Whether the endpoint has never reported its role.
     pub(crate) fn is_unknown(&self) -> bool {
         self.role.is_none()
     }
 
-    /// The endpoint sends reports beside its answers.
+    /// Records that the endpoint sends load reports along with its answers.
     pub(crate) fn record_sends_reports(&mut self) {
         self.sends_reports = true;
     }
 
-    /// The endpoint is no primary at that time; what it claimed before counts no more.
-    fn deny(&mut self, at: f64) {
+    /// Records that the endpoint was not the primary at time `at`, which invalidates its earlier claims.
+    fn record_not_primary(&mut self, at: f64) {
         self.role = Some(Role::Replica);
-        self.denied_at = self.denied_at.max(at);
+        self.not_primary_as_of = self.not_primary_as_of.max(at);
     }
 }
 
-/// A role that an endpoint has told.
+/// A role reported by an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoleClaim {
     pub(crate) role: Role,
-    /// The time of which it speaks: an answer speaks of now, a report of its position.
+    /// The time in seconds that the claim refers to: the current time for an answer, the replication position for a
+    /// load report.
     pub(crate) at: f64,
-    /// It came with an answer.
+    /// Whether the role came with an answer rather than with a load report.
     pub(crate) in_answer: bool,
 }
 
@@ -51,25 +53,27 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrimaryTracker {
     primary: Option<EndpointId>,
-    /// The endpoint last believed to be primary, and by a claim of which time. It outlives the primary: its next claim is
-    /// believed again, whatever its age, unless another one claimed later.
+    /// The endpoint last accepted as primary, and the time in seconds of the claim that was accepted. Both are kept
+    /// when the primary is cleared: the next claim of this endpoint is accepted again, whatever its age, unless
+    /// another endpoint has made a later claim.
     claimant: Option<EndpointId>,
     claimed_at: f64,
 }
 
 impl PrimaryTracker {
-    /// The primary, if one is known.
+    /// The primary, if it is known.
     pub(crate) fn primary(&self) -> Option<EndpointId> {
         self.primary
     }
 
-    /// Whether that endpoint is the primary.
+    /// Whether `endpoint` is the primary.
     pub(crate) fn is_primary(&self, endpoint: EndpointId) -> bool {
         self.primary == Some(endpoint)
     }
 
-    /// An endpoint tells its role. Of two claimants the later one is believed; an excluded one never becomes primary.
-    pub(crate) fn hear(
+    /// Applies a role reported by an endpoint. Of two endpoints that claim to be the primary, the one with the later
+    /// claim is accepted; an excluded endpoint never becomes primary.
+    pub(crate) fn observe_role(
         &mut self,
         endpoint: EndpointId,
         record: &mut RoleRecord,
@@ -77,10 +81,10 @@
         is_excluded: bool,
     ) {
         match claim.role {
-            Role::Primary if claim.at > record.denied_at => {
+            Role::Primary if claim.at > record.not_primary_as_of => {
                 record.role = Some(Role::Primary);
-                let is_believed = self.claimant == Some(endpoint) || claim.at > self.claimed_at;
-                if is_believed && !is_excluded {
+                let is_accepted = self.claimant == Some(endpoint) || claim.at > self.claimed_at;
+                if is_accepted && !is_excluded {
                     self.primary = Some(endpoint);
                     self.claimant = Some(endpoint);
                     self.claimed_at = claim.at;
@@ -88,35 +92,38 @@
             }
             Role::Primary => {}
             Role::Replica => {
-                // A report from before the claim undoes nothing.
+                // A load report from before the accepted claim does not revoke it.
                 if claim.in_answer || !self.is_primary(endpoint) || claim.at > self.claimed_at {
-                    self.deny(endpoint, record, claim.at);
+                    self.record_not_primary(endpoint, record, claim.at);
                 }
             }
         }
     }
 
-    /// The endpoint is no primary at that time, by its own report or as it refused what a primary takes.
-    pub(crate) fn deny(&mut self, endpoint: EndpointId, record: &mut RoleRecord, at: f64) {
-        record.deny(at);
-        self.unseat(endpoint);
+    /// Records that the endpoint was not the primary at time `at`: it reported so, or it refused a request that a
+    /// primary accepts.
+    pub(crate) fn record_not_primary(&mut self, endpoint: EndpointId, record: &mut RoleRecord, at: f64) {
+        record.record_not_primary(at);
+        self.clear_primary(endpoint);
     }
 
-    /// The endpoint may have been lost as a primary; its next claim is believed again.
-    pub(crate) fn unseat(&mut self, endpoint: EndpointId) {
+    /// Clears the primary if it is this endpoint, which may have failed. Its next claim is accepted again.
+    pub(crate) fn clear_primary(&mut self, endpoint: EndpointId) {
         if self.is_primary(endpoint) {
             self.primary = None;
         }
     }
 
-    /// The endpoint's identifier is about to stand for another one, whose claims are those of a stranger.
+    /// Removes all state about the endpoint, as its identifier is about to be reused for another endpoint whose
+    /// claims must be treated as those of an unknown endpoint.
     pub(crate) fn forget(&mut self, endpoint: EndpointId) {
-        self.unseat(endpoint);
+        self.clear_primary(endpoint);
         self.claimant = self.claimant.filter(|claimant| *claimant != endpoint);
     }
 
-    /// Whether the group polls: it has no primary, or a member has not told its role or sends no reports.
-    pub(crate) fn polls<'a>(&self, mut members: impl Iterator<Item = &'a RoleRecord>) -> bool {
+    /// Whether the group has to poll: the primary is unknown, or a member has not reported its role or sends no
+    /// reports.
+    pub(crate) fn needs_polling<'a>(&self, mut members: impl Iterator<Item = &'a RoleRecord>) -> bool {
         self.primary.is_none() || members.any(|member| member.is_unknown() || !member.sends_reports)
     }
 }
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -1,41 +1,41 @@
-//! What is learnt of each class of requests: how long its answers take, and how much of all work it is.
+//! Statistics of each class of requests: the latency of its answers, and its fraction of all work.
 
 use crate::clock::decayed;
 use crate::ids::{ClassId, Id, Table};
 use crate::interface::{Consistency, Effect, RequestClass, RoutingConfig};
 use crate::retry::ClientRetryDetector;
 
-/// Before any answer came one is expected to take the SLO time divided by this.
+/// The expected latency before the first answer is the SLO time divided by this.
 const INITIAL_LATENCY_DIVISOR: f64 = 6.0;
 /// Weight of the newest answer in a class's expected latency.
 const LATENCY_LEARNING_RATE: f64 = 0.02;
-/// An estimate for one request is never below the class's expected latency divided by this.
+/// The estimate for a single request is at least the class's expected latency divided by this.
 const MIN_ESTIMATE_DIVISOR: f64 = 8.0;
-/// A read of any data is long if it takes this many times as long as the quickest class.
+/// A read of data of any age is long if it takes this many times as long as the fastest class.
 const LONG_READ_FACTOR: f64 = 4.0;
-/// Time constant in seconds with which recent work fades.
-const WORK_MEMORY: f64 = 60.0;
-/// Keeps shares of work defined while there is none.
+/// Time constant in seconds with which recent work decays.
+const WORK_DECAY_SECONDS: f64 = 60.0;
+/// Avoids a division by zero while no work has been recorded.
 const MIN_WORK: f64 = 1e-9;
 
-/// Seconds that an answer of a workload is taken to need before any came.
+/// The expected latency of a workload in seconds before its first answer.
 pub(crate) fn initial_latency(workload: &RequestClass) -> f64 {
     workload.slo_time / INITIAL_LATENCY_DIVISOR
 }
 
-/// One class: its settings and what was learnt.
+/// The settings and statistics of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassStats {
     settings: RequestClass,
-    /// Moving average of the seconds that an answer takes.
+    /// Moving average of the latency of answers in seconds.
     expected_latency: f64,
-    /// Seconds of endpoint work spent on it of late.
+    /// Seconds of endpoint work recently spent on the class, decaying over time.
     recent_work: f64,
     client_retries: ClientRetryDetector,
 }
 
 impl ClassStats {
-    /// A class of which nothing was learnt yet.
+    /// Creates a class without any answers so far.
     fn new(settings: RequestClass) -> ClassStats {
         ClassStats {
             expected_latency: initial_latency(&settings),
@@ -45,12 +45,12 @@
         }
     }
 
-    /// What the settings say of it.
+    /// The settings of the class.
     pub(crate) fn settings(&self) -> &RequestClass {
         &self.settings
     }
 
-    /// What data its requests need.
+    /// The consistency that its requests need.
     pub(crate) fn needs(&self) -> Consistency {
         self.settings.needs
     }
@@ -60,59 +60,61 @@
         self.settings.effect
     }
 
-    /// Whether it goes to the primary because it may write.
+    /// Whether its requests go to the primary because they may write.
     pub(crate) fn is_write(&self) -> bool {
         self.settings.needs == Consistency::Primary
     }
 
-    /// What is known of retries by its clients.
+    /// The detector of retries by the clients of the class.
     pub(crate) fn client_retries(&mut self) -> &mut ClientRetryDetector {
         &mut self.client_retries
     }
 
-    /// Seconds that an answer takes for a request with so many seconds more work than is usual, or fewer if negative.
+    /// The expected latency in seconds of a request that takes `extra_work` seconds more work than usual, or less work
+    /// if `extra_work` is negative.
     pub(crate) fn estimate(&self, extra_work: f64) -> f64 {
         (self.expected_latency + extra_work).max(self.expected_latency / MIN_ESTIMATE_DIVISOR)
     }
 
-    /// An attempt was answered in full; `latency` excludes what was its own extra work.
+    /// Records a completed attempt; `latency` in seconds excludes the extra work of the request.
     pub(crate) fn record_latency(&mut self, latency: f64) {
         self.expected_latency += LATENCY_LEARNING_RATE * (latency - self.expected_latency);
     }
 
-    /// An attempt kept an endpoint busy, for that long if it is known.
+    /// Records that an attempt occupied an endpoint, for `seconds` if that is known.
     pub(crate) fn record_work(&mut self, seconds: Option<f64>) {
         self.recent_work += seconds.unwrap_or(self.expected_latency);
     }
 
-    /// Lets what was learnt fade by one tick.
+    /// Applies the decay of one tick.
     fn tick(&mut self) {
         self.client_retries.tick();
-        self.recent_work = decayed(self.recent_work, WORK_MEMORY);
+        self.recent_work = decayed(self.recent_work, WORK_DECAY_SECONDS);
     }
 }
 
-/// All classes: those of the settings, then for each a twin with the terms of a write.
+/// All classes: those of the settings, followed by a write class for each of them, which has the same settings but
+/// those of a write.
 #[derive(Clone, Debug)]
 pub(crate) struct Classes {
     table: Table<ClassId, ClassStats>,
-    /// How many the settings name.
-    declared: usize,
+    /// The number of classes in the settings.
+    configured: usize,
 }
 
 impl Classes {
-    /// The classes of these settings.
+    /// Creates the classes of these settings.
     pub(crate) fn new(config: &RoutingConfig) -> Classes {
-        let declared = config.workloads.iter().cloned();
-        // A text that may write goes by the strictest terms, whatever its workload says.
-        let as_write = |workload: &RequestClass| RequestClass {
+        let configured = config.workloads.iter().cloned();
+        // A statement that may write is handled by the strictest settings, whatever its workload specifies.
+        let write_class = |workload: &RequestClass| RequestClass {
             needs: Consistency::Primary,
             effect: Effect::NonIdempotent,
             ..workload.clone()
         };
-        let twins = config.workloads.iter().map(as_write);
-        let table = Table::of(declared.chain(twins).map(ClassStats::new).collect());
-        Classes { table, declared: config.workloads.len() }
+        let write_classes = config.workloads.iter().map(write_class);
+        let table = Table::of(configured.chain(write_classes).map(ClassStats::new).collect());
+        Classes { table, configured: config.workloads.len() }
     }
 
     /// The class.
@@ -120,28 +122,29 @@
         &self.table[class]
     }
 
-    /// The class, to be changed.
+    /// The class, for modification.
     pub(crate) fn get_mut(&mut self, class: ClassId) -> &mut ClassStats {
         &mut self.table[class]
     }
 
-    /// The class of a request: its workload's, or the twin if that only reads and the text may write.
+    /// The class of a request: that of its workload, or its write class if the workload only reads and the statement
+    /// may write.
     pub(crate) fn classify(&self, workload: usize, may_write: bool) -> ClassId {
         let class = ClassId::new(workload);
-        if may_write { self.as_write(class) } else { class }
+        if may_write { self.write_class(class) } else { class }
     }
 
-    /// The twin of a class that only reads; a class that writes stands for itself.
-    pub(crate) fn as_write(&self, class: ClassId) -> ClassId {
-        let is_declared = class.index() < self.declared;
-        if is_declared && !self.table[class].is_write() {
-            ClassId::new(class.index() + self.declared)
+    /// The write class of a class that only reads; a class that writes is its own write class.
+    pub(crate) fn write_class(&self, class: ClassId) -> ClassId {
+        let is_configured = class.index() < self.configured;
+        if is_configured && !self.table[class].is_write() {
+            ClassId::new(class.index() + self.configured)
         } else {
             class
         }
     }
 
-    /// The part of all recent work that is due to the selected classes.
+    /// The fraction of all recent work that is due to the selected classes.
     pub(crate) fn work_share(&self, selected: impl Fn(&ClassStats) -> bool) -> f64 {
         let all: f64 = self.table.iter().map(|class| class.recent_work).sum();
         let selected = self.table.iter().filter(|class| selected(class));
@@ -149,25 +152,25 @@
         selected_work / all.max(MIN_WORK)
     }
 
-    /// The part of all recent work that is due to long reads.
+    /// The fraction of all recent work that is due to long reads.
     pub(crate) fn long_read_share(&self) -> f64 {
         let threshold = self.long_read_threshold();
         self.work_share(|class| class.needs() == Consistency::Any && class.expected_latency > threshold)
     }
 
-    /// Whether an answer of that class which takes so many seconds is a long read: one of any data that holds back the
-    /// replication of the endpoint it runs on.
+    /// Whether an answer of this class that takes `seconds` is a long read: a read of data of any age that delays the
+    /// replication of the endpoint on which it runs.
     pub(crate) fn is_long_read(&self, class: &ClassStats, seconds: f64) -> bool {
         class.needs() == Consistency::Any && seconds > self.long_read_threshold()
     }
 
-    /// Seconds from which on a read of any data is long.
+    /// The latency in seconds above which a read of data of any age is long.
     fn long_read_threshold(&self) -> f64 {
         let latencies = self.table.iter().map(|class| class.expected_latency);
         LONG_READ_FACTOR * latencies.fold(f64::INFINITY, f64::min)
     }
 
-    /// Lets what was learnt fade by one tick.
+    /// Applies the decay of one tick.
     pub(crate) fn tick(&mut self) {
         self.table.iter_mut().for_each(ClassStats::tick);
     }
