--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -91,7 +91,6 @@
         HealthCheck { in_flight: false, sent_at }
     }
 
-    /// Whether a check is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.in_flight
     }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -48,7 +48,6 @@
 }
 
 impl Outlier {
-    /// Whether the endpoint is ejected.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -66,7 +66,6 @@
         self.primary
     }
 
-    /// Whether `endpoint` is the primary.
     pub(crate) fn is_primary(&self, endpoint: EndpointId) -> bool {
         self.primary == Some(endpoint)
     }
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -45,7 +45,6 @@
         }
     }
 
-    /// The settings of the class.
     pub(crate) fn settings(&self) -> &RequestClass {
         &self.settings
     }
@@ -117,12 +116,10 @@
         Classes { table, configured: config.workloads.len() }
     }
 
-    /// The class.
     pub(crate) fn get(&self, class: ClassId) -> &ClassStats {
         &self.table[class]
     }
 
-    /// The class, for modification.
     pub(crate) fn get_mut(&mut self, class: ClassId) -> &mut ClassStats {
         &mut self.table[class]
     }
