--- a/crates/fleet/src/authenticator.rs
+++ b/crates/fleet/src/authenticator.rs
@@ -1,6 +1,7 @@
-//! Proves who sent a datagram, with BLAKE3 keyed by the fleet's secret, and lets each datagram count once.
+//! Authenticates datagrams with BLAKE3 keyed by the fleet's secret, and rejects replayed ones.
 //!
-//! A datagram is a byte for the format, a tag of 16 bytes over the rest, and the [`Envelope`] in `postcard`'s encoding.
+//! A datagram consists of a format byte, a tag of 16 bytes that authenticates the envelope, and the [`Envelope`] in
+//! `postcard` encoding.
 
 use std::collections::BTreeMap;
 
@@ -12,48 +13,49 @@
 
 /// The first byte of each datagram.
 const FORMAT_VERSION: u8 = 1;
-/// Half of BLAKE3's output, beyond any guess.
+/// Bytes of the tag: half of BLAKE3's output, which is infeasible to guess.
 const TAG_BYTES: usize = 16;
-/// Names whose sequences are remembered. A fleet has fewer, and only holders of the secret get this far.
-const SENDERS_AT_MOST: usize = 4096;
-/// Sequences below the highest one that are told apart.
-const WINDOW_BITS: u64 = 64;
+/// Largest number of sender names with a replay window. A fleet has fewer members, and only senders with the secret get a
+/// window.
+const MAX_SENDERS: usize = 4096;
+/// Size of the replay window: the highest sequence number received and those just below it.
+const REPLAY_WINDOW_BITS: u64 = 64;
 
-/// Why a datagram was rejected.
+/// Reason for which a datagram was rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RejectReason {
-    /// It is no datagram of this fleet, or was changed on its way.
-    #[error("no datagram of this fleet, or changed on its way")]
+    /// The datagram is not from this fleet, or was altered in transit.
+    #[error("the datagram is not from this fleet or was altered in transit")]
     Unauthenticated,
-    /// It is for another member, or this process sent it.
-    #[error("for another member")]
+    /// The datagram is addressed to another member, or was sent by this process.
+    #[error("the datagram is addressed to another member or was sent by this process")]
     Misaddressed,
-    /// It came before, or too late to tell.
-    #[error("received before")]
+    /// The datagram was received before, or is too old for the replay window.
+    #[error("the datagram was received before or is too old to tell")]
     Replayed,
-    /// A larger incarnation of the sender's name is known. The sender has been replaced by that process, or it is the
-    /// later process itself, on a wall clock that was stepped back.
-    #[error("incarnation {known} of {} is known, which is larger than {}", .envelope.from.name, .envelope.from.incarnation)]
+    /// A larger incarnation of the sender's name is known. Either a later process has replaced the sender, or the sender
+    /// is the later process and its wall clock was stepped back.
+    #[error("known incarnation {known} of {} is larger than {}", .envelope.from.name, .envelope.from.incarnation)]
     Superseded {
-        /// What was received.
+        /// The received envelope.
         envelope: Box<Envelope>,
         /// The larger incarnation.
         known: u64,
     },
 }
 
-/// Why a message could not be sealed.
+/// Reason for which a message could not be sealed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SealError {
-    /// It can't be encoded.
+    /// The message can't be encoded.
     #[error("the message can't be encoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The datagram would have so many bytes.
-    #[error("a datagram of {0} bytes, where {MAX_DATAGRAM_BYTES} are the most")]
+    /// The datagram would have this many bytes, which is more than [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram of {0} bytes exceeds the limit of {MAX_DATAGRAM_BYTES} bytes")]
     TooLong(usize),
 }
 
-/// The sequences that were received of one sender: the highest, and a bit for each of those just below it.
+/// The sequence numbers received from one process: the highest one, and a bit for each number from it downwards.
 #[derive(Clone, Copy, Debug)]
 struct ReplayWindow {
     incarnation: u64,
@@ -66,50 +68,50 @@
         ReplayWindow { incarnation, highest: 0, received: 0 }
     }
 
-    /// Records a sequence; false if it was received before, or is too far below the highest to tell.
+    /// Records a sequence number. Returns false if it was received before, or is below the window.
     fn record(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
-            let by = sequence - self.highest;
-            let shifted = if by < WINDOW_BITS { self.received << by } else { 0 };
+            let shift = sequence - self.highest;
+            let shifted = if shift < REPLAY_WINDOW_BITS { self.received << shift } else { 0 };
             (self.received, self.highest) = (shifted | 1, sequence);
             return true;
         }
-        let below = self.highest - sequence;
-        if below >= WINDOW_BITS {
+        let offset = self.highest - sequence;
+        if offset >= REPLAY_WINDOW_BITS {
             return false;
         }
-        let is_new = self.received & (1 << below) == 0;
-        self.received |= 1 << below;
+        let is_new = self.received & (1 << offset) == 0;
+        self.received |= 1 << offset;
         is_new
     }
 }
 
-/// Seals what one process sends, and opens what it receives.
+/// Seals the datagrams that one process sends, and opens those that it receives.
 pub struct Authenticator {
     key: [u8; 32],
     process: Process,
-    /// Of the last envelope that was sealed.
+    /// Sequence number of the last sealed envelope.
     sequence: u64,
-    /// By the sender's name.
+    /// Replay windows by the sender's name.
     windows: BTreeMap<String, ReplayWindow>,
 }
 
 impl Authenticator {
-    /// The key is derived from `secret`, the contents of the key file.
+    /// Creates an authenticator whose key is derived from `secret`, the contents of the key file.
     pub fn new(secret: &[u8], process: Process) -> Authenticator {
         let key = blake3::derive_key("ottersill fleet datagrams 1", secret);
         Authenticator { key, process, sequence: 0, windows: BTreeMap::new() }
     }
 
-    /// What is sealed from now on is of that process.
+    /// Seals later envelopes with `process` as their sender.
     pub fn restart_as(&mut self, process: Process) {
         self.process = process;
     }
 
-    /// A datagram with that message for the member of that name.
+    /// Returns a datagram that carries `message` to the member named `to`.
     ///
     /// # Errors
-    /// [`SealError`]; the message is not to be sent.
+    /// Returns a [`SealError`] if the message can't be sent.
     pub fn seal(&mut self, to: &str, message: Message) -> Result<Vec<u8>, SealError> {
         self.sequence += 1;
         let envelope =
@@ -126,16 +128,16 @@
         Ok(datagram)
     }
 
-    /// The envelope in a datagram.
+    /// Authenticates a datagram and returns its envelope.
     ///
     /// # Errors
-    /// [`RejectReason`]; the datagram is to change nothing.
+    /// Returns a [`RejectReason`] if the datagram must not be handled as a message.
     pub fn open(&mut self, datagram: &[u8]) -> Result<Envelope, RejectReason> {
         let envelope = self.verify(datagram)?;
         if envelope.to != self.process.name || envelope.from == self.process {
             return Err(RejectReason::Misaddressed);
         }
-        if let Some(known) = self.later_incarnation(&envelope.from) {
+        if let Some(known) = self.larger_known_incarnation(&envelope.from) {
             return Err(RejectReason::Superseded { envelope: Box::new(envelope), known });
         }
         if !self.record(&envelope.from, envelope.sequence) {
@@ -150,7 +152,7 @@
         };
         let (tag, envelope) = rest.split_at_checked(TAG_BYTES).ok_or(RejectReason::Unauthenticated)?;
         let expected = blake3::keyed_hash(&self.key, envelope);
-        // BLAKE3's own comparison takes as long for each wrong tag; it compares whole hashes.
+        // The comparison of `blake3::Hash` takes constant time, but it compares complete hashes only.
         let mut received = *expected.as_bytes();
         received[..TAG_BYTES].copy_from_slice(tag);
         if expected != blake3::Hash::from_bytes(received) {
@@ -159,21 +161,22 @@
         postcard::from_bytes(envelope).map_err(|_| RejectReason::Unauthenticated)
     }
 
-    /// The incarnation of that process's name that is known here, if it is larger.
-    fn later_incarnation(&self, process: &Process) -> Option<u64> {
+    /// Returns the known incarnation of the process's name, if it is larger than that of the process.
+    fn larger_known_incarnation(&self, process: &Process) -> Option<u64> {
         let known = self.windows.get(&process.name).map(|window| window.incarnation);
         known.filter(|known| *known > process.incarnation)
     }
 
-    /// Records a sequence of a process; false if it was received before.
+    /// Records a sequence number of a process. Returns false if it was received before or is below the window, or if there
+    /// are too many senders.
     fn record(&mut self, from: &Process, sequence: u64) -> bool {
-        if !self.windows.contains_key(&from.name) && self.windows.len() >= SENDERS_AT_MOST {
+        if !self.windows.contains_key(&from.name) && self.windows.len() >= MAX_SENDERS {
             return false;
         }
-        let new = ReplayWindow::new(from.incarnation);
-        let window = self.windows.entry(from.name.clone()).or_insert(new);
+        let new_window = ReplayWindow::new(from.incarnation);
+        let window = self.windows.entry(from.name.clone()).or_insert(new_window);
         if from.incarnation > window.incarnation {
-            *window = new;
+            *window = new_window;
         }
         window.record(sequence)
     }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,7 +1,7 @@
-//! Which routers are there: SWIM as the `foca` crate has it, without sockets or clock.
+//! The member list, maintained by the SWIM protocol as implemented by the `foca` crate, without sockets or clock.
 //!
-//! Membership decides nothing about what may be spent, which goes by leases alone, so a member that is wrongly taken for
-//! dead does no harm. It tells operators who is there, and other members where to send to.
+//! Membership has no effect on the units that may be spent, which depend on leases alone, so it is harmless if a member is
+//! wrongly declared dead. The member list serves operators, and gives members the addresses of other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,21 +16,22 @@
 use crate::convert::to_usize;
 use crate::settings::{Peer, Process};
 
-/// Seconds after which a member that is away is no longer listed.
-const FORGET_AFTER: f64 = 300.0;
-/// Seconds between two announcements to a voter while no member is known.
-const ANNOUNCE_INTERVAL_ALONE: f64 = 0.5;
-/// The same once some are known.
-const ANNOUNCE_INTERVAL: f64 = 10.0;
+/// Time after which a member that is away is removed from the list.
+const REMOVE_AWAY_AFTER_SECONDS: f64 = 300.0;
+/// Interval between two announcements to a voter while no other member is known.
+const ISOLATED_ANNOUNCE_INTERVAL_SECONDS: f64 = 0.5;
+/// Interval between two announcements to a voter once another member is known.
+const ANNOUNCE_INTERVAL_SECONDS: f64 = 10.0;
 
-/// A member as the others know it. Its name is its address for SWIM; of two processes of one name the later counts.
+/// Identity of a member in the SWIM protocol. Its name is its SWIM address; of two processes with one name, the later one
+/// takes precedence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwimIdentity {
     /// The process.
     pub process: Process,
-    /// Grows each time the process was taken for dead and was not.
+    /// Increases each time that the process was wrongly declared dead.
     renewals: u32,
-    /// Where it receives datagrams.
+    /// Address at which the process receives datagrams.
     pub address: SocketAddr,
 }
 
@@ -50,59 +51,59 @@
     }
 }
 
-/// Whether a member is there.
+/// Whether a member is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Presence {
-    /// It answers.
+    /// The member answers.
     Here,
-    /// It answers nobody who tried, or it said that it leaves.
+    /// The member answers none of those that checked it, or it announced that it leaves.
     Away,
 }
 
-/// A member as it is listed for operators.
+/// An entry of the member list, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// The newest process of its name.
     pub process: Process,
-    /// Where it receives datagrams.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Whether it is there.
+    /// Whether the member is reachable.
     pub presence: Presence,
-    /// Since when.
+    /// When `process` or `presence` was last reported, in seconds.
     pub since: f64,
 }
 
-/// A member came or went.
+/// A change of a member's process or presence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipChange {
     /// The process.
     pub process: Process,
-    /// What it is from now on.
+    /// The new presence.
     pub presence: Presence,
 }
 
-/// A datagram of the membership protocol, to be sent.
+/// A datagram of the membership protocol that is to be sent.
 #[derive(Clone, Debug)]
 pub struct SwimDatagram {
     /// The receiver.
     pub to: SwimIdentity,
-    /// What it is sent.
+    /// The contents.
     pub data: Vec<u8>,
 }
 
-/// A timer that `foca` asks for.
+/// A timer requested by `foca`.
 struct TimerRequest {
     after: Duration,
     timer: Timer<SwimIdentity>,
 }
 
-/// A member that came or went, as `foca` knows it.
+/// A change of a member's presence reported by `foca`.
 struct PresenceUpdate {
     identity: SwimIdentity,
     presence: Presence,
 }
 
-/// What `foca` wants done; emptied after each call of it.
+/// Actions requested by `foca`, to be performed after each call of it.
 #[derive(Default)]
 struct PendingActions {
     datagrams: Vec<SwimDatagram>,
@@ -133,14 +134,14 @@
 
 type Swim = Foca<SwimIdentity, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
-/// Joins as a process that knows nobody.
-fn join(process: Process, address: SocketAddr, seed: u64) -> Swim {
+/// Creates the SWIM state of a process that knows no other member.
+fn new_swim(process: Process, address: SocketAddr, seed: u64) -> Swim {
     let identity = SwimIdentity { process, renewals: 0, address };
     Foca::new(identity, config(), SmallRng::seed_from_u64(seed), PostcardCodec)
 }
 
-/// A lost member is noticed within some two seconds. What follows from it is cheap and safe, so it may be quick and
-/// sometimes wrong.
+/// Returns the settings of the SWIM protocol, which detect a lost member within about 2 s. A short detection time is
+/// preferred to fewer false detections, because the consequences of a detection are cheap and safe.
 fn config() -> Config {
     let seconds = Duration::from_secs_f64;
     Config {
@@ -149,7 +150,7 @@
         num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
         max_transmissions: NonZeroU8::MIN.saturating_add(9),
         suspect_to_down_after: seconds(0.9),
-        remove_down_after: seconds(FORGET_AFTER),
+        remove_down_after: seconds(REMOVE_AWAY_AFTER_SECONDS),
         max_packet_size: NonZeroUsize::MIN.saturating_add(1199),
         notify_down_members: true,
         periodic_announce: None,
@@ -158,24 +159,24 @@
     }
 }
 
-/// The address that the sender of a datagram of the membership protocol gives for itself.
+/// Returns the address that the sender of a membership datagram advertises for itself.
 pub fn sender_address(data: &[u8]) -> Option<SocketAddr> {
     let header: foca::Header<SwimIdentity> = PostcardCodec.decode_header(data).ok()?;
     Some(header.src.address)
 }
 
-/// When a timer is due. Orders by the time, then in the order in which the timers were set.
+/// Key of a timer, ordered by due time and then by the order in which the timers were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
-    /// The bits of the time, which order as the time does: it is never negative.
+    /// Bits of the due time in seconds. They have the same order as the time, which is never negative.
     at_bits: u64,
-    /// Orders timers of one time.
-    number: u64,
+    /// Orders timers that are due at the same time.
+    sequence: u64,
 }
 
 impl TimerKey {
-    fn new(at: f64, number: u64) -> TimerKey {
-        TimerKey { at_bits: at.to_bits(), number }
+    fn new(at: f64, sequence: u64) -> TimerKey {
+        TimerKey { at_bits: at.to_bits(), sequence }
     }
 
     fn at(self) -> f64 {
@@ -183,13 +184,14 @@
     }
 }
 
-/// The members as one of them knows them.
+/// The member list as one member knows it.
 pub struct Membership {
     swim: Swim,
     pending: PendingActions,
     timers: BTreeMap<TimerKey, Timer<SwimIdentity>>,
+    /// Timers set and announcements made so far.
     timer_count: u64,
-    /// By name.
+    /// Members by name, including this one.
     members: BTreeMap<String, Member>,
     /// Voters other than this member.
     seeds: Vec<Peer>,
@@ -198,7 +200,8 @@
 }
 
 impl Membership {
-    /// Joins. `seeds` are asked for the others as long as none is known; `seed` is of the random choices.
+    /// Starts joining the fleet. Members are learned by announcing this process to the `seeds`; `seed` seeds the random
+    /// choices.
     pub fn start(now: f64, process: Process, address: SocketAddr, seeds: Vec<Peer>, seed: u64) -> Membership {
         let own = Member { process: process.clone(), address, presence: Presence::Here, since: now };
         Membership {
@@ -209,14 +212,14 @@
             seeds: seeds.into_iter().filter(|peer| peer.name != process.name).collect(),
             announce_at: now,
             changes: Vec::new(),
-            swim: join(process, address, seed),
+            swim: new_swim(process, address, seed),
         }
     }
 
-    /// Goes on as another process of the same name and joins anew. The members that it knew stay listed.
+    /// Continues as another process of the same name and joins again. The known members stay listed.
     pub fn restart_as(&mut self, now: f64, process: Process, seed: u64) {
         let address = self.swim.identity().address;
-        self.swim = join(process.clone(), address, seed);
+        self.swim = new_swim(process.clone(), address, seed);
         self.pending = PendingActions::default();
         self.timers.clear();
         self.announce_at = now;
@@ -224,20 +227,21 @@
         self.members.insert(process.name, own);
     }
 
-    /// Takes in a datagram of the protocol. What can't be read changes nothing.
+    /// Handles a datagram of the membership protocol. An invalid one is ignored.
     pub fn handle_datagram(&mut self, now: f64, data: &[u8]) {
         let _ = self.swim.handle_data(data, &mut self.pending);
         self.apply_pending(now);
     }
 
-    /// Does what is due.
+    /// Fires the timers and announcements that are due, and removes members that have been away for too long.
     pub fn tick(&mut self, now: f64) {
         self.fire_timers(now);
         if now >= self.announce_at && !self.seeds.is_empty() {
             self.announce(now);
         }
-        self.members
-            .retain(|_, member| member.presence == Presence::Here || now < member.since + FORGET_AFTER);
+        self.members.retain(|_, member| {
+            member.presence == Presence::Here || now < member.since + REMOVE_AWAY_AFTER_SECONDS
+        });
     }
 
     fn fire_timers(&mut self, now: f64) {
@@ -246,31 +250,33 @@
                 return;
             }
             let timer = entry.remove();
-            // A timer of an earlier state is refused, and that state's successor has set its own.
+            // `foca` refuses a timer of an earlier state; the later state has set its own timers.
             let _ = self.swim.handle_timer(timer, &mut self.pending);
             self.apply_pending(now);
         }
     }
 
-    /// Announces itself to one of the seeds, in turn.
+    /// Announces this process to the next of the seeds.
     fn announce(&mut self, now: f64) {
-        let alone = self.swim.num_members() == 0;
-        self.announce_at = now + if alone { ANNOUNCE_INTERVAL_ALONE } else { ANNOUNCE_INTERVAL };
-        let turn = to_usize(self.timer_count) % self.seeds.len();
+        let is_isolated = self.swim.num_members() == 0;
+        let interval =
+            if is_isolated { ISOLATED_ANNOUNCE_INTERVAL_SECONDS } else { ANNOUNCE_INTERVAL_SECONDS };
+        self.announce_at = now + interval;
+        let seed_index = to_usize(self.timer_count) % self.seeds.len();
         self.timer_count += 1;
-        let Peer { name, address } = self.seeds[turn].clone();
+        let Peer { name, address } = self.seeds[seed_index].clone();
         let seed = SwimIdentity { process: Process { name, incarnation: 0 }, renewals: 0, address };
         let _ = self.swim.announce(seed, &mut self.pending);
         self.apply_pending(now);
     }
 
-    /// Says that it leaves.
+    /// Announces that this process leaves.
     pub fn leave(&mut self, now: f64) {
         let _ = self.swim.leave_cluster(&mut self.pending);
         self.apply_pending(now);
     }
 
-    /// When [`tick`](Membership::tick) is due.
+    /// Returns when [`tick`](Membership::tick) is due.
     pub fn next_timeout(&self) -> f64 {
         let timer = self.timers.first_key_value().map_or(f64::INFINITY, |(key, _)| key.at());
         if self.seeds.is_empty() { timer } else { timer.min(self.announce_at) }
@@ -297,22 +303,22 @@
         }
     }
 
-    /// Datagrams to send.
+    /// Returns the datagrams to send, and removes them.
     pub fn take_datagrams(&mut self) -> Vec<SwimDatagram> {
         std::mem::take(&mut self.pending.datagrams)
     }
 
-    /// What changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// All members that are listed, this one among them.
+    /// Returns all listed members, including this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The address that a member gave for itself.
+    /// Returns the address that a member advertises for itself.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.members.get(name).map(|member| member.address)
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member, and which of them have to be the same at all members.
+//! Settings of a member, and a hash of those that must be the same at all members.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,24 +6,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How units of a budget are spent. Units are whole numbers, so that shares add up exactly.
+/// How the units of a budget are spent. Units are integers, so that shares add up to the total exactly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A token bucket. A unit is one token of depth that is refilled every `every` seconds: `n` units allow at most
-    /// `n x (1 + t / every)` operations in any `t` seconds.
+    /// A token bucket. A unit is one token of bucket depth that is refilled every `every` seconds: `n` units allow at
+    /// most `n x (1 + t / every)` operations in any `t` seconds.
     Rate {
-        /// Seconds after which a spent token is back.
+        /// Seconds until a spent token is refilled.
         every: f64,
     },
-    /// A limit of operations in flight. A unit is one operation.
+    /// A limit on operations in flight. A unit is one operation.
     Concurrency {
-        /// Seconds within which an operation ends, even if its router is lost.
+        /// Seconds within which an operation ends, even if its router crashes.
         hold: f64,
     },
 }
 
 impl Kind {
-    /// Seconds by which an operation may outlive the lease that it was begun under.
+    /// Returns the seconds by which an operation may outlast the lease under which it began; 0 for a rate.
     pub fn hold(self) -> f64 {
         match self {
             Kind::Rate { .. } => 0.0,
@@ -32,48 +32,48 @@
     }
 }
 
-/// A member and where the others reach it.
+/// A member and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives datagrams.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
-/// A budget's total by settings that were read again.
+/// A budget's total after the settings were reloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetTotal {
     /// The budget's [`id`](Budget::id).
     pub id: u64,
-    /// Units that all routers together may have.
+    /// Units that all routers together may hold.
     pub total: u64,
 }
 
-/// One budget of the whole fleet. A budget that exists once for each host is one `Budget`; the host is the subject of a
-/// [`BudgetKey`](crate::quota_ledger::BudgetKey).
+/// One fleet-wide budget. A budget that applies separately to each endpoint is one `Budget`; the endpoint is the
+/// subject of a [`BudgetKey`](crate::quota_ledger::BudgetKey).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// The [`label`] of the name.
+    /// The budget's identifier: the [`label`] of its name.
     pub id: u64,
-    /// The name, the same at all members.
+    /// The budget's name, the same at all members.
     pub name: String,
-    /// How it is spent.
+    /// How the units are spent.
     pub kind: Kind,
-    /// Units that all routers together may have.
+    /// Units that all routers together may hold.
     pub total: u64,
-    /// Units that are reserved for each router, with a longer lease than the rest.
+    /// Units reserved for each router, granted with a longer lease than the others.
     pub floor: u64,
 }
 
 impl Budget {
-    /// A budget with the id that belongs to its name.
+    /// Creates a budget whose id is derived from its name.
     pub fn named(name: &str, kind: Kind, total: u64, floor: u64) -> Budget {
         Budget { id: label(name), name: name.to_string(), kind, total, floor }
     }
 }
 
-/// A 64-bit hash of a name, the same at all members: the first eight bytes of its BLAKE3 hash.
+/// Returns a 64-bit hash of a name, the same at all members: the first eight bytes of its BLAKE3 hash, big-endian.
 pub fn label(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     hash.as_bytes().iter().take(8).fold(0, |label, byte| label << 8 | u64::from(*byte))
@@ -84,32 +84,33 @@
 pub struct FleetConfig {
     /// This member's name.
     pub name: String,
-    /// Names of the members that elect the leader, in the same order at all members. The leader is one of them.
+    /// Names of the members that elect the leader from among themselves, in the same order at all members.
     pub voters: Vec<String>,
-    /// How long a leader stays leader after it was last elected.
+    /// Seconds for which a member stays leader after it was last elected.
     pub leader_lease: f64,
-    /// How long granted units may be spent, from when they were asked for.
+    /// Seconds for which granted units of the demand pool may be spent, counted from the request for them.
     pub lease: f64,
-    /// The same for floors.
+    /// Seconds for which granted floors may be spent, counted from the request for them.
     pub floor_lease: f64,
-    /// The largest error of each clock's rate, as a fraction.
+    /// The largest rate error of any member's clock, as a fraction.
     pub drift: f64,
-    /// Routers that may exist at a time, with those that died within `floor_lease`. Each budget's floor is reserved so
-    /// many times.
+    /// The largest number of routers at any time, including those that crashed within the last `floor_lease` seconds.
+    /// Each budget's floor is reserved this many times.
     pub members_at_most: u64,
-    /// The budgets.
+    /// The fleet-wide budgets.
     pub budgets: Vec<Budget>,
 }
 
 impl FleetConfig {
-    /// How long the holder of a lease counts it, where the grantor counts `lease` seconds. It is shorter by twice the
-    /// drift, so that the holder's time is over first whichever clock is slow.
+    /// Returns the seconds for which the holder of a lease may use it, where its grantor counts `lease` seconds. It is
+    /// shorter by about twice the drift, so that the lease expires at the holder first, whichever clock is slow.
     pub fn holder_lease(&self, lease: f64) -> f64 {
         lease * (1.0 - self.drift) / (1.0 + self.drift)
     }
 
-    /// A hash of all settings that have to be the same at all members: voters, leases, drift, floors and kinds of
-    /// budgets. Totals are not among them, as they may be changed while the fleet runs.
+    /// Returns a hash of all settings that must be the same at all members: the voters, the leases, the drift, the member
+    /// limit, and the names, kinds and floors of the budgets. Totals are excluded because they may be changed while the
+    /// fleet runs.
     pub fn electorate(&self) -> u64 {
         let budgets: Vec<_> =
             self.budgets.iter().map(|budget| (&budget.name, HashedKind(budget.kind), budget.floor)).collect();
@@ -117,30 +118,30 @@
         label(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.members_at_most))
     }
 
-    /// Units of a budget that are reserved for floors.
+    /// Returns the units of a budget that are reserved for floors.
     pub fn reserved_for_floors(&self, budget: &Budget) -> u64 {
         budget.floor * self.members_at_most
     }
 
-    /// This member's index among the voters, if it is one.
+    /// Returns this member's index among the voters, if it is a voter.
     pub fn voter_index(&self) -> Option<u16> {
         self.index_of_voter(&self.name)
     }
 
-    /// The index of the voter of that name, if there is one.
+    /// Returns the index of the voter named `name`, if there is one.
     pub(crate) fn index_of_voter(&self, name: &str) -> Option<u16> {
         let index = self.voters.iter().position(|voter| *voter == name)?;
         u16::try_from(index).ok()
     }
 
-    /// The budget of that id.
+    /// Returns the budget with that id, if there is one.
     pub fn budget(&self, id: u64) -> Option<&Budget> {
         self.budgets.iter().find(|budget| budget.id == id)
     }
 }
 
-/// A kind as it is written in the text that [`FleetConfig::electorate`] hashes. Members of all releases hash this text,
-/// so its words stay even if the type's names change.
+/// Formats a [`Kind`] for the text that [`FleetConfig::electorate`] hashes. Members of all releases must hash the same
+/// text, so it stays the same even if the type's names change.
 struct HashedKind(Kind);
 
 impl fmt::Debug for HashedKind {
@@ -152,25 +153,25 @@
     }
 }
 
-/// One process of the program: a member's name, and which of the processes of that name it is.
+/// One process of a member. A restarted member keeps its name and gets a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
     /// The member's name.
     pub name: String,
-    /// Larger for a process that started later; see [`incarnation`].
+    /// Distinguishes the processes of one name, and is larger for one that started later; see [`incarnation`].
     pub incarnation: u64,
 }
 
-/// Low bits of an incarnation that are random: 65 milliseconds of its microseconds.
-const RANDOM_BITS: u64 = 0xffff;
+/// Mask of the random low bits of an incarnation, which span 65 ms of its microseconds.
+const RANDOM_BITS_MASK: u64 = 0xffff;
 
-/// The incarnation of a process that starts at that Unix time: microseconds whose low bits are random, so that two starts
-/// at one reading of a clock that was stepped back are two processes. All bits are random where the clock is before
-/// 1970 (`None`).
+/// Returns the incarnation of a process that starts at Unix time `unix`: the time in microseconds with random low bits,
+/// so that two starts at the same wall-clock time, which a clock that is stepped back can cause, get different
+/// incarnations. All bits are random if the clock is before 1970 (`None`).
 ///
-/// After a step back of the clock it may be smaller than that of an earlier process of this name. The node learns this
-/// from its peers and takes a larger one; see [`node`](crate::node).
+/// After the clock was stepped back, the incarnation may be smaller than that of an earlier process of the same name.
+/// The node learns this from its peers and takes a larger one; see [`node`](crate::node).
 pub fn incarnation(unix: Option<Duration>, random: u64) -> u64 {
     let started = unix.map_or(random >> 16, |unix| u64::try_from(unix.as_micros()).unwrap_or(u64::MAX));
-    started & !RANDOM_BITS | random & RANDOM_BITS
+    started & !RANDOM_BITS_MASK | random & RANDOM_BITS_MASK
 }
