--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,28 +1,28 @@
-//! Who is leader: a lease that a majority of the voters grants to one of them, without a disk.
+//! Leader election: a lease that a majority of the voters grants to one of them, without persistent storage.
 //!
-//! It is Paxos with a value that expires. A voter that has just started may have forgotten what it granted, so it grants
-//! nothing for a whole lease. A candidate counts its lease from before it asked for it, and counts it short
-//! ([`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease)); a voter counts it in full, from when it
-//! granted it. So a leader that was suspended knows by its own clock that its lease is over before any voter grants the
-//! next one, and it needs no message for that.
+//! The protocol is Paxos with a value that expires. A voter that has just started may have lost the record of a grant, so
+//! it grants nothing for one full lease. A candidate counts its lease from before it sends the request, and uses the
+//! shorter duration of [`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease); a voter counts the full
+//! lease from when it grants it. A leader that was suspended therefore knows by its own clock, without any message, that
+//! its lease has expired before any voter grants the next one.
 
 use crate::convert::units_to_f64;
 
 use serde::{Deserialize, Serialize};
 
-/// Orders the attempts of all candidates, and names the terms of leaders.
+/// Orders the election attempts of all candidates, and identifies the terms of leaders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Grows with each attempt.
+    /// Increases with each attempt.
     pub round: u64,
     /// The candidate's index among the voters.
     pub voter_index: u16,
-    /// The candidate's incarnation: keeps apart two processes of one voter.
+    /// The candidate's incarnation, which distinguishes processes of one voter.
     pub incarnation: u64,
 }
 
 impl Ballot {
-    fn is_of_same_process(self, other: Ballot) -> bool {
+    fn is_from_same_process(self, other: Ballot) -> bool {
         (self.voter_index, self.incarnation) == (other.voter_index, other.incarnation)
     }
 }
@@ -30,29 +30,29 @@
 /// A voter's answer to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum VoterReply {
-    /// No lower ballot will be accepted.
+    /// The voter accepts no lower ballot from now on.
     Promised {
-        /// Whether another candidate holds the lease now.
+        /// Whether another candidate currently holds the lease.
         held: bool,
     },
-    /// That higher ballot was promised before.
+    /// The voter has already promised this higher ballot.
     Outbid(Ballot),
-    /// The lease is granted.
+    /// The voter grants the lease.
     Granted,
 }
 
-/// A message of a candidate to all voters.
+/// A request that a candidate sends to all voters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CandidateCall {
-    /// Asks for a promise: phase one of Paxos.
+    /// Requests a promise: phase one of Paxos.
     Prepare(Ballot),
-    /// Asks for the lease: phase two.
+    /// Requests the lease: phase two of Paxos.
     Accept(Ballot),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VoterState {
-    /// Just started: what was granted before may still be in force.
+    /// Just started: a grant made before the restart may still be in force.
     Recovering {
         until: f64,
     },
@@ -63,21 +63,23 @@
     },
 }
 
-/// The part of a member that grants the lease.
+/// The acceptor of a member: grants the leader lease to a candidate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Voter {
     state: VoterState,
+    /// The highest ballot promised so far.
     promised: Ballot,
+    /// Seconds for which a grant is in force.
     lease: f64,
 }
 
 impl Voter {
-    /// A voter that starts now with nothing in memory; `lease` in seconds.
+    /// Creates a voter that starts now and knows no earlier grants. `lease` is in seconds.
     pub fn start(now: f64, lease: f64) -> Voter {
         Voter { state: VoterState::Recovering { until: now + lease }, promised: Ballot::default(), lease }
     }
 
-    /// Every change of the state that time brings.
+    /// Applies the state changes that are due by `now`: the end of the recovery or of a grant.
     fn update_state(&mut self, now: f64) {
         self.state = match self.state {
             VoterState::Recovering { until } | VoterState::Granted { until, .. } if now >= until => {
@@ -87,7 +89,7 @@
         };
     }
 
-    /// The candidate that this voter has granted the lease to, while that is in force.
+    /// Returns the ballot to which this voter has granted the lease, while the grant is in force.
     pub fn holder(&self, now: f64) -> Option<Ballot> {
         match self.state {
             VoterState::Granted { to, until } if now < until => Some(to),
@@ -95,12 +97,12 @@
         }
     }
 
-    /// The answer to [`CandidateCall::Prepare`]; none while it recovers.
+    /// Answers [`CandidateCall::Prepare`]; returns `None` while the voter recovers.
     pub fn handle_prepare(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
         self.update_state(now);
         let held = match self.state {
             VoterState::Recovering { .. } => return None,
-            VoterState::Granted { to, .. } => !to.is_of_same_process(ballot),
+            VoterState::Granted { to, .. } => !to.is_from_same_process(ballot),
             VoterState::Free => false,
         };
         if ballot < self.promised {
@@ -110,13 +112,13 @@
         Some(VoterReply::Promised { held })
     }
 
-    /// The answer to [`CandidateCall::Accept`]; none while it recovers.
+    /// Answers [`CandidateCall::Accept`]; returns `None` while the voter recovers.
     pub fn handle_accept(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
         self.update_state(now);
         match self.state {
             VoterState::Recovering { .. } => None,
             _ if ballot < self.promised => Some(VoterReply::Outbid(self.promised)),
-            VoterState::Granted { to, .. } if !to.is_of_same_process(ballot) => {
+            VoterState::Granted { to, .. } if !to.is_from_same_process(ballot) => {
                 Some(VoterReply::Promised { held: true })
             }
             _ => {
@@ -128,7 +130,7 @@
     }
 }
 
-/// A set of voters, a bit for each index.
+/// A set of voter indices, one bit for each.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct VoterSet(u64);
 
@@ -137,106 +139,120 @@
         VoterSet(self.0 | 1u64.checked_shl(u32::from(voter_index)).unwrap_or(0))
     }
 
-    fn is_majority_of(self, voters: usize) -> bool {
-        2 * self.0.count_ones() as usize > voters
+    fn is_majority_of(self, voter_count: usize) -> bool {
+        2 * self.0.count_ones() as usize > voter_count
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CandidateState {
-    Waiting { again_at: f64 },
-    Preparing { ballot: Ballot, until: f64, promised: VoterSet },
-    Accepting { ballot: Ballot, sent_at: f64, until: f64, granted: VoterSet },
+    /// Idle until the next attempt.
+    Waiting { next_attempt_at: f64 },
+    /// Collecting promises until `deadline`.
+    Preparing { ballot: Ballot, deadline: f64, promised: VoterSet },
+    /// Collecting grants until `deadline`. The lease counts from `sent_at`, when they were requested.
+    Accepting { ballot: Ballot, sent_at: f64, deadline: f64, granted: VoterSet },
 }
 
-/// A candidate waits for so much of its lease for the answers to one message.
-const ANSWER_WAIT: f64 = 0.25;
-/// A leader asks for its next lease so many times in one.
+/// Time that a candidate waits for the voters' answers to one request, as a fraction of its lease.
+const ANSWER_TIMEOUT_LEASE_FRACTION: f64 = 0.25;
+/// Times that a leader attempts to renew its lease in the course of one lease.
 const RENEWALS_PER_LEASE: f64 = 3.0;
+/// Shortest delay before another attempt, as a fraction of the lease.
+const MIN_RETRY_DELAY_LEASE_FRACTION: f64 = 0.15;
+/// Difference between two adjacent retry delays, as a fraction of the lease.
+const RETRY_DELAY_STEP_LEASE_FRACTION: f64 = 0.02;
+/// Number of different retry delays.
+const RETRY_DELAY_STEPS: u64 = 11;
 
-/// The part of a voter that stands for election.
+/// The proposer of a voter: stands for election as leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     state: CandidateState,
-    /// Its ballots but for the round.
-    ballot: Ballot,
-    voters: usize,
-    /// Counted short.
-    lease: f64,
-    /// It is leader until then.
+    /// Template of this candidate's ballots; its round is not used.
+    base_ballot: Ballot,
+    voter_count: usize,
+    /// Seconds for which a granted lease is used; shorter than the voters' lease.
+    holder_lease: f64,
+    /// When this candidate's leadership ends.
     leader_until: f64,
-    /// The ballot that it became leader with: names the term as long as that is not interrupted.
+    /// The ballot with which this candidate became leader. It identifies the term until the leadership lapses.
     term: Ballot,
+    /// The highest round seen so far, in own ballots and in those of other candidates.
     highest_round: u64,
 }
 
 impl Candidate {
-    /// A candidate that first stands for election after `wait` seconds; `wait` is best different at each. `lease` is
-    /// counted short.
+    /// Creates a candidate that first stands for election after `initial_delay` seconds, which should differ between
+    /// candidates. `holder_lease` is the duration from
+    /// [`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease), in seconds.
     pub fn start(
         now: f64,
         voter_index: u16,
         incarnation: u64,
-        voters: usize,
-        lease: f64,
-        wait: f64,
+        voter_count: usize,
+        holder_lease: f64,
+        initial_delay: f64,
     ) -> Candidate {
-        let ballot = Ballot { round: 0, voter_index, incarnation };
+        let base_ballot = Ballot { round: 0, voter_index, incarnation };
         Candidate {
-            state: CandidateState::Waiting { again_at: now + wait },
-            ballot,
-            voters,
-            lease,
+            state: CandidateState::Waiting { next_attempt_at: now + initial_delay },
+            base_ballot,
+            voter_count,
+            holder_lease,
             leader_until: f64::NEG_INFINITY,
-            term: ballot,
+            term: base_ballot,
             highest_round: 0,
         }
     }
 
-    /// The term, if it is leader at this instant.
+    /// Returns the term, if this candidate is leader at `now`.
     pub fn term(&self, now: f64) -> Option<Ballot> {
         (now < self.leader_until).then_some(self.term)
     }
 
-    /// When [`tick`](Candidate::tick) is due.
+    /// Returns when [`tick`](Candidate::tick) is due.
     pub fn next_timeout(&self) -> f64 {
         match self.state {
-            CandidateState::Waiting { again_at } => again_at,
-            CandidateState::Preparing { until, .. } | CandidateState::Accepting { until, .. } => until,
+            CandidateState::Waiting { next_attempt_at } => next_attempt_at,
+            CandidateState::Preparing { deadline, .. } | CandidateState::Accepting { deadline, .. } => {
+                deadline
+            }
         }
     }
 
-    /// Every change of the state.
+    /// Changes the state; no other function assigns it.
     fn transition(&mut self, next: CandidateState) {
         self.state = next;
     }
 
-    /// How long to wait after an attempt that failed. It differs by candidate and round, so that two that collided do not
-    /// collide for ever.
-    fn retry_wait(&self) -> f64 {
-        let spread = (u64::from(self.ballot.voter_index) * 7 + self.highest_round * 3) % 11;
-        self.lease * (0.15 + 0.02 * units_to_f64(spread))
+    /// Returns the seconds to wait after a failed attempt. The delay differs by candidate and round, so that two
+    /// candidates whose attempts collided do not collide indefinitely.
+    fn retry_delay(&self) -> f64 {
+        let step = (u64::from(self.base_ballot.voter_index) * 7 + self.highest_round * 3) % RETRY_DELAY_STEPS;
+        self.holder_lease
+            * (MIN_RETRY_DELAY_LEASE_FRACTION + RETRY_DELAY_STEP_LEASE_FRACTION * units_to_f64(step))
     }
 
-    /// Stands for election where that is due; a leader does so well before its lease is over. `other_leader` says that
-    /// another is known to be leader.
-    pub fn tick(&mut self, now: f64, other_leader: bool) -> Option<CandidateCall> {
+    /// Stands for election when an attempt is due; a leader does so well before its lease expires. `other_leader_known`
+    /// says that another member is known to be leader. Returns the request to send to all voters, if any.
+    pub fn tick(&mut self, now: f64, other_leader_known: bool) -> Option<CandidateCall> {
         if now < self.next_timeout() {
             return None;
         }
         let waiting = matches!(self.state, CandidateState::Waiting { .. });
-        if waiting && (!other_leader || self.term(now).is_some()) {
+        if waiting && (!other_leader_known || self.term(now).is_some()) {
             self.highest_round += 1;
-            let ballot = Ballot { round: self.highest_round, ..self.ballot };
-            let until = now + self.lease * ANSWER_WAIT;
-            self.transition(CandidateState::Preparing { ballot, until, promised: VoterSet::default() });
+            let ballot = Ballot { round: self.highest_round, ..self.base_ballot };
+            let deadline = now + self.holder_lease * ANSWER_TIMEOUT_LEASE_FRACTION;
+            self.transition(CandidateState::Preparing { ballot, deadline, promised: VoterSet::default() });
             return Some(CandidateCall::Prepare(ballot));
         }
-        self.transition(CandidateState::Waiting { again_at: now + self.retry_wait() });
+        self.transition(CandidateState::Waiting { next_attempt_at: now + self.retry_delay() });
         None
     }
 
-    /// A voter's reply to that ballot. Returns what to send to all voters next.
+    /// Handles a voter's reply to a request with `ballot`. Returns the next request to send to all voters, if any.
     pub fn handle_reply(
         &mut self,
         now: f64,
@@ -244,20 +260,20 @@
         ballot: Ballot,
         reply: VoterReply,
     ) -> Option<CandidateCall> {
-        if let VoterReply::Outbid(by) = reply {
-            self.highest_round = self.highest_round.max(by.round);
+        if let VoterReply::Outbid(higher) = reply {
+            self.highest_round = self.highest_round.max(higher.round);
         }
         match (self.state, reply) {
             (
-                CandidateState::Preparing { ballot: own, until, promised },
+                CandidateState::Preparing { ballot: own, deadline, promised },
                 VoterReply::Promised { held: false },
-            ) if own == ballot && now < until => {
-                self.handle_promise(now, ballot, until, promised.with(voter_index))
+            ) if own == ballot && now < deadline => {
+                self.handle_promise(now, ballot, deadline, promised.with(voter_index))
             }
-            (CandidateState::Accepting { ballot: own, sent_at, until, granted }, VoterReply::Granted)
+            (CandidateState::Accepting { ballot: own, sent_at, deadline, granted }, VoterReply::Granted)
                 if own == ballot =>
             {
-                self.handle_grant(now, ballot, (sent_at, until), granted.with(voter_index));
+                self.handle_grant(now, ballot, (sent_at, deadline), granted.with(voter_index));
                 None
             }
             _ => None,
@@ -268,50 +284,57 @@
         &mut self,
         now: f64,
         ballot: Ballot,
-        until: f64,
+        deadline: f64,
         promised: VoterSet,
     ) -> Option<CandidateCall> {
-        if !promised.is_majority_of(self.voters) {
-            self.transition(CandidateState::Preparing { ballot, until, promised });
+        if !promised.is_majority_of(self.voter_count) {
+            self.transition(CandidateState::Preparing { ballot, deadline, promised });
             return None;
         }
-        let accepted_by = now + self.lease * ANSWER_WAIT;
+        let grant_deadline = now + self.holder_lease * ANSWER_TIMEOUT_LEASE_FRACTION;
         let granted = VoterSet::default();
-        self.transition(CandidateState::Accepting { ballot, sent_at: now, until: accepted_by, granted });
+        self.transition(CandidateState::Accepting {
+            ballot,
+            sent_at: now,
+            deadline: grant_deadline,
+            granted,
+        });
         Some(CandidateCall::Accept(ballot))
     }
 
-    fn handle_grant(&mut self, now: f64, ballot: Ballot, (sent_at, until): (f64, f64), granted: VoterSet) {
-        if !granted.is_majority_of(self.voters) {
-            self.transition(CandidateState::Accepting { ballot, sent_at, until, granted });
+    fn handle_grant(&mut self, now: f64, ballot: Ballot, (sent_at, deadline): (f64, f64), granted: VoterSet) {
+        if !granted.is_majority_of(self.voter_count) {
+            self.transition(CandidateState::Accepting { ballot, sent_at, deadline, granted });
             return;
         }
-        // A term that lapsed is over, as another may have been leader since.
+        // A lapsed term is not resumed, because another candidate may have been leader since.
         if self.term(now).is_none() {
             self.term = ballot;
         }
-        self.leader_until = self.leader_until.max(sent_at + self.lease);
-        self.transition(CandidateState::Waiting { again_at: now + self.lease / RENEWALS_PER_LEASE });
+        self.leader_until = self.leader_until.max(sent_at + self.holder_lease);
+        self.transition(CandidateState::Waiting {
+            next_attempt_at: now + self.holder_lease / RENEWALS_PER_LEASE,
+        });
     }
 
-    /// A member has seen a term later than any of this candidate's: voters that started again count rounds from one. Its
-    /// own term is over, so that its next one is later than the one seen.
+    /// Handles that a member has seen a term later than any of this candidate's, which happens because restarted voters
+    /// count rounds from one again. Ends this candidate's own term, and makes its next term later than `seen`.
     pub fn observe_newer_term(&mut self, now: f64, seen: Ballot) {
         self.highest_round = self.highest_round.max(seen.round);
         self.leader_until = f64::NEG_INFINITY;
-        self.transition(CandidateState::Waiting { again_at: now });
+        self.transition(CandidateState::Waiting { next_attempt_at: now });
     }
 
-    /// Goes on as another process: its term is over, and replies to its earlier ballots count for nothing.
+    /// Continues as a process with another incarnation: ends the term and ignores replies to earlier ballots.
     pub fn restart_as(&mut self, incarnation: u64) {
-        self.ballot.incarnation = incarnation;
+        self.base_ballot.incarnation = incarnation;
         self.leader_until = f64::NEG_INFINITY;
-        self.transition(CandidateState::Waiting { again_at: self.next_timeout() });
+        self.transition(CandidateState::Waiting { next_attempt_at: self.next_timeout() });
     }
 
-    /// Is leader no longer, and stands for election never again.
+    /// Ends the leadership, and never stands for election again.
     pub fn resign(&mut self) {
         self.leader_until = f64::NEG_INFINITY;
-        self.transition(CandidateState::Waiting { again_at: f64::INFINITY });
+        self.transition(CandidateState::Waiting { next_attempt_at: f64::INFINITY });
     }
 }
--- a/crates/fleet/src/node/election_messages.rs
+++ b/crates/fleet/src/node/election_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of elections: calls of candidates to voters, and the replies.
+//! Election messages: requests of candidates to voters, and the voters' replies.
 
 use super::FleetNode;
 use crate::election::{Ballot, CandidateCall, VoterReply};
--- a/crates/fleet/src/node/elections.rs
+++ b/crates/fleet/src/node/elections.rs
@@ -1,15 +1,15 @@
-//! A node's part in elections: its voter and its candidate, if it is one of the voters.
+//! The voter and the candidate of a node that is one of the voters.
 
 use crate::election::{Ballot, Candidate, CandidateCall, Voter, VoterReply};
 use crate::settings::FleetConfig;
 
-/// Candidates first stand for election one after the other, so much of a lease apart.
-const FIRST_ELECTION_STEP: f64 = 0.1;
+/// Delay between the first attempts of two candidates with adjacent voter indices, as a fraction of the leader lease.
+const FIRST_ELECTION_STAGGER_LEASE_FRACTION: f64 = 0.1;
 
 pub(super) struct Elections {
     voter: Option<Voter>,
     candidate: Option<Candidate>,
-    /// As of the last [`leadership_change`](Elections::leadership_change).
+    /// Whether this process was leader at the last [`leadership_change`](Elections::leadership_change).
     was_leader: bool,
 }
 
@@ -18,21 +18,22 @@
         let (lease, voters) = (config.leader_lease, config.voters.len());
         let voter = config.voter_index().map(|_| Voter::start(now, lease));
         let candidate = config.voter_index().map(|voter_index| {
-            // Before a whole lease no voter that has just started grants anything.
-            let wait = lease * (1.0 + FIRST_ELECTION_STEP * f64::from(voter_index));
-            Candidate::start(now, voter_index, incarnation, voters, config.holder_lease(lease), wait)
+            // A voter that has just started grants nothing for one full lease.
+            let initial_delay =
+                lease * (1.0 + FIRST_ELECTION_STAGGER_LEASE_FRACTION * f64::from(voter_index));
+            Candidate::start(now, voter_index, incarnation, voters, config.holder_lease(lease), initial_delay)
         });
         Elections { voter, candidate, was_leader: false }
     }
 
-    /// The voter remembers what it granted; the candidate begins anew.
+    /// Continues as a process with another incarnation. The voter keeps its grant; the candidate starts over.
     pub(super) fn restart_as(&mut self, incarnation: u64) {
         if let Some(candidate) = &mut self.candidate {
             candidate.restart_as(incarnation);
         }
     }
 
-    /// The term, if this process is leader at this instant.
+    /// Returns the term, if this process is leader at `now`.
     pub(super) fn term(&self, now: f64) -> Option<Ballot> {
         self.candidate.as_ref().and_then(|candidate| candidate.term(now))
     }
@@ -41,14 +42,14 @@
         self.voter.is_some()
     }
 
-    /// Whom this voter has granted the leader's lease to.
+    /// Returns the ballot to which this node's voter has granted the leader lease.
     pub(super) fn known_leader(&self, now: f64) -> Option<Ballot> {
         self.voter.as_ref().and_then(|voter| voter.holder(now))
     }
 
     pub(super) fn tick(&mut self, now: f64) -> Option<CandidateCall> {
-        let other_leader = self.term(now).is_none() && self.known_leader(now).is_some();
-        self.candidate.as_mut()?.tick(now, other_leader)
+        let other_leader_known = self.term(now).is_none() && self.known_leader(now).is_some();
+        self.candidate.as_mut()?.tick(now, other_leader_known)
     }
 
     pub(super) fn handle_call(&mut self, now: f64, call: CandidateCall) -> Option<VoterReply> {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Whether this process is leader, if that changed since the last call.
+    /// Returns whether this process is leader, if that has changed since the last call.
     pub(super) fn leadership_change(&mut self, now: f64) -> Option<bool> {
         let is_leader = self.term(now).is_some();
         let changed = std::mem::replace(&mut self.was_leader, is_leader) != is_leader;
