--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -1,11 +1,11 @@
-//! The leader's record of the units that every router may spend, and the grants that follow from it.
+//! The leader's record of the units that each router may spend, and the grants that follow from it.
 //!
-//! Why the sum stays within the total: a lease is counted until the leader's own time for it is over, or until its holder
-//! has reported that it goes by a newer grant. Operations in flight are counted for their holder even when its lease is
-//! over. A new leader knows nothing of what its predecessor granted. Until all of that must be over it only renews what
-//! each holder reports that it holds *now*, in a request that names the new term: all of that is still in the
-//! predecessor's ledger, to which nothing is added any more, so the old leases and their renewals together stay within
-//! the total.
+//! The sum of all routers' units stays within the total for these reasons. A lease is counted until it expires by the
+//! leader's own clock, or until its holder has reported that it uses a newer grant. Operations in flight are counted for
+//! their holder even after its lease has expired. A new leader has no record of its predecessor's grants. Until all of
+//! them must have expired, it only renews the units that each holder reports to hold *now*, in a request that names the
+//! new term. All of these units are still in the predecessor's ledger, to which no more are added, so the old leases and
+//! their renewals together stay within the total.
 
 use std::collections::BTreeMap;
 
@@ -16,106 +16,106 @@
 use crate::election::Ballot;
 use crate::settings::{Budget, FleetConfig, Process};
 
-/// Accounts that are kept at most, some forty megabytes. Requests beyond them are refused.
-const ACCOUNTS_AT_MOST: usize = 200_000;
-/// An account of which nothing is outstanding is kept so many leases after its holder was last heard.
-const IDLE_LEASES: f64 = 2.0;
+/// Largest number of accounts, which take about 40 MB. Requests that need another account are refused.
+const MAX_ACCOUNTS: usize = 200_000;
+/// Leases after its holder's last request for which an account without outstanding units is kept.
+const IDLE_ACCOUNT_RETENTION_LEASES: f64 = 2.0;
 
 /// One value for each of the two pools that a budget is divided into.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pools<T> {
-    /// Of the pool that is divided by demand.
+    /// The value for the pool that is divided by demand.
     pub demand: T,
-    /// Of the pool that is reserved for floors.
+    /// The value for the pool that is reserved for floors.
     pub floor: T,
 }
 
 impl<T> Pools<T> {
-    /// The same function applied to both values.
+    /// Applies a function to both values.
     pub fn map<U>(self, mut each: impl FnMut(T) -> U) -> Pools<U> {
         Pools { demand: each(self.demand), floor: each(self.floor) }
     }
 }
 
 impl Pools<u64> {
-    /// Units of both pools.
+    /// Returns the units of both pools together.
     pub fn sum(self) -> u64 {
         self.demand + self.floor
     }
 }
 
-/// Names a budget, and its subject where there is one budget for each.
+/// Identifies a budget, and its subject if the budget applies separately to each subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetKey {
     /// The budget's id.
     pub budget: u64,
-    /// The label of the subject; zero where there is none.
+    /// The [`label`](crate::settings::label) of the subject; zero if the budget has none.
     pub subject: u64,
 }
 
-/// What a holder reports of its lease of one pool.
+/// A holder's report of its lease of one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldQuota {
-    /// Units; zero once the lease is over.
+    /// Units held; zero once the lease has expired.
     pub units: u64,
-    /// The newest grant that it goes by; zero if that was made in an earlier term, or never.
+    /// Serial of the newest grant that the holder uses; zero if there is none, or if it was made in an earlier term.
     pub serial: u64,
 }
 
-/// What a holder asks for of one budget.
+/// A holder's report and request for one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetRequest {
     /// The budget.
     pub key: BudgetKey,
-    /// The total by the holder's own settings.
+    /// The total in the holder's own settings.
     pub total: u64,
-    /// Units that it could use.
+    /// Units that the holder could use.
     pub demand: u64,
-    /// Units that it has in use.
+    /// Units that the holder has in use.
     pub in_use: u64,
-    /// What it holds now.
+    /// Units that the holder has leases for now.
     pub held: Pools<HeldQuota>,
 }
 
-/// Units that a holder may spend, in place of all that was granted to it before.
+/// Units that a holder may spend. A grant replaces all earlier grants of its budget to the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The budget.
     pub key: BudgetKey,
     /// The total that was divided.
     pub total: u64,
-    /// Units of each pool.
+    /// Units granted of each pool.
     pub units: Pools<u64>,
-    /// Numbers the grants of a term.
+    /// Sequence number of the grant within its term.
     pub serial: u64,
 }
 
-/// Why nothing was granted.
+/// Reason for which a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// No budget of this id is in the leader's settings.
+    /// The leader's settings contain no budget with this id.
     #[error("no budget has the id {0:016x}")]
     UnknownBudget(u64),
     /// The ledger is full.
-    #[error("the ledger holds {ACCOUNTS_AT_MOST} accounts, which is its limit")]
+    #[error("the ledger is full: it holds {MAX_ACCOUNTS} accounts")]
     LedgerFull,
-    /// The request was overtaken by a later one of the same holder.
-    #[error("request {0} came after a later one")]
+    /// A later request of the same holder arrived first.
+    #[error("request {0} arrived after a later request of the same holder")]
     OutOfOrder(u64),
 }
 
-/// One holder's part of one budget, for operators.
+/// One holder's account of one budget, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LedgerLine {
     /// The budget.
     pub key: BudgetKey,
-    /// Who holds it.
+    /// The process that holds the units.
     pub holder: Process,
-    /// Units that it may have in use, by pool.
+    /// Units that the holder may have in use, by pool.
     pub outstanding: Pools<u64>,
-    /// Units that it reported to be in use.
+    /// Units that the holder reported to be in use.
     pub in_use: u64,
-    /// Units that it could use.
+    /// Units that the holder could use.
     pub demand: u64,
 }
 
@@ -131,12 +131,12 @@
     }
 }
 
-/// What one holder may have of one pool.
+/// Units that one holder may have of one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct PoolAccount {
-    /// What the holder goes by, as it last reported.
+    /// The lease that the holder last reported to use.
     reported: Lease,
-    /// The most of what was granted since; the holder may go by it already.
+    /// The largest number of units granted since then, which the holder may already use.
     granted: Lease,
 }
 
@@ -145,7 +145,8 @@
         self.reported.units_at(now).max(self.granted.units_at(now))
     }
 
-    /// A holder that goes by the newest grant goes by no older one again, so all of those are over.
+    /// Records the lease that the holder reports. Drops the earlier leases once the holder uses the newest grant, because
+    /// it never returns to an older one.
     fn confirm(&mut self, held: HeldQuota, newest_serial: u64) {
         if held.serial >= newest_serial {
             let expires_at = self.granted.expires_at.max(self.reported.expires_at);
@@ -159,25 +160,26 @@
     }
 }
 
-/// One holder's part of one budget.
+/// One holder's account of one budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Account {
     pools: Pools<PoolAccount>,
-    /// Units in use, which count even when no lease covers them.
+    /// Units in use, which are counted even if no lease covers them.
     in_use: Lease,
     demand: u64,
     total: u64,
-    /// The last grant, and the request that it answered.
+    /// Serial of the last grant.
     serial: u64,
+    /// The last request.
     request_id: u64,
-    /// The last grant with a unit of the demand pool.
+    /// Serial of the last grant that contained a unit of the demand pool.
     last_served: u64,
-    heard_at: f64,
+    last_request_at: f64,
 }
 
 impl Account {
-    /// Units that this holder may have in use. Units in use beyond its floor count with the demand pool, as a lease that
-    /// is over leaves operations in flight.
+    /// Returns the units that this holder may have in use. Units in use beyond its floor count towards the demand pool,
+    /// because operations may stay in flight after their lease has expired.
     fn outstanding(&self, now: f64) -> Pools<u64> {
         let leased = self.pools.map(|pool| pool.outstanding(now));
         let beyond_floor = self.in_use.units_at(now).saturating_sub(leased.floor);
@@ -194,11 +196,12 @@
         if request_id <= self.request_id {
             return Err(RequestError::OutOfOrder(request_id));
         }
-        (self.request_id, self.heard_at) = (request_id, now);
+        (self.request_id, self.last_request_at) = (request_id, now);
         (self.demand, self.total) = (request.demand, request.total);
         self.pools.demand.confirm(request.held.demand, self.serial);
         self.pools.floor.confirm(request.held.floor, self.serial);
-        // What is in use now ends within the hold; what begins from now on is within the lease, which counts itself.
+        // Operations in use now end within `hold`. Those that begin later are covered by the lease, which is counted
+        // separately.
         self.in_use = Lease { units: request.in_use, expires_at: now + hold };
         Ok(())
     }
@@ -212,34 +215,34 @@
         }
     }
 
-    /// The holder spends nothing more; what it has in flight ends within the hold.
-    fn record_leaving(&mut self, now: f64, request_id: u64, hold: f64) {
-        // A request that was sent before and comes later would report fewer units in use.
+    /// Records that the holder spends no more units. Its operations in flight end within `hold` seconds.
+    fn record_leave(&mut self, now: f64, request_id: u64, hold: f64) {
+        // Rejects requests that were sent earlier and arrive later, which would report fewer units in use.
         self.request_id = self.request_id.max(request_id);
-        // What it began since its last report was within its leases.
+        // Operations that began since the last report are covered by the holder's leases.
         let units = self.outstanding(now).sum();
         self.pools = Pools::default();
         self.in_use = Lease { units, expires_at: now + hold };
-        (self.demand, self.heard_at) = (0, f64::NEG_INFINITY);
+        (self.demand, self.last_request_at) = (0, f64::NEG_INFINITY);
     }
 }
 
 type Accounts = BTreeMap<Process, Account>;
 
-/// The ledger of one term of one leader.
+/// The ledger of one leader's term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaLedger {
     term: Ballot,
     opened_at: f64,
-    /// By budget and holder.
+    /// Accounts by budget and holder.
     accounts: BTreeMap<BudgetKey, Accounts>,
     account_count: usize,
     last_serial: u64,
-    swept_at: f64,
+    last_sweep_at: f64,
 }
 
 impl QuotaLedger {
-    /// An empty ledger of a term that begins now.
+    /// Creates an empty ledger for a term that begins now.
     pub fn new(now: f64, term: Ballot) -> QuotaLedger {
         QuotaLedger {
             term,
@@ -247,28 +250,29 @@
             accounts: BTreeMap::new(),
             account_count: 0,
             last_serial: 0,
-            swept_at: now,
+            last_sweep_at: now,
         }
     }
 
-    /// The term that it belongs to.
+    /// Returns the term that this ledger belongs to.
     pub fn term(&self) -> Ballot {
         self.term
     }
 
-    /// When everything that an earlier leader granted for `lease` seconds must be over. Until then leases are renewed
-    /// and none grows.
+    /// Returns when all grants of earlier leaders for `lease` seconds must have ended, along with their operations, which
+    /// may last `hold` seconds longer. Until then leases are renewed but not increased.
     pub fn settled_at(&self, lease: f64, hold: f64) -> f64 {
         self.opened_at + lease + hold
     }
 
-    /// Records what a holder reports and grants what there is for it.
+    /// Records a holder's report and grants the units available to it.
     ///
-    /// The holder has to name this ledger's term in its request: what it reports was then in the predecessor's ledger
-    /// when this term began, and is no older. `request_id` grows with each request of a holder.
+    /// The holder has to name this ledger's term in its request. This ensures that the units it reports were in the
+    /// predecessor's ledger when this term began, and that the report is no older. `request_id` increases with each
+    /// request of a holder.
     ///
     /// # Errors
-    /// [`RequestError`]; nothing is granted, and what was granted before stays.
+    /// Returns a [`RequestError`] if nothing is granted; earlier grants stay valid.
     pub fn request(
         &mut self,
         now: f64,
@@ -287,7 +291,7 @@
         let accounts = self.accounts.entry(request.key).or_default();
         let account = accounts.entry(holder.clone()).or_default();
         account.record_request(now, request_id, request, hold)?;
-        let division = Division { now, config, budget, accounts };
+        let division = BudgetDivision { now, config, budget, accounts };
         let total = division.total();
         let units = division.grant(total, holder, request.held, settled);
         self.last_serial += 1;
@@ -301,7 +305,7 @@
         if self.accounts.get(&key).is_some_and(|accounts| accounts.contains_key(holder)) {
             return Ok(());
         }
-        if self.account_count >= ACCOUNTS_AT_MOST {
+        if self.account_count >= MAX_ACCOUNTS {
             return Err(RequestError::LedgerFull);
         }
         self.account_count += 1;
@@ -314,33 +318,35 @@
         for (key, accounts) in &mut self.accounts {
             let hold = config.budget(key.budget).map_or(0.0, |budget| budget.kind.hold());
             if let Some(account) = accounts.get_mut(holder) {
-                account.record_leaving(now, request_id, hold);
+                account.record_leave(now, request_id, hold);
             }
         }
     }
 
-    /// Once in a lease, drops accounts of which nothing is outstanding and whose holder is silent.
+    /// Removes accounts that have no outstanding units and whose holder has stopped sending requests; runs at most once
+    /// in a lease.
     fn sweep(&mut self, now: f64, config: &FleetConfig) {
-        if now < self.swept_at + config.lease {
+        if now < self.last_sweep_at + config.lease {
             return;
         }
-        self.swept_at = now;
+        self.last_sweep_at = now;
         for accounts in self.accounts.values_mut() {
             accounts.retain(|_, account| {
-                account.outstanding(now).sum() > 0 || now < account.heard_at + IDLE_LEASES * config.lease
+                account.outstanding(now).sum() > 0
+                    || now < account.last_request_at + IDLE_ACCOUNT_RETENTION_LEASES * config.lease
             });
         }
         self.accounts.retain(|_, accounts| !accounts.is_empty());
         self.account_count = self.accounts.values().map(BTreeMap::len).sum();
     }
 
-    /// Units of a budget that all holders together may have in use.
+    /// Returns the units of a budget that all holders together may have in use.
     pub fn outstanding(&self, now: f64, key: BudgetKey) -> u64 {
         let accounts = self.accounts.get(&key).into_iter().flat_map(BTreeMap::values);
         accounts.map(|account| account.outstanding(now).sum()).sum()
     }
 
-    /// Every holder's part of every budget.
+    /// Returns every holder's account of every budget.
     pub fn lines(&self, now: f64) -> Vec<LedgerLine> {
         let mut lines = Vec::with_capacity(self.account_count);
         for (key, accounts) in &self.accounts {
@@ -356,23 +362,23 @@
     }
 }
 
-/// One division of one budget among its holders.
-struct Division<'a> {
+/// The inputs for dividing one budget among its holders.
+struct BudgetDivision<'a> {
     now: f64,
     config: &'a FleetConfig,
     budget: &'a Budget,
     accounts: &'a Accounts,
 }
 
-impl Division<'_> {
-    /// Members whose settings differ go by the smallest total of those that are heard.
+impl BudgetDivision<'_> {
+    /// Returns the total to divide: the smallest one in the settings of the leader and of all active holders.
     fn total(&self) -> u64 {
-        let heard = self.accounts.values().filter(|account| self.is_heard(account));
-        heard.fold(self.budget.total, |total, account| total.min(account.total))
+        let active = self.accounts.values().filter(|account| self.is_active(account));
+        active.fold(self.budget.total, |total, account| total.min(account.total))
     }
 
-    /// Units for that holder: its share, and no more than all others leave. Until a pool has settled, what it reports to
-    /// hold takes the place of its share.
+    /// Returns the units for `holder`: its share, limited to the units that all other holders leave. Until a pool has
+    /// settled, the units that the holder reports to hold are used in place of its share.
     fn grant(
         &self,
         total: u64,
@@ -400,10 +406,10 @@
         })
     }
 
-    /// The holder's share by demand, among all that are heard.
+    /// Returns the holder's share by demand among all active holders.
     fn fair_share(&self, holder: &Process, shared: u64) -> u64 {
         let demand = |account: &Account| Demand {
-            units: if self.is_heard(account) { account.demand } else { 0 },
+            units: if self.is_active(account) { account.demand } else { 0 },
             last_served: account.last_served,
         };
         let demands: Vec<Demand> = self.accounts.values().map(demand).collect();
@@ -411,7 +417,8 @@
         index.map_or(0, |index| allocate(shared, &demands)[index])
     }
 
-    fn is_heard(&self, account: &Account) -> bool {
-        self.now < account.heard_at + self.config.lease
+    /// Whether the account's holder has sent a request within the last lease.
+    fn is_active(&self, account: &Account) -> bool {
+        self.now < account.last_request_at + self.config.lease
     }
 }
