--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -1,6 +1,6 @@
-//! Messages between members, and the envelope that they travel in.
+//! Messages between members, and the envelope that carries them.
 //!
-//! Members of different releases talk to each other: the order of variants and fields is the wire format, and stays.
+//! The order of variants and fields is the wire format between members of different releases and must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
 use crate::quota_ledger::{BudgetRequest, Grant};
 use crate::settings::Process;
 
-/// Requests are numbered from one. This number in [`NotLeader`] says that it answers no request.
+/// The `request_id` of a [`NotLeader`] that answers no request. The ids of requests start at 1.
 pub const NO_REQUEST: u64 = 0;
 
 /// A message between two members.
@@ -16,93 +16,93 @@
 pub enum Message {
     /// A datagram of the membership protocol.
     Membership(Vec<u8>),
-    /// A candidate asks a voter for its promise.
+    /// A candidate's request for a voter's promise.
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
         /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
         electorate: u64,
     },
-    /// A candidate asks a voter for the leader's lease.
+    /// A candidate's request for the leader lease.
     Accept {
         /// The candidate's ballot.
         ballot: Ballot,
         /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
         electorate: u64,
     },
-    /// A voter answers a candidate.
+    /// A voter's answer to a candidate.
     VoterReply {
-        /// The ballot that it answers.
+        /// The ballot of the request that it answers.
         ballot: Ballot,
         /// The answer.
         reply: VoterReply,
     },
-    /// A router asks the leader for units.
+    /// A router's request for units.
     QuotaRequest(QuotaRequest),
-    /// The leader grants units.
+    /// The leader's answer to a request for units.
     QuotaReply(QuotaReply),
-    /// Whoever was asked is not leader.
+    /// The answer of a member that is not leader to a request for units.
     NotLeader(NotLeader),
 }
 
 /// A router's request for units of some budgets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Grows with each request of a process.
+    /// Increases with each request of a process, starting at 1.
     pub request_id: u64,
-    /// The newest term that the router has heard of.
+    /// The newest term that the router knows.
     pub seen: Ballot,
     /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
     pub electorate: u64,
-    /// The router leaves and gives everything back.
+    /// Whether the router leaves and releases all its leases.
     pub leaving: bool,
-    /// What it reports and asks for, budget by budget.
+    /// The router's report and request for each budget.
     pub budgets: Vec<BudgetRequest>,
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// The request that it answers.
+    /// The id of the request that it answers.
     pub request_id: u64,
-    /// The incarnation of the process that asked.
+    /// The incarnation of the process that sent the request.
     pub to: u64,
     /// The leader's term.
     pub term: Ballot,
-    /// What is granted. Nothing is, until the router's request names this term.
+    /// The grants; empty unless the router's request names this term.
     pub grants: Vec<Grant>,
 }
 
 /// The answer of a member that is not leader.
 ///
-/// With [`NO_REQUEST`] it is sent to a process whose name has a larger incarnation by what the sender knows: `to` is that
-/// incarnation.
+/// With [`NO_REQUEST`] as `request_id` it tells a process that the sender knows a larger incarnation of the process's name;
+/// `to` is that larger incarnation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NotLeader {
-    /// The request that it answers, or [`NO_REQUEST`].
+    /// The id of the request that it answers, or [`NO_REQUEST`].
     pub request_id: u64,
-    /// The incarnation of the process that asked.
+    /// The incarnation of the process that sent the request.
     pub to: u64,
-    /// The name of the leader, if it is known.
+    /// The name of the leader, if known.
     pub leader: Option<String>,
 }
 
-/// A message with its sender and its receiver.
+/// A message with its sender and its recipient.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sending process.
     pub from: Process,
-    /// The name of the member that it is for.
+    /// The name of the receiving member.
     pub to: String,
-    /// Grows with each envelope of a process; zero for one that a member sends to itself.
+    /// Increases with each envelope of a process; zero for one that a member sends to itself.
     pub(crate) sequence: u64,
     /// The message.
     pub message: Message,
 }
 
 impl Envelope {
-    /// An envelope that a member sends to itself.
-    pub fn to_itself(process: Process, message: Message) -> Envelope {
+    /// Creates an envelope that a member sends to itself.
+    pub fn loopback(process: Process, message: Message) -> Envelope {
         Envelope { to: process.name.clone(), from: process, sequence: 0, message }
     }
 }
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -1,4 +1,4 @@
-//! What this router may spend of one budget, checked against the clock at the moment of spending.
+//! The units of one budget that this router may spend, checked against the clock whenever a unit is acquired.
 
 use std::collections::VecDeque;
 
@@ -7,32 +7,32 @@
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
 use crate::settings::Kind;
 
-/// Seconds over which demand is measured: short beside a lease, so that a share follows its router's traffic.
-const SAMPLE_PERIOD: f64 = 0.5;
-/// Factor on the measured demand, so that there is room until the next answer.
-const HEADROOM: f64 = 1.25;
-/// A demand below this many units is none.
-const NEGLIGIBLE_DEMAND: f64 = 0.01;
-/// Sample periods without demand after which a quota is idle.
-const IDLE_SAMPLES: f64 = 20.0;
+/// Period over which demand is measured. It is short compared to a lease, so that a router's share follows its traffic.
+const DEMAND_SAMPLE_PERIOD_SECONDS: f64 = 0.5;
+/// Factor applied to the measured demand, to leave room for growth until the next grant.
+const DEMAND_HEADROOM_FACTOR: f64 = 1.25;
+/// Demand below this many units is treated as none.
+const NEGLIGIBLE_DEMAND_UNITS: f64 = 0.01;
+/// Age of the last demand sample, in sample periods, after which a quota without demand is idle.
+const IDLE_SAMPLE_PERIODS: f64 = 20.0;
 
-/// What a router has of a budget.
+/// Which units of a budget a router may spend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaState {
-    /// Nothing may be spent.
+    /// No units may be spent.
     Empty,
     /// Only the floor may be spent.
     Floor,
-    /// A share of the demand pool may be spent.
+    /// Units of the demand pool may be spent.
     Part,
 }
 
-/// A request to the leader.
+/// A request that was sent to the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentRequest {
-    /// Grows with each request of a process.
+    /// Increases with each request of a process.
     pub id: u64,
-    /// When it was sent: leases that are granted in answer to it count from then.
+    /// When the request was sent, in seconds. Leases granted in answer to it count from then.
     pub sent_at: f64,
 }
 
@@ -40,8 +40,9 @@
 struct Lease {
     units: u64,
     expires_at: f64,
-    /// The grant that it comes from, and that grant's term.
+    /// Serial of the grant that the lease comes from.
     serial: u64,
+    /// Term of that grant.
     term: Ballot,
 }
 
@@ -51,39 +52,40 @@
     }
 }
 
-/// One router's part of one budget.
+/// One router's quota of one budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalQuota {
     kind: Kind,
-    /// The total by this router's own settings: a bound on what it spends whatever a leader grants.
+    /// The total in this router's own settings, which bounds its spending regardless of the leader's grants.
     total: u64,
     leases: Pools<Lease>,
     state: QuotaState,
-    /// Tokens of a rate, as of `refreshed_at`.
+    /// Tokens of a rate budget, as of `refreshed_at`.
     tokens: f64,
     refreshed_at: f64,
-    /// Operations of a concurrency limit that are in flight.
+    /// Operations of a concurrency budget that are in flight.
     in_flight: u64,
-    /// When each operation that was given up, and may be running still, has ended at the latest; in order.
+    /// Latest end of each abandoned operation that may still be running, in ascending order.
     lingering: VecDeque<f64>,
-    /// Units asked for, and the most in use, since the last sample.
-    wanted: f64,
+    /// Units that callers tried to acquire since the last sample.
+    requested_units: f64,
+    /// Largest number of units in use or denied since the last sample.
     peak_in_use: f64,
-    /// Demand by the last samples.
+    /// Smoothed demand of the recent samples, in units.
     recent_demand: f64,
     sampled_at: f64,
-    /// Units that something waits for, until the next request.
+    /// Units that callers are waiting for; reset by the next request.
     waiting: u64,
     denied_since_request: u64,
-    /// Answers to requests up to this one are not applied: they may grant what the ledger no longer counts.
-    ignored_request_id: u64,
+    /// Grants in answer to requests up to this one are ignored, because the ledger may no longer count their units.
+    last_ignored_request_id: u64,
     acquired: u64,
     denied: u64,
 }
 
 impl LocalQuota {
-    /// A quota with no lease. Answers to requests up to `ignored_request_id` are not applied to it.
-    pub fn new(now: f64, kind: Kind, total: u64, ignored_request_id: u64) -> LocalQuota {
+    /// Creates a quota without a lease. Grants in answer to requests up to `last_ignored_request_id` are ignored.
+    pub fn new(now: f64, kind: Kind, total: u64, last_ignored_request_id: u64) -> LocalQuota {
         LocalQuota {
             kind,
             total,
@@ -93,34 +95,34 @@
             refreshed_at: now,
             in_flight: 0,
             lingering: VecDeque::new(),
-            wanted: 0.0,
+            requested_units: 0.0,
             peak_in_use: 0.0,
             recent_demand: 0.0,
             sampled_at: now,
             waiting: 0,
             denied_since_request: 0,
-            ignored_request_id,
+            last_ignored_request_id,
             acquired: 0,
             denied: 0,
         }
     }
 
-    /// Units that may be in use now, of both pools.
+    /// Returns the units of both pools that may be in use now.
     pub fn spendable(&self, now: f64) -> u64 {
         self.leased(now).sum().min(self.total)
     }
 
-    /// Units that are leased now.
+    /// Returns the units that are leased now.
     pub fn leased(&self, now: f64) -> Pools<u64> {
         self.leases.map(|lease| lease.units_at(now))
     }
 
-    /// When the leases expire.
+    /// Returns when the leases expire.
     pub fn expires_at(&self) -> Pools<f64> {
         self.leases.map(|lease| lease.expires_at)
     }
 
-    /// Brings the state up to date; true if it changed.
+    /// Updates the state; returns whether it changed.
     pub fn update_state(&mut self, now: f64) -> bool {
         let leased = self.leased(now);
         let next = match (leased.demand, leased.floor) {
@@ -131,13 +133,13 @@
         std::mem::replace(&mut self.state, next) != next
     }
 
-    /// The state as of the last [`update_state`](LocalQuota::update_state).
+    /// Returns the state as of the last [`update_state`](LocalQuota::update_state).
     pub fn state(&self) -> QuotaState {
         self.state
     }
 
-    /// Ends what has lingered long enough, and refills tokens up to now. Time that has passed counts by what may be spent
-    /// now, so a lease that expired meanwhile earns nothing.
+    /// Removes lingering operations that must have ended, and refills tokens up to now. The elapsed time adds
+    /// tokens at the rate of the units that may be spent now, so a lease that has expired meanwhile adds none.
     fn refresh(&mut self, now: f64) {
         while self.lingering.front().is_some_and(|ended_at| *ended_at <= now) {
             self.lingering.pop_front();
@@ -150,29 +152,29 @@
         self.refreshed_at = now.max(self.refreshed_at);
     }
 
-    /// Units in use, those included that may be running still.
+    /// Returns the units in use, including those of abandoned operations that may still be running.
     pub fn in_use(&self) -> u64 {
         self.in_flight + self.lingering()
     }
 
-    /// Units in use as of now.
+    /// Returns the units in use as of `now`.
     pub fn in_use_at(&mut self, now: f64) -> u64 {
         self.refresh(now);
         self.in_use()
     }
 
-    /// Units in use whose end is not confirmed: each counts for the whole hold.
+    /// Returns the units in use by abandoned operations whose end is not confirmed. Each is counted for the full hold.
     pub fn lingering(&self) -> u64 {
         self.lingering.len() as u64
     }
 
-    /// Tokens of a rate that can be spent now.
+    /// Returns the tokens of a rate budget that can be spent now.
     pub fn tokens(&mut self, now: f64) -> f64 {
         self.refresh(now);
         self.tokens
     }
 
-    /// Whether a unit could be acquired now.
+    /// Returns whether a unit could be acquired now.
     pub fn is_available(&mut self, now: f64) -> bool {
         self.refresh(now);
         match self.kind {
@@ -181,11 +183,11 @@
         }
     }
 
-    /// Acquires a unit; false if there is none. `now` has to be read from the clock for this call.
+    /// Acquires a unit; returns false if none is available. `now` must be read from the clock for this call.
     #[must_use]
     pub fn acquire(&mut self, now: f64) -> bool {
         let acquired = self.is_available(now);
-        self.wanted += 1.0;
+        self.requested_units += 1.0;
         if acquired {
             self.acquired += 1;
             match self.kind {
@@ -196,13 +198,13 @@
             self.denied_since_request += 1;
             self.denied += 1;
         }
-        let wanted_now = units_to_f64(self.in_use() + self.denied_since_request);
-        self.peak_in_use = self.peak_in_use.max(wanted_now);
+        let in_use_or_denied = units_to_f64(self.in_use() + self.denied_since_request);
+        self.peak_in_use = self.peak_in_use.max(in_use_or_denied);
         acquired
     }
 
-    /// Releases a unit of a concurrency limit. Unless its end is `confirmed`, it counts for the whole hold, as what was
-    /// given up may be running still.
+    /// Releases a unit of a concurrency budget. Unless the end of its operation is `confirmed`, the unit is counted for
+    /// the full hold, because an abandoned operation may still be running.
     pub fn release(&mut self, now: f64, confirmed: bool) {
         let Kind::Concurrency { hold } = self.kind else { return };
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -211,45 +213,50 @@
         }
     }
 
-    /// Notes that something waits for so many units beyond those in use; the next request asks for them.
+    /// Records that callers wait for `units` units beyond those in use. The next request includes them in the demand.
     pub fn note_waiting(&mut self, units: u64) {
         self.denied_since_request = self.denied_since_request.max(units);
         self.waiting = self.waiting.max(units);
         self.peak_in_use = self.peak_in_use.max(units_to_f64(self.in_use() + units));
     }
 
-    /// Whether anything was denied since the last request.
-    pub fn is_short(&self) -> bool {
+    /// Returns whether units were denied or waited for since the last request.
+    pub fn has_unmet_demand(&self) -> bool {
         self.denied_since_request > 0
     }
 
-    /// Units to ask for in a request that is sent now, by recent demand; zero where there was none.
+    /// Returns the units to ask for in a request that is sent now, from the recent demand; zero if there was none. Resets
+    /// the denied and waiting units.
     pub fn take_demand(&mut self, now: f64) -> u64 {
         self.refresh(now);
         self.sample_demand(now);
         self.denied_since_request = 0;
         let waiting = std::mem::take(&mut self.waiting);
         let demand = self.recent_demand.max(units_to_f64(self.in_use() + waiting));
-        if demand < NEGLIGIBLE_DEMAND { 0 } else { whole_units((demand * HEADROOM).max(demand.ceil())) }
+        if demand < NEGLIGIBLE_DEMAND_UNITS {
+            0
+        } else {
+            whole_units((demand * DEMAND_HEADROOM_FACTOR).max(demand.ceil()))
+        }
     }
 
-    /// Demand that grows counts at once, demand that falls over a sample period or two.
+    /// Updates the recent demand. An increase takes effect at once, a decrease over one or two sample periods.
     fn sample_demand(&mut self, now: f64) {
-        let span = now - self.sampled_at;
-        if span < SAMPLE_PERIOD / 2.0 {
+        let elapsed = now - self.sampled_at;
+        if elapsed < DEMAND_SAMPLE_PERIOD_SECONDS / 2.0 {
             return;
         }
         let sample = match self.kind {
-            Kind::Rate { every } => self.wanted * every / span,
+            Kind::Rate { every } => self.requested_units * every / elapsed,
             Kind::Concurrency { .. } => self.peak_in_use,
         };
-        let weight = (span / SAMPLE_PERIOD).min(1.0);
+        let weight = (elapsed / DEMAND_SAMPLE_PERIOD_SECONDS).min(1.0);
         let smoothed = self.recent_demand + weight * (sample - self.recent_demand);
         self.recent_demand = sample.max(smoothed);
-        (self.wanted, self.peak_in_use, self.sampled_at) = (0.0, units_to_f64(self.in_use()), now);
+        (self.requested_units, self.peak_in_use, self.sampled_at) = (0.0, units_to_f64(self.in_use()), now);
     }
 
-    /// What to report of the leases to a leader of that term.
+    /// Returns the leases to report to the leader of `term`.
     pub fn held(&self, now: f64, term: Ballot) -> Pools<HeldQuota> {
         self.leases.map(|lease| {
             let serial = if lease.term == term { lease.serial } else { 0 };
@@ -257,8 +264,9 @@
         })
     }
 
-    /// Goes by a grant, unless a newer one came before. The leases last `durations` seconds from when `request`, which the
-    /// grant answers, was sent. True if less may be spent than before: the leader has to hear of that.
+    /// Replaces the leases by those of a grant, unless a newer grant was applied before. The leases last `durations`
+    /// seconds from when `request`, which the grant answers, was sent. Returns whether fewer units may be spent than
+    /// before, which the router has to report to the leader.
     #[must_use]
     pub fn apply_grant(
         &mut self,
@@ -269,7 +277,8 @@
         durations: Pools<f64>,
     ) -> bool {
         let newest = self.leases.demand;
-        if request.id <= self.ignored_request_id || (term, grant.serial) <= (newest.term, newest.serial) {
+        if request.id <= self.last_ignored_request_id || (term, grant.serial) <= (newest.term, newest.serial)
+        {
             return false;
         }
         self.refresh(now);
@@ -289,43 +298,45 @@
         after.demand < before.demand || after.floor < before.floor
     }
 
-    /// Gives all leases back, for good.
+    /// Releases all leases permanently: later grants are ignored.
     pub fn release_all(&mut self, now: f64) {
         self.drop_leases(now, u64::MAX);
     }
 
-    /// Drops all leases, and ignores answers to requests up to that one. What is in use stays so.
-    pub fn drop_leases(&mut self, now: f64, ignored_request_id: u64) {
+    /// Drops all leases, and ignores grants in answer to requests up to `last_ignored_request_id`. Units in use are still
+    /// counted.
+    pub fn drop_leases(&mut self, now: f64, last_ignored_request_id: u64) {
         self.leases = Pools::default();
-        self.ignored_request_id = ignored_request_id;
+        self.last_ignored_request_id = last_ignored_request_id;
         self.refresh(now);
     }
 
-    /// The total by this router's own settings.
+    /// Returns the total in this router's own settings.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Changes the total.
+    /// Changes the total in this router's own settings.
     pub fn set_total(&mut self, now: f64, total: u64) {
         self.total = total;
         self.refresh(now);
     }
 
-    /// Units acquired since it was made.
+    /// Returns the number of units acquired since this quota was created.
     pub fn acquired(&self) -> u64 {
         self.acquired
     }
 
-    /// Units denied since it was made.
+    /// Returns the number of units denied since this quota was created.
     pub fn denied(&self) -> u64 {
         self.denied
     }
 
-    /// Whether nothing is in use, and nothing was wanted for a while.
+    /// Returns whether no units are in use, the recent demand is negligible, and the last sample is more than
+    /// `IDLE_SAMPLE_PERIODS` old.
     pub fn is_idle(&mut self, now: f64) -> bool {
         self.in_use_at(now) == 0
-            && self.recent_demand < NEGLIGIBLE_DEMAND
-            && now > self.sampled_at + IDLE_SAMPLES * SAMPLE_PERIOD
+            && self.recent_demand < NEGLIGIBLE_DEMAND_UNITS
+            && now > self.sampled_at + IDLE_SAMPLE_PERIODS * DEMAND_SAMPLE_PERIOD_SECONDS
     }
 }
--- a/crates/fleet/src/node/events.rs
+++ b/crates/fleet/src/node/events.rs
@@ -1,4 +1,4 @@
-//! What a node tells its caller: events and counters.
+//! Events and counters that a node reports to its caller.
 
 use crate::election::Ballot;
 use crate::local_quota::QuotaState;
@@ -6,86 +6,87 @@
 use crate::quota_ledger::{BudgetKey, Pools};
 use crate::settings::Process;
 
-/// Something happened, for the log and the audit file.
+/// A change that the caller writes to the log or to the audit file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member came or went.
+    /// A member joined, left or became unreachable.
     MembershipChanged(MembershipChange),
-    /// This process is leader from now on, or no longer is.
+    /// This process became leader (`true`) or stopped being leader (`false`).
     LeadershipChanged(bool),
-    /// This member was heard as leader, and is asked from now on.
+    /// A reply identified this member as leader. Requests are sent to it from now on.
     LeaderFound(String),
-    /// What this process may spend of a budget from now on.
+    /// The units of a budget that this process may spend from now on have changed.
     QuotaGranted {
         /// The budget.
         key: BudgetKey,
         /// The leader's term.
         term: Ballot,
-        /// The grant's number in its term; the largest there is where everything was given back.
+        /// Sequence number of the grant within its term; `u64::MAX` if all units were released.
         serial: u64,
-        /// Units.
+        /// Units that may be spent.
         units: Pools<u64>,
-        /// Until when they may be spent.
+        /// When the leases of the units expire, in seconds.
         expires_at: Pools<f64>,
     },
-    /// What this process has of a budget is of another state.
+    /// The state of this process's quota of a budget has changed.
     QuotaStateChanged {
         /// The budget.
         key: BudgetKey,
-        /// The state.
+        /// The new state.
         state: QuotaState,
     },
-    /// A process whose settings differ in what has to be the same at all members; it gets no answer.
+    /// A process has different values for settings that must be the same at all members. It gets no answer.
     IncompatibleMember(Process),
-    /// A larger incarnation of this process's name was known to another member, so it goes by one that is larger still.
-    /// It may spend nothing until it is granted something anew.
+    /// Another member knew a larger incarnation of this process's name, so this process has taken a still larger one. It
+    /// may spend nothing until it receives a new grant.
     IncarnationRaised {
-        /// The incarnation before.
+        /// The previous incarnation.
         from: u64,
-        /// The incarnation from now on.
+        /// The new incarnation.
         to: u64,
     },
-    /// Another member knows a process of this name that started later, and does not hear this one any more.
+    /// Another member knows a process of this name that started later, and ignores this process.
     Superseded {
         /// The incarnation of that process.
         by: u64,
     },
-    /// The leader divides a smaller total than this member's settings give, because another member's settings do.
+    /// The leader divides a smaller total than the one in this member's settings, because another member's settings
+    /// contain the smaller total.
     SmallerTotal {
         /// The budget.
         key: BudgetKey,
-        /// The total by this member's settings.
+        /// The total in this member's settings.
         own: u64,
         /// The total that the leader divides.
         used: u64,
     },
 }
 
-/// Counts since the node started.
+/// Event counts since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received.
     pub received_bytes: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams of another fleet, or changed on their way.
+    /// Datagrams that are not from this fleet or were altered in transit.
     pub unauthenticated: u64,
-    /// Datagrams for another member.
+    /// Datagrams addressed to another member.
     pub misaddressed: u64,
-    /// Datagrams that came before, or of a process that a later one of its name has replaced.
+    /// Datagrams that were received before, or whose sender was replaced by a later process of its name.
     pub outdated: u64,
-    /// Requests that nobody answered in time.
+    /// Times that requests went unanswered until the timeout.
     pub unanswered: u64,
-    /// Replies that came too late, or of an earlier term.
+    /// Replies that arrived too late, belong to an earlier term or are meant for an earlier incarnation.
     pub stale: u64,
-    /// Messages of members whose settings differ in what has to be the same.
+    /// Messages of members that differ in settings that must be the same at all members.
     pub incompatible: u64,
-    /// Datagrams of another process of this member's name.
+    /// Datagrams sent by another process with this member's name.
     pub own_name: u64,
-    /// How often this process became leader.
+    /// Times that this process became leader.
     pub elections: u64,
 }
--- a/crates/fleet/src/node/identity.rs
+++ b/crates/fleet/src/node/identity.rs
@@ -1,20 +1,20 @@
-//! What a node is started with beside its settings.
+//! Start parameters of a node that are not part of its settings.
 
 use std::net::SocketAddr;
 
 use crate::settings::Peer;
 
-/// What a node is started with beside its settings.
+/// Start parameters of a node that are not part of its settings.
 pub struct MemberIdentity<'a> {
-    /// From [`incarnation`](crate::settings::incarnation): different from that of each earlier process of this name, and
-    /// larger unless the wall clock was stepped back.
+    /// The incarnation from [`incarnation`](crate::settings::incarnation). It differs from those of all earlier processes
+    /// of this name, and is larger unless the wall clock was stepped back.
     pub incarnation: u64,
-    /// Where the others reach it.
+    /// Address at which the other members reach this node.
     pub address: SocketAddr,
-    /// The voters.
+    /// The voters and their addresses.
     pub seeds: Vec<Peer>,
     /// The contents of the key file.
     pub secret: &'a [u8],
-    /// Of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
 }
--- a/crates/fleet/src/node/incarnation_messages.rs
+++ b/crates/fleet/src/node/incarnation_messages.rs
@@ -1,26 +1,27 @@
-//! Messages between processes of which one goes by an older incarnation than the other knows.
+//! Messages to and from processes whose incarnation is smaller than the one that the receiver knows for their name.
 
-use super::incarnations::Consequence;
+use super::incarnations::IncarnationAction;
 use super::{Event, FleetNode, Phase};
 use crate::envelope::{Envelope, Message, NO_REQUEST, NotLeader};
 use crate::membership::sender_address;
 
 impl FleetNode {
-    /// Handles what a process sent whose name has a larger incarnation here: tells it that one.
+    /// Handles a message whose sender has a smaller incarnation than the one known for its name: replies with the known
+    /// incarnation.
     pub(super) fn handle_superseded(&mut self, now: f64, envelope: &Envelope, known: u64) {
         if let Message::NotLeader(NotLeader { request_id: NO_REQUEST, to, .. }) = envelope.message {
-            // Each of the two knows a larger incarnation of the other. This one learns of its own, or neither ever would;
-            // it does not answer, or both would answer for ever.
+            // Each of the two processes knows a larger incarnation of the other. This process still has to learn its own
+            // from the message, or neither ever would. It does not answer, or both would answer endlessly.
             self.handle_known_incarnation(now, to);
             return self.finish(now);
         }
-        self.tell_known_incarnation(envelope, known);
+        self.send_known_incarnation(envelope, known);
     }
 
-    fn tell_known_incarnation(&mut self, envelope: &Envelope, known: u64) {
+    fn send_known_incarnation(&mut self, envelope: &Envelope, known: u64) {
         let to = &envelope.from.name;
         let address = match &envelope.message {
-            // It may have another address than the process that is known.
+            // The sender's address may differ from that of the known process.
             Message::Membership(data) => sender_address(data),
             _ => None,
         };
@@ -33,16 +34,17 @@
         if self.phase == Phase::Left {
             return;
         }
-        let (own, was_answered) = (self.process().incarnation, self.quota_client.was_answered());
-        match self.incarnations.handle_known(now, own, known, was_answered) {
-            Consequence::None => {}
-            Consequence::Raise(incarnation) => self.raise_incarnation(now, incarnation),
-            Consequence::Superseded => self.events.push(Event::Superseded { by: known }),
+        let (own, has_leader_reply) = (self.process().incarnation, self.quota_client.has_leader_reply());
+        match self.incarnations.handle_known(now, own, known, has_leader_reply) {
+            IncarnationAction::Ignore => {}
+            IncarnationAction::Raise(incarnation) => self.raise_incarnation(now, incarnation),
+            IncarnationAction::Superseded => self.events.push(Event::Superseded { by: known }),
         }
     }
 
-    /// Goes on as a process that starts now. Its voter remembers what it granted, and what is in use stays so. What was
-    /// granted to the incarnation before is dropped here, and stays in the leader's ledger until it is over there.
+    /// Continues as a newly started process with that incarnation. The voter keeps its grant, and units in use are still
+    /// counted. Leases of the previous incarnation are dropped here, and stay in the leader's ledger until they expire
+    /// there.
     fn raise_incarnation(&mut self, now: f64, incarnation: u64) {
         let from = self.process().incarnation;
         self.events.push(Event::IncarnationRaised { from, to: incarnation });
@@ -50,7 +52,7 @@
         let process = self.process().clone();
         self.membership.restart_as(now, process, self.incarnations.next_seed());
         self.elections.restart_as(incarnation);
-        self.quota_server.close();
+        self.quota_server.discard_ledger();
         self.quota_client.restart(now);
     }
 }
--- a/crates/fleet/src/node/incarnations.rs
+++ b/crates/fleet/src/node/incarnations.rs
@@ -1,69 +1,81 @@
-//! What to do when another member knows a larger incarnation of this process's name.
+//! Decides how a process reacts when another member knows a larger incarnation of its name.
 //!
-//! An incarnation is the wall clock's time at the start, so after a step back of the clock a process may be smaller than
-//! an earlier one of its name. Its peers then drop what it sends, and tell it the incarnation that they know. It takes a
-//! larger one and goes on as if it had just started.
+//! An incarnation is derived from the wall clock at the start of the process. After the clock was stepped back, a process
+//! may therefore get a smaller incarnation than an earlier process of its name. Its peers then drop its messages and reply
+//! with the incarnation that they know. The process takes a larger one and continues as if it had just started.
 //!
-//! A process that has run for long was replaced by that one instead: two processes of one name run, and the later start
-//! counts, as it does where the clock is right.
+//! A process that has run for a long time was instead replaced by the process with the larger incarnation: two processes
+//! of one name are running, and the one that started later takes precedence, as it does with a correct clock.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Seconds from its start in which a process takes a larger incarnation.
-const RAISE_PERIOD: f64 = 60.0;
-/// How often it does so. Once is enough for each earlier process of its name that had a clock ahead; more are needed
-/// only while two processes of one name run, and those must not go on for ever.
-const RAISES_AT_MOST: u32 = 8;
-/// By how much at most the new incarnation is larger than the known one, in microseconds. The step is random, as two
-/// processes that learn of the same earlier one must not take the same incarnation.
-const STEP_AT_MOST: u64 = 1 << 20;
+/// Time from its start within which a process takes a larger incarnation.
+const RAISE_PERIOD_SECONDS: f64 = 60.0;
+/// Largest number of times that a process takes a larger incarnation. One time is enough for each earlier process of its
+/// name whose clock was ahead. More are needed only while two processes of one name run, which must not continue endlessly.
+const MAX_RAISES: u32 = 8;
+/// Largest difference between the new incarnation and the known one. The step is random, so that two processes that learn
+/// of the same earlier process do not take the same incarnation.
+const MAX_STEP_MICROSECONDS: u64 = 1 << 20;
 
-/// What follows from a known incarnation.
+/// How a process reacts to the incarnation that another member knows for its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Consequence {
-    /// Nothing.
-    None,
-    /// Go on with this incarnation.
+pub(super) enum IncarnationAction {
+    /// The known incarnation is not larger, or the supersession was reported before.
+    Ignore,
+    /// Continue with this incarnation.
     Raise(u64),
-    /// This process has been replaced. Said once.
+    /// A later process has replaced this one. Returned only once.
     Superseded,
 }
 
 pub(super) struct Incarnations {
     started_at: f64,
     raises: u32,
-    superseded: bool,
+    /// Whether [`IncarnationAction::Superseded`] was returned before.
+    reported_superseded: bool,
     rng: SmallRng,
 }
 
 impl Incarnations {
     pub(super) fn new(now: f64, seed: u64) -> Incarnations {
-        Incarnations { started_at: now, raises: 0, superseded: false, rng: SmallRng::seed_from_u64(seed) }
+        Incarnations {
+            started_at: now,
+            raises: 0,
+            reported_superseded: false,
+            rng: SmallRng::seed_from_u64(seed),
+        }
     }
 
-    /// Another member knows that incarnation of this process's name. `was_answered` says whether any leader has
-    /// answered this process: one that none has answered is not in use, however long it runs.
-    pub(super) fn handle_known(&mut self, now: f64, own: u64, known: u64, was_answered: bool) -> Consequence {
+    /// Handles that another member knows the incarnation `known` of this process's name. `has_leader_reply` says whether
+    /// any leader has answered this process: one without an answer is not in use, regardless of how long it has run.
+    pub(super) fn handle_known(
+        &mut self,
+        now: f64,
+        own: u64,
+        known: u64,
+        has_leader_reply: bool,
+    ) -> IncarnationAction {
         if known <= own {
-            return Consequence::None;
+            return IncarnationAction::Ignore;
         }
-        let is_new = !was_answered || now < self.started_at + RAISE_PERIOD;
-        let next = known.checked_add(self.rng.random_range(1..=STEP_AT_MOST));
-        match next.filter(|_| is_new && self.raises < RAISES_AT_MOST) {
+        let may_raise = !has_leader_reply || now < self.started_at + RAISE_PERIOD_SECONDS;
+        let next = known.checked_add(self.rng.random_range(1..=MAX_STEP_MICROSECONDS));
+        match next.filter(|_| may_raise && self.raises < MAX_RAISES) {
             Some(next) => {
                 self.raises += 1;
-                Consequence::Raise(next)
+                IncarnationAction::Raise(next)
             }
-            None if self.superseded => Consequence::None,
+            None if self.reported_superseded => IncarnationAction::Ignore,
             None => {
-                self.superseded = true;
-                Consequence::Superseded
+                self.reported_superseded = true;
+                IncarnationAction::Superseded
             }
         }
     }
 
-    /// A seed for what begins anew.
+    /// Returns a new seed for components that are restarted.
     pub(super) fn next_seed(&mut self) -> u64 {
         self.rng.random()
     }
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -1,21 +1,21 @@
-//! One member of the fleet: what it receives, what it sends, what it may spend.
+//! One member of the fleet: handles its datagrams, elections, quotas and member list.
 //!
-//! A [`FleetNode`] hands each event to the part that it concerns; each part owns its state:
+//! A [`FleetNode`] passes each event to the component that handles it. Each component owns its state:
 //!
-//! - `transport`: datagrams in and out
+//! - `transport`: seals and opens datagrams
 //! - `elections`: this node's voter and candidate
-//! - `quota_server`: answers requests while this node is leader
-//! - `quota_client`: asks the leader, and keeps what is granted
-//! - `incarnations`: what to do after a step back of the wall clock
-//! - `events`: what the caller is told
+//! - `quota_server`: answers quota requests while this node is leader
+//! - `quota_client`: requests quotas from the leader and stores its grants
+//! - `incarnations`: handles larger incarnations of this node's name, which a wall clock that was stepped back causes
+//! - `events`: events and counters for the caller
 //!
-//! The methods of the node stand by concern:
+//! The methods of the node are grouped by concern:
 //!
-//! - here: start, datagrams, timers, leaving, and which part gets which message
-//! - `identity`: what a node is started with
-//! - `spending`: what this process may spend
-//! - `status`: what is known, for operators
-//! - `election_messages`, `quota_messages`, `incarnation_messages`: messages that concern several parts
+//! - this module: start, datagrams, timers, leaving, and dispatch of messages
+//! - `identity`: start parameters
+//! - `spending`: acquiring and releasing units
+//! - `status`: state of the node and of the fleet, for operators
+//! - `election_messages`, `quota_messages`, `incarnation_messages`: messages that concern several components
 
 mod election_messages;
 mod elections;
@@ -47,13 +47,13 @@
 use quota_server::QuotaServer;
 use transport::Transport;
 
-/// Incompatible processes that are reported, once each.
-const INCOMPATIBLE_REPORTED: usize = 64;
+/// Largest number of incompatible processes that are reported, once each.
+const MAX_INCOMPATIBLE_REPORTS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Joined,
-    /// Everything was given back.
+    /// The node has left the fleet and released all its leases.
     Left,
 }
 
@@ -68,14 +68,14 @@
     quota_server: QuotaServer,
     quota_client: QuotaClient,
     incarnations: Incarnations,
-    /// Those that were reported.
-    incompatible: BTreeSet<Process>,
+    /// Incompatible processes that were reported.
+    reported_incompatible: BTreeSet<Process>,
     events: Vec<Event>,
     counters: Counters,
 }
 
 impl FleetNode {
-    /// Starts a process that was granted nothing yet.
+    /// Starts a node that has no leases.
     pub fn start(now: f64, config: FleetConfig, identity: MemberIdentity) -> FleetNode {
         let MemberIdentity { incarnation, address, seeds, secret, seed } = identity;
         let process = Process { name: config.name.clone(), incarnation };
@@ -88,46 +88,46 @@
             quota_server: QuotaServer::default(),
             quota_client: QuotaClient::start(now, &config, seed),
             incarnations: Incarnations::new(now, seed),
-            incompatible: BTreeSet::new(),
+            reported_incompatible: BTreeSet::new(),
             events: Vec::new(),
             counters: Counters::default(),
             config,
         }
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Datagrams to send. To be called after each call that takes `&mut self`.
+    /// Returns the datagrams to send. Must be called after each call of a method that takes `&mut self`.
     pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         self.transport.take_datagrams()
     }
 
-    /// When [`tick`](FleetNode::tick) is due.
+    /// Returns when [`tick`](FleetNode::tick) is due.
     pub fn next_timeout(&self) -> f64 {
-        let request_at = match self.phase {
-            Phase::Joined => self.quota_client.request_at(),
+        let next_request_at = match self.phase {
+            Phase::Joined => self.quota_client.next_request_at(),
             Phase::Left => f64::INFINITY,
         };
-        request_at.min(self.elections.next_timeout()).min(self.membership.next_timeout())
+        next_request_at.min(self.elections.next_timeout()).min(self.membership.next_timeout())
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due at `now`.
     pub fn tick(&mut self, now: f64) {
         self.membership.tick(now);
         self.send_membership();
         if let Some(call) = self.elections.tick(now) {
             self.send_to_voters(call);
         }
-        if now >= self.quota_client.request_at() && self.phase == Phase::Joined {
+        if now >= self.quota_client.next_request_at() && self.phase == Phase::Joined {
             self.send_requests(now);
         }
         self.finish(now);
     }
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: f64, bytes: &[u8]) {
         self.counters.received += 1;
         self.counters.received_bytes += bytes.len() as u64;
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Gives everything back and says that it leaves. What is in use still counts until it ends.
+    /// Leaves the fleet: releases all leases and notifies the leader and the other members. Units in use are counted until
+    /// their operations end.
     pub fn leave(&mut self, now: f64) {
         if self.phase == Phase::Left {
             return;
@@ -158,7 +159,7 @@
             self.send(&leader, Message::QuotaRequest(request));
         }
         self.elections.resign();
-        self.quota_server.close();
+        self.quota_server.discard_ledger();
         self.membership.leave(now);
         self.send_membership();
         self.finish(now);
@@ -184,9 +185,10 @@
         }
     }
 
-    /// Handles what this node sent to itself, and notes what came of the event.
+    /// Handles the messages that this node sent to itself, then records the resulting changes of leadership, quotas and
+    /// members as events.
     fn finish(&mut self, now: f64) {
-        while let Some(envelope) = self.transport.next_to_itself() {
+        while let Some(envelope) = self.transport.next_loopback() {
             self.handle_envelope(now, envelope);
         }
         if let Some(is_leader) = self.elections.leadership_change(now) {
@@ -194,7 +196,7 @@
             self.events.push(Event::LeadershipChanged(is_leader));
         }
         if !self.is_leader(now) {
-            self.quota_server.close();
+            self.quota_server.discard_ledger();
         }
         for (key, quota) in self.quota_client.quotas_mut() {
             if quota.update_state(now) {
@@ -217,10 +219,12 @@
         }
     }
 
-    /// Reports a process that holds the secret and has other settings, once.
+    /// Reports, once, a process that has the fleet's secret but incompatible settings.
     fn report_incompatible(&mut self, from: &Process) {
         self.counters.incompatible += 1;
-        if self.incompatible.len() < INCOMPATIBLE_REPORTED && self.incompatible.insert(from.clone()) {
+        if self.reported_incompatible.len() < MAX_INCOMPATIBLE_REPORTS
+            && self.reported_incompatible.insert(from.clone())
+        {
             self.events.push(Event::IncompatibleMember(from.clone()));
         }
     }
--- a/crates/fleet/src/node/quota_client.rs
+++ b/crates/fleet/src/node/quota_client.rs
@@ -1,4 +1,4 @@
-//! Asks the leader for units, and keeps what it grants.
+//! Requests units from the leader and stores the leases that it grants.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,37 +9,41 @@
 use crate::quota_ledger::{BudgetKey, BudgetRequest, Grant, Pools};
 use crate::settings::{FleetConfig, Process};
 
-/// Requests in a lease: three may be lost in a row before a lease is over.
+/// Requests sent in the course of one lease: three in a row may be lost before a lease expires.
 const REQUESTS_PER_LEASE: f64 = 4.0;
-/// The same where something was denied for want of units, or no leader is known.
+/// Requests sent in the course of one lease while units are denied or no leader is known.
 const URGENT_REQUESTS_PER_LEASE: f64 = 20.0;
-/// A leader is told of a lease that shrank after such a part of a lease, as others wait for the units.
-const CONFIRMATIONS_PER_LEASE: f64 = 40.0;
-/// Budgets in one request: under 1,400 bytes of them.
+/// A router confirms a lease that shrank to the leader after the duration of a lease divided by this number. The delay is
+/// short because other routers wait for the units.
+const CONFIRMATION_DELAY_DIVISOR: f64 = 40.0;
+/// Budgets in one request, which keeps them below 1,400 bytes.
 const BUDGETS_PER_REQUEST: usize = 24;
-/// Requests whose time is remembered. Replies to older ones count for nothing.
-const REMEMBERED_REQUESTS: usize = 256;
-/// Budgets, with their subjects, that a router keeps a quota of.
-const QUOTAS_AT_MOST: usize = 4096;
+/// Requests whose time of sending is kept. Replies to older requests are ignored.
+const MAX_REMEMBERED_REQUESTS: usize = 256;
+/// Largest number of budget keys that a router keeps a quota of.
+const MAX_QUOTAS: usize = 4096;
 
 pub(super) struct QuotaClient {
     quotas: BTreeMap<BudgetKey, LocalQuota>,
-    /// The leader's name, as far as it is known.
+    /// The leader's name, if known.
     leader: Option<String>,
-    /// The newest term that was heard of.
+    /// The newest term in any reply.
     term: Ballot,
-    /// Counts the voters that are asked in turn while no leader is known.
-    voter_turn: usize,
+    /// Position in the round robin over the voters, which receive the requests while no leader is known.
+    voter_rotation: usize,
     last_request_id: u64,
-    sent: VecDeque<SentRequest>,
-    /// When the first request was sent that is not answered yet.
+    /// The last requests, oldest first.
+    sent_requests: VecDeque<SentRequest>,
+    /// When the oldest request without an answer was sent.
     unanswered_since: Option<f64>,
-    request_at: f64,
-    requested_at: f64,
+    /// When the next request is due.
+    next_request_at: f64,
+    /// When the last request was sent.
+    last_request_at: f64,
 }
 
-/// Requests for one member.
-pub(super) struct Requests {
+/// Requests to be sent to one member.
+pub(super) struct RequestBatch {
     pub(super) to: String,
     pub(super) requests: Vec<QuotaRequest>,
 }
@@ -50,12 +54,12 @@
             quotas: BTreeMap::new(),
             leader: None,
             term: Ballot::default(),
-            voter_turn: (seed % 64) as usize,
+            voter_rotation: (seed % 64) as usize,
             last_request_id: 0,
-            sent: VecDeque::new(),
+            sent_requests: VecDeque::new(),
             unanswered_since: None,
-            request_at: now,
-            requested_at: f64::NEG_INFINITY,
+            next_request_at: now,
+            last_request_at: f64::NEG_INFINITY,
         };
         for budget in &config.budgets {
             client.track(now, config, BudgetKey { budget: budget.id, subject: 0 });
@@ -63,7 +67,8 @@
         client
     }
 
-    /// The quota of a key, made at its first use; none of an unknown budget, or where there are too many.
+    /// Returns the quota of a key and creates it at its first use. Returns `None` if the budget is unknown, or if there are
+    /// already `MAX_QUOTAS` others.
     pub(super) fn track(
         &mut self,
         now: f64,
@@ -71,11 +76,11 @@
         key: BudgetKey,
     ) -> Option<&mut LocalQuota> {
         let budget = config.budget(key.budget)?;
-        if !self.quotas.contains_key(&key) && self.quotas.len() >= QUOTAS_AT_MOST {
+        if !self.quotas.contains_key(&key) && self.quotas.len() >= MAX_QUOTAS {
             return None;
         }
-        let ignored_request_id = self.last_request_id;
-        let new = || LocalQuota::new(now, budget.kind, budget.total, ignored_request_id);
+        let last_ignored_request_id = self.last_request_id;
+        let new = || LocalQuota::new(now, budget.kind, budget.total, last_ignored_request_id);
         Some(self.quotas.entry(key).or_insert_with(new))
     }
 
@@ -99,24 +104,25 @@
         self.leader.as_deref()
     }
 
-    /// Whether any leader has answered.
-    pub(super) fn was_answered(&self) -> bool {
+    /// Returns whether any leader has answered.
+    pub(super) fn has_leader_reply(&self) -> bool {
         self.term != Ballot::default()
     }
 
-    pub(super) fn request_at(&self) -> f64 {
-        self.request_at
+    /// Returns when the next request is due.
+    pub(super) fn next_request_at(&self) -> f64 {
+        self.next_request_at
     }
 
-    /// Asks with the next tick.
+    /// Schedules a request for the next tick.
     pub(super) fn request_now(&mut self, now: f64) {
-        self.request_at = now;
+        self.next_request_at = now;
     }
 
-    /// Asks as soon as it may again: at once, unless it has just asked.
+    /// Schedules a request for the next tick, or for when the interval between urgent requests has passed.
     pub(super) fn request_soon(&mut self, now: f64, config: &FleetConfig) {
-        let allowed_at = self.requested_at + config.lease / URGENT_REQUESTS_PER_LEASE;
-        self.request_at = self.request_at.min(allowed_at.max(now));
+        let allowed_at = self.last_request_at + config.lease / URGENT_REQUESTS_PER_LEASE;
+        self.next_request_at = self.next_request_at.min(allowed_at.max(now));
     }
 
     pub(super) fn set_total(&mut self, now: f64, budget: u64, total: u64) {
@@ -125,44 +131,45 @@
         }
     }
 
-    /// Requests for all budgets, to the leader or, where none is known, to a voter in turn.
+    /// Returns requests for all budgets, to the leader or, if none is known, to the next voter.
     pub(super) fn requests(
         &mut self,
         now: f64,
         config: &FleetConfig,
         electorate: u64,
         counters: &mut Counters,
-    ) -> Requests {
-        self.give_up_silent_leader(now, config, counters);
-        let to = self.next_receiver(config);
+    ) -> RequestBatch {
+        self.discard_unresponsive_leader(now, config, counters);
+        let to = self.next_recipient(config);
         self.quotas.retain(|key, quota| key.subject == 0 || !quota.is_idle(now));
-        let is_short = self.quotas.values().any(LocalQuota::is_short);
+        let has_unmet_demand = self.quotas.values().any(LocalQuota::has_unmet_demand);
         let budgets = self.budget_requests(now);
         let chunks = budgets.chunks(BUDGETS_PER_REQUEST);
         let requests = chunks.map(|chunk| self.request(now, electorate, chunk)).collect();
         self.unanswered_since.get_or_insert(now);
-        self.requested_at = now;
-        let is_urgent = is_short || self.leader.is_none();
+        self.last_request_at = now;
+        let is_urgent = has_unmet_demand || self.leader.is_none();
         let per_lease = if is_urgent { URGENT_REQUESTS_PER_LEASE } else { REQUESTS_PER_LEASE };
-        self.request_at = now + config.lease / per_lease;
-        Requests { to, requests }
+        self.next_request_at = now + config.lease / per_lease;
+        RequestBatch { to, requests }
     }
 
-    fn give_up_silent_leader(&mut self, now: f64, config: &FleetConfig, counters: &mut Counters) {
-        let patience = config.lease / REQUESTS_PER_LEASE;
-        if self.unanswered_since.is_some_and(|since| now >= since + patience) {
+    /// Drops the leader if requests have gone unanswered for one regular request interval.
+    fn discard_unresponsive_leader(&mut self, now: f64, config: &FleetConfig, counters: &mut Counters) {
+        let timeout = config.lease / REQUESTS_PER_LEASE;
+        if self.unanswered_since.is_some_and(|since| now >= since + timeout) {
             counters.unanswered += 1;
             self.unanswered_since = None;
             self.leader = None;
         }
     }
 
-    fn next_receiver(&mut self, config: &FleetConfig) -> String {
+    fn next_recipient(&mut self, config: &FleetConfig) -> String {
         if let Some(leader) = &self.leader {
             return leader.clone();
         }
-        self.voter_turn += 1;
-        config.voters[self.voter_turn % config.voters.len()].clone()
+        self.voter_rotation += 1;
+        config.voters[self.voter_rotation % config.voters.len()].clone()
     }
 
     fn budget_requests(&mut self, now: f64) -> Vec<BudgetRequest> {
@@ -179,10 +186,10 @@
 
     fn request(&mut self, now: f64, electorate: u64, budgets: &[BudgetRequest]) -> QuotaRequest {
         self.last_request_id += 1;
-        if self.sent.len() >= REMEMBERED_REQUESTS {
-            self.sent.pop_front();
+        if self.sent_requests.len() >= MAX_REMEMBERED_REQUESTS {
+            self.sent_requests.pop_front();
         }
-        self.sent.push_back(SentRequest { id: self.last_request_id, sent_at: now });
+        self.sent_requests.push_back(SentRequest { id: self.last_request_id, sent_at: now });
         QuotaRequest {
             request_id: self.last_request_id,
             seen: self.term,
@@ -192,11 +199,11 @@
         }
     }
 
-    fn sent_request(&self, request_id: u64) -> Option<SentRequest> {
-        self.sent.iter().find(|sent| sent.id == request_id).copied()
+    fn find_sent_request(&self, request_id: u64) -> Option<SentRequest> {
+        self.sent_requests.iter().find(|sent| sent.id == request_id).copied()
     }
 
-    /// Takes in a leader's reply.
+    /// Handles a leader's reply.
     pub(super) fn handle_reply(
         &mut self,
         now: f64,
@@ -204,10 +211,10 @@
         from: &Process,
         reply: &QuotaReply,
         events: &mut Vec<Event>,
-    ) -> ReplyUse {
-        let Some(request) = self.sent_request(reply.request_id) else { return ReplyUse::Stale };
+    ) -> ReplyOutcome {
+        let Some(request) = self.find_sent_request(reply.request_id) else { return ReplyOutcome::Stale };
         if reply.term < self.term {
-            return ReplyUse::Stale;
+            return ReplyOutcome::Stale;
         }
         self.unanswered_since = None;
         if self.leader.as_ref() != Some(&from.name) {
@@ -215,14 +222,14 @@
             events.push(Event::LeaderFound(from.name.clone()));
         }
         if reply.term > self.term {
-            // The new leader grants nothing until it hears that this router knows of its term.
+            // The new leader grants nothing until a request of this router names its term.
             self.term = reply.term;
-            self.request_at = now;
+            self.next_request_at = now;
         }
         for grant in &reply.grants {
             self.apply_grant(now, config, grant, request, events);
         }
-        ReplyUse::Applied
+        ReplyOutcome::Applied
     }
 
     fn apply_grant(
@@ -238,8 +245,8 @@
             Pools { demand: config.lease, floor: config.floor_lease }.map(|lease| config.holder_lease(lease));
         let before = quota.leased(now);
         if quota.apply_grant(now, self.term, grant, request, durations) {
-            let confirm_at = now + config.lease / CONFIRMATIONS_PER_LEASE;
-            self.request_at = self.request_at.min(confirm_at);
+            let confirm_at = now + config.lease / CONFIRMATION_DELAY_DIVISOR;
+            self.next_request_at = self.next_request_at.min(confirm_at);
         }
         let (key, units) = (grant.key, quota.leased(now));
         events.push(Event::QuotaGranted {
@@ -255,30 +262,30 @@
         }
     }
 
-    /// Takes in the answer of a member that is not leader.
+    /// Handles the answer of a member that is not leader.
     pub(super) fn handle_not_leader(&mut self, now: f64, answer: NotLeader) {
-        if self.sent_request(answer.request_id).is_none() {
+        if self.find_sent_request(answer.request_id).is_none() {
             return;
         }
-        let is_news = answer.leader.is_some() && answer.leader != self.leader;
+        let names_other_leader = answer.leader.is_some() && answer.leader != self.leader;
         self.leader = answer.leader;
         self.unanswered_since = None;
-        if is_news {
-            self.request_at = now;
+        if names_other_leader {
+            self.next_request_at = now;
         }
     }
 
-    /// Goes on as a process that was granted nothing; what is in use stays so.
+    /// Continues as a process without leases. Units in use are still counted.
     pub(super) fn restart(&mut self, now: f64) {
         for quota in self.quotas.values_mut() {
             quota.drop_leases(now, self.last_request_id);
         }
-        self.sent.clear();
+        self.sent_requests.clear();
         self.unanswered_since = None;
-        self.request_at = now;
+        self.next_request_at = now;
     }
 
-    /// Gives everything back. Returns what to send to the leader, if one is known.
+    /// Releases all leases permanently. Returns the notice to send to the leader, if one is known.
     pub(super) fn leave(
         &mut self,
         now: f64,
@@ -296,28 +303,28 @@
             });
         }
         self.last_request_id += 1;
-        let leaving = QuotaRequest {
+        let request = QuotaRequest {
             request_id: self.last_request_id,
             seen: self.term,
             electorate,
             leaving: true,
             budgets: Vec::new(),
         };
-        self.leader.clone().map(|leader| LeaveNotice { leader, request: leaving })
+        self.leader.clone().map(|leader| LeaveNotice { leader, request })
     }
 }
 
-/// What a member that leaves sends to the leader.
+/// The notice that a leaving member sends to the leader.
 pub(super) struct LeaveNotice {
     /// The leader's name.
     pub(super) leader: String,
     pub(super) request: QuotaRequest,
 }
 
-/// Whether a reply counted.
+/// Whether a reply was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReplyUse {
+pub(super) enum ReplyOutcome {
     Applied,
-    /// It answers no request that is remembered, or is of an earlier term.
+    /// The reply answers no remembered request, or belongs to an earlier term.
     Stale,
 }
--- a/crates/fleet/src/node/quota_messages.rs
+++ b/crates/fleet/src/node/quota_messages.rs
@@ -1,6 +1,6 @@
-//! Messages of quotas: requests to the leader, its replies, and the answers of members that are not leader.
+//! Quota messages: requests to the leader, its replies, and the answers of members that are not leader.
 
-use super::quota_client::ReplyUse;
+use super::quota_client::ReplyOutcome;
 use super::{FleetNode, Phase};
 use crate::election::Ballot;
 use crate::envelope::{Message, NO_REQUEST, NotLeader, QuotaReply, QuotaRequest};
@@ -8,15 +8,16 @@
 
 impl FleetNode {
     pub(super) fn send_requests(&mut self, now: f64) {
-        let requests = self.quota_client.requests(now, &self.config, self.electorate, &mut self.counters);
-        for request in requests.requests {
-            self.send(&requests.to, Message::QuotaRequest(request));
+        let batch = self.quota_client.requests(now, &self.config, self.electorate, &mut self.counters);
+        for request in batch.requests {
+            self.send(&batch.to, Message::QuotaRequest(request));
         }
     }
 
-    /// The clock is checked here, where units are granted, and not when the event began that led here.
+    /// Answers a request for units. Whether this process is leader is checked here, where the units are granted, and not
+    /// when the event that led to this call began.
     pub(super) fn handle_quota_request(&mut self, now: f64, from: &Process, request: &QuotaRequest) {
-        // A member that counts leases differently would hold on to what others have by then.
+        // A member with a different lease duration could still use units that others have been granted since.
         if request.electorate != self.electorate {
             return self.report_incompatible(from);
         }
@@ -36,8 +37,8 @@
         }
     }
 
-    /// This process's term, if it is leader. A router that has seen a later one would take each grant for outdated, so
-    /// this process stands for election again, for a term that is later still.
+    /// Returns this process's term, if it is leader. A router that has seen a later term would reject each grant as
+    /// outdated; in that case this process stands for election again to get a term that is later still.
     fn term_for(&mut self, now: f64, seen: Ballot) -> Option<Ballot> {
         let term = self.elections.term(now)?;
         if seen > term {
@@ -49,12 +50,12 @@
 
     pub(super) fn handle_quota_reply(&mut self, now: f64, from: &Process, reply: &QuotaReply) {
         let is_for_this_process = reply.to == self.process().incarnation && self.phase == Phase::Joined;
-        let used = if is_for_this_process {
+        let outcome = if is_for_this_process {
             self.quota_client.handle_reply(now, &self.config, from, reply, &mut self.events)
         } else {
-            ReplyUse::Stale
+            ReplyOutcome::Stale
         };
-        self.counters.stale += u64::from(used == ReplyUse::Stale);
+        self.counters.stale += u64::from(outcome == ReplyOutcome::Stale);
     }
 
     pub(super) fn handle_not_leader(&mut self, now: f64, answer: NotLeader) {
--- a/crates/fleet/src/node/quota_server.rs
+++ b/crates/fleet/src/node/quota_server.rs
@@ -7,12 +7,12 @@
 
 #[derive(Default)]
 pub(super) struct QuotaServer {
-    /// Of the present term, once somebody asked in it.
+    /// The ledger of the current term, created by the first request.
     ledger: Option<QuotaLedger>,
 }
 
 impl QuotaServer {
-    /// The reply to a request that came in that term of this node; none to a router that leaves.
+    /// Handles a request received in `term` of this node. Returns the reply; there is none to a router that leaves.
     pub(super) fn handle_request(
         &mut self,
         now: f64,
@@ -21,16 +21,16 @@
         from: &Process,
         request: &QuotaRequest,
     ) -> Option<QuotaReply> {
-        let ledger = self.ledger_of(now, term);
+        let ledger = self.ledger_for(now, term);
         if request.leaving {
             ledger.holder_left(now, from, request.request_id, config);
             return None;
         }
         let mut grants = Vec::new();
-        // A router that has not heard of this term is only told of it: what it reports may be of any time.
+        // A router that does not know this term yet only gets to know it: its report may be arbitrarily old.
         if request.seen == term {
             let requests = request.budgets.iter();
-            // A budget that is refused is left out; the router asks again.
+            // The reply omits budgets whose request is refused; the router requests them again.
             let granted = requests
                 .filter_map(|budget| ledger.request(now, config, from, request.request_id, budget).ok());
             grants.extend(granted);
@@ -38,13 +38,13 @@
         Some(QuotaReply { request_id: request.request_id, to: from.incarnation, term, grants })
     }
 
-    fn ledger_of(&mut self, now: f64, term: Ballot) -> &mut QuotaLedger {
+    fn ledger_for(&mut self, now: f64, term: Ballot) -> &mut QuotaLedger {
         let current = self.ledger.take().filter(|ledger| ledger.term() == term);
         self.ledger.insert(current.unwrap_or_else(|| QuotaLedger::new(now, term)))
     }
 
-    /// Forgets everything: this node is not leader, or in another term from now on.
-    pub(super) fn close(&mut self) {
+    /// Drops the ledger, when this node is no longer leader or starts another term.
+    pub(super) fn discard_ledger(&mut self) {
         self.ledger = None;
     }
 
--- a/crates/fleet/src/node/spending.rs
+++ b/crates/fleet/src/node/spending.rs
@@ -1,4 +1,4 @@
-//! What this process may spend: units acquired and released, and what is asked for.
+//! Acquires and releases units of this process's quotas, and sets the demand that it requests.
 
 use super::FleetNode;
 use crate::local_quota::LocalQuota;
@@ -6,7 +6,7 @@
 use crate::settings::BudgetTotal;
 
 impl FleetNode {
-    /// Acquires a unit; false if there is none. `now` has to be read from the clock for this call.
+    /// Acquires a unit; returns false if none is available. `now` must be read from the clock for this call.
     #[must_use]
     pub fn acquire(&mut self, now: f64, key: BudgetKey) -> bool {
         let quota = self.quota_client.track(now, &self.config, key);
@@ -17,20 +17,20 @@
         acquired
     }
 
-    /// Releases a unit of a concurrency limit; see [`LocalQuota::release`].
+    /// Releases a unit of a concurrency budget; see [`LocalQuota::release`].
     pub fn release(&mut self, now: f64, key: BudgetKey, confirmed: bool) {
         if let Some(quota) = self.quota_client.quota_mut(key) {
             quota.release(now, confirmed);
         }
     }
 
-    /// Whether a unit could be acquired now.
+    /// Returns whether a unit could be acquired now.
     pub fn is_available(&mut self, now: f64, key: BudgetKey) -> bool {
         let quota = self.quota_client.track(now, &self.config, key);
         quota.is_some_and(|quota| quota.is_available(now))
     }
 
-    /// Notes that something waits for so many units beyond those in use, and asks for them.
+    /// Records that callers wait for `units` units beyond those in use, and requests them.
     pub fn note_waiting(&mut self, now: f64, key: BudgetKey, units: u64) {
         if let Some(quota) = self.quota_client.track(now, &self.config, key) {
             quota.note_waiting(units);
@@ -38,33 +38,33 @@
         }
     }
 
-    /// Asks for units of a budget from now on, before any is needed.
+    /// Starts requesting units of a budget before any is needed.
     pub fn track(&mut self, now: f64, key: BudgetKey) {
         let _ = self.quota_client.track(now, &self.config, key);
     }
 
-    /// Units that may be in use now.
+    /// Returns the units that may be in use now.
     pub fn spendable(&self, now: f64, key: BudgetKey) -> u64 {
         self.quota_client.quota(key).map_or(0, |quota| quota.spendable(now))
     }
 
-    /// Units that are in use now.
+    /// Returns the units that are in use now.
     pub fn in_use(&mut self, now: f64, key: BudgetKey) -> u64 {
         self.quota_client.quota_mut(key).map_or(0, |quota| quota.in_use_at(now))
     }
 
-    /// Units in use whose end is not confirmed.
+    /// Returns the units in use by abandoned operations whose end is not confirmed.
     pub fn lingering(&self, key: BudgetKey) -> u64 {
         self.quota_client.quota(key).map_or(0, LocalQuota::lingering)
     }
 
-    /// Tokens of a rate that can be spent now.
+    /// Returns the tokens of a rate budget that can be spent now.
     pub fn tokens(&mut self, now: f64, key: BudgetKey) -> f64 {
         let quota = self.quota_client.track(now, &self.config, key);
         quota.map_or(0.0, |quota| quota.tokens(now))
     }
 
-    /// Changes totals after the settings were read again. The other settings stay: see
+    /// Changes totals after the settings were reloaded. The other settings cannot change: see
     /// [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
     pub fn set_totals(&mut self, now: f64, totals: &[BudgetTotal]) {
         for BudgetTotal { id, total } in totals.iter().copied() {
@@ -73,7 +73,7 @@
             }
             self.quota_client.set_total(now, id, total);
         }
-        // The leader is to hear of it now, not with the next request.
+        // Reports the new totals to the leader at once, not with the next regular request.
         self.quota_client.request_now(now);
     }
 }
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What a node knows of itself and of the fleet, for its caller and for operators.
+//! The state of a node and of the fleet as the node knows it, for the caller and for operators.
 
 use super::{Counters, FleetNode};
 use crate::local_quota::LocalQuota;
@@ -7,42 +7,42 @@
 use crate::settings::{FleetConfig, Process};
 
 impl FleetNode {
-    /// This process.
+    /// Returns the identity of this process.
     pub fn process(&self) -> &Process {
         self.transport.process()
     }
 
-    /// Its settings.
+    /// Returns this member's settings.
     pub fn config(&self) -> &FleetConfig {
         &self.config
     }
 
-    /// What this process has of each budget.
+    /// Returns this process's quota of each budget.
     pub fn quotas(&self) -> impl Iterator<Item = (&BudgetKey, &LocalQuota)> {
         self.quota_client.quotas()
     }
 
-    /// The members that this one knows.
+    /// Returns the members that this member knows.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members()
     }
 
-    /// The name of the leader, as far as this member knows it.
+    /// Returns the name of the leader, if this member knows it.
     pub fn leader(&self) -> Option<&str> {
         self.quota_client.leader()
     }
 
-    /// Whether this process is leader at this instant.
+    /// Returns whether this process is leader at `now`.
     pub fn is_leader(&self, now: f64) -> bool {
         self.elections.term(now).is_some()
     }
 
-    /// Every holder's part of every budget; nothing unless this process is leader.
+    /// Returns every holder's account of every budget; empty unless this process is leader.
     pub fn ledger_lines(&self, now: f64) -> Vec<LedgerLine> {
         if self.is_leader(now) { self.quota_server.lines(now) } else { Vec::new() }
     }
 
-    /// Counts since the start.
+    /// Returns the event counts since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/fleet/src/node/transport.rs
+++ b/crates/fleet/src/node/transport.rs
@@ -1,4 +1,4 @@
-//! Seals what a node sends and keeps it until the caller takes it.
+//! Seals outgoing messages and keeps them until the caller takes them; opens received datagrams.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     process: Process,
     authenticator: Authenticator,
     outgoing: Vec<Datagram>,
-    /// What the node sends to itself.
+    /// Messages that the node sends to itself.
     loopback: VecDeque<Envelope>,
 }
 
@@ -28,7 +28,7 @@
         &self.process
     }
 
-    /// What is sent from now on is of that incarnation.
+    /// Sends later messages with that incarnation.
     pub(super) fn restart_as(&mut self, incarnation: u64) {
         self.process.incarnation = incarnation;
         self.authenticator.restart_as(self.process.clone());
@@ -38,7 +38,7 @@
         self.authenticator.open(bytes)
     }
 
-    /// Sends a message. What a node sends to itself takes the same way as what others send to it.
+    /// Sends a message. A message to this node itself is queued and handled like a received one.
     pub(super) fn send(
         &mut self,
         to: &str,
@@ -47,17 +47,17 @@
         counters: &mut Counters,
     ) {
         if to == self.process.name {
-            self.loopback.push_back(Envelope::to_itself(self.process.clone(), message));
+            self.loopback.push_back(Envelope::loopback(self.process.clone(), message));
             return;
         }
-        // What is too long for a datagram is as good as lost, and the protocol expects losses.
+        // A message that is too long for a datagram is dropped; the protocol tolerates loss.
         let Ok(bytes) = self.authenticator.seal(to, message) else { return };
         counters.sent += 1;
         counters.sent_bytes += bytes.len() as u64;
         self.outgoing.push(Datagram { to: to.to_string(), advertised_address: address, bytes });
     }
 
-    pub(super) fn next_to_itself(&mut self) -> Option<Envelope> {
+    pub(super) fn next_loopback(&mut self) -> Option<Envelope> {
         self.loopback.pop_front()
     }
 
