--- a/crates/ottersill/src/event_loop/attempts.rs
+++ b/crates/ottersill/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! What the event loop does for attempts and health checks: begins them as the routing module has decided, sends them,
+//! The event loop's handling of attempts and health checks: starts them as the routing module has decided, sends them,
 //! withdraws them.
 
 use ottersill_config::fleet::BudgetKind;
@@ -13,8 +13,8 @@
 use crate::reactor::Source;
 
 impl EventLoop {
-    /// Sends a request that waits to an endpoint, as the routing module has decided. `timeout` is in seconds; 0 for none but the
-    /// request's own.
+    /// Starts an attempt of a waiting request at an endpoint, as the routing module has decided. `timeout` is in seconds; with 0
+    /// only the request's own deadline applies.
     pub(super) fn start_attempt(&mut self, request_id: usize, endpoint: usize, timeout: f64) {
         let Some(request) = self.requests.get(request_id) else { return };
         self.context.counters.check_invariant(
@@ -47,21 +47,22 @@
         self.report_attempt(request_id, endpoint, outcome, 0.0, &Reply::default());
     }
 
-    /// Begins a health check of an endpoint.
+    /// Starts a health check of an endpoint.
     pub(super) fn start_health_check(&mut self, endpoint: usize) {
         if !self.acquire_quota(BudgetKind::HealthChecks) {
             self.context.counters.fleet_quota_refusals += 1;
             return self.report_health_check(endpoint, AttemptOutcome::NeverSent, LoadReport::default());
         }
         self.context.counters.health_checks += 1;
-        // The settings name no other time after which an endpoint counts as unreachable.
+        // The settings have no other timeout after which an endpoint is treated as unreachable.
         let deadline = self.context.now() + self.backends.connect_timeout();
         if let Err(outcome) = self.assign_to_endpoint(endpoint, Assignment::HealthCheck, deadline) {
             self.report_health_check(endpoint, outcome, LoadReport::default());
         }
     }
 
-    /// Gives an assignment to an idle connection to that endpoint, the last used first, or to a new one.
+    /// Assigns an attempt or health check to the most recently used idle connection to that endpoint, or to a new connection.
+    /// Returns the connection's number.
     fn assign_to_endpoint(
         &mut self,
         endpoint: usize,
@@ -79,10 +80,10 @@
         self.backends.open(endpoint, address, task, &mut self.endpoints, &mut self.context)
     }
 
-    /// Whether one more connection may be opened, by the limit on descriptors and the fleet's budget. Idle connections are
-    /// closed to make room.
+    /// Checks that the limit on descriptors and the fleet's budget allow one more connection. Closes idle connections to make
+    /// room.
     fn check_may_connect(&mut self, assignment: Assignment) -> Result<(), AttemptOutcome> {
-        // One for a health check of each endpoint is kept back: an endpoint that can't be checked can't be judged.
+        // Attempts leave one descriptor per endpoint for its health check, as without one its health stays unknown.
         let reserved = match assignment {
             Assignment::HealthCheck => 0,
             Assignment::Request(_) => self.endpoints.len().min(self.limits.total / 4),
@@ -102,19 +103,19 @@
         Ok(())
     }
 
-    /// Writes the connection's assignment. The clock is read here, and the client looked at last: the iteration may have been
-    /// held up since it began.
+    /// Writes the connection's assignment. Reads the clock anew, and checks last whether the client has disconnected, as the
+    /// process may have stalled since the iteration began.
     fn send_assignment(&mut self, id: usize) {
         let time = self.context.clock.read();
         let deadline = self.backends.write_assignment(id, time, &self.requests, &mut self.context);
         let is_wanted = time < deadline && !self.client_has_ended(id);
         if !is_wanted || !self.backends.flush(id, &mut self.context) {
-            // Ended from there, where nothing else is in hand.
+            // The wake-up handles the failure later, when no other event is being processed.
             self.context.wake(Source::Backend(id));
         }
     }
 
-    /// Whether the client whose statement the connection carries has ended its connection.
+    /// Returns whether the client whose statement the connection carries has closed its own connection.
     fn client_has_ended(&self, id: usize) -> bool {
         let assignment = self.backends.get(id).and_then(|connection| connection.assignment);
         let Some(Assignment::Request(request_id)) = assignment else { return false };
@@ -122,16 +123,16 @@
         client.is_none_or(|client| socket::has_ended(&client.socket))
     }
 
-    /// Whether the client still waits, without a look at it if it was read in this iteration: it is looked at as the bytes go
-    /// ([`send_assignment`](Self::send_assignment)).
+    /// Returns whether the client still waits. Does not check a client that was read in this iteration, as
+    /// [`send_assignment`](Self::send_assignment) checks it again when the bytes are written.
     fn client_is_known_to_wait(&mut self, request_id: usize) -> bool {
         let client = self.requests.get(request_id).and_then(|request| self.clients.get(request.client));
         let last_read_at = client.map_or(0.0, |client| client.last_read_at);
         last_read_at >= self.context.now() || self.client_still_waits(request_id)
     }
 
-    /// Whether the client still waits. Guards against attempts for a client that has closed its connection, which may not have
-    /// been read yet.
+    /// Returns whether the client still waits. Guards against attempts for a client that has closed its connection, where the
+    /// close has not been read yet.
     fn client_still_waits(&mut self, request_id: usize) -> bool {
         let Some(request) = self.requests.get(request_id) else { return false };
         self.close_client_if_ended(request.client);
@@ -139,10 +140,10 @@
         request.is_some_and(|request| !matches!(request.phase, RequestPhase::Abandoned(_)))
     }
 
-    /// A backend connection became ready.
+    /// Handles readiness of a backend connection.
     pub fn on_backend_ready(&mut self, id: usize) {
-        if self.backends.is_sending(id) && !self.may_go_on_sending(id) {
-            // Its last byte, by which an attempt counts, would come too late.
+        if self.backends.is_sending(id) && !self.may_continue_sending(id) {
+            // The last byte, from which on the endpoint may run the statement, would arrive too late.
             if self.backends.get(id).is_some() {
                 self.withdraw(id);
             }
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Does what the messages read on a connection ask for; false if that ended the connection.
+    /// Handles the messages read on a connection. Returns false if that closed the connection.
     fn handle_backend_events(&mut self, id: usize) -> bool {
         loop {
             match self.backends.next_event(id, &mut self.endpoints, &mut self.context) {
@@ -171,7 +172,8 @@
         }
     }
 
-    /// A connection is up: what it was opened for goes out, unless that is over by now.
+    /// Handles a completed connection startup: sends the assignment for which the connection was opened, unless it may no
+    /// longer be sent.
     fn on_backend_up(&mut self, id: usize) {
         if self.may_still_send(id) {
             self.backends.become_ready_to_send(id, &mut self.context);
@@ -182,19 +184,19 @@
         }
     }
 
-    /// The timer of a backend connection has expired.
+    /// Handles the expired timer of a backend connection.
     pub(super) fn on_backend_timer(&mut self, id: usize) {
         let finished = self.backends.on_timer(id, &mut self.endpoints, &mut self.context);
         finished.into_iter().for_each(|finished| self.finish_assignment(finished));
     }
 
-    /// Whether the rest of a statement may go out of which a part is out.
-    fn may_go_on_sending(&mut self, id: usize) -> bool {
+    /// Returns whether the rest of a partly written assignment may still be sent.
+    fn may_continue_sending(&mut self, id: usize) -> bool {
         let time = self.context.clock.read();
         self.backends.refresh_deadline(id, time, &self.requests) && self.may_still_send(id)
     }
 
-    /// Whether what a connection was opened for may go out now that it is up: it was chosen some time ago.
+    /// Returns whether the connection's assignment may still be sent. The routing module chose the endpoint some time ago.
     fn may_still_send(&mut self, id: usize) -> bool {
         let Some(connection) = self.backends.get(id) else { return false };
         let (endpoint, deadline) = (connection.endpoint, connection.deadline);
@@ -209,9 +211,9 @@
         }
     }
 
-    /// Withdraws what has not gone out yet to endpoints that may get nothing new by now.
+    /// Withdraws unsent assignments from connections to endpoints that may no longer be sent anything new.
     pub(super) fn withdraw_disallowed(&mut self) {
-        let waits = |connection: &BackendConnection| {
+        let is_unsent = |connection: &BackendConnection| {
             matches!(connection.state, ConnectionState::Dialing | ConnectionState::Greeting)
         };
         let is_disallowed = |connection: &BackendConnection| match connection.assignment {
@@ -224,7 +226,7 @@
         let disallowed = self
             .backends
             .iter()
-            .filter(|(_, connection)| waits(connection) && is_disallowed(connection))
+            .filter(|(_, connection)| is_unsent(connection) && is_disallowed(connection))
             .map(|(id, _)| id);
         let disallowed: Vec<usize> = disallowed.collect();
         for id in disallowed {
@@ -232,14 +234,14 @@
         }
     }
 
-    /// Withdraws from a connection what has not gone out whole.
+    /// Withdraws a connection's assignment if it is not fully sent.
     pub(super) fn withdraw(&mut self, id: usize) {
         if let Some(finished) = self.backends.withdraw(id, &mut self.context) {
             self.finish_assignment(finished);
         }
     }
 
-    /// Cancels the attempt of a request, so that it can be retried.
+    /// Cancels the attempt of a request, so that the request can be retried.
     pub(super) fn cancel_attempt(&mut self, request_id: usize) {
         let phase = self.requests.get(request_id).map(|request| request.phase);
         if let Some(RequestPhase::Executing(connection)) = phase {
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -1,4 +1,4 @@
-//! What the event loop does for clients: accepts them, hands their statements to the routing module, answers them.
+//! The event loop's handling of clients: accepts connections, passes statements to the routing module, sends answers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use crate::protocol::frame;
 use crate::protocol::frame::ErrorCode;
 use crate::reactor::Source;
-use crate::statement_checker::{CheckedStatement, Refusal, Surroundings};
+use crate::statement_checker::{CheckContext, CheckedStatement, Refusal};
 
 impl EventLoop {
-    /// Listens for clients; gives the address, as port 0 has the system choose one.
+    /// Listens for clients. Returns the bound address, as the system chooses the port if `address` has port 0.
     ///
     /// # Errors
-    /// If the address can't be had, or the system can't watch the socket.
+    /// If the address can't be bound, or the socket can't be registered at the event loop.
     pub fn listen(&mut self, address: SocketAddr, backlog: usize) -> io::Result<SocketAddr> {
         self.clients.listen(address, backlog, &mut self.context)
     }
 
-    /// The listener became ready.
+    /// Handles readiness of the client listener.
     pub(super) fn on_listener_ready(&mut self) {
         if self.accept_clients(MAX_ACCEPTS_PER_WAKE) {
             self.context.wake(Source::Listener);
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Accepts at most so many; true if more may be waiting.
-    fn accept_clients(&mut self, most: usize) -> bool {
+    /// Accepts at most `limit` clients. Returns whether more may be waiting.
+    fn accept_clients(&mut self, limit: usize) -> bool {
         if !self.clients.begin_accepting(&mut self.context) {
             return false;
         }
-        for _ in 0..most {
+        for _ in 0..limit {
             let is_admitted = self.make_room_for_client();
             match self.clients.accept_next(is_admitted, &mut self.context) {
                 Accepted::Client(id) => {
@@ -53,25 +53,26 @@
         true
     }
 
-    /// Whether one more client can be taken on; makes room by ending what idles.
+    /// Returns whether one more client can be accepted. Closes idle connections to make room.
     fn make_room_for_client(&mut self) -> bool {
-        // Who has said nothing yet goes first: many of those must not cost the others their connections.
+        // Clients that have not sent a query yet are closed first, so that many of them can't displace the others.
         (self.clients.has_room() || self.close_idle_client(false) || self.close_idle_client(true))
             && (self.clients.len() + self.backends.len() < self.limits.total
                 || self.clients.close_one_lingering(&mut self.context)
                 || self.backends.close_longest_idle(&mut self.context))
     }
 
-    /// Closes idle connections of clients that have queried, as far as there are too many of those.
+    /// Closes idle connections of clients that have sent a query while there are too many such clients.
     fn close_surplus_established(&mut self) {
         while self.clients.has_surplus_established() && self.close_idle_client(true) {}
     }
 
-    /// Closes the connection that has stood idle for longest, of the clients that have asked, or that have not.
-    fn close_idle_client(&mut self, asked: bool) -> bool {
-        let criterion = self.clients.idle_criterion(asked, &self.context);
+    /// Closes the client connection that has been idle for longest, among the clients that have sent a query (`has_queried`)
+    /// or among those that have not. Returns false if there is none.
+    fn close_idle_client(&mut self, has_queried: bool) -> bool {
+        let criterion = self.clients.idle_criterion(has_queried, &self.context);
         for id in self.clients.idle_longest_first(criterion) {
-            // A last look: what has come meanwhile is taken in instead.
+            // Reads the connection once more: a statement that has arrived in the meantime keeps it open.
             self.on_client_ready(id);
             if self.clients.close_if_idle(id, criterion, &mut self.context) {
                 return true;
@@ -80,25 +81,26 @@
         false
     }
 
-    /// Accepts who waits in the accept backlog, closes the listener, and from now on closes client connections once they idle.
+    /// Accepts the clients in the listen backlog, closes the listener, and from now on closes client connections once they are
+    /// idle.
     pub fn drain(&mut self) {
-        // Whose connection the system has accepted may have sent a statement, which then counts as accepted.
+        // A client whose connection the system has already established may have sent a statement, which counts as accepted.
         self.accept_clients(usize::MAX);
         self.clients.start_draining();
         self.clients.close_listener_if_drained(&self.context);
         let all: Vec<usize> = self.clients.iter().map(|(id, _)| id).collect();
-        // Each gets a last look, as what has come by now counts as taken.
+        // Reads each connection once more, as statements that have arrived by now count as accepted.
         all.into_iter().for_each(|id| self.on_client_ready(id));
         self.run_routing_actions();
     }
 
-    /// A client connection became ready.
+    /// Handles readiness of a client connection.
     pub fn on_client_ready(&mut self, id: usize) {
         let event = self.clients.on_ready(id, &mut self.context);
         self.on_client_event(id, event);
     }
 
-    /// The timer of a client connection has expired.
+    /// Handles the expired timer of a client connection.
     pub(super) fn on_client_timer(&mut self, id: usize) {
         if self.clients.on_timer(id, &mut self.context) {
             self.on_client_ready(id);
@@ -107,13 +109,13 @@
         }
     }
 
-    /// Looks for the client's end, which may not have had its turn to be read.
+    /// Checks whether the client has closed its connection, which this iteration may not have read yet.
     pub(super) fn close_client_if_ended(&mut self, id: usize) {
         let event = self.clients.close_if_ended(id, &mut self.context);
         self.on_client_event(id, event);
     }
 
-    /// Does what a client asks for, and what it asks for next, until a request of it is in flight or nothing more is there.
+    /// Handles a client's event and the events that follow it, until a request of the client is in flight or no event is left.
     fn on_client_event(&mut self, id: usize, event: Option<ClientEvent>) {
         let mut event = event;
         while let Some(next) = event {
@@ -127,15 +129,15 @@
         }
     }
 
-    /// Checks a statement of a client, and hands it to the routing module. `arrived_at` is when its first byte came: the client
-    /// counts from there, however long those ahead of it took.
+    /// Checks a client's statement and passes it to the routing module. `arrived_at` is when its first byte arrived, in Unix
+    /// seconds: the client's time limit starts there, however long the pipelined statements ahead of it took.
     fn on_statement(&mut self, client: usize, text: &Bytes, arrived_at: f64) {
-        let surroundings = Surroundings {
+        let check_context = CheckContext {
             endpoints: &self.endpoints,
             requests: &self.requests,
             is_admitted: self.clients.get(client).is_some_and(|client| client.is_admitted),
         };
-        match self.statements.check(text, &surroundings, &mut self.context) {
+        match self.statements.check(text, &check_context, &mut self.context) {
             Ok(statement) => self.accept_statement(client, statement, arrived_at),
             Err(refusal) => self.refuse_statement(client, refusal),
         }
@@ -169,14 +171,14 @@
         self.start_request(request, in_flight);
     }
 
-    /// A request is in flight from now on, under the number that the routing module gave it.
-    pub(super) fn enter_request(&mut self, request_id: usize, request: InFlightRequest) {
+    /// Registers a request as in flight, under the number that the routing module gave it.
+    pub(super) fn register_request(&mut self, request_id: usize, request: InFlightRequest) {
         let (client, statement_bytes) = (request.client, request.text.len());
         self.requests.insert(request_id, request, &mut self.context.counters);
         self.clients.begin_request(client, request_id, statement_bytes, &mut self.context);
     }
 
-    /// The client of a request has left.
+    /// Abandons a request whose client has disconnected.
     fn abandon_request(&mut self, request_id: usize) {
         let Some(request) = self.requests.get(request_id) else { return };
         let next = match request.phase {
@@ -186,7 +188,7 @@
         self.requests.transition(request_id, next, &mut self.context.counters);
         self.report(RoutingEvent::ClientGone(request_id));
         if let RequestPhase::Abandoned(backend) = next {
-            // Nobody waits for it any more: what is not on its way stays here.
+            // Nobody waits for the result any more: an attempt that is not fully sent is withdrawn.
             self.withdraw(backend);
         }
     }
@@ -197,21 +199,21 @@
         self.answer(request_id, [description, row, complete, frame::READY_FOR_QUERY.clone()]);
     }
 
-    /// Answers a request by a rejection, with when to come again, in seconds; 0 for no such time.
+    /// Answers a request with a rejection. `retry_after` is the retry delay for the client, in seconds; 0 sends none.
     pub(super) fn reject(&mut self, request_id: usize, retry_after: f64) {
         self.context.counters.rejected += 1;
         let error = rejection(retry_after, "rejected: nothing ran");
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
 
-    /// Answers a request by an abort.
+    /// Answers a request with an abort.
     pub(super) fn abort(&mut self, request_id: usize) {
         self.context.counters.aborted += 1;
         let error = frame::error("ERROR", ErrorCode::CompletionUnknown, "aborted: it may have run", None);
         self.answer(request_id, [error, frame::READY_FOR_QUERY.clone()]);
     }
 
-    /// The one final answer of a request that is not abandoned.
+    /// Sends the final answer of a request that is not abandoned; each request has exactly one.
     fn answer<const N: usize>(&mut self, request_id: usize, slices: [Bytes; N]) {
         let Some(request) = self.requests.get(request_id) else { return };
         let client = request.client;
--- a/crates/ottersill/src/event_loop/discovery.rs
+++ b/crates/ottersill/src/event_loop/discovery.rs
@@ -1,4 +1,4 @@
-//! What the event loop does with what discovery says.
+//! The event loop's handling of discovery: applies endpoint lists and removes endpoints.
 
 use std::net::SocketAddr;
 
@@ -10,31 +10,31 @@
 use crate::event_loop::EventLoop;
 
 impl EventLoop {
-    /// Begins the watch on discovery.
+    /// Starts the watch on the discovery service.
     pub fn start_discovery(&mut self) {
         self.discovery.start(&mut self.context);
         self.on_discovery_events();
     }
 
-    /// Discovery is at that address from now on.
+    /// Changes the address of the discovery service.
     pub fn move_discovery(&mut self, address: SocketAddr) {
         self.discovery.move_to(address, &mut self.context);
         self.on_discovery_events();
     }
 
-    /// A connection to discovery became ready.
+    /// Handles readiness of a connection to the discovery service.
     pub(super) fn on_discovery_ready(&mut self) {
         self.discovery.on_ready(&mut self.context);
         self.on_discovery_events();
     }
 
-    /// The timer of the watch on discovery has expired.
+    /// Handles the expired timer of the watch on the discovery service.
     pub(super) fn on_discovery_timer(&mut self) {
         self.discovery.on_timer(&mut self.context);
         self.on_discovery_events();
     }
 
-    /// Carries out what the discovery client says.
+    /// Handles the pending events of the discovery client.
     fn on_discovery_events(&mut self) {
         while let Some(event) = self.discovery.poll_event() {
             match event {
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Takes over an endpoint list: tells the routing module what has changed, and withdraws what may no longer go out.
+    /// Applies an endpoint list: reports the changes to the routing module, and withdraws assignments that may no longer be
+    /// sent.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList) {
         self.context.counters.endpoint_lists += 1;
         let change = self.endpoints.apply(list);
@@ -59,8 +60,8 @@
         self.remove_forgotten_endpoints();
     }
 
-    /// Removes the endpoints that are gone and that the routing module needs no more. What is left of connections to them is
-    /// closed: it would be taken for one to the endpoint that has the index next.
+    /// Removes the endpoints that have left the list and that the routing module no longer needs. Closes the remaining
+    /// connections to them, as they would otherwise be used for the endpoint that gets the same index next.
     fn remove_forgotten_endpoints(&mut self) {
         let now = self.context.now();
         let mut forgettable = self.facade.forgettable_endpoints(now);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Closes the connections to an endpoint to which nothing is in flight; true if none is left.
+    /// Closes the connections to an endpoint that carry no assignment. Returns whether no connection is left.
     fn disconnect(&mut self, endpoint: usize) -> bool {
         self.backends.close_unassigned_of(endpoint, &mut self.context);
         let is_unconnected = self.backends.count_to(endpoint) == 0;
--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -1,4 +1,4 @@
-//! What the event loop has the fleet link and the control listener do.
+//! The event loop's handling of the fleet link and the control listener.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 use crate::reactor::Context;
 
 impl EventLoop {
-    /// Joins the fleet, and answers operators about it where its configuration says so.
+    /// Joins the fleet, and opens the control listener if the fleet's configuration has an address for it.
     ///
     /// # Errors
-    /// If the address for operators can't be had.
+    /// If the control address can't be bound.
     pub fn join_fleet(&mut self, link: FleetLink) -> Result<(), FleetLinkError> {
         let control_address = link.control_address();
         let link = self.fleet_link.insert(link);
@@ -29,7 +29,7 @@
         Ok(())
     }
 
-    /// Has the control listener do something.
+    /// Runs `step` on the control server, with a report of the fleet's current state.
     pub(super) fn with_control(&mut self, step: impl FnOnce(&mut ControlServer, &FleetReport, &mut Context)) {
         let report = FleetReport {
             now: self.context.clock.read(),
@@ -39,7 +39,7 @@
         step(&mut self.control, &report, &mut self.context);
     }
 
-    /// The socket for datagrams became ready.
+    /// Handles readiness of the socket for fleet datagrams.
     pub(super) fn on_fleet_ready(&mut self) {
         if let Some(link) = &mut self.fleet_link {
             link.on_ready(&self.endpoints, &mut self.context);
@@ -47,35 +47,35 @@
         self.update_fleet_quota();
     }
 
-    /// The fleet has something to do.
+    /// Handles the expired timer of the fleet link.
     pub(super) fn on_fleet_timer(&mut self) {
         if let Some(link) = &mut self.fleet_link {
             link.on_timer(&self.endpoints, &mut self.context);
         }
     }
 
-    /// Sends what is to be sent to the other members.
+    /// Sends the pending datagrams to the other members.
     pub(super) fn flush_fleet(&mut self) {
         if let Some(link) = &mut self.fleet_link {
             link.flush(&self.endpoints, &mut self.context);
         }
     }
 
-    /// Gives back all quota, and says so to the others.
+    /// Releases all quota and notifies the other members.
     pub fn leave_fleet(&mut self) {
         if let Some(link) = &mut self.fleet_link {
             link.leave(&self.endpoints, &mut self.context);
         }
     }
 
-    /// Reads the fleet's file again.
+    /// Reloads the fleet file.
     pub fn reload_fleet(&mut self) {
         if let Some(link) = &mut self.fleet_link {
             link.reload(&self.endpoints, &mut self.context);
         }
     }
 
-    /// Tells the routing module what this router may spend now, and the fleet what waits for more.
+    /// Reports this router's current quota to the routing module, and its demand for more to the fleet.
     pub(super) fn update_fleet_quota(&mut self) {
         let Some(link) = &mut self.fleet_link else { return };
         let demand = FleetDemand {
@@ -87,7 +87,7 @@
         self.facade.report(self.context.now(), RoutingEvent::Quota(quota));
     }
 
-    /// Whether the fleet's budgets let an attempt go out to that endpoint now, and counts it if they do.
+    /// Acquires quota for an attempt at that endpoint; false if the fleet's budgets have none left now.
     pub(super) fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
         let attempt = AttemptQuota {
@@ -98,22 +98,22 @@
         link.acquire_attempt(self.context.clock.read(), attempt)
     }
 
-    /// Whether the fleet's budget for that lets one more be begun now, and counts it if it does.
-    pub(super) fn acquire_quota(&mut self, of: BudgetKind) -> bool {
+    /// Acquires one unit of that budget; false if the fleet has none left now.
+    pub(super) fn acquire_quota(&mut self, budget: BudgetKind) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
-        link.acquire(self.context.clock.read(), of, "")
+        link.acquire(self.context.clock.read(), budget, "")
     }
 
-    /// An attempt that was counted is over; `proved` if it is known to run no more.
-    pub(super) fn release_attempt_quota(&mut self, endpoint: usize, proved: bool) {
+    /// Releases the quota of an attempt; `proved_over` says whether it is known to run no longer at the endpoint.
+    pub(super) fn release_attempt_quota(&mut self, endpoint: usize, proved_over: bool) {
         if let Some(link) = &mut self.fleet_link {
             let name = &self.endpoints[endpoint].name;
-            link.release_attempt(self.context.clock.read(), name, proved);
+            link.release_attempt(self.context.clock.read(), name, proved_over);
         }
     }
 }
 
-/// Answers operators at that address from now on.
+/// Opens the control listener at that address.
 fn open_control(
     control: &mut ControlServer,
     address: SocketAddr,
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: hands what became ready and which timers expired to the part that owns it, and carries out what the
-//! routing module decides. Nothing here decides.
+//! The event loop: dispatches ready sockets and expired timers to the components that own them, and carries out the
+//! decisions of the routing module. It makes no routing decisions itself.
 
 mod attempts;
 mod clients;
@@ -24,36 +24,36 @@
 use crate::statement_checker::StatementChecker;
 use crate::timers::Timer;
 
-/// The parts of a router, and what they share. Times are Unix seconds.
+/// The components of a router and the state that they share. Times are Unix seconds.
 pub struct EventLoop {
-    /// The routing module, which alone decides.
+    /// The routing module, which makes all routing decisions.
     facade: Facade,
     /// The requests in flight.
     requests: InFlightRequests,
-    /// The endpoints that discovery has named.
+    /// The endpoints known from discovery.
     endpoints: EndpointRegistry,
     /// Client connections.
     clients: Clients,
     /// Backend connections.
     backends: Backends,
-    /// Keeps the watch on discovery.
+    /// Watches the endpoint list of the discovery service.
     discovery: DiscoveryClient,
-    /// The link to the other routers; none without a fleet.
+    /// The link to the other routers; `None` without a fleet.
     fleet_link: Option<FleetLink>,
-    /// Answers operators.
+    /// Answers the queries of operators.
     control: ControlServer,
-    /// Checks statements, and keeps what is known of them.
+    /// Validates and classifies statements, and caches what is known about their fingerprints.
     statements: StatementChecker,
-    /// Limits of connections and memory.
+    /// Limits on connections and memory.
     limits: ConnectionLimits,
-    /// What all parts use: clock, timers, counters, log, registration of sockets.
+    /// What all components use: clock, timers, counters, log, registration of sockets.
     context: Context,
-    /// When a client may come again that finds no endpoint list here, in seconds; 0 where no time may be named.
+    /// The retry delay sent to clients that are rejected because no endpoint list has arrived, in seconds; 0 sends none.
     max_retry_after: f64,
 }
 
 impl EventLoop {
-    /// Nothing is connected yet, and no endpoint is known.
+    /// Creates an event loop without connections and without known endpoints.
     pub fn new(
         routing_config: RoutingConfig,
         catalog: Catalog,
@@ -82,27 +82,27 @@
         }
     }
 
-    /// Where calloop's callbacks note what became ready, to be handed to its `dispatch`.
+    /// Returns the data to pass to calloop's `dispatch`, in which its callbacks record which sources became ready.
     pub fn readiness(&mut self) -> &mut Readiness {
         self.context.readiness()
     }
 
-    /// All client connections.
+    /// Returns all client connections.
     pub fn clients(&self) -> &Clients {
         &self.clients
     }
 
-    /// All backend connections.
+    /// Returns all backend connections.
     pub fn backends(&self) -> &Backends {
         &self.backends
     }
 
-    /// When the next iteration is due though no socket becomes ready.
+    /// Returns when the next iteration is due even if no socket becomes ready, in Unix seconds.
     pub fn next_at(&self) -> f64 {
         self.context.next_at().min(self.facade.wake_at())
     }
 
-    /// One iteration: handles what became ready, then the timers that have expired.
+    /// Runs one iteration: handles the sources that became ready, then the timers that have expired.
     pub fn poll_once(&mut self) {
         self.context.clock.begin_iteration();
         self.update_fleet_quota();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Does what the routing module asks for, until it asks for nothing more.
+    /// Carries out the actions that the routing module requests, until it requests no more.
     pub fn run_routing_actions(&mut self) {
         loop {
             let actions = self.facade.tick(self.context.now());
@@ -168,10 +168,10 @@
         }
     }
 
-    /// Hands a new request to the routing module; it is in flight from then on.
+    /// Passes a new request to the routing module; the request is in flight from then on.
     fn start_request(&mut self, request: Request, in_flight: InFlightRequest) {
         let (request_id, choice) = self.facade.pick(self.context.now(), PickRequest::New(request));
-        self.enter_request(request_id, in_flight);
+        self.register_request(request_id, in_flight);
         self.apply_decision(request_id, choice);
     }
 
@@ -189,22 +189,22 @@
         self.facade.report(self.context.now(), event);
     }
 
-    /// What all parts use: clock, timers, counters, log.
+    /// Returns what all components use: clock, timers, counters, log.
     pub fn context(&mut self) -> &mut Context {
         &mut self.context
     }
 
-    /// How many endpoints lists have named.
+    /// Returns the number of known endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn requests_in_flight(&self) -> usize {
         self.requests.count()
     }
 
-    /// What is accepted is to be answered by then, in Unix seconds.
+    /// Sets the time, in Unix seconds, by which all accepted statements have to be answered.
     pub fn limit_answers(&mut self, answers_by: f64) {
         self.clients.limit_answers(answers_by);
     }
@@ -218,12 +218,12 @@
             "statements_in_flight" => self.requests.count());
     }
 
-    /// No client is connected, and none can connect.
+    /// Returns whether no client is connected and none can connect.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty() && !self.clients.is_listening()
     }
 
-    /// Invariants that did not hold, wherever they are counted.
+    /// Returns the number of invariant violations counted by the event loop and the routing module.
     pub fn invariant_violations(&self) -> u64 {
         self.context.counters.invariant_violations + self.facade.invariant_violations()
     }
--- a/crates/ottersill/src/event_loop/outcomes.rs
+++ b/crates/ottersill/src/event_loop/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts and health checks end: counted, and reported to the routing module.
+//! Handles the end of attempts and health checks: counts them and reports them to the routing module.
 
 use ottersill_routing::facade::RoutingEvent;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
@@ -11,7 +11,7 @@
 use crate::in_flight::RequestPhase;
 
 impl EventLoop {
-    /// Counts and reports the end of what a connection carried, and answers the client if that completed its request.
+    /// Counts and reports the end of a connection's assignment, and answers the client if its request was completed.
     pub(super) fn finish_assignment(&mut self, finished: FinishedAssignment) {
         match finished.assignment {
             Some(Assignment::Request(request_id)) => self.finish_attempt(request_id, finished),
@@ -24,13 +24,13 @@
         let FinishedAssignment { endpoint, assigned_at, outcome, mut reply, .. } = finished;
         let elapsed = self.context.now() - assigned_at;
         self.record_for_fingerprint(request_id, endpoint, elapsed, outcome, &reply);
-        // Otherwise it may run on.
+        // With the other outcomes the statement may still be running at the endpoint.
         let is_over =
             !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset);
         self.release_attempt_quota(endpoint, is_over);
         let phase = self.requests.get(request_id).map(|request| request.phase);
         if phase.is_some() && !outcome.had_no_effect() && outcome != AttemptOutcome::Completed {
-            self.requests.note_may_have_run(request_id);
+            self.requests.record_may_have_run(request_id);
         }
         let is_abandoned = matches!(phase, Some(RequestPhase::Abandoned(_)));
         if is_abandoned {
@@ -43,7 +43,7 @@
         self.report_attempt(request_id, endpoint, outcome, elapsed, &reply);
     }
 
-    /// Notes for later statements of the same text what this attempt tells of them.
+    /// Records the result of an attempt under its fingerprint, for later statements with the same fingerprint.
     fn record_for_fingerprint(
         &mut self,
         request_id: usize,
@@ -80,7 +80,7 @@
         self.report_health_check(finished.endpoint, outcome, report);
     }
 
-    /// Counts the end of an attempt, and reports it to the routing module.
+    /// Counts the end of an attempt and reports it to the routing module.
     pub(super) fn report_attempt(
         &mut self,
         request_id: usize,
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Counts the end of a health check, and reports it to the routing module.
+    /// Counts the end of a health check and reports it to the routing module.
     pub(super) fn report_health_check(
         &mut self,
         endpoint: usize,
@@ -112,7 +112,7 @@
     }
 }
 
-/// What counts attempts that ended so.
+/// Returns the counter of attempts with this outcome.
 fn counter_of(outcome: AttemptOutcome, counters: &mut Counters) -> &mut u64 {
     match outcome {
         AttemptOutcome::Completed => &mut counters.attempts_completed,
--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The requests in flight, by the number that the routing module gave them.
+//! The requests in flight, by the numbers that the routing module gave them.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +10,19 @@
 /// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// No statement has this number.
+    /// No request has this number.
     Vacant,
-    /// The routing module said to wait, or is about to decide.
+    /// The routing module has deferred the request, or is about to decide about it.
     Waiting,
-    /// An attempt is in flight on that backend connection.
+    /// An attempt is in flight on the backend connection with that number.
     Executing(usize),
-    /// The client left; an attempt is still in flight on that backend connection.
+    /// The client has disconnected; an attempt is still in flight on the backend connection with that number.
     Abandoned(usize),
 }
 
 impl RequestPhase {
-    /// The ways a statement may go. Vacant to Waiting is the taking in; back to Vacant is the final answer, the
-    /// client's leaving, or the end of an abandoned attempt.
+    /// Returns whether the transition from this phase to `next` is allowed. Vacant to Waiting accepts a request; the way back to
+    /// Vacant is the final answer, the client's disconnect, or the end of an abandoned attempt.
     pub fn may_become(self, next: RequestPhase) -> bool {
         use RequestPhase::*;
         match (self, next) {
@@ -37,33 +37,34 @@
 /// A request from its acceptance to its final answer.
 #[derive(Clone, Debug)]
 pub struct InFlightRequest {
-    /// Changed by [`InFlightRequests::transition`] alone.
+    /// Changed only by [`InFlightRequests::transition`].
     pub phase: RequestPhase,
     /// The number of its client connection.
     pub client: usize,
-    /// Of the statement's `id`, by which endpoints know its copies.
+    /// The number of the statement's `id`, by which endpoints recognize attempts of the same statement.
     pub id: u64,
-    /// Outlives the message it came in, as it may be sent more than once; dropped with the final answer.
+    /// The statement. It is kept after its message is processed, as it may be sent more than once, and is dropped with the final
+    /// answer.
     pub text: StatementText,
-    /// What is known of its fingerprint is stored there.
+    /// The key of its fingerprint in the fingerprint cache.
     pub cache_key: Option<CacheKey>,
-    /// When its client stops waiting.
+    /// When its client stops waiting, in Unix seconds.
     pub deadline: f64,
-    /// An attempt of it has ended that may have run.
+    /// Whether an attempt has ended that may have run.
     pub may_have_run: bool,
 }
 
-/// Grows to as many as were ever in flight at once; the numbers are used again.
+/// The requests in flight. Grows to the largest number that was in flight at the same time, as numbers are reused.
 #[derive(Default)]
 pub struct InFlightRequests {
     by_id: Vec<InFlightRequest>,
     in_flight: usize,
-    /// The ids of those in hand; each leaves with its statement.
+    /// The statement ids of the requests in flight.
     ids: BTreeSet<u64>,
 }
 
 impl InFlightRequests {
-    /// A request enters under the number that the routing module gave it.
+    /// Adds a request under the number that the routing module gave it.
     pub fn insert(&mut self, index: usize, new: InFlightRequest, counters: &mut Counters) {
         let vacant = InFlightRequest { phase: RequestPhase::Vacant, text: StatementText::default(), ..new };
         self.by_id.resize(self.by_id.len().max(index + 1), vacant);
@@ -76,7 +77,7 @@
         self.transition(index, RequestPhase::Waiting, counters);
     }
 
-    /// Every change of a request's phase.
+    /// Changes a request's phase; the only place that does so.
     pub fn transition(&mut self, index: usize, next: RequestPhase, counters: &mut Counters) {
         let request = &mut self.by_id[index];
         counters.check_invariant(request.phase.may_become(next), "a request changes its phase as allowed");
@@ -90,29 +91,29 @@
                 self.ids.remove(&request.id);
                 request.text = StatementText::default();
             }
-            // Never sent again.
+            // An abandoned request is never sent again.
             (_, RequestPhase::Abandoned(_)) => request.text = StatementText::default(),
             _ => {}
         }
         request.phase = next;
     }
 
-    /// The request with that number, if one is in flight.
+    /// Returns the request with that number, if it is in flight.
     pub fn get(&self, index: usize) -> Option<&InFlightRequest> {
         self.by_id.get(index).filter(|request| request.phase != RequestPhase::Vacant)
     }
 
-    /// An attempt of it has ended, and may have run.
-    pub fn note_may_have_run(&mut self, index: usize) {
+    /// Records that an attempt has ended that may have run.
+    pub fn record_may_have_run(&mut self, index: usize) {
         self.by_id[index].may_have_run = true;
     }
 
-    /// Whether a request with that statement id is in flight.
+    /// Returns whether a request with that statement id is in flight.
     pub fn contains_id(&self, id: u64) -> bool {
         self.ids.contains(&id)
     }
 
-    /// How many are in flight.
+    /// Returns the number of requests in flight.
     pub fn count(&self) -> usize {
         self.in_flight
     }
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -1,4 +1,4 @@
-//! Statements of clients: checked, classified, and put as requests to the routing module.
+//! Checks and classifies the statements of clients, and turns them into requests for the routing module.
 
 use bytes::Bytes;
 use ottersill_config::deployment::Catalog;
@@ -17,42 +17,42 @@
 use crate::protocol::statement_text::{StatementComment, StatementText, StatementTextError};
 use crate::reactor::Context;
 
-/// Between two log lines about statements that may write, in seconds: one line tells as much as all would.
-const LOG_INTERVAL: f64 = 1.0;
+/// Minimum interval between two log lines about reads that are treated as writes; the line has their total count.
+const LOG_INTERVAL_SECONDS: f64 = 1.0;
 
-/// Why a statement is not handed to the routing module.
+/// Why a statement is not passed to the routing module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is none of this service's.
+    /// The query is not a statement that this service accepts.
     Query(QueryError),
-    /// No endpoint list has come yet.
+    /// No endpoint list has arrived yet.
     NoEndpointList,
-    /// There is no room for its client.
+    /// No descriptor is left for its client.
     NoDescriptor,
 }
 
-/// Why a statement is none of this service's. The text of the error is for the client.
+/// Why a query is not a statement that this service accepts. The text of the error is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QueryError {
-    /// Its text lacks something.
+    /// Its text or its comment is malformed.
     #[error(transparent)]
     Malformed(#[from] StatementTextError),
-    /// Its comment names a workload that the settings do not.
+    /// Its comment names a workload that is not in the settings.
     #[error("no workload has the name in c")]
     UnknownWorkload,
-    /// Its comment names a replica set that no endpoint is of.
+    /// Its comment names a replica set to which no endpoint belongs.
     #[error("no list has named this cluster")]
     UnknownGroup,
-    /// Another request of this `id` is in flight.
+    /// Another request with the same `id` is in flight.
     #[error("a statement with this id is open")]
     DuplicateId,
-    /// It belongs to a session, or is several in one, for that reason.
+    /// It depends on session state, or consists of several statements; the text gives the reason.
     #[error("{0}")]
     NotSupported(&'static str),
 }
 
 impl QueryError {
-    /// The code that the client is told.
+    /// Returns the error code that is sent to the client.
     #[must_use]
     pub fn code(&self) -> ErrorCode {
         match self {
@@ -63,25 +63,25 @@
     }
 }
 
-/// A statement that may be handed to the routing module.
+/// A statement that may be passed to the routing module.
 pub struct CheckedStatement<'a> {
-    /// Its text, as it is sent to endpoints.
+    /// The statement as it is sent to endpoints.
     pub text: StatementText,
-    /// What its comment says.
+    /// The fields of its comment.
     pub comment: StatementComment<'a>,
-    /// What is known of its fingerprint.
+    /// What is known about its fingerprint.
     pub info: StatementInfo,
     /// The index of its workload.
     workload: usize,
     /// The index of its replica set.
     group: usize,
-    /// The longest that its client waits, in seconds.
+    /// The longest time that its client waits, in seconds.
     pub time_left: f64,
 }
 
 impl CheckedStatement<'_> {
-    /// What the routing module is told of it. Times are Unix seconds; `since_write` is the time since the commit that the comment
-    /// names, by the clock of those that commit.
+    /// Returns the request to pass to the routing module. `deadline` and `now` are Unix seconds; `since_write` is the time in
+    /// seconds since the commit that the comment names, by the clock of the endpoints that commit.
     pub fn routing_request(&self, deadline: f64, now: f64, since_write: Option<f64>) -> Request {
         Request {
             workload: self.workload,
@@ -101,28 +101,28 @@
     }
 }
 
-/// What statements are checked by.
-pub struct Surroundings<'a> {
-    /// The endpoints and replica sets that lists have named.
+/// The state against which a statement is checked.
+pub struct CheckContext<'a> {
+    /// The known endpoints and replica sets.
     pub endpoints: &'a EndpointRegistry,
     /// The requests in flight.
     pub requests: &'a InFlightRequests,
-    /// Whether there is room for the statement's client.
+    /// Whether the statement's client is admitted.
     pub is_admitted: bool,
 }
 
-/// Checks statements, and keeps what is known of them by their fingerprints.
+/// Checks statements, and caches what is known about them by their fingerprints.
 pub struct StatementChecker {
-    /// Names and terms of the workloads.
+    /// The names and settings of the workloads.
     catalog: Catalog,
-    /// Keeps to its own budget of bytes.
+    /// What is known about fingerprints, within a limit on its memory.
     fingerprints: FingerprintCache,
-    /// When the log last said why a statement was taken for one that may write, in Unix seconds.
+    /// When the log last had a line about a read treated as a write, in Unix seconds.
     logged_at: f64,
 }
 
 impl StatementChecker {
-    /// Nothing is known yet of any statement. `now` is in Unix seconds, `bytes` what the cache of fingerprints may take.
+    /// Creates a checker with an empty fingerprint cache. `now` is in Unix seconds, `bytes` is the memory limit of the cache.
     pub fn new(now: f64, catalog: Catalog, routing: &RoutingConfig, bytes: usize) -> StatementChecker {
         let typical_work = routing.workloads.iter().map(Router::typical).collect();
         let fingerprints = FingerprintCache::new(now, Key::from_seed(routing.seed), bytes, typical_work);
@@ -132,11 +132,11 @@
     /// Checks a statement.
     ///
     /// # Errors
-    /// If it can't be handed to the routing module.
+    /// If it can't be passed to the routing module.
     pub fn check<'a>(
         &mut self,
         text: &'a Bytes,
-        surroundings: &Surroundings,
+        check_context: &CheckContext,
         context: &mut Context,
     ) -> Result<CheckedStatement<'a>, Refusal> {
         let scan = self.fingerprints.scan(text);
@@ -144,7 +144,7 @@
         let (statement, comment) = parsed.map_err(|error| Refusal::Query(error.into()))?;
         let workload = self.catalog.workloads.iter().position(|name| name == comment.workload);
         let workload = workload.ok_or(Refusal::Query(QueryError::UnknownWorkload))?;
-        let group = find_group(&comment, surroundings)?;
+        let group = find_group(&comment, check_context)?;
         let info = self.fingerprints.lookup(context.now(), workload, text, scan.fingerprint);
         if let Some(reason) = info.refusal {
             context.counters.session_queries += 1;
@@ -158,7 +158,7 @@
         Ok(CheckedStatement { text: statement, comment, info, workload, group, time_left })
     }
 
-    /// Notes for later statements of the same text that an attempt was completed after `elapsed` seconds.
+    /// Records, for later statements with the same fingerprint, that an attempt was completed after `elapsed` seconds.
     pub fn record_completion(
         &mut self,
         now: f64,
@@ -170,24 +170,24 @@
         self.fingerprints.record_completion(now, key, endpoint, elapsed, at_replica);
     }
 
-    /// Notes for later statements of the same text that a replica rejected it as a write.
+    /// Records, for later statements with the same fingerprint, that a replica rejected an attempt as a write.
     pub fn record_read_only_rejection(&mut self, key: CacheKey) {
         self.fingerprints.record_read_only_rejection(key);
     }
 
-    /// The index of an endpoint stands for another one from now on.
+    /// Discards what is known about an endpoint, as its index may be given to another endpoint.
     pub fn forget_endpoint(&mut self, endpoint: usize) {
         self.fingerprints.forget_endpoint(endpoint);
     }
 
-    /// Writes what is counted of fingerprints to the log.
+    /// Writes the counters of the fingerprint cache to the log.
     pub fn log_counters(&self, log: &Logger) {
         let (cache, found) = (&self.fingerprints, self.fingerprints.counts);
         info!(log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
             "prescanned" => found.prescanned, "replica_refusals" => found.denied, "pages" => cache.entries(), "bytes" => cache.bytes());
     }
 
-    /// Why a statement of a reading workload goes to the primary.
+    /// Logs why a statement of a read workload is sent to the primary.
     fn log_write_classification(
         &mut self,
         workload: usize,
@@ -195,23 +195,24 @@
         info: &StatementInfo,
         context: &Context,
     ) {
-        if context.now() - self.logged_at < LOG_INTERVAL {
+        if context.now() - self.logged_at < LOG_INTERVAL_SECONDS {
             return;
         }
         self.logged_at = context.now();
-        let reading = info.key.and_then(|key| self.fingerprints.classification(&key).cloned());
-        let reading =
-            reading.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
-        // What an endpoint said of it is not in the text.
-        let why = if reading.kind == StatementKind::Read { "replicas reject it" } else { &reading.why };
-        info!(context.log, "statement may write"; "reason" => why, "kind" => info.kind.name(),
+        let classification = info.key.and_then(|key| self.fingerprints.classification(&key).cloned());
+        let classification =
+            classification.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
+        // A text that classifies as a read is treated as a write only because replicas have rejected it.
+        let is_read = classification.kind == StatementKind::Read;
+        let reason = if is_read { "replicas reject it" } else { &classification.why };
+        info!(context.log, "statement may write"; "reason" => reason, "kind" => info.kind.name(),
             "workload" => self.catalog.workloads[workload].as_str(), "so_far" => context.counters.reads_treated_as_writes);
     }
 }
 
-/// The replica set that a statement is for, if its client and its id let it be taken in.
-fn find_group(comment: &StatementComment, surroundings: &Surroundings) -> Result<usize, Refusal> {
-    let Surroundings { endpoints, requests, is_admitted } = *surroundings;
+/// Returns the replica set of a statement, if its client and its id allow it to be accepted.
+fn find_group(comment: &StatementComment, check_context: &CheckContext) -> Result<usize, Refusal> {
+    let CheckContext { endpoints, requests, is_admitted } = *check_context;
     if endpoints.is_empty() {
         return Err(Refusal::NoEndpointList);
     }
@@ -221,7 +222,7 @@
         return Err(Refusal::NoDescriptor);
     }
     if requests.contains_id(comment.id) {
-        // Sent on, it would be taken for a second copy of the one that is in flight.
+        // Endpoints would treat it as another attempt of the request that is in flight.
         return Err(Refusal::Query(QueryError::DuplicateId));
     }
     Ok(group)
