--- a/crates/ottersill/src/backend/connection.rs
+++ b/crates/ottersill/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! Backend connections: each carries one attempt or health check at a time.
+//! A backend connection and its states. It carries one attempt or health check at a time.
 
 use std::rc::Rc;
 
@@ -14,22 +14,22 @@
 /// The state of a backend connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// The connection is being set up.
+    /// The TCP connection is being established.
     Dialing,
-    /// It is up, and the endpoint's first ReadyForQuery is awaited.
+    /// The startup message is sent or being sent, and the endpoint's first ReadyForQuery is awaited.
     Greeting,
-    /// It carries nothing.
+    /// The connection has no assignment.
     Idle,
-    /// What it carries is not written whole.
+    /// The assignment is not fully written yet.
     Sending,
-    /// The last byte was handed over: from here on the statement may run.
+    /// The last byte was passed to the system: from here on the endpoint may run the statement.
     Sent,
-    /// Removed.
+    /// The connection is closed and removed.
     Closed,
 }
 
 impl ConnectionState {
-    /// Whether a connection in this state may go over to the next.
+    /// Returns whether the transition from this state to `next` is allowed.
     pub fn may_become(self, next: ConnectionState) -> bool {
         use ConnectionState::*;
         matches!(
@@ -42,18 +42,20 @@
         )
     }
 
-    /// How an attempt on it has ended if the connection breaks now. Only in [`Sent`](Self::Sent) it may have run.
+    /// Returns the outcome of an attempt whose connection fails in this state. The statement may have run only in
+    /// [`Sent`](Self::Sent).
     pub fn broken(self) -> AttemptOutcome {
         if self == ConnectionState::Sent { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
 
-    /// The same if the router stops waiting; `late` is how that counts once the statement may run.
-    pub fn given_up(self, late: AttemptOutcome) -> AttemptOutcome {
-        if self == ConnectionState::Sent { late } else { AttemptOutcome::NeverSent }
+    /// Returns the outcome of an attempt for which the router stops waiting in this state; `if_sent` is the outcome once the
+    /// statement may have run.
+    pub fn given_up(self, if_sent: AttemptOutcome) -> AttemptOutcome {
+        if self == ConnectionState::Sent { if_sent } else { AttemptOutcome::NeverSent }
     }
 }
 
-/// What a connection carries.
+/// What is assigned to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assignment {
     /// An attempt of the request with that number.
@@ -66,28 +68,29 @@
 pub struct BackendConnection {
     /// The endpoint's index.
     pub endpoint: usize,
-    /// Changed by `Backends::set_state` alone.
+    /// Changed only by `Backends::set_state`.
     pub state: ConnectionState,
-    /// What it carries.
+    /// The attempt or health check that it carries.
     pub assignment: Option<Assignment>,
-    /// When the assignment was given.
+    /// When the assignment was made.
     pub assigned_at: f64,
-    /// When the assignment is given up.
+    /// When the assignment times out.
     pub deadline: f64,
-    /// When the time left was computed that was written into the statement.
+    /// When the time left that was written into the statement was computed.
     pub time_left_sent_at: f64,
-    /// When it became idle. Apart from `assigned_at`: idling must not shorten the time of an assignment.
+    /// When the connection became idle. Kept separately from `assigned_at`, as idle time must not shorten the time of an
+    /// assignment.
     pub idle_since: f64,
-    /// Does not block.
+    /// The non-blocking socket.
     pub socket: Rc<Socket>,
-    /// Of its registration at the event loop.
+    /// The token of the socket's registration at the event loop.
     pub token: RegistrationToken,
-    /// When its state has to change.
+    /// The timer of the time by which the state has to change.
     pub timer: Option<TimerHandle>,
-    /// What was read and is no whole message yet.
+    /// Bytes that were read and not yet taken out as complete messages.
     pub inbox: BytesMut,
-    /// What is left to write.
+    /// Bytes that are left to write.
     pub outbox: Outbox,
-    /// The answer as far as it was read.
+    /// The endpoint's answer, as far as it was read.
     pub reply: Reply,
 }
--- a/crates/ottersill/src/backend/mod.rs
+++ b/crates/ottersill/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Backend connections: the connections to database endpoints, and the attempts and health checks that they carry.
+//! Backend connections: the connections to database endpoints, and the attempts and health checks assigned to them.
 
 pub mod connection;
 mod pool;
@@ -16,47 +16,47 @@
 use crate::backend::reply::Reply;
 use crate::backend::table::BackendTable;
 
-/// A connection carries nothing any more: how that has ended, for the event loop to count and report.
+/// The end of a connection's assignment, for the event loop to count and report.
 #[derive(Debug)]
 pub struct FinishedAssignment {
-    /// What it carried; none if that was withdrawn before, or it was idle.
+    /// The attempt or health check; `None` if it was withdrawn before, or if the connection was idle.
     pub assignment: Option<Assignment>,
     /// The endpoint's index.
     pub endpoint: usize,
-    /// When the assignment was given, in Unix seconds.
+    /// When it was assigned to the connection, in Unix seconds.
     pub assigned_at: f64,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The answer, as far as it was read.
+    /// The endpoint's answer, as far as it was read.
     pub reply: Reply,
 }
 
-/// How a connection stands after it was written and read. What was read is told of by [`Backends::next_event`]; after that
-/// [`Backends::end_transfer`] is due.
+/// The state of a connection after it was written and read. The caller then handles the messages that were read by
+/// [`Backends::next_event`], and calls [`Backends::end_transfer`] after that.
 #[derive(Debug)]
 pub enum TransferEnd {
-    /// All was read.
+    /// All available bytes were read.
     Drained,
-    /// More is there to read, and no further readiness will tell of it.
+    /// More bytes are available, and no further readiness event will announce them.
     MoreLeft,
-    /// It broke or ended.
+    /// The connection failed, or the endpoint closed it.
     Broken,
-    /// It will never come up.
-    NeverUp(io::Error),
+    /// The connection could not be established.
+    ConnectFailed(io::Error),
 }
 
-/// What the event loop is told of the messages that were read.
+/// An event that results from the messages that were read, for the event loop to handle.
 #[derive(Debug)]
 pub enum BackendEvent {
-    /// The connection is up: what it was opened for may go out.
+    /// The startup is complete: the assignment for which the connection was opened may be sent.
     Up,
-    /// What it carried is over.
+    /// The connection's assignment has ended.
     Finished(FinishedAssignment),
-    /// What it carried is over, and the connection closed.
+    /// The connection's assignment has ended, and the connection is closed.
     Closed(FinishedAssignment),
-    /// No whole message is left.
+    /// No complete message is left in the read buffer.
     AllRead,
-    /// The connection is gone.
+    /// The connection no longer exists.
     Gone,
 }
 
@@ -67,32 +67,32 @@
 }
 
 impl Backends {
-    /// There is no connection yet.
+    /// Creates an empty set of connections.
     pub fn new(timeouts: BackendTimeouts) -> Backends {
         Backends { table: BackendTable::default(), timeouts }
     }
 
-    /// All connections with their numbers.
+    /// Iterates over all connections with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &BackendConnection)> {
         self.table.iter()
     }
 
-    /// The connection with that number.
+    /// Returns the connection with that number.
     pub fn get(&self, id: usize) -> Option<&BackendConnection> {
         self.table.get(id)
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// There is no connection.
+    /// Returns whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// How long a connection may take to come up, in seconds.
+    /// Returns the time limit for establishing a connection, in seconds.
     pub fn connect_timeout(&self) -> f64 {
         self.timeouts.connect
     }
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of backend connections: finding an idle one to an endpoint, opening and closing them.
+//! The pool of backend connections: finds idle connections to an endpoint, opens and closes connections.
 
 use std::net::SocketAddr;
 
@@ -17,11 +17,11 @@
 use crate::reactor::{Context, Source};
 use crate::timers::Timer;
 
-/// Between two log lines about broken connections to an endpoint, in seconds.
-const LOG_INTERVAL: f64 = 1.0;
+/// Minimum interval between two log lines about failed connections to the same endpoint.
+const LOG_INTERVAL_SECONDS: f64 = 1.0;
 
 impl Backends {
-    /// Every change of a connection's state, with the time by which it has to change again.
+    /// Changes a connection's state, the only place that does so, and sets the timer of the time by which it has to change again.
     pub(super) fn set_state(
         &mut self,
         id: usize,
@@ -41,8 +41,9 @@
         }
     }
 
-    /// The idle connection to an endpoint that was used last. Those that the endpoint has ended are closed: they must not be
-    /// taken for connections. So are those whose time is over, as a router that was held up finds a request before its timers.
+    /// Takes the most recently used idle connection to an endpoint out of the pool. Closes connections that the endpoint has
+    /// closed, so that no attempt is sent on them. Also closes those whose idle time is over, as a router that was stalled
+    /// handles requests before expired timers.
     pub fn take_idle(&mut self, endpoint: usize, context: &mut Context) -> Option<usize> {
         while let Some(id) = self.table.pop_idle(endpoint) {
             let idle_time = self.idle_time();
@@ -61,10 +62,10 @@
         None
     }
 
-    /// Opens a connection for an assignment.
+    /// Starts to open a connection for an assignment. Returns the connection's number.
     ///
     /// # Errors
-    /// If it can't even be begun: what that means for its attempt.
+    /// If the connection can't be started: the outcome of the attempt or health check.
     pub fn open(
         &mut self,
         endpoint: usize,
@@ -101,7 +102,7 @@
         Ok(id)
     }
 
-    /// What a connection that could not even be begun means for its attempt.
+    /// Records that a connection could not be started. Returns the outcome of its attempt or health check.
     fn on_connect_failed(
         &self,
         endpoint: usize,
@@ -115,7 +116,7 @@
         if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
     }
 
-    /// Gives a connection what it is to carry.
+    /// Assigns an attempt or health check to a connection.
     pub fn assign(&mut self, id: usize, assignment: Assignment, deadline: f64, context: &Context) {
         let connection = &mut self.table[id];
         connection.assignment = Some(assignment);
@@ -123,25 +124,25 @@
         connection.deadline = deadline;
     }
 
-    /// Keeps a connection for the next assignment.
+    /// Returns a connection to the pool, for the next assignment.
     pub fn make_idle(&mut self, id: usize, context: &mut Context) {
         self.set_state(id, ConnectionState::Idle, context.now() + self.idle_time(), context);
         let connection = &mut self.table[id];
         connection.idle_since = context.now();
         if connection.inbox.is_empty() {
-            // What is left of it would hold on to all that was read with it.
+            // The empty rest of the old buffer would keep the memory of all that was read with it.
             connection.inbox = BytesMut::new();
         }
         self.table.push_idle(id);
     }
 
-    /// How long a connection is kept while it carries nothing, in seconds: half of what the endpoint allows, as one that ends at
-    /// both sides at once would be a reset.
+    /// Returns how long an idle connection is kept, in seconds: half of what the endpoint allows, as a connection that both sides
+    /// close at the same time would be a reset.
     fn idle_time(&self) -> f64 {
         self.timeouts.idle / 2.0
     }
 
-    /// Closes a connection that carries nothing.
+    /// Closes a connection without an assignment.
     pub(super) fn close(&mut self, id: usize, context: &mut Context) {
         self.set_state(id, ConnectionState::Closed, f64::INFINITY, context);
         let connection = self.table.remove(id);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Closes the connections to an endpoint that carry nothing, idle or not up yet.
+    /// Closes the connections to an endpoint that have no assignment, whether they are idle or not established yet.
     pub fn close_unassigned_of(&mut self, endpoint: usize, context: &mut Context) {
         self.close_idle_of(endpoint, context);
         if self.table.count_to(endpoint) > 0 {
@@ -166,12 +167,12 @@
         }
     }
 
-    /// How many connections to an endpoint there are.
+    /// Returns the number of connections to an endpoint.
     pub fn count_to(&self, endpoint: usize) -> usize {
         self.table.count_to(endpoint)
     }
 
-    /// Closes the connection that has been idle for longest, to make room for another; false if none is idle.
+    /// Closes the connection that has been idle for longest, to make room for another. Returns false if none is idle.
     pub fn close_longest_idle(&mut self, context: &mut Context) -> bool {
         let oldest = self.table.longest_idle();
         if let Some(id) = oldest {
@@ -180,7 +181,7 @@
         oldest.is_some()
     }
 
-    /// Takes off a connection what it carries.
+    /// Removes a connection's assignment, which has ended with that outcome.
     pub(super) fn take_assignment(&mut self, id: usize, outcome: AttemptOutcome) -> FinishedAssignment {
         let connection = &mut self.table[id];
         FinishedAssignment {
@@ -193,20 +194,20 @@
     }
 }
 
-/// Logs a broken connection. An endpoint that is down refuses hundreds of connections a second: one log line a second
-/// tells as much.
+/// Logs a failed connection, with the number of failures since the last log line. An endpoint that is down can refuse
+/// hundreds of connections per second, so there is at most one log line per second and endpoint.
 pub fn log_connection_failure(
     endpoint: usize,
     state: ConnectionState,
-    why: &str,
+    reason: &str,
     endpoints: &mut EndpointRegistry,
     context: &Context,
 ) {
     let endpoint = &mut endpoints[endpoint];
     endpoint.broken += 1;
-    if context.now() - endpoint.logged_at >= LOG_INTERVAL {
+    if context.now() - endpoint.logged_at >= LOG_INTERVAL_SECONDS {
         info!(context.log, "backend connection failed"; "endpoint" => endpoint.name.as_str(), "state" => format!("{state:?}"),
-            "reason" => why, "failures" => endpoint.broken);
+            "reason" => reason, "failures" => endpoint.broken);
         (endpoint.logged_at, endpoint.broken) = (context.now(), 0);
     }
 }
--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -1,48 +1,49 @@
-//! An endpoint's answer, gathered message by message as slices of the buffer that they were read into.
+//! An endpoint's answer, collected message by message as slices of the read buffer.
 
 use bytes::Bytes;
 use ottersill_routing::interface::{AttemptOutcome, LoadReport, Role};
 
 use crate::protocol::frame::{Message, ProtocolError};
 
-/// An answer as far as it was read.
+/// An answer, as far as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     description: Option<Bytes>,
     row: Option<Message>,
     complete: Option<Bytes>,
     code: Option<[u8; 5]>,
-    /// Role and position that came in parameters beside the answer.
+    /// Role and replication position from ParameterStatus messages that came with the answer.
     pub piggybacked: LoadReport,
-    /// The load report that came beside the answer.
+    /// The load report from a ParameterStatus message that came with the answer.
     pub load_report: Option<LoadReport>,
 }
 
-/// Role and position, as `recovery` and `lsn_ms` tell them. Positions are Unix milliseconds.
-fn read_parameter(note: &mut LoadReport, name: &[u8], value: &str) {
+/// Reads role and replication position from the parameters `recovery` and `lsn_ms` into `report`. `lsn_ms` is in Unix
+/// milliseconds.
+fn read_role_or_position(report: &mut LoadReport, name: &[u8], value: &str) {
     match name {
         b"recovery" => {
-            note.role = match value {
+            report.role = match value {
                 "off" => Some(Role::Primary),
                 "on" => Some(Role::Replica),
-                _ => note.role,
+                _ => report.role,
             }
         }
         b"lsn_ms" => {
-            note.lsn =
+            report.lsn =
                 value.parse().ok().filter(|ms: &f64| ms.is_finite() && *ms > 0.0).map(|ms| ms / 1000.0);
         }
         _ => {}
     }
 }
 
-/// A load report, `x0=…,x1=…`: its position is in Unix seconds.
+/// Parses a load report, `x0=…,x1=…,utilization=…`. Its replication position (`x0`) is in Unix seconds.
 fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         let Some(value) = value.parse::<f64>().ok().filter(|value| value.is_finite()) else { continue };
         match name {
-            // None is known where an endpoint has just started.
+            // An endpoint that has just started reports 0, as it has no position yet.
             "x0" => report.lsn = (value > 0.0).then_some(value),
             "utilization" => report.utilization = Some(value),
             "x1" => report.role = Some(if value > 0.5 { Role::Primary } else { Role::Replica }),
@@ -53,29 +54,31 @@
 }
 
 impl Reply {
-    /// Takes one message in; true with ReadyForQuery, which ends the answer. Whatever is not just as an answer of
-    /// one row or an error has to be is spoilt: it proves nothing, and nothing of it may be passed on.
+    /// Adds a message. Returns true for ReadyForQuery, which ends the answer. An answer has to be exactly one row of one column,
+    /// an empty query's answer, or an error. Anything else is a protocol error: it proves nothing, and no part of it may be
+    /// passed on.
     pub fn add(&mut self, message: Message) -> Result<bool, ProtocolError> {
-        let none = self.is_empty();
+        let is_start = self.is_empty();
         match message.tag() {
-            b'T' if none && message.describes_one() => self.description = Some(message.0),
+            b'T' if is_start && message.describes_one_column() => self.description = Some(message.0),
             b'D' if self.description.is_some() && self.row.is_none() && message.column().is_some() => {
                 self.row = Some(message);
             }
-            b'C' if self.row.is_some() && self.complete.is_none() && message.command().is_some() => {
+            b'C' if self.row.is_some() && self.complete.is_none() && message.command_tag().is_some() => {
                 self.complete = Some(message.0);
             }
-            b'I' if none && message.body().is_empty() => self.complete = Some(message.0),
+            b'I' if is_start && message.body().is_empty() => self.complete = Some(message.0),
             b'E' if self.complete.is_none() && self.code.is_none() => {
-                let ends = message.body().ends_with(&[0, 0]);
-                let code =
-                    message.field(b'C').filter(|code| ends && code.iter().all(u8::is_ascii_alphanumeric));
+                let is_terminated = message.body().ends_with(&[0, 0]);
+                let code = message
+                    .field(b'C')
+                    .filter(|code| is_terminated && code.iter().all(u8::is_ascii_alphanumeric));
                 self.code =
                     Some(code.and_then(|code| code.try_into().ok()).ok_or(ProtocolError::ErrorWithoutCode)?);
             }
             b'S' => {
                 let (name, value) = message.parameter().ok_or(ProtocolError::ParameterWithoutValue)?;
-                // What can't be read is no report; the answer that it came with may be good all the same.
+                // A value that is not UTF-8 is ignored; the answer that it came with may be valid.
                 if let Ok(value) = std::str::from_utf8(value) {
                     self.read_parameter_status(name, value);
                 }
@@ -91,20 +94,20 @@
         if name == b"health" {
             self.load_report = Some(parse_load_report(value));
         }
-        read_parameter(&mut self.piggybacked, name, value);
+        read_role_or_position(&mut self.piggybacked, name, value);
     }
 
-    /// Nothing but notices and parameters, which an endpoint may send at any time.
+    /// Returns whether only notices and parameters were received, which an endpoint may send at any time.
     pub fn is_empty(&self) -> bool {
         self.code.is_none() && self.description.is_none() && self.complete.is_none()
     }
 
-    /// The row is there whole, whatever comes after it.
+    /// Returns whether the row and its CommandComplete were received without an error, whatever comes after them.
     pub fn is_completed(&self) -> bool {
         self.code.is_none() && self.row.is_some() && self.complete.is_some()
     }
 
-    /// How an attempt has ended. 53300 promises that nothing ran; of the other codes only 72000 and 25006 do.
+    /// Returns the outcome of an attempt with this answer. Only the codes 53300, 72000 and 25006 promise that nothing ran.
     pub fn outcome(&self) -> AttemptOutcome {
         match self.code.as_ref() {
             Some(b"53300") => AttemptOutcome::Refused,
@@ -112,18 +115,19 @@
             Some(b"25006") => AttemptOutcome::ReadOnly,
             Some(_) => AttemptOutcome::Error,
             None if self.is_completed() => AttemptOutcome::Completed,
-            // Whatever it did, it gave nothing that could be passed on.
+            // Whatever the statement did, there is no result that could be passed on.
             None => AttemptOutcome::Error,
         }
     }
 
-    /// How the startup of a connection has ended, if the endpoint refused it: nothing was sent on it.
+    /// Returns the outcome of an attempt whose connection the endpoint refused at startup, before the statement was sent; `None`
+    /// if it did not refuse.
     pub fn connection_refusal(&self) -> Option<AttemptOutcome> {
         let code = self.code.as_ref()?;
         Some(if code == b"53300" { AttemptOutcome::Refused } else { AttemptOutcome::ConnectFailed })
     }
 
-    /// How a health check has ended, and what it reports; 57P03 refuses one.
+    /// Returns the outcome and the load report of a health check. 57P03 refuses a health check.
     pub fn health_check_result(&self) -> (AttemptOutcome, LoadReport) {
         match (self.code.as_ref(), self.health()) {
             (Some(b"53300" | b"57P03"), _) => (AttemptOutcome::Refused, LoadReport::default()),
@@ -132,7 +136,7 @@
         }
     }
 
-    /// What a client is sent, just as the endpoint gave it.
+    /// Takes out the messages for the client, unchanged from how the endpoint sent them.
     pub fn take_client_messages(&mut self) -> [Bytes; 3] {
         let row = self.row.take().map(|row| row.0);
         [self.description.take(), row, self.complete.take()].map(Option::unwrap_or_default)
--- a/crates/ottersill/src/backend/sending.rs
+++ b/crates/ottersill/src/backend/sending.rs
@@ -1,4 +1,4 @@
-//! What a backend connection carries: written, given up, withdrawn.
+//! Writes, abandons and withdraws the assignments of backend connections.
 
 use ottersill_routing::interface::AttemptOutcome;
 
@@ -7,13 +7,13 @@
 use crate::backend::{Backends, FinishedAssignment};
 use crate::in_flight::InFlightRequests;
 use crate::protocol::frame;
-use crate::protocol::statement_text::DEADLINE_MARGIN;
+use crate::protocol::statement_text::DEADLINE_MARGIN_SECONDS;
 use crate::protocol::statement_text::advertised_time_left;
 use crate::reactor::Context;
 
 impl Backends {
-    /// Puts the connection's assignment into its outbox, with the time that is left at `time`, the clock as read for this;
-    /// [`flush`](Self::flush) sends it. Gives the assignment's deadline.
+    /// Puts the connection's assignment into its outbox, with the time left at `time`, which the caller has just read from the
+    /// clock; [`flush`](Self::flush) sends it. Returns the assignment's deadline.
     pub fn write_assignment(
         &mut self,
         id: usize,
@@ -38,12 +38,13 @@
         deadline
     }
 
-    /// Whether what the connection carries is not written whole.
+    /// Returns whether the connection's assignment is not fully written yet.
     pub fn is_sending(&self, id: usize) -> bool {
         self.table.get(id).is_some_and(|connection| connection.state == ConnectionState::Sending)
     }
 
-    /// Updates the time left in a partly written statement; false if it is out of date and can't be changed any more.
+    /// Updates the time left in a partly written statement. Returns false if the written value is stale and can no longer be
+    /// changed.
     pub fn refresh_deadline(&mut self, id: usize, time: f64, requests: &InFlightRequests) -> bool {
         let connection = &mut self.table[id];
         let Some(Assignment::Request(request_id)) = connection.assignment else { return true };
@@ -54,10 +55,10 @@
         {
             connection.time_left_sent_at = time;
         }
-        time - connection.time_left_sent_at <= DEADLINE_MARGIN
+        time - connection.time_left_sent_at <= DEADLINE_MARGIN_SECONDS
     }
 
-    /// Writes what the socket takes; false if the connection broke.
+    /// Writes as much of the outbox as the socket accepts. Returns false if the connection failed.
     pub fn flush(&mut self, id: usize, context: &mut Context) -> bool {
         let connection = &mut self.table[id];
         let flushed = connection.outbox.flush(&connection.socket);
@@ -68,32 +69,33 @@
         flushed.is_ok()
     }
 
-    /// The connection is up and sends what it was opened for.
+    /// Ends the startup of a connection, which then sends the assignment for which it was opened.
     pub fn become_ready_to_send(&mut self, id: usize, context: &mut Context) {
         let deadline = self.table[id].deadline;
         self.set_state(id, ConnectionState::Idle, deadline, context);
     }
 
-    /// Stops waiting for what the connection carries, which closes it: it may still be running there.
+    /// Stops waiting for the connection's assignment, and closes the connection, as the statement may still be running at the
+    /// endpoint. `if_sent` is the outcome if it was fully sent.
     pub(super) fn abandon(
         &mut self,
         id: usize,
-        late: AttemptOutcome,
+        if_sent: AttemptOutcome,
         context: &mut Context,
     ) -> FinishedAssignment {
-        let outcome = self.table[id].state.given_up(late);
+        let outcome = self.table[id].state.given_up(if_sent);
         let finished = self.take_assignment(id, outcome);
         self.close(id, context);
         finished
     }
 
-    /// Cancels what the connection carries.
+    /// Cancels the connection's assignment.
     pub fn cancel(&mut self, id: usize, context: &mut Context) -> FinishedAssignment {
         let withdrawn = self.withdraw(id, context);
         withdrawn.unwrap_or_else(|| self.abandon(id, AttemptOutcome::Cancelled, context))
     }
 
-    /// Withdraws from a connection what has not gone out whole; none if that has.
+    /// Withdraws the connection's assignment; `None` if it was fully sent, or if there is none.
     #[must_use]
     pub fn withdraw(&mut self, id: usize, context: &mut Context) -> Option<FinishedAssignment> {
         match self.table[id].state {
@@ -101,7 +103,7 @@
                 self.table[id].deadline = f64::INFINITY;
                 Some(self.take_assignment(id, AttemptOutcome::NeverSent))
             }
-            // A part may be out: the rest of it, sent later, would be an attempt for nobody.
+            // A part may have been sent: sending the rest later would make an attempt that nobody waits for.
             ConnectionState::Sending => Some(self.abandon(id, AttemptOutcome::NeverSent, context)),
             ConnectionState::Idle | ConnectionState::Sent | ConnectionState::Closed => None,
         }
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -1,4 +1,4 @@
-//! A backend connection that became ready, or whose timer expired: its startup, the answers read on it, its failures.
+//! Handles ready backend connections and their expired timers: startup, received answers, failures.
 
 use std::io;
 use std::mem;
@@ -16,19 +16,20 @@
 use crate::reactor::{Context, Source};
 
 impl Backends {
-    /// A connection became ready: goes on with its startup, writes and reads. None if it is not up yet, or gone.
+    /// Handles readiness of a connection: continues its startup, writes and reads. Returns `None` if the connection is not
+    /// established yet, or no longer exists.
     #[must_use]
     pub fn on_ready(&mut self, id: usize, context: &mut Context) -> Option<TransferEnd> {
         if self.table.get(id)?.state == ConnectionState::Dialing {
             match self.on_dialed(id, context) {
                 Ok(true) => {}
                 Ok(false) => return None,
-                Err(fault) => return Some(TransferEnd::NeverUp(fault)),
+                Err(fault) => return Some(TransferEnd::ConnectFailed(fault)),
             }
         }
         let wrote = self.flush(id, context);
         let connection = &mut self.table[id];
-        // An answer that came before the break still counts.
+        // Reads even if the write failed: an answer that arrived before the failure still counts.
         let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
         Some(match read {
             Ok(ReadOutcome::Drained) if wrote => TransferEnd::Drained,
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Begins the startup of a connection that is up by now; false if it is not.
+    /// Starts the startup handshake once the TCP connection is established. Returns false if it is not established yet.
     fn on_dialed(&mut self, id: usize, context: &mut Context) -> io::Result<bool> {
         let connection = &mut self.table[id];
         if !socket::is_connected(&connection.socket)? {
@@ -49,7 +50,7 @@
         Ok(true)
     }
 
-    /// Takes in what was read whole, until the event loop has to be told of something.
+    /// Processes the complete messages in the read buffer, up to the first event that the event loop has to handle.
     #[must_use]
     pub fn next_event(
         &mut self,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The events of a transfer are handled: the connection is read again later, or is closed if it broke.
+    /// Ends a transfer whose events are handled: schedules another read if more bytes are left, and closes the connection if it
+    /// failed.
     #[must_use]
     pub fn end_transfer(
         &mut self,
@@ -95,12 +97,12 @@
                 context.wake(Source::Backend(id));
                 None
             }
-            TransferEnd::Broken => Some(self.fail(id, "the host ended it", endpoints, context)),
-            TransferEnd::NeverUp(fault) => Some(self.fail(id, &fault.to_string(), endpoints, context)),
+            TransferEnd::Broken => Some(self.fail(id, "connection closed or failed", endpoints, context)),
+            TransferEnd::ConnectFailed(fault) => Some(self.fail(id, &fault.to_string(), endpoints, context)),
         }
     }
 
-    /// The endpoint's first ReadyForQuery has come.
+    /// Handles the endpoint's first ReadyForQuery.
     fn on_greeted(
         &mut self,
         id: usize,
@@ -110,11 +112,11 @@
         if self.table[id].reply.connection_refusal().is_none() {
             return BackendEvent::Up;
         }
-        // ReadyForQuery after an error: nothing that an endpoint of this protocol does.
-        BackendEvent::Finished(self.fail(id, "the endpoint refused it", endpoints, context))
+        // An endpoint that follows the protocol sends no ReadyForQuery after an error at startup.
+        BackendEvent::Finished(self.fail(id, "the endpoint refused the connection", endpoints, context))
     }
 
-    /// What the connection carries has its answer; the connection is kept.
+    /// Handles the complete answer to the connection's assignment. The connection is kept.
     fn on_reply_complete(&mut self, id: usize, context: &mut Context) -> FinishedAssignment {
         let reply = mem::take(&mut self.table[id].reply);
         let finished = self.take_assignment(id, reply.outcome());
@@ -122,8 +124,8 @@
         FinishedAssignment { reply, ..finished }
     }
 
-    /// The endpoint broke the protocol: its connection is of no further use. What was sent may have run, but the
-    /// endpoint is there: taken for a broken connection, this would cost it its role.
+    /// Closes a connection on which the endpoint violated the protocol. A sent statement may have run. Its outcome is `Error`,
+    /// not that of a failed connection, as the endpoint is reachable and would otherwise lose its known role.
     fn on_protocol_error(
         &mut self,
         id: usize,
@@ -142,11 +144,11 @@
         BackendEvent::Closed(finished)
     }
 
-    /// The connection failed, broke, ended or broke the protocol.
+    /// Closes a connection that could not be established, failed, was closed by the endpoint, or violated the protocol.
     fn fail(
         &mut self,
         id: usize,
-        why: &str,
+        reason: &str,
         endpoints: &mut EndpointRegistry,
         context: &mut Context,
     ) -> FinishedAssignment {
@@ -161,7 +163,7 @@
             _ => {}
         }
         if state != ConnectionState::Idle {
-            log_connection_failure(connection.endpoint, state, why, endpoints, context);
+            log_connection_failure(connection.endpoint, state, reason, endpoints, context);
         }
         let outcome = match state {
             ConnectionState::Greeting => reply.connection_refusal().unwrap_or(AttemptOutcome::ConnectFailed),
@@ -173,7 +175,7 @@
         FinishedAssignment { reply, ..finished }
     }
 
-    /// The time of a connection is over: of its idling, its startup, or what it carries.
+    /// Handles the end of a connection's time limit: that of its idle time, its startup, or its assignment.
     #[must_use]
     pub fn on_timer(
         &mut self,
@@ -185,21 +187,21 @@
         connection.timer = None;
         match connection.state {
             ConnectionState::Idle => {
-                self.end_idle(id, context);
+                self.close_idle(id, context);
                 None
             }
             ConnectionState::Dialing | ConnectionState::Greeting
                 if context.now() < connection.deadline
                     || connection.assignment == Some(Assignment::HealthCheck) =>
             {
-                Some(self.fail(id, "not up in time", endpoints, context))
+                Some(self.fail(id, "connection not established in time", endpoints, context))
             }
             _ => Some(self.abandon(id, AttemptOutcome::TimedOut, context)),
         }
     }
 
-    /// Ends a connection that has been idle for its time.
-    fn end_idle(&mut self, id: usize, context: &mut Context) {
+    /// Closes a connection whose idle time is over.
+    fn close_idle(&mut self, id: usize, context: &mut Context) {
         context.counters.backend_connections_closed_idle += 1;
         self.table[id].outbox.push(frame::TERMINATE.clone());
         self.flush(id, context);
--- a/crates/ottersill/src/backend/table.rs
+++ b/crates/ottersill/src/backend/table.rs
@@ -1,4 +1,4 @@
-//! All backend connections, and which of them are idle.
+//! The table of backend connections, by number and by endpoint, and the list of idle connections to each endpoint.
 
 use std::ops::{Index, IndexMut};
 
@@ -6,30 +6,30 @@
 
 use crate::backend::connection::BackendConnection;
 
-/// Backend connections by their number, which is used again once a connection is removed.
+/// Backend connections by their number. The number of a removed connection is reused.
 #[derive(Default)]
 pub struct BackendTable {
     connections: Slab<BackendConnection>,
-    /// The connections to each endpoint by its index.
+    /// The connections to each endpoint, by the endpoint's index.
     by_endpoint: Vec<EndpointConnections>,
 }
 
 /// The connections to one endpoint.
 #[derive(Default)]
 struct EndpointConnections {
-    /// How many there are.
+    /// The number of connections.
     count: usize,
-    /// The idle ones, the last used at the end.
+    /// The numbers of the idle connections; the most recently used one is the last.
     idle: Vec<usize>,
 }
 
 impl BackendTable {
-    /// The number that the next connection gets.
+    /// Returns the number that the next connection gets.
     pub fn next_id(&self) -> usize {
         self.connections.vacant_key()
     }
 
-    /// Adds a connection under [`next_id`](Self::next_id).
+    /// Adds a connection under the number [`next_id`](Self::next_id).
     pub fn insert(&mut self, connection: BackendConnection) {
         let endpoint = connection.endpoint;
         if self.by_endpoint.len() <= endpoint {
@@ -39,7 +39,7 @@
         self.connections.insert(connection);
     }
 
-    /// Removes a connection, from the idle ones too.
+    /// Removes a connection, also from the idle ones.
     ///
     /// # Panics
     /// If no connection has that number.
@@ -51,53 +51,53 @@
         connection
     }
 
-    /// The connection with that number.
+    /// Returns the connection with that number.
     pub fn get(&self, id: usize) -> Option<&BackendConnection> {
         self.connections.get(id)
     }
 
-    /// As [`get`](Self::get), to be changed.
+    /// Returns the connection with that number, mutably.
     pub fn get_mut(&mut self, id: usize) -> Option<&mut BackendConnection> {
         self.connections.get_mut(id)
     }
 
-    /// Whether there is a connection with that number.
+    /// Returns whether there is a connection with that number.
     pub fn contains(&self, id: usize) -> bool {
         self.connections.contains(id)
     }
 
-    /// All connections with their numbers.
+    /// Iterates over all connections with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &BackendConnection)> {
         self.connections.iter()
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// How many connections there are to an endpoint.
+    /// Returns the number of connections to an endpoint.
     pub fn count_to(&self, endpoint: usize) -> usize {
         self.by_endpoint.get(endpoint).map_or(0, |to_endpoint| to_endpoint.count)
     }
 
-    /// There is no connection.
+    /// Returns whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Notes that a connection is idle.
+    /// Adds a connection to the idle ones of its endpoint.
     pub fn push_idle(&mut self, id: usize) {
         let endpoint = self.connections[id].endpoint;
         self.by_endpoint[endpoint].idle.push(id);
     }
 
-    /// Takes the idle connection to an endpoint that was used last.
+    /// Takes out the most recently used idle connection to an endpoint.
     pub fn pop_idle(&mut self, endpoint: usize) -> Option<usize> {
         self.by_endpoint.get_mut(endpoint)?.idle.pop()
     }
 
-    /// The connection that has been idle for longest, of all endpoints.
+    /// Returns the connection that has been idle for longest, across all endpoints.
     pub fn longest_idle(&self) -> Option<usize> {
         let oldest_of_each =
             self.by_endpoint.iter().filter_map(|to_endpoint| to_endpoint.idle.first().copied());
--- a/crates/ottersill/src/protocol/mod.rs
+++ b/crates/ottersill/src/protocol/mod.rs
@@ -1,12 +1,12 @@
 //! PostgreSQL's wire protocol, and the non-blocking sockets that carry it.
 
-#[allow(clippy::cast_possible_truncation, reason = "a message is shorter than its length field can say")]
+#[allow(clippy::cast_possible_truncation, reason = "message lengths fit into the 32-bit length field")]
 pub mod frame;
 pub mod socket;
 pub mod socket_failure;
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "times are bounded by those of the settings"
+    reason = "times are bounded by the settings"
 )]
 pub mod statement_text;
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -1,4 +1,4 @@
-//! Reading and writing sockets that never block.
+//! Operations on non-blocking sockets.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -10,30 +10,30 @@
 
 use crate::protocol::socket_failure::ConnectFailure;
 
-/// Read at once, a page: a statement and its answer are shorter.
+/// Bytes per read, one page: a statement and its answer are shorter.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Reads of one connection in a row, so that one that talks a lot holds up no other.
+/// Reads of one connection in a row, limited so that a busy connection does not delay the others.
 const MAX_READS_PER_WAKE: usize = 16;
-/// Slices written at once.
+/// Slices per write.
 const MAX_SLICES_PER_WRITE: usize = 16;
 
-/// How reading has ended.
+/// The result of reading a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// All that was there.
+    /// All available bytes were read.
     Drained,
-    /// There may be more: the buffer is full, or it is others' turn.
+    /// More bytes may be available: the buffer is full, or the limit of reads in a row is reached.
     MoreLeft,
-    /// The other side has ended.
+    /// The peer has closed its side of the connection.
     Ended,
 }
 
-/// Reads until `most` bytes are in the buffer or the socket is dry. A short read does not prove that: an end that
-/// came with the data raises no readiness of its own.
-pub fn read(mut socket: &Socket, inbox: &mut BytesMut, most: usize) -> io::Result<ReadOutcome> {
+/// Reads until `max_bytes` bytes are in the buffer or no more are available. Continues after a short read: if the peer has
+/// closed the connection along with the data, no further readiness event announces that.
+pub fn read(mut socket: &Socket, inbox: &mut BytesMut, max_bytes: usize) -> io::Result<ReadOutcome> {
     for _ in 0..MAX_READS_PER_WAKE {
         let from = inbox.len();
-        if from >= most {
+        if from >= max_bytes {
             return Ok(ReadOutcome::MoreLeft);
         }
         inbox.resize(from + READ_CHUNK_BYTES, 0);
@@ -50,31 +50,33 @@
     Ok(ReadOutcome::MoreLeft)
 }
 
-/// Whether the peer has ended the connection, even if what it sent before is not read yet. Reads nothing.
+/// Returns whether the peer has closed the connection, even if bytes that it sent before are still unread. Reads nothing.
 pub fn has_ended(socket: &Socket) -> bool {
     use rustix::event::{PollFd, PollFlags, Timespec, poll};
-    let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let end_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // A signal that comes in between says nothing of the peer.
+    // An interruption by a signal says nothing about the peer.
     let polled = rustix::io::retry_on_intr(|| poll(&mut fds, Some(&now)));
-    polled.is_ok() && fds[0].revents().intersects(ends)
+    polled.is_ok() && fds[0].revents().intersects(end_flags)
 }
 
-/// Whether closing the socket resets the connection: bytes of the peer are unread, and the two sides have not both ended and
-/// acknowledged each other's data. A reset discards what the peer has not acknowledged yet. Reads nothing.
+/// Returns whether closing the socket would reset the connection: bytes from the peer are unread, and the two sides have not
+/// both closed and acknowledged each other's data. A reset discards data that the peer has not acknowledged yet. Reads
+/// nothing.
 pub fn close_would_reset(socket: &Socket) -> bool {
-    // Where the system doesn't tell, there may be some.
+    // If the system call fails, there may be unread bytes.
     let unread = rustix::io::ioctl_fionread(socket).map_or(true, |bytes| bytes > 0);
     unread && !is_finished(socket)
 }
 
-/// Whether both sides have ended and all data is acknowledged: the system then no longer counts the socket as connected.
+/// Returns whether both sides have closed and all data is acknowledged: the system then no longer treats the socket as
+/// connected.
 fn is_finished(socket: &Socket) -> bool {
-    matches!(socket.peer_addr(), Err(fault) if fault.kind() == ErrorKind::NotConnected)
+    matches!(socket.peer_addr(), Err(error) if error.kind() == ErrorKind::NotConnected)
 }
 
-/// Slices on their way out; emptied by `flush`.
+/// Slices waiting to be written by [`flush`](Self::flush).
 #[derive(Debug, Default)]
 pub struct Outbox {
     slices: VecDeque<Bytes>,
@@ -88,18 +90,18 @@
         }
     }
 
-    /// Nothing is left to write.
+    /// Returns whether nothing is left to write.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty()
     }
 
-    /// Writes what the socket takes; true once nothing is left.
+    /// Writes as much as the socket accepts. Returns true if nothing is left.
     pub fn flush(&mut self, mut socket: &Socket) -> io::Result<bool> {
         while !self.slices.is_empty() {
             let parts: Vec<IoSlice> =
                 self.slices.iter().take(MAX_SLICES_PER_WRITE).map(|s| IoSlice::new(s)).collect();
             match socket.write_vectored(&parts) {
-                Ok(written) => self.written(written),
+                Ok(written) => self.remove_written(written),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -108,7 +110,7 @@
         Ok(true)
     }
 
-    fn written(&mut self, mut bytes: usize) {
+    fn remove_written(&mut self, mut bytes: usize) {
         while let Some(front) = self.slices.front_mut() {
             if front.len() > bytes {
                 front.advance(bytes);
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Replaces the slice that lies so many places before the last one by another of the same length; false if that slice is
-    /// of another length, is partly written, or has left.
+    /// Replaces the slice that is `places` places before the last one by another of the same length. Returns false if that
+    /// slice has another length, is partly written, or is fully written.
     pub fn replace_from_end(&mut self, places: usize, slice: &Bytes) -> bool {
         let at = self.slices.len().checked_sub(places + 1);
         match at.and_then(|at| self.slices.get_mut(at)) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// What is left to write, in one piece.
+    /// Returns a copy of the bytes that are left to write.
     pub fn rest(&self) -> Vec<u8> {
         self.slices.iter().flat_map(|slice| slice.iter().copied()).collect()
     }
@@ -144,15 +146,15 @@
     Ok(socket)
 }
 
-/// Starts to connect; the socket becomes writable when that has ended, well or not.
+/// Starts to connect. The socket becomes writable when the connection is established or has failed.
 pub fn connect(to: SocketAddr) -> Result<Socket, ConnectFailure> {
     let socket = open(to).map_err(ConnectFailure::Local)?;
-    // Without it the connection serves as well, with small writes held back at times.
+    // If this fails the connection still works, with small writes delayed at times.
     let _ = socket.set_tcp_nodelay(true);
-    // An interrupted one goes on by itself.
-    let begun = [Errno::INPROGRESS, Errno::INTR].map(|errno| Some(errno.raw_os_error()));
+    // The system continues an interrupted connect in the background.
+    let in_progress = [Errno::INPROGRESS, Errno::INTR].map(|errno| Some(errno.raw_os_error()));
     match socket.connect(&to.into()) {
-        Err(e) if !begun.contains(&e.raw_os_error()) => Err(ConnectFailure::of_connect(e)),
+        Err(e) if !in_progress.contains(&e.raw_os_error()) => Err(ConnectFailure::of_connect(e)),
         _ => Ok(socket),
     }
 }
@@ -166,7 +168,7 @@
     Ok(socket)
 }
 
-/// A socket for datagrams at an address that nobody else has, nor can have while this one is open.
+/// Binds a datagram socket to an address that no other socket has, or can have while this one is open.
 pub fn bind_datagram(at: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(at), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
@@ -174,22 +176,23 @@
     Ok(socket)
 }
 
-/// The next datagram, if one is there; what is longer than the space is cut off.
-pub fn receive_datagram(mut socket: &Socket, space: &mut [u8]) -> io::Result<Option<usize>> {
-    match socket.read(space) {
+/// Receives the next datagram, if one is available, and returns its length. A datagram longer than the buffer is truncated.
+pub fn receive_datagram(mut socket: &Socket, buffer: &mut [u8]) -> io::Result<Option<usize>> {
+    match socket.read(buffer) {
         Ok(length) => Ok(Some(length)),
         Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(None),
         Err(e) => Err(e),
     }
 }
 
-/// The next client, if one is there. It is set not to block by the call that accepts it: a second call for that could fail.
+/// Accepts the next connection, if one is waiting. The accepting call also makes it non-blocking, as a separate call for that
+/// could fail.
 pub fn accept(listener: &Socket) -> io::Result<Option<Socket>> {
     use rustix::net::{SocketFlags, accept_with};
     match accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
         Ok(accepted) => {
             let socket = Socket::from(accepted);
-            // Without it the client is served as well, with small writes held back at times.
+            // If this fails the connection still works, with small writes delayed at times.
             let _ = socket.set_tcp_nodelay(true);
             Ok(Some(socket))
         }
@@ -198,11 +201,16 @@
     }
 }
 
-/// Whether a dialled connection is up by now; an error says that it never will be. Where the system can't tell, as it lacks
-/// the memory for that, the next write or the time limit does.
+/// Returns whether a connection that was started is established by now.
+///
+/// If the system can't tell, because it lacks memory, the connection counts as established: the next write or the time limit
+/// reveals a failure.
+///
+/// # Errors
+/// If the connection could not be established.
 pub fn is_connected(socket: &Socket) -> io::Result<bool> {
-    if let Ok(Some(fault)) = socket.take_error() {
-        return Err(fault);
+    if let Ok(Some(error)) = socket.take_error() {
+        return Err(error);
     }
     let peer = socket.peer_addr();
     Ok(peer.map_or_else(|e| e.kind() != ErrorKind::NotConnected, |_| true))
--- a/crates/ottersill/src/protocol/socket_failure.rs
+++ b/crates/ottersill/src/protocol/socket_failure.rs
@@ -1,4 +1,4 @@
-//! What a failed system call on a socket means for the router: whom to blame, and when to try again.
+//! Classifies failed system calls on sockets: whether the failure is local or remote, and when to retry.
 
 use std::fmt;
 use std::io;
@@ -8,21 +8,21 @@
 /// What to do after `accept` has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// Call it again at once. Nothing was lost, or the connection that was first in the queue:
+    /// Call it again at once. At most the first connection in the queue was lost:
     ///
-    /// - `EINTR`: a signal came;
-    /// - `ECONNABORTED`, `ECONNRESET`: that client has given up;
+    /// - `EINTR`: a signal arrived;
+    /// - `ECONNABORTED`, `ECONNRESET`: that client has closed its connection;
     /// - `EPROTO`, `EPERM`: a protocol error, or a firewall rule against that client;
     /// - `ENETDOWN`, `ENOPROTOOPT`, `EHOSTDOWN`, `ENONET`, `EHOSTUNREACH`, `EOPNOTSUPP`, `ENETUNREACH`, `ETIMEDOUT`: errors
-    ///   of the network that were pending on that connection; accept(2) has them treated like `EAGAIN`.
+    ///   of the network that were pending on that connection; accept(2) says to treat them like `EAGAIN`.
     TakeNext,
-    /// Call it a little later: whoever waits stays in the queue. `EMFILE`, `ENFILE`, `ENOBUFS` and `ENOMEM` pass once
-    /// something is closed, and all other errors would fail again at once.
+    /// Call it again after a short delay: waiting connections stay in the queue. `EMFILE`, `ENFILE`, `ENOBUFS` and `ENOMEM`
+    /// pass once something is closed, and after all other errors an immediate call would fail again.
     TryLater,
 }
 
 impl AcceptFailure {
-    /// What to do after this error of `accept`.
+    /// Returns what to do after this error of `accept`.
     pub fn of(error: &io::Error) -> AcceptFailure {
         const TAKE_NEXT: [Errno; 13] = [
             Errno::INTR,
@@ -43,25 +43,25 @@
     }
 }
 
-/// Why a connection to an endpoint could not even be begun.
+/// Why a connection to an endpoint could not be started.
 #[derive(Debug)]
 pub enum ConnectFailure {
-    /// This machine lacks something; that tells nothing about the endpoint. Everything that `socket`, `fcntl` and `epoll_ctl`
-    /// report, as they know of no endpoint, and of what `connect` reports:
+    /// This machine lacks a resource, which says nothing about the endpoint. This includes all errors of `socket`, `fcntl` and
+    /// `epoll_ctl`, which do not involve the endpoint, and these errors of `connect`:
     ///
     /// - `EADDRNOTAVAIL`, `EADDRINUSE`, `EAGAIN`: no local port is left, or no space in the routing cache;
     /// - `ENETUNREACH`, `ENETDOWN`: this machine has no route, or its interface is down;
     /// - `ENOBUFS`, `ENOMEM`, `EMFILE`, `ENFILE`: no memory, or no descriptor;
     /// - `EACCES`, `EPERM`: a rule of this machine's firewall;
-    /// - `EAFNOSUPPORT`: this machine speaks no such protocol.
+    /// - `EAFNOSUPPORT`: this machine does not support the address family.
     Local(io::Error),
-    /// The endpoint, or the way to it: `ECONNREFUSED`, `ETIMEDOUT`, `EHOSTUNREACH`, `EHOSTDOWN`, `ECONNRESET`, and all else
-    /// that `connect` reports.
+    /// The endpoint or the path to it failed: `ECONNREFUSED`, `ETIMEDOUT`, `EHOSTUNREACH`, `EHOSTDOWN`, `ECONNRESET`, and all
+    /// other errors of `connect`.
     Remote(io::Error),
 }
 
 impl ConnectFailure {
-    /// Whom this error of `connect` is blamed on.
+    /// Classifies an error of `connect`.
     pub fn of_connect(error: io::Error) -> ConnectFailure {
         const LOCAL: [Errno; 12] = [
             Errno::ADDRNOTAVAIL,
@@ -98,26 +98,28 @@
     }
 }
 
-/// So many local failures in a row at one endpoint may count against it.
-const LOCAL_FAILURES: u32 = 3;
+/// Consecutive local failures at one endpoint before they may count against it.
+const MIN_LOCAL_FAILURES: u32 = 3;
 
-/// Local failures in a row at one endpoint. A lack of this machine hits all endpoints; what stays for one alone, such as a
-/// missing route or all local ports taken by connections to it, makes that one unreachable from here.
+/// Consecutive local failures at one endpoint. A shortage on this machine affects all endpoints; a failure that persists for a
+/// single endpoint, such as a missing route or all local ports taken by connections to it, makes that endpoint unreachable
+/// from this machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalFailures {
     count: u32,
+    /// When the first of them occurred, in Unix seconds.
     since: f64,
 }
 
 impl LocalFailures {
-    /// Notes one more, and tells whether they now count against the endpoint: they have lasted `at_least` seconds, and a
-    /// connection to another endpoint was begun meanwhile, the last one at `others_at`.
+    /// Records another failure. Returns whether the failures now count against the endpoint: there are enough, they have lasted
+    /// for `at_least` seconds, and a connection to another endpoint was started in the meantime, the last one at `others_at`.
     pub fn note(&mut self, now: f64, at_least: f64, others_at: f64) -> bool {
         if self.count == 0 {
             self.since = now;
         }
         self.count = self.count.saturating_add(1);
-        self.count >= LOCAL_FAILURES && now - self.since >= at_least && others_at > self.since
+        self.count >= MIN_LOCAL_FAILURES && now - self.since >= at_least && others_at > self.since
     }
 }
 
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -1,4 +1,4 @@
-//! A statement's text: what its comment says, and the same text again with another time left.
+//! A statement's text: parses its comment, and writes the text with an updated time left.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,96 +11,98 @@
 use crate::protocol::frame;
 use crate::protocol::socket::Outbox;
 
-/// Subtracted from the time left that an endpoint is told; seconds. What is told may exceed what the client has left by 0.15 s when
-/// it arrives, and that much is used up by a router that is held up between reading its clock and writing.
-pub const DEADLINE_MARGIN: f64 = 0.05;
-/// Slices of a written query that follow the digits of `d`.
+/// Subtracted from the time left that is sent to an endpoint. On arrival, the time sent may exceed the client's actual time left
+/// by at most 0.15 s, and a router that stalls between reading its clock and writing uses up part of that.
+pub const DEADLINE_MARGIN_SECONDS: f64 = 0.05;
+/// Number of slices of a written query that follow the digits of `d`.
 const SLICES_AFTER_DIGITS: usize = 2;
 
-/// The milliseconds that an endpoint is told when the client has so many seconds left. Where that is little, half of it is kept.
-pub fn advertised_time_left(left: f64) -> u64 {
-    let margin = DEADLINE_MARGIN.min(left / 2.0);
-    ((left - margin) * 1000.0).max(1.0) as u64
+/// Returns the time left to send to an endpoint, in milliseconds, when the client has `seconds_left` left. The margin is at most
+/// half of the time left.
+pub fn advertised_time_left(seconds_left: f64) -> u64 {
+    let margin = DEADLINE_MARGIN_SECONDS.min(seconds_left / 2.0);
+    ((seconds_left - margin) * 1000.0).max(1.0) as u64
 }
 
-/// What a statement's text lacks. The text of the error is for the client.
+/// Why a statement's text is malformed. The text of the error is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StatementTextError {
-    /// Some bytes are no UTF-8.
+    /// The text is not valid UTF-8.
     #[error("the statement is not UTF-8")]
     NotUtf8,
-    /// Something that the text opens is not closed.
+    /// A literal, a quoted name or a comment is not closed.
     #[error("the statement ends within a literal, a name or a comment")]
     Unfinished,
-    /// No comment says what it is.
+    /// The text has no comment.
     #[error("the statement has no comment")]
     NoComment,
-    /// The comment is not the end of the text.
+    /// The comment is not at the end of the text.
     #[error("something stands behind the comment")]
     TextBehindComment,
-    /// A name stands twice in the comment.
+    /// The comment has a field twice.
     #[error("the comment says something twice")]
     DuplicateField,
-    /// There is no `id`, or an empty one.
+    /// The comment has no `id`, or an empty one.
     #[error("the comment has no id")]
     NoId,
-    /// There is no `c`.
+    /// The comment has no `c`.
     #[error("the comment has no c")]
     NoWorkload,
-    /// There is no `cluster` that is a number.
+    /// The comment has no `cluster`, or one that is not a number.
     #[error("the comment has no cluster, or one that is no number")]
     NoCluster,
-    /// There is no `d` that is a number of milliseconds.
+    /// The comment has no `d`, or one that is not a number of milliseconds.
     #[error("the comment has no d, or one that is no number")]
     NoTimeLeft,
 }
 
-/// A slice of the buffer it was read into. It is sent on as it came, but for the digits of `d`.
+/// A statement's text, as a slice of the read buffer. It is sent to endpoints unchanged except for the digits of `d`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementText {
-    whole: Bytes,
-    digits: Range<usize>,
+    text: Bytes,
+    /// The position of the digits of `d` in the text.
+    time_left_digits: Range<usize>,
 }
 
-/// What the comment of a statement says.
+/// The fields of a statement's comment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StatementComment<'a> {
-    /// A number for the statement's `id`.
+    /// A number that represents the statement's `id`.
     pub id: u64,
     /// The name of its workload.
     pub workload: &'a str,
-    /// The number of its group of endpoints.
+    /// The number of its replica set.
     pub cluster: u64,
-    /// Seconds for which the client waits.
+    /// How long the client waits, in seconds.
     pub time_left: f64,
-    /// The position that a session's read has to see, in Unix seconds.
+    /// The replication position that a read of a session has to see, in Unix seconds.
     pub after: Option<f64>,
-    /// The client has sent it before.
+    /// Whether the client flags the statement as a retry.
     pub repeat: bool,
-    /// A number for the session that it belongs to.
+    /// A number that represents the session to which it belongs.
     pub session: Option<u64>,
 }
 
-/// The fields of a comment that are known here, as far as it has them.
+/// The known fields of a comment, as far as it has them.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
     workload: Option<&'a str>,
     cluster: Option<u64>,
     time_left: Option<f64>,
-    /// Where the digits of `d` stand in the text.
+    /// The position of the digits of `d` in the text.
     time_left_digits: Range<usize>,
     after: Option<f64>,
     repeat: bool,
 }
 
 impl<'a> CommentFields<'a> {
-    /// Reads the pairs of name and value within that part of the text. Unknown names are passed over.
-    fn read(text: &'a str, part: Range<usize>) -> Result<CommentFields<'a>, StatementTextError> {
+    /// Reads the pairs of name and value within that range of the text. Unknown names are ignored.
+    fn read(text: &'a str, range: Range<usize>) -> Result<CommentFields<'a>, StatementTextError> {
         let mut fields = CommentFields::default();
         let mut seen = BTreeSet::new();
-        let mut at = part.start;
-        for pair in text[part].split(',') {
+        let mut at = range.start;
+        for pair in text[range].split(',') {
             let start = at + pair.len() - pair.trim_start().len();
             at += pair.len() + 1;
             let Some((name, value)) = pair.trim().split_once('=') else { continue };
@@ -112,7 +114,7 @@
         Ok(fields)
     }
 
-    /// Takes over one pair, whose value stands at `value_at` in the text.
+    /// Sets the field of one pair, whose value is at `value_at` in the text.
     fn set(&mut self, name: &str, value: &'a str, value_at: usize) {
         match name {
             "id" => self.id = Some(value),
@@ -122,29 +124,29 @@
                 self.time_left = value.parse::<u32>().ok().map(|ms| f64::from(ms) / 1000.0);
                 self.time_left_digits = value_at..value_at + value.len();
             }
-            "after" => self.after = position(value),
+            "after" => self.after = parse_position(value),
             "r" => self.repeat = value == "1",
             _ => {}
         }
     }
 }
 
-/// A position in Unix milliseconds, as Unix seconds.
-fn position(value: &str) -> Option<f64> {
+/// Parses a replication position in Unix milliseconds, and returns it in Unix seconds.
+fn parse_position(value: &str) -> Option<f64> {
     let ms = value.parse::<f64>().ok()?;
     (ms.is_finite() && ms > 0.0).then_some(ms / 1000.0)
 }
 
 impl StatementText {
-    /// Reads the comment at the end of a query's text, of which `scan` tells where it is.
+    /// Parses the comment at the end of a query's text; `scan` has its position.
     ///
     /// # Errors
-    /// What the text lacks.
+    /// If the text or its comment is malformed.
     pub fn parse<'a>(
-        whole: &'a Bytes,
+        query: &'a Bytes,
         scan: &Scan,
     ) -> Result<(StatementText, StatementComment<'a>), StatementTextError> {
-        let text = std::str::from_utf8(whole).map_err(|_| StatementTextError::NotUtf8)?;
+        let text = std::str::from_utf8(query).map_err(|_| StatementTextError::NotUtf8)?;
         if scan.unfinished {
             return Err(StatementTextError::Unfinished);
         }
@@ -155,50 +157,51 @@
         let fields = CommentFields::read(text, comment.start + 2..comment.end - 2)?;
         let id = fields.id.filter(|id| !id.is_empty()).ok_or(StatementTextError::NoId)?;
         let parsed = StatementComment {
-            id: number(id),
+            id: to_number(id),
             workload: fields.workload.ok_or(StatementTextError::NoWorkload)?,
             cluster: fields.cluster.ok_or(StatementTextError::NoCluster)?,
             time_left: fields.time_left.ok_or(StatementTextError::NoTimeLeft)?,
             after: fields.after,
             repeat: fields.repeat,
-            session: scan.literal.as_ref().and_then(|at| session(&text[at.clone()])),
+            session: scan.literal.as_ref().and_then(|at| session_number(&text[at.clone()])),
         };
-        Ok((StatementText { whole: whole.clone(), digits: fields.time_left_digits }, parsed))
+        Ok((StatementText { text: query.clone(), time_left_digits: fields.time_left_digits }, parsed))
     }
 
-    /// Its length in bytes.
+    /// Returns the length in bytes.
     pub fn len(&self) -> usize {
-        self.whole.len()
+        self.text.len()
     }
 
-    /// It has no bytes.
+    /// Returns whether the text is empty.
     pub fn is_empty(&self) -> bool {
-        self.whole.is_empty()
+        self.text.is_empty()
     }
 
-    /// Writes the query with that many milliseconds left. Only `d` differs from what the client sent.
+    /// Writes the query with that time left, in milliseconds. Only `d` differs from what the client sent.
     pub fn write_to(&self, left_ms: u64, outbox: &mut Outbox) {
         let digits = left_ms.to_string();
-        let length = self.whole.len() - self.digits.len() + digits.len() + 1;
-        outbox.push(Bytes::copy_from_slice(&frame::query_head(length)));
-        outbox.push(self.whole.slice(..self.digits.start));
+        let length = self.text.len() - self.time_left_digits.len() + digits.len() + 1;
+        outbox.push(Bytes::copy_from_slice(&frame::query_header(length)));
+        outbox.push(self.text.slice(..self.time_left_digits.start));
         outbox.push(Bytes::from(digits));
-        outbox.push(self.whole.slice(self.digits.end..));
+        outbox.push(self.text.slice(self.time_left_digits.end..));
         outbox.push(Bytes::from_static(b"\0"));
     }
 
-    /// Writes another time left into a query of which a part has gone out; false if the digits went out too, or if the new
-    /// ones are more or fewer, as the length of the query has gone out before them.
+    /// Updates the time left in a partly written query. Returns false if the digits are already written, or if the new value has
+    /// another number of digits, as the length of the query is written before them.
     pub fn update_time_left(&self, left_ms: u64, outbox: &mut Outbox) -> bool {
         outbox.replace_from_end(SLICES_AFTER_DIGITS, &Bytes::from(left_ms.to_string()))
     }
 }
 
-/// Comments of this service are shorter; bytes.
+/// Upper bound on the length of a comment of this service.
 const MAX_COMMENT_BYTES: usize = 512;
 
-/// The seconds that a client waits for a statement, read from the end of its text without looking at the rest: good enough
-/// to see to those ahead of it. [`StatementText::parse`] tells whether the text is in order, once its turn has come.
+/// Returns how long a client waits for a statement, in seconds, read from the end of its text without scanning the rest. That is
+/// accurate enough to handle the statements ahead of it in the pipeline. [`StatementText::parse`] validates the text when the
+/// statement is handled.
 pub fn peek_time_left(text: &[u8]) -> Option<f64> {
     let end = &text[text.len().saturating_sub(MAX_COMMENT_BYTES)..];
     let open = end.windows(2).rposition(|two| two == b"/*")?;
@@ -207,13 +210,15 @@
     digits.parse::<u32>().ok().map(|ms| f64::from(ms) / 1000.0)
 }
 
-/// The first literal is the key, which names the session where there are any.
-fn session(literal: &str) -> Option<u64> {
+/// Returns a number for the session of a statement. Its first literal is the key, which identifies the session in workloads that
+/// have sessions.
+fn session_number(literal: &str) -> Option<u64> {
     let key = literal.split('\'').nth(1)?;
-    Some(number(key))
+    Some(to_number(key))
 }
 
-fn number(text: &str) -> u64 {
+/// Returns the value of a hexadecimal number, or a hash of any other text.
+fn to_number(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
