--- a/crates/ottersill/src/clock.rs
+++ b/crates/ottersill/src/clock.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Sockets that are found ready within so many seconds after an iteration may have been ready during it.
-const NO_WAIT: f64 = 0.001;
+/// Sockets found ready less than this time after an iteration may already have been ready during that iteration.
+const MIN_WAIT_SECONDS: f64 = 0.001;
 
-/// One time for everything: it never goes back, and was tied to Unix time once. Where that was wrong the routing module
-/// measures by how much, as positions are Unix times of others.
+/// A monotonic clock in Unix seconds, aligned with the system's Unix time once, when it is created. If the Unix time was wrong
+/// then, the routing module measures by how much, as replication positions are Unix times of other machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -14,8 +14,8 @@
 }
 
 impl Default for Clock {
-    /// Both clocks are read as one: a process that was not on a core between the two readings would be off by that for
-    /// good, and in what it tells others. Of some readings the one that took least counts.
+    /// Reads the monotonic clock and Unix time together several times, and uses the pair that took the least time: a process that
+    /// was descheduled between the two readings would be off by that time for good, also in what it sends to others.
     fn default() -> Clock {
         let read = || {
             let started = Instant::now();
@@ -27,13 +27,13 @@
 }
 
 impl Clock {
-    /// Unix seconds.
+    /// Returns the time in Unix seconds.
     pub fn now(&self) -> f64 {
         self.unix + self.started.elapsed().as_secs_f64()
     }
 }
 
-/// So many seconds in whole milliseconds, rounded up; 0 for less than none.
+/// Converts seconds to whole milliseconds, rounded up; 0 if negative.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -43,7 +43,7 @@
     (seconds * 1000.0).ceil() as u64
 }
 
-/// The clock of an event loop, and the times of its iterations. All are Unix seconds.
+/// The clock of an event loop and the times of its iterations. Times are Unix seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LoopClock {
     clock: Clock,
@@ -62,36 +62,37 @@
 }
 
 impl LoopClock {
-    /// The sockets were found ready now.
+    /// Begins an iteration, directly after the sockets were polled.
     pub fn begin_iteration(&mut self) {
         let time = self.read();
         let waited = time - self.iteration_ended_at;
-        self.arrivals_since = if waited < NO_WAIT { self.now } else { time };
+        self.arrivals_since = if waited < MIN_WAIT_SECONDS { self.now } else { time };
         self.now = time;
     }
 
-    /// All that was ready is handled.
+    /// Ends an iteration, after all that was ready is handled.
     pub fn end_iteration(&mut self) {
         self.iteration_ended_at = self.read();
     }
 
-    /// When the sockets were last found ready: the time of this iteration.
+    /// Returns the time of this iteration: when the sockets were last polled.
     pub fn now(&self) -> f64 {
         self.now
     }
 
-    /// Reads the clock, for what must not count from the beginning of an iteration that may have been held up since.
+    /// Reads the clock, for times that must not be those of the iteration's beginning, as the process may have stalled since.
     pub fn read(&self) -> f64 {
         self.clock.now()
     }
 
-    /// What is read in this iteration has come since then: since the one before, if sockets were found ready without waiting
-    /// after it, as bytes then may have arrived while that iteration was held up.
+    /// Returns the earliest time at which bytes read in this iteration may have arrived. That is the time of the previous
+    /// iteration if sockets were ready without waiting after it, as bytes may then have arrived while that iteration was
+    /// stalled; otherwise it is the time of this iteration.
     pub fn arrivals_since(&self) -> f64 {
         self.arrivals_since
     }
 
-    /// When the event loop was made.
+    /// Returns when the event loop was created.
     pub fn started_at(&self) -> f64 {
         self.started_at
     }
--- a/crates/ottersill/src/counters.rs
+++ b/crates/ottersill/src/counters.rs
@@ -1,8 +1,9 @@
-//! What was accepted, sent and answered, logged on SIGUSR1 and at the exit. All counters only rise; their number is fixed.
+//! Counters of what was accepted, sent and answered, logged on SIGUSR1 and at exit. Their number is fixed, and counters
+//! never decrease.
 
 use std::fmt;
 
-/// Declares the counters: the name, under which operators read it too, and what it counts.
+/// Declares the counters, each with its name, which operators see too, and a description.
 macro_rules! counters {
     ($($field:ident: $counts:literal,)*) => {
         /// All counters. `Display` writes each as `name=value`.
@@ -26,53 +27,53 @@
 
 counters! {
     client_connections: "Client connections accepted.",
-    client_connections_rejected: "Client connections told that there is no descriptor or memory left.",
-    client_connections_unwatched: "Client connections closed as the event loop could not be told to watch them.",
-    accepts_failed: "Calls of accept that failed.",
-    client_connections_closed_idle: "Client connections closed between statements, for idling or to make room.",
-    client_protocol_errors: "Client connections that broke the protocol.",
+    client_connections_rejected: "Client connections rejected because no descriptor or memory was left.",
+    client_connections_unwatched: "Client connections closed because they could not be registered at the event loop.",
+    accepts_failed: "Failed calls of `accept`.",
+    client_connections_closed_idle: "Client connections closed between statements, because they were idle or to make room.",
+    client_protocol_errors: "Client connections that violated the protocol.",
     empty_queries: "Empty queries.",
-    invalid_queries: "Queries that are no statement of this service.",
-    session_queries: "Queries refused because they belong to a session, or are several.",
+    invalid_queries: "Queries that are not a statement that this service accepts.",
+    session_queries: "Queries refused because they depend on session state, or consist of several statements.",
     statements: "Statements accepted.",
-    rejected_without_endpoint_list: "Statements rejected because no endpoint list had come yet.",
-    reads_treated_as_writes: "Statements of a reading workload treated as writes, as they may write.",
+    rejected_without_endpoint_list: "Statements rejected because no endpoint list had arrived yet.",
+    reads_treated_as_writes: "Statements of a read workload treated as writes, because they may write.",
     completed: "Statements answered with an endpoint's result.",
-    rejected: "Statements answered by a rejection.",
-    aborted: "Statements answered by an abort.",
-    statements_abandoned: "Statements whose client left before the answer.",
-    attempts: "Attempts given to a backend connection.",
+    rejected: "Statements answered with a rejection.",
+    aborted: "Statements answered with an abort.",
+    statements_abandoned: "Statements whose client disconnected before the answer.",
+    attempts: "Attempts started.",
     attempts_completed: "Attempts with a result.",
     attempts_error: "Attempts that ended in an error.",
-    attempts_refused: "Attempts that the endpoint refused, as it was full.",
-    attempts_wrong_endpoint: "Attempts at an endpoint that is not the one needed.",
-    attempts_read_only: "Attempts of a write at an endpoint that only reads.",
-    attempts_timed_out: "Attempts without an answer in time.",
-    attempts_connect_failed: "Attempts that got no connection.",
-    attempts_connection_reset: "Attempts whose connection broke once they were sent.",
-    attempts_cancelled: "Attempts cancelled for a retry.",
+    attempts_refused: "Attempts that the endpoint refused because it was full.",
+    attempts_wrong_endpoint: "Attempts rejected by an endpoint that is not the right one for the statement.",
+    attempts_read_only: "Attempts of a write rejected by a read-only endpoint.",
+    attempts_timed_out: "Attempts not answered in time.",
+    attempts_connect_failed: "Attempts whose connection could not be established, or failed before they were fully sent.",
+    attempts_connection_reset: "Attempts whose connection failed after they were fully sent.",
+    attempts_cancelled: "Attempts cancelled so that the request can be retried.",
     attempts_not_sent: "Attempts that were not sent.",
     backend_connections_opened: "Backend connections opened.",
-    backend_connections_failed: "Backend connections that never came up.",
-    backend_connections_closed_idle: "Backend connections closed for idling.",
+    backend_connections_failed: "Backend connections that could not be established.",
+    backend_connections_closed_idle: "Backend connections closed because they were idle.",
     backend_connections_closed_by_endpoint: "Backend connections that the endpoint closed while they were idle.",
     attempts_without_descriptor: "Attempts for which no descriptor was left.",
-    backend_protocol_errors: "Backend connections closed because the endpoint broke the protocol.",
-    health_checks: "Health checks begun.",
-    health_checks_failed: "Health checks without a report.",
-    fleet_quota_refusals: "Attempts, health checks and connections for which the fleet's budgets left nothing.",
-    reloads: "Configurations taken over on SIGHUP.",
-    reloads_failed: "Tries to read a configuration on SIGHUP that failed.",
-    endpoint_lists: "Endpoint lists read, complete or partial.",
+    backend_protocol_errors: "Backend connections closed because the endpoint violated the protocol.",
+    health_checks: "Health checks started.",
+    health_checks_failed: "Health checks that ended without a load report.",
+    fleet_quota_refusals: "Attempts, health checks and connections not started because the fleet's budgets had no quota left.",
+    reloads: "Configurations applied on SIGHUP.",
+    reloads_failed: "Configurations that could not be loaded on SIGHUP.",
+    endpoint_lists: "Endpoint lists received, complete or partial.",
     discovery_calls_failed: "Discovery calls that failed or were not answered.",
-    log_lines_dropped: "Log lines dropped because standard output took them too slowly.",
-    invariant_violations: "Invariants that did not hold.",
+    log_lines_dropped: "Log lines dropped because standard output did not accept them fast enough.",
+    invariant_violations: "Invariant violations.",
 }
 
 impl Counters {
-    /// Checks an invariant: a debug build panics where it does not hold, a release build counts it and goes on.
-    pub fn check_invariant(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    /// Checks an invariant. A debug build panics if it does not hold; a release build counts the violation and continues.
+    pub fn check_invariant(&mut self, holds: bool, invariant: &str) {
+        debug_assert!(holds, "{invariant}");
         self.invariant_violations += u64::from(!holds);
     }
 }
--- a/crates/ottersill/src/lib.rs
+++ b/crates/ottersill/src/lib.rs
@@ -1,12 +1,12 @@
-//! The program `ottersill`: a router on sockets, in one process with one thread. An event loop around the routing module,
-//! which alone decides where a request goes.
+//! The program `ottersill`: a router for PostgreSQL clients, in one process with one thread. It is an event loop around the
+//! routing module, which makes all decisions about where a request is sent.
 //!
 //! In reading order: [`command`] (the command line), [`lifecycle`] (configuration, start, main loop, reload, shutdown),
-//! [`event_loop`] (hands each event to the part that owns it), [`reactor`], [`timers`] and [`clock`] (what the parts see of
-//! the loop), [`client`] (client connections), [`statement_checker`] (what a client may ask), [`in_flight`] (the requests between them and the endpoints), [`backend`]
-//! (connections to endpoints), [`protocol`] (PostgreSQL's wire protocol, sockets), [`discovery`] (endpoint lists),
-//! [`fleet_link`] (the other routers), [`control`] (answers to operators), [`counters`]. `docs/architecture.md` says who
-//! owns which state.
+//! [`event_loop`] (dispatches each event to the component that owns it), [`reactor`], [`timers`] and [`clock`] (the event loop's
+//! interface for the components), [`client`] (client connections), [`statement_checker`] (checks and classifies statements),
+//! [`in_flight`] (requests in flight), [`backend`] (connections to endpoints), [`protocol`] (PostgreSQL messages, sockets),
+//! [`discovery`] (endpoint lists), [`fleet_link`] (communication with the other routers), [`control`] (answers to operators),
+//! [`counters`]. `docs/architecture.md` describes which component owns which state.
 
 #![warn(missing_docs)]
 #![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
--- a/crates/ottersill/src/main.rs
+++ b/crates/ottersill/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a router, or the command that the command line names. `NODE_CONFIG` names the file with the configuration.
+//! Runs a router, or the command given on the command line. `NODE_CONFIG` is the path of the configuration file.
 
 use std::process::ExitCode;
 
@@ -8,8 +8,8 @@
 fn main() -> ExitCode {
     match command::run(command::Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("ottersill: {fault}");
+        Err(error) => {
+            eprintln!("ottersill: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -1,5 +1,5 @@
-//! What the parts of the program see of the event loop: registration of sockets, which of them became ready, and the
-//! context in which a part handles an event.
+//! The event loop's interface for the other components: registration of sockets, the ready sources, and the context in
+//! which a component handles an event.
 
 use std::io;
 use std::mem;
@@ -14,17 +14,17 @@
 use crate::counters::Counters;
 use crate::timers::Timers;
 
-/// Whose socket became ready. Ready sources are handled in this order: what discovery says counts for all that follows,
-/// and an answer that is read first makes room for the statement behind it.
+/// The owner of a socket that became ready. Ready sources are handled in the order of the variants: endpoint lists affect all
+/// later decisions, and an answer that is read first frees capacity for the next statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// One of the connections to discovery.
+    /// One of the connections to the discovery service.
     Discovery,
-    /// The socket for datagrams of other routers.
+    /// The socket for datagrams between the routers.
     Fleet,
     /// The control listener.
     Control,
-    /// The connection of an operator at the control listener.
+    /// A connection accepted by the control listener.
     ControlClient(usize),
     /// A backend connection.
     Backend(usize),
@@ -34,22 +34,22 @@
     Listener,
 }
 
-/// What was noted while the event loop waited: the data that its callbacks write to.
+/// What was recorded while the event loop waited: the data that its callbacks write to.
 #[derive(Default)]
 pub struct Readiness {
     sources: Vec<Source>,
-    /// What the operator has asked for by signals.
+    /// The requests that the operator has sent by signals.
     pub signals: SignalRequests,
 }
 
-/// What signals have asked for.
+/// Requests received by signals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SignalRequests {
-    /// SIGTERM or SIGINT; never taken back.
+    /// Set by SIGTERM or SIGINT; never cleared.
     pub shutdown: bool,
-    /// SIGUSR1, until the counters are written.
+    /// Set by SIGUSR1, until the counters are written.
     pub print_counters: bool,
-    /// SIGHUP, until the reload begins.
+    /// Set by SIGHUP, until the reload begins.
     pub reload: bool,
 }
 
@@ -59,12 +59,12 @@
         self.sources.push(source);
     }
 
-    /// No source waits to be handled.
+    /// Returns whether no source is waiting to be handled.
     pub fn is_empty(&self) -> bool {
         self.sources.is_empty()
     }
 
-    /// The sources to handle, each once and in order; empties the queue.
+    /// Takes out the sources to handle, each once and in order.
     pub fn take(&mut self) -> Vec<Source> {
         let mut sources = mem::take(&mut self.sources);
         sources.sort_unstable();
@@ -76,26 +76,26 @@
 /// The event loop of calloop, with the data that its callbacks write to.
 pub type Reactor = calloop::EventLoop<'static, Readiness>;
 
-/// The event loop's handle, by which sockets are registered and deregistered.
+/// The handle of calloop's event loop, used to register and deregister sockets.
 pub type ReactorHandle = LoopHandle<'static, Readiness>;
 
-/// What a part of the program may use of the event loop while it handles an event. The loop owns it and lends it to one
-/// part at a time.
+/// What a component may use of the event loop while it handles an event. The event loop owns it and lends it to one
+/// component at a time.
 pub struct Context {
     /// The time of this iteration, and the clock itself.
     pub clock: LoopClock,
     /// Sets and clears timers.
     pub timers: Timers,
-    /// Counts what operators read.
+    /// The counters that operators read.
     pub counters: Counters,
-    /// Where lines for operators go.
+    /// The log for operators.
     pub log: Logger,
     handle: ReactorHandle,
     readiness: Readiness,
 }
 
 impl Context {
-    /// No timer is set and nothing is ready yet; sockets are registered at `handle`.
+    /// Creates a context without timers and ready sources. Sockets are registered at `handle`.
     pub fn new(handle: ReactorHandle, log: Logger) -> Context {
         Context {
             clock: LoopClock::default(),
@@ -107,12 +107,12 @@
         }
     }
 
-    /// When the sockets were last found ready, in Unix seconds: the time of this iteration.
+    /// Returns the time of this iteration: when the sockets were last polled, in Unix seconds.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// What was noted while the event loop waited.
+    /// Returns what was recorded while the event loop waited.
     pub fn readiness(&mut self) -> &mut Readiness {
         &mut self.readiness
     }
@@ -122,24 +122,25 @@
         self.readiness.wake(source);
     }
 
-    /// When the next iteration is due though no socket becomes ready, in Unix seconds; infinite if nothing is due.
+    /// Returns when the next iteration is due even if no socket becomes ready, in Unix seconds; infinite if nothing is due.
     pub fn next_at(&self) -> f64 {
         let next = if self.readiness.is_empty() { f64::INFINITY } else { self.now() };
         self.timers.next_at().unwrap_or(f64::INFINITY).min(next)
     }
 
-    /// Registers a socket: its source is woken once for each change of its readiness (edge-triggered). Who leaves something
-    /// unread has to wake the source itself.
+    /// Registers a socket: its source is woken once for each change of its readiness (edge-triggered). A caller that leaves
+    /// bytes unread has to wake the source itself.
     ///
     /// # Errors
-    /// If the system can't watch one more descriptor; the socket is closed then.
+    /// If the system can't watch one more descriptor; the socket is then closed.
     pub fn register(&self, socket: Socket, source: Source) -> io::Result<(Rc<Socket>, RegistrationToken)> {
         let socket = Rc::new(socket);
         let token = self.register_shared(&socket, source)?;
         Ok((socket, token))
     }
 
-    /// As [`register`](Self::register), for a socket that the caller keeps where that fails: `ENOMEM` and `ENOSPC` may pass.
+    /// Like [`register`](Self::register), for a socket that the caller keeps if registration fails: `ENOMEM` and `ENOSPC` may be
+    /// temporary.
     ///
     /// # Errors
     /// If the system can't watch one more descriptor.
@@ -152,7 +153,7 @@
         registered.map_err(|e| io::Error::other(e.error))
     }
 
-    /// Has a socket watched no more.
+    /// Deregisters a socket.
     pub fn deregister(&self, token: RegistrationToken) {
         self.handle.remove(token);
     }
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -1,43 +1,45 @@
-//! Timers of the event loop: at most one for each connection, and one each for discovery, fleet and listener.
+//! Timers of the event loop: at most one for each connection, and one each for discovery, the fleet, the control listener
+//! and the client listener.
 
 use std::collections::BTreeSet;
 
-/// How long before a time limit of a page something is done that has to be there by then; seconds. The time in which a
-/// connection comes up is no measure for it: a customer's settings may give that any length.
+/// How long before a documented time limit the router acts, so that the result arrives within the limit; seconds. It is not
+/// derived from the connect timeout, as a deployment's settings may give that any length.
 pub const TIMING_MARGIN: f64 = 0.25;
 
-/// Whose time has come.
+/// The owner of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// A backend connection has to change its state by then.
     Backend(usize),
-    /// A client connection has to be looked at.
+    /// A client connection's time limits have to be checked.
     Client(usize),
-    /// Discovery has to have answered by then, or is asked again.
+    /// The discovery service has to have answered by then, or is queried again.
     Discovery,
     /// The fleet has something to send, or a lease ends.
     Fleet,
-    /// The connection of an operator at the control listener ends.
+    /// A connection accepted by the control listener times out.
     ControlClient(usize),
-    /// Operators wait in the accept backlog of the control listener: accepting is tried again.
+    /// Accepting connections at the control listener is retried, as some wait in its listen backlog.
     Control,
-    /// Clients wait in the accept backlog: accepting is tried again.
+    /// Accepting clients is retried, as some wait in the listen backlog.
     Listener,
 }
 
-/// A timer that is set, kept by its owner until it expires or is cleared. The first field is the bits of its time.
+/// A timer that is set, kept by its owner until it expires or is cleared. The first field is the bit pattern of its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerHandle(u64, Timer);
 
-/// All timers that are set, by time. One is taken out when it expires or is cleared.
+/// All timers that are set, by time. A timer is removed when it expires or is cleared.
 #[derive(Default)]
 pub struct Timers {
     by_time: BTreeSet<TimerHandle>,
 }
 
-/// The bits of seconds that are not negative order as the seconds do, and totally. Nothing is rounded: a timer that
-/// expired a fraction of a microsecond before its owner's time would be set anew by the owner, expire again in the same
-/// iteration of the event loop, and so on for ever, as an iteration has one time.
+/// Returns the bit pattern of a time, with negative times as 0. For non-negative times bit patterns have the order of the
+/// times, and a total one. Times are not rounded: a timer that expired a fraction of a microsecond before its owner's time
+/// would be set again by the owner and expire again in the same iteration of the event loop, endlessly, as an iteration
+/// has a single time.
 fn bits(at: f64) -> u64 {
     at.max(0.0).to_bits()
 }
@@ -50,19 +52,19 @@
         handle
     }
 
-    /// Takes out a timer that was set; one that has expired meanwhile is out already.
+    /// Removes a timer. Has no effect on one that has already expired.
     pub fn clear(&mut self, handle: Option<TimerHandle>) {
         if let Some(handle) = handle {
             self.by_time.remove(&handle);
         }
     }
 
-    /// When the next timer expires, in Unix seconds.
+    /// Returns when the next timer expires, in Unix seconds.
     pub fn next_at(&self) -> Option<f64> {
         self.by_time.first().map(|handle| f64::from_bits(handle.0))
     }
 
-    /// Takes out the earliest timer if it has expired at `now`, in Unix seconds.
+    /// Removes and returns the earliest timer if it has expired at `now`, in Unix seconds.
     pub fn expired(&mut self, now: f64) -> Option<Timer> {
         let first = *self.by_time.first()?;
         if first.0 > bits(now) {
