--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -5,21 +5,21 @@
 
 use slog::warn;
 
-use crate::client::connection::{ClientConnection, INCOMPLETE_INPUT_TIMEOUT, UnwatchedClient};
+use crate::client::connection::{ClientConnection, INCOMPLETE_INPUT_TIMEOUT_SECONDS, UnwatchedClient};
 use crate::client::{Accepted, Clients};
 use crate::protocol::socket;
 use crate::protocol::socket_failure::AcceptFailure;
 use crate::reactor::{Context, Source};
 use crate::timers::Timer;
 
-/// Seconds after which accepting is tried again for those who wait in the accept backlog.
-const ACCEPT_RETRY_DELAY: f64 = 0.25;
+/// Delay before accepting is retried for clients that wait in the accept backlog.
+const ACCEPT_RETRY_DELAY_SECONDS: f64 = 0.25;
 
 impl Clients {
-    /// Listens for clients; gives the address, as port 0 has the system choose one.
+    /// Listens for clients and returns the bound address: with port 0 the system chooses the port.
     ///
     /// # Errors
-    /// If the address can't be had, or the system can't watch the socket.
+    /// If the address cannot be bound, or the event loop cannot register the socket.
     pub fn listen(
         &mut self,
         address: SocketAddr,
@@ -39,29 +39,30 @@
         self.listener.is_open()
     }
 
-    /// The timer has expired after which accepting is tried again.
+    /// Handles the expiry of the retry timer: accepting is retried in the next iteration.
     pub fn on_listener_timer(&mut self, context: &mut Context) {
         self.listener.on_retry_timer();
         context.wake(Source::Listener);
     }
 
-    /// Closes the listener of a router that drains once nobody waits there, as far as can be told.
+    /// Closes the listener of a draining router, unless clients are known to wait in the accept backlog.
     pub fn close_listener_if_drained(&mut self, context: &Context) {
         if self.is_draining && !self.listener.is_retrying() {
             self.listener.close(context);
         }
     }
 
-    /// Those who wait are accepted from now on; false if the router does not listen.
+    /// Prepares a series of [`accept_next`](Self::accept_next) calls; returns false if the router does not listen.
     pub fn begin_accepting(&mut self, context: &mut Context) -> bool {
         self.listener.begin_accepting(context)
     }
 
-    /// Accepts the next client. One for whom there is no room (`is_admitted` is false) is let in all the same, to be told so
-    /// once its statement is read: an answer that leaves unread what the client sent is lost with the reset that this makes.
+    /// Accepts the next client. A client for which there is no room (`is_admitted` is false) is accepted as well, and is
+    /// rejected only after its statement has been read: closing a socket with unread input resets the connection, and the
+    /// reset would discard the rejection.
     pub fn accept_next(&mut self, is_admitted: bool, context: &mut Context) -> Accepted {
         if !self.has_descriptor(context) {
-            // They stay in the accept backlog, where what they sent is kept, until a client leaves.
+            // Waiting clients stay in the accept backlog, which keeps what they have sent, until another client disconnects.
             return self.accept_later(context);
         }
         match self.listener.next_client(context.now()) {
@@ -69,7 +70,7 @@
             Ok(None) => Accepted::NoneWaiting,
             Err(error) => {
                 context.counters.accepts_failed += 1;
-                if AcceptFailure::of(&error) == AcceptFailure::TakeNext && self.listener.may_take_next() {
+                if AcceptFailure::of(&error) == AcceptFailure::TakeNext && self.listener.may_accept_next() {
                     return Accepted::Lost;
                 }
                 warn!(context.log, "accept failed"; "error" => %error);
@@ -78,18 +79,18 @@
         }
     }
 
-    /// Has accepting tried again after a delay, as trying at once would keep the loop busy for nothing, and no readiness tells
-    /// again of those who wait already.
+    /// Schedules a retry of accepting. An immediate retry would busy-loop, and the edge-triggered event loop does not report
+    /// clients again that already wait in the accept backlog.
     fn accept_later(&mut self, context: &mut Context) -> Accepted {
-        self.listener.retry_at(context.now() + ACCEPT_RETRY_DELAY, context);
+        self.listener.retry_at(context.now() + ACCEPT_RETRY_DELAY_SECONDS, context);
         Accepted::Delayed
     }
 
-    /// Takes a client on. If the loop can't watch the connection for now, it is kept unread and tried again, and is closed once
-    /// its time is over.
+    /// Adds a client to the table. If the event loop cannot register its socket for now, the connection is kept unread and
+    /// registration is retried; after its deadline the connection is closed.
     fn add(&mut self, next: UnwatchedClient, is_admitted: bool, context: &mut Context) -> Accepted {
         let id = self.table.next_id();
-        let deadline = next.since + INCOMPLETE_INPUT_TIMEOUT;
+        let deadline = next.accepted_at + INCOMPLETE_INPUT_TIMEOUT_SECONDS;
         match context.register_shared(&next.socket, Source::Client(id)) {
             Err(fault) if context.now() < deadline => {
                 warn!(context.log, "client not registered yet"; "error" => %fault);
--- a/crates/ottersill/src/client/answers.rs
+++ b/crates/ottersill/src/client/answers.rs
@@ -1,4 +1,4 @@
-//! What is sent to clients: the one final answer of each request, and errors.
+//! Messages sent to clients: the one final answer of each request, and errors.
 
 use bytes::Bytes;
 use slog::info;
@@ -10,14 +10,14 @@
 use crate::protocol::frame::ErrorCode;
 use crate::reactor::{Context, Source};
 
-/// A rejection, with when to come again, in seconds; 0 for no such time.
+/// Builds a rejection that names the time after which the client may retry, in seconds; 0 names no time.
 pub fn rejection(retry_after: f64, text: &str) -> Bytes {
-    let come_again = (retry_after > 0.0).then(|| milliseconds(retry_after));
-    frame::error("ERROR", ErrorCode::TooMany, text, come_again)
+    let retry_after_ms = (retry_after > 0.0).then(|| milliseconds(retry_after));
+    frame::error("ERROR", ErrorCode::TooMany, text, retry_after_ms)
 }
 
 impl Clients {
-    /// Sends the one final answer of the request that is in flight for that client.
+    /// Sends the one final answer of the client's request in flight.
     pub fn answer<const N: usize>(&mut self, id: usize, slices: [Bytes; N], context: &mut Context) {
         self.set_phase(id, ConnectionPhase::Idle, context);
         self.send(id, slices, context);
@@ -32,39 +32,39 @@
     pub fn send<const N: usize>(&mut self, id: usize, slices: [Bytes; N], context: &mut Context) {
         let client = &mut self.table[id];
         slices.into_iter().for_each(|slice| client.outbox.push(slice));
-        // A failure shows when the connection is read next.
+        // A write failure is handled when the connection is next read.
         if client.outbox.flush(&client.socket).is_err() {
             context.wake(Source::Client(id));
         }
     }
 
-    /// The connection is in order, the query is none of this service's.
+    /// Rejects a query that this service does not accept, and keeps the connection open.
     pub fn reject_query(&mut self, id: usize, code: ErrorCode, text: &str, context: &mut Context) {
         context.counters.invalid_queries += 1;
         let error = frame::error("ERROR", code, text, None);
         self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
     }
 
-    /// Rejects a statement as no endpoint list has come yet. It was never sent, so coming again is harmless.
+    /// Rejects a statement because no endpoint list has arrived yet. The statement was never sent, so a retry is safe.
     pub fn reject_without_list(&mut self, id: usize, retry_after: f64, context: &mut Context) {
         context.counters.rejected_without_endpoint_list += 1;
         let error = rejection(retry_after, "rejected: no list of hosts has come yet");
         self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
     }
 
-    /// Rejects a statement of a client for which there is no room. The connection ends with the last one that it has sent, as each
-    /// that was read is owed an answer.
+    /// Rejects a statement of a client for which there is no room. The connection is closed only with the last statement that
+    /// the client has sent, because each statement that was read must be answered.
     pub fn reject_without_descriptor(&mut self, id: usize, context: &mut Context) {
-        const WHY: &str = "no descriptor is left for this client";
+        const REASON: &str = "no descriptor is left for this client";
         let client = &self.table[id];
         if client.inbox.is_empty() && !client.may_have_unread {
-            return self.reject_connection(id, ErrorCode::TooMany, WHY, context);
+            return self.reject_connection(id, ErrorCode::TooMany, REASON, context);
         }
-        let error = frame::error("ERROR", ErrorCode::TooMany, WHY, None);
+        let error = frame::error("ERROR", ErrorCode::TooMany, REASON, None);
         self.send(id, [error, frame::READY_FOR_QUERY.clone()], context);
     }
 
-    /// What this client sends can't be trusted any more.
+    /// Rejects a client that has violated the protocol: nothing that it sends from here on can be interpreted.
     pub(super) fn reject_protocol_violation(
         &mut self,
         id: usize,
@@ -77,6 +77,7 @@
         self.reject_connection(id, code, text, context);
     }
 
+    /// Sends a fatal error, after which the connection is closed.
     pub(super) fn reject_connection(
         &mut self,
         id: usize,
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -1,9 +1,9 @@
-//! The end of a client connection that the router ends, whatever the reason.
+//! Lingering close: how the router ends a client connection, whatever the reason.
 //!
-//! All answers are written; then the connection is shut for writing, and nothing is read from there on: a request that crosses
-//! the shutdown stays unread, so its client may send it again elsewhere. The socket is closed once the client has ended too.
-//! Closing over unread bytes resets the connection and discards what the client has not acknowledged of its last answer, so
-//! in that case the close waits for the acknowledgement. Both waits are bounded.
+//! Once all answers are written, the connection is shut down for writing and nothing more is read from it: a request that
+//! crosses the shutdown stays unread, so its client may safely send it again elsewhere. The socket is closed once the client
+//! has ended its side too. Closing a socket with unread input resets the connection and discards what the client has not yet
+//! acknowledged of its last answer, so in that case the close waits for the acknowledgement. Both waits are bounded.
 
 use std::net::Shutdown;
 
@@ -12,24 +12,25 @@
 use crate::protocol::socket;
 use crate::reactor::{Context, Source};
 
-/// A connection that is shut is closed after so many seconds, though its client has not ended: a slow one may still be reading
-/// its last answer, which a reset would discard, and whatever it sends after the close is answered by one.
-pub const LINGER_TIMEOUT: f64 = 3.0;
+/// How long after the shutdown a connection is closed although its client has not ended its side. A slow client may still be
+/// reading its last answer, which a reset would discard, and anything that it sends after the close is answered by a reset.
+pub const LINGER_TIMEOUT_SECONDS: f64 = 3.0;
 
 impl Clients {
-    /// Ends a connection on which nothing is in hand and all is written.
+    /// Begins to close a connection that has no request in flight and whose answers are all written.
     pub(super) fn begin_close(&mut self, id: usize, context: &mut Context) {
         self.set_phase(id, ConnectionPhase::Lingering, context);
-        self.set_timer(id, context.now() + LINGER_TIMEOUT, context);
+        self.set_timer(id, context.now() + LINGER_TIMEOUT_SECONDS, context);
         let client = &mut self.table[id];
         client.discard_input();
-        // It fails where the client has reset the connection, which is seen next.
+        // Fails if the client has reset the connection, which is detected below.
         let _ = client.socket.shutdown(Shutdown::Write);
         self.table.count_stored_bytes(id, 0);
         self.finish_close(id, context);
     }
 
-    /// A client that was rejected is read no more; only its last answer has to go out.
+    /// Writes what is left of the last answer to a rejected client, from which nothing more is read, then begins to close its
+    /// connection.
     pub(super) fn flush_rejected(&mut self, id: usize, context: &mut Context) {
         let client = &mut self.table[id];
         match client.outbox.flush(&client.socket) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Closes a connection that was shut once its client has ended too.
+    /// Closes a connection that is shut down if its client has ended its side and the close causes no reset.
     pub(super) fn finish_close(&mut self, id: usize, context: &mut Context) {
         let socket = &self.table[id].socket;
         if socket::has_ended(socket) && !socket::close_would_reset(socket) {
@@ -47,14 +48,14 @@
         }
     }
 
-    /// Looks for the client's end, which may not have had its turn to be read, and closes the connection then.
+    /// Closes the connection if the client has ended its side, even if it has not been read since.
     #[must_use]
     pub fn close_if_ended(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         let has_ended = self.table.get(id).is_some_and(|client| socket::has_ended(&client.socket));
         if has_ended { self.close(id, context) } else { None }
     }
 
-    /// Closes a connection; a statement of it that is in hand has lost its client.
+    /// Closes a connection at once; a request in flight on it is abandoned.
     pub(super) fn close(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         let phase = self.table[id].phase;
         self.remove(id, context);
@@ -63,7 +64,8 @@
         Some(ClientEvent::Left { request_id })
     }
 
-    /// Closes a connection on which nothing is in hand.
+    /// Removes a connection from the table and closes its socket. If accepting is being retried, it is retried at once, as a
+    /// descriptor is free now.
     pub(super) fn remove(&mut self, id: usize, context: &mut Context) {
         let client = self.table.remove(id);
         context.timers.clear(client.timer);
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -10,31 +10,31 @@
 use crate::protocol::socket::Outbox;
 use crate::timers::TimerHandle;
 
-/// Who has sent nothing that can be answered gets an error or a close this long after connecting, who stops in the middle of a
-/// message this long after its first byte; seconds. The service page owes it within 3 s: the rest is for a router that is held
-/// up twice, before it reads that byte and before it answers.
-pub const INCOMPLETE_INPUT_TIMEOUT: f64 = 2.6;
+/// A client that sends nothing that can be answered gets an error or a close this long after it has connected; a client that
+/// stops in the middle of a message gets it this long after the first byte of the message. The service page requires it within
+/// 3 s: the difference covers a router that stalls twice, before it reads that byte and before it answers.
+pub const INCOMPLETE_INPUT_TIMEOUT_SECONDS: f64 = 2.6;
 
 /// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// The startup message is awaited.
+    /// Waiting for the startup message.
     AwaitingStartup,
     /// Between statements.
     Idle,
-    /// The request with that number is in flight.
+    /// The request with this number is in flight.
     Busy(usize),
-    /// The client has said that it ends: the connection is shut.
+    /// The client has sent Terminate; the connection is about to be shut down.
     Terminated,
-    /// Rejected with an error, which is still being written.
+    /// Rejected with an error that is still being written.
     Rejected,
-    /// Shut for writing. Nothing is read any more, so that what the client still sends counts as not read; the connection is
-    /// closed once the client has ended too, or after a bounded time.
+    /// Shut down for writing. Nothing more is read, so that whatever the client still sends counts as unread. The connection is
+    /// closed once the client has ended its side too, or after a bounded time.
     Lingering,
 }
 
 impl ConnectionPhase {
-    /// Whether a connection in this phase may go over to the next.
+    /// Whether a connection may go from this phase to `next`.
     pub fn may_become(self, next: ConnectionPhase) -> bool {
         use ConnectionPhase::*;
         matches!(
@@ -48,54 +48,54 @@
     }
 }
 
-/// A connection that was accepted and that the event loop does not watch yet; nothing of it is read.
+/// An accepted connection that is not registered with the event loop yet, and from which nothing is read.
 pub struct UnwatchedClient {
-    /// Does not block.
+    /// Non-blocking socket.
     pub socket: Rc<Socket>,
-    /// When it was accepted.
-    pub since: f64,
+    /// When the connection was accepted, in Unix seconds.
+    pub accepted_at: f64,
 }
 
-/// A connection of a client. Times are Unix seconds.
+/// A client connection. Times are Unix seconds.
 pub struct ClientConnection {
-    /// Changed by `Clients::set_phase` alone.
+    /// Changed only by `Clients::set_phase`.
     pub phase: ConnectionPhase,
-    /// When its phase began.
+    /// When the current phase began.
     pub phase_since: f64,
-    /// When the connection began.
+    /// When the connection was accepted.
     pub connected_at: f64,
-    /// When it is looked at next, though nothing comes.
+    /// Expires when the connection is checked next even if its socket does not become ready.
     pub timer: Option<TimerHandle>,
-    /// When it was last looked at for bytes, or its end.
+    /// When the socket was last checked for input and for the end of the connection.
     pub last_read_at: f64,
-    /// False if it was accepted only to be told that there is no room.
+    /// False if the connection was accepted only to be rejected for lack of room.
     pub is_admitted: bool,
-    /// Does not block.
+    /// Non-blocking socket.
     pub socket: Rc<Socket>,
-    /// Of its registration at the event loop.
+    /// Token of the socket's registration with the event loop.
     pub token: RegistrationToken,
-    /// May hold further queries that a client sent ahead.
+    /// Input that has been read but not processed; may hold further queries that the client has sent ahead.
     pub inbox: BytesMut,
-    /// When what is in the inbox came: so many bytes at that time, the oldest first. Emptied with the inbox.
+    /// Arrival times of the bytes in `inbox`, oldest first: a number of bytes, and when they arrived. Emptied with the inbox.
     pub arrivals: VecDeque<(usize, f64)>,
-    /// Holds one answer at most, as the next query waits for it to go out.
+    /// Output that is not written yet; holds at most one answer, because the next query waits until the answer is written.
     pub outbox: Outbox,
-    /// More may be there to read, and no further readiness will tell of it.
+    /// Whether the socket may hold more input without a further readiness event to report it.
     pub may_have_unread: bool,
-    /// It has sent a statement before.
+    /// Whether the client has sent a statement on this connection.
     pub has_queried: bool,
-    /// Of its statement in flight; of no meaning in other phases than [`ConnectionPhase::Busy`].
+    /// Length of the statement in flight; meaningful only in [`ConnectionPhase::Busy`].
     pub statement_bytes: usize,
-    /// Bytes counted for it by [`ClientTable`](crate::client::table::ClientTable).
+    /// Bytes that [`ClientTable`](crate::client::table::ClientTable) counts for this connection.
     pub stored_bytes: usize,
 }
 
-/// Arrivals told apart for one client; what comes beyond counts as come with the last of these.
+/// Number of arrival times kept for one client; bytes that arrive beyond these are counted with the last of them.
 const MAX_ARRIVALS: usize = 64;
 
 impl ClientConnection {
-    /// A connection that was accepted and is watched from now on. `is_admitted` is false if it is to be told that there is no
-    /// room.
+    /// Creates the connection of a client whose socket is now registered with the event loop. `is_admitted` is false if the
+    /// client is to be rejected for lack of room.
     pub fn new(
         accepted: UnwatchedClient,
         token: RegistrationToken,
@@ -104,10 +104,10 @@
     ) -> ClientConnection {
         ClientConnection {
             phase: ConnectionPhase::AwaitingStartup,
-            phase_since: accepted.since,
-            connected_at: accepted.since,
+            phase_since: accepted.accepted_at,
+            connected_at: accepted.accepted_at,
             timer: Some(timer),
-            last_read_at: accepted.since,
+            last_read_at: accepted.accepted_at,
             is_admitted,
             socket: accepted.socket,
             token,
@@ -121,40 +121,41 @@
         }
     }
 
-    /// Drops what was read of it, and the memory that this takes.
+    /// Discards the unprocessed input and releases its memory.
     pub fn discard_input(&mut self) {
         self.inbox = BytesMut::new();
         self.arrivals = VecDeque::new();
         self.may_have_unread = false;
     }
 
-    /// Has the arrivals match the inbox, after each reading into it and each taking out of it.
-    pub fn match_arrivals(&mut self, now: f64) {
-        let noted: usize = self.arrivals.iter().map(|(bytes, _)| bytes).sum();
-        let more = self.inbox.len().saturating_sub(noted);
+    /// Brings `arrivals` in line with `inbox`; to be called after each read into the inbox and each removal from it. Bytes that
+    /// are new count as having arrived at `now`.
+    pub fn sync_arrivals(&mut self, now: f64) {
+        let recorded: usize = self.arrivals.iter().map(|(bytes, _)| bytes).sum();
+        let added = self.inbox.len().saturating_sub(recorded);
         let full = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut() {
-            Some((bytes, _)) if full => *bytes += more,
-            _ if more > 0 => self.arrivals.push_back((more, now)),
+            Some((bytes, _)) if full => *bytes += added,
+            _ if added > 0 => self.arrivals.push_back((added, now)),
             _ => {}
         }
-        let mut less = noted.saturating_sub(self.inbox.len());
-        while let Some((bytes, _)) = self.arrivals.front_mut().filter(|_| less > 0) {
-            let taken = less.min(*bytes);
-            (*bytes, less) = (*bytes - taken, less - taken);
+        let mut removed = recorded.saturating_sub(self.inbox.len());
+        while let Some((bytes, _)) = self.arrivals.front_mut().filter(|_| removed > 0) {
+            let dropped = removed.min(*bytes);
+            (*bytes, removed) = (*bytes - dropped, removed - dropped);
             if *bytes == 0 {
                 self.arrivals.pop_front();
             }
         }
     }
 
-    /// When that byte of the inbox came.
-    pub fn arrived(&self, at: usize, now: f64) -> f64 {
+    /// Returns when the byte at `offset` in the inbox arrived; `now` for a byte that is not recorded.
+    pub fn arrival_time(&self, offset: usize, now: f64) -> f64 {
         let mut end = 0;
-        let mark = self.arrivals.iter().find(|(bytes, _)| {
+        let arrival = self.arrivals.iter().find(|(bytes, _)| {
             end += bytes;
-            at < end
+            offset < end
         });
-        mark.map_or(now, |(_, came)| *came)
+        arrival.map_or(now, |(_, arrived_at)| *arrived_at)
     }
 }
--- a/crates/ottersill/src/client/connection_limits.rs
+++ b/crates/ottersill/src/client/connection_limits.rs
@@ -1,18 +1,18 @@
-//! What the limits on descriptors and memory leave for connections.
+//! Limits on connections and their memory, derived from the configured limits on descriptors and memory.
 
-/// How many connections the limit on descriptors leaves, and how many bytes the limit on memory.
+/// Numbers of connections that the descriptor limit allows, and bytes that the memory limit allows.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// For client and backend connections together.
+    /// Maximum number of client and backend connections together.
     pub total: usize,
-    /// For clients.
+    /// Maximum number of admitted client connections.
     pub clients: usize,
-    /// With more than this of those that have queried, the longest idle ones are closed as others come.
+    /// Number of clients that have queried above which the longest idle of them are closed when others connect.
     pub established_clients: usize,
-    /// Beside all these, for clients that are accepted to be told that there is no room.
+    /// Additional descriptors for clients that are accepted only to be rejected for lack of room.
     pub rejected_clients: usize,
-    /// For statements of clients, whole or not.
+    /// Memory for statements of clients, complete or not.
     pub statement_bytes: usize,
-    /// For the cache of fingerprints.
+    /// Memory for the fingerprint cache.
     pub fingerprint_bytes: usize,
 }
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of connections, and the closing of idle ones to make room for others.
+//! Enforces connection limits, and closes idle connections to make room for new ones.
 
 use crate::client::Clients;
 use crate::client::connection::{ClientConnection, ConnectionPhase};
@@ -6,65 +6,67 @@
 use crate::reactor::Context;
 use crate::timers::TIMING_MARGIN;
 
-/// Shut connections of which one is chosen to make room for another.
+/// Number of the oldest lingering connections among which the one to close is chosen.
 const MAX_LINGERING_CANDIDATES: usize = 8;
 
-/// Which connections stand idle and may be closed to make room for others.
+/// Selects the idle connections that may be closed to make room for others.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleCriterion {
-    /// Those of clients that have queried, or those of the others.
-    asked: bool,
-    /// Who has not queried and came since then is left alone, in Unix seconds.
+    /// Selects clients that have queried if true, clients that have not if false.
+    has_queried: bool,
+    /// Clients that have not queried are exempt if their current phase began at this time or later, in Unix seconds.
     new_since: f64,
 }
 
 impl IdleCriterion {
     fn is_met_by(self, client: &ClientConnection) -> bool {
         matches!(client.phase, ConnectionPhase::Idle | ConnectionPhase::AwaitingStartup)
-            && client.has_queried == self.asked
+            && client.has_queried == self.has_queried
             && client.inbox.is_empty()
             && client.outbox.is_empty()
             && !client.may_have_unread
-            && (self.asked || client.phase_since < self.new_since)
+            && (self.has_queried || client.phase_since < self.new_since)
     }
 }
 
 impl Clients {
-    /// Whether one more client can be accepted, be it to be told that there is no room.
+    /// Whether a descriptor is free to accept one more client, even if only to reject it for lack of room.
     pub(super) fn has_descriptor(&mut self, context: &mut Context) -> bool {
-        let most = self.limits.clients + self.limits.rejected_clients;
-        self.table.len() < most || self.close_one_lingering(context)
+        let max_clients = self.limits.clients + self.limits.rejected_clients;
+        self.table.len() < max_clients || self.close_one_lingering(context)
     }
 
-    /// Whether there are too many clients that have queried. Guards against clients that ask once and stay: they would leave
-    /// the others no descriptor long before this router is full.
+    /// Whether there are too many clients that have queried. Guards against clients that query once and stay connected: they
+    /// would leave no descriptor for other clients long before this router is at capacity.
     pub fn has_surplus_established(&self) -> bool {
         let is_established = |c: &ClientConnection| c.has_queried && c.phase != ConnectionPhase::Lingering;
         let count = self.table.iter().filter(|(_, c)| is_established(c)).count();
         count > self.limits.established_clients
     }
 
-    /// Whether one more client can be taken on, by the limit on clients.
+    /// Whether the limit on clients allows one more.
     pub fn has_room(&self) -> bool {
-        // Those that are being closed hold spare descriptors, and give them up first.
+        // Connections that are being closed hold spare descriptors, and are the first to be closed for their descriptors.
         let open = self.table.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering).count();
         open < self.limits.clients
     }
 
-    /// Descriptors that clients take of those for client and backend connections together.
+    /// Number of descriptors in use by clients, out of those shared by client and backend connections.
     pub fn descriptors_taken(&self) -> usize {
         self.table.len().min(self.limits.clients)
     }
 
-    /// Which connections stand idle, of the clients that have asked, or that have not.
-    pub fn idle_criterion(&self, asked: bool, context: &Context) -> IdleCriterion {
-        // One that is new has its first statement on the way. After a delay of this router a whole crowd is new, which must not
-        // take the places of those that have asked: the oldest of it has to go where the crowd has more than its own places.
-        let new_since = if self.has_silent_crowd() { f64::INFINITY } else { context.now() - TIMING_MARGIN };
-        IdleCriterion { asked, new_since }
+    /// Returns the criterion for idle connections of clients that have queried, or of clients that have not.
+    pub fn idle_criterion(&self, has_queried: bool, context: &Context) -> IdleCriterion {
+        // The first statement of a new connection is probably on its way, so new connections are exempt. After a stall of this
+        // router, however, many connections are new at once, and they must not displace clients that have queried: once they
+        // exceed the places that are open to them, the oldest of them is closed.
+        let new_since =
+            if self.has_surplus_unqueried() { f64::INFINITY } else { context.now() - TIMING_MARGIN };
+        IdleCriterion { has_queried, new_since }
     }
 
-    /// The connections that stand idle, the one that has for longest first.
+    /// Returns the connections that meet the criterion, the longest idle first.
     pub fn idle_longest_first(&self, criterion: IdleCriterion) -> Vec<usize> {
         let idle = self.table.iter().filter(|(_, client)| criterion.is_met_by(client));
         let mut idle: Vec<(f64, usize)> = idle.map(|(id, client)| (client.phase_since, id)).collect();
@@ -72,7 +74,7 @@
         idle.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Ends a connection that was found idle, unless it is not any more; true if it has ended.
+    /// Begins to close a connection if it still meets the criterion; returns true if it did, or was gone already.
     pub fn close_if_idle(&mut self, id: usize, criterion: IdleCriterion, context: &mut Context) -> bool {
         match self.table.get(id) {
             Some(client) if !criterion.is_met_by(client) => return false,
@@ -83,18 +85,19 @@
         true
     }
 
-    /// Whether connections that have not queried hold all the places that those that have may not hold, half of them at least, and
-    /// one of those would have to go for another.
-    fn has_silent_crowd(&self) -> bool {
+    /// Whether connections that have not queried hold all places that are not reserved for clients that have, and a client that
+    /// has queried is idle and would have to be closed for a new one. At most half of the places are reserved.
+    fn has_surplus_unqueried(&self) -> bool {
         let open = || self.table.iter().filter(|(_, c)| c.phase != ConnectionPhase::Lingering);
-        let silent = open().filter(|(_, client)| !client.has_queried).count();
+        let unqueried = open().filter(|(_, client)| !client.has_queried).count();
         let reserved = self.limits.established_clients.min(self.limits.clients / 2);
-        silent + reserved >= self.limits.clients
+        unqueried + reserved >= self.limits.clients
             && open().any(|(_, client)| client.has_queried && client.phase == ConnectionPhase::Idle)
     }
 
-    /// Closes a connection that was shut for the sake of another one: of the oldest, one that this does not reset. One that it
-    /// resets has had the time of a round trip at least.
+    /// Closes a lingering connection to free its descriptor; returns false if there is none to close. Prefers, among the
+    /// oldest, a connection that the close does not reset; one that it resets has lingered for at least the time of a round
+    /// trip.
     pub fn close_one_lingering(&mut self, context: &mut Context) -> bool {
         let lingering = self.table.iter().filter(|(_, client)| client.phase == ConnectionPhase::Lingering);
         let mut oldest: Vec<(usize, &ClientConnection)> = lingering.collect();
--- a/crates/ottersill/src/client/listener.rs
+++ b/crates/ottersill/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for client connections, and what it waits for.
+//! The listener for client connections, and the state of accepting from it.
 
 use std::io;
 use std::rc::Rc;
@@ -11,32 +11,33 @@
 use crate::reactor::Context;
 use crate::timers::{Timer, TimerHandle};
 
-/// Accepted in one iteration of the loop, so that many new connections hold up no answer.
+/// Maximum number of connections accepted in one iteration of the event loop, so that a burst of them does not delay answers.
 pub const MAX_ACCEPTS_PER_WAKE: usize = 64;
 
-/// So many failures of single connections in one iteration are taken for one of the listener, which would go on for ever.
+/// Number of failures of single connections in one iteration after which a further failure is treated as one of the listener
+/// itself, which would repeat for ever.
 const MAX_ACCEPT_FAILURES: usize = MAX_ACCEPTS_PER_WAKE / 2;
 
 /// The listener for clients. Times are Unix seconds.
 #[derive(Default)]
 pub struct ClientListener {
-    /// None before the router listens, and again once it has drained.
+    /// Absent before the router listens, and again once it has drained.
     listener: Option<(Rc<Socket>, RegistrationToken)>,
-    /// The accepted client that the loop could not be told to watch; nobody else is accepted before it.
+    /// The accepted client whose socket could not be registered with the event loop; no other client is accepted before it.
     unwatched: Option<UnwatchedClient>,
-    /// Set while clients wait in the accept backlog for one to leave.
+    /// Set while clients wait in the accept backlog until accepting is retried, as when all descriptors are in use.
     retry: Option<TimerHandle>,
-    /// Failures of single connections since accepting was begun.
+    /// Failures of single connections since the last call of [`begin_accepting`](Self::begin_accepting).
     failures: usize,
 }
 
 impl ClientListener {
-    /// The router listens from now on, at a socket that the event loop watches.
+    /// Starts to accept on a listening socket that is registered with the event loop.
     pub fn open(&mut self, socket: Rc<Socket>, token: RegistrationToken) {
         self.listener = Some((socket, token));
     }
 
-    /// Listens no more.
+    /// Closes the listening socket.
     pub fn close(&mut self, context: &Context) {
         if let Some((_, token)) = self.listener.take() {
             context.deregister(token);
@@ -48,22 +49,22 @@
         self.listener.is_some()
     }
 
-    /// Whether accepting is tried again later, as clients wait.
+    /// Whether a retry of accepting is scheduled because clients wait in the accept backlog.
     pub fn is_retrying(&self) -> bool {
         self.retry.is_some()
     }
 
-    /// The timer has expired after which accepting is tried again.
+    /// Handles the expiry of the retry timer.
     pub fn on_retry_timer(&mut self) {
         self.retry = None;
     }
 
-    /// Accepting is tried again then.
+    /// Schedules a retry of accepting at `at`, in Unix seconds.
     pub fn retry_at(&mut self, at: f64, context: &mut Context) {
         self.retry = Some(context.timers.set(at, Timer::Listener));
     }
 
-    /// Accepting is tried now; false if the router does not listen.
+    /// Cancels a scheduled retry and resets the count of failures; returns false if the router does not listen.
     pub fn begin_accepting(&mut self, context: &mut Context) -> bool {
         if self.listener.is_some() {
             context.timers.clear(self.retry.take());
@@ -72,19 +73,19 @@
         self.listener.is_some()
     }
 
-    /// A single connection failed; whether the next may be accepted at once.
-    pub fn may_take_next(&mut self) -> bool {
-        let may_take = self.failures < MAX_ACCEPT_FAILURES;
-        self.failures += usize::from(may_take);
-        may_take
+    /// Records the failure of a single connection; returns whether the next may be accepted at once.
+    pub fn may_accept_next(&mut self) -> bool {
+        let may_accept = self.failures < MAX_ACCEPT_FAILURES;
+        self.failures += usize::from(may_accept);
+        may_accept
     }
 
-    /// Keeps a client that the event loop could not be told to watch; it is the next one again.
+    /// Keeps a client whose socket could not be registered; [`next_client`](Self::next_client) returns it again.
     pub fn keep_unwatched(&mut self, client: UnwatchedClient) {
         self.unwatched = Some(client);
     }
 
-    /// The client that could not be watched before, or one from the accept backlog; none if nobody waits.
+    /// Returns the client that could not be registered before, else the next one from the accept backlog, if any.
     ///
     /// # Errors
     /// If accept fails.
@@ -94,6 +95,6 @@
         }
         let Some((listener, _)) = &self.listener else { return Ok(None) };
         let accepted = socket::accept(listener)?;
-        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), since: now }))
+        Ok(accepted.map(|socket| UnwatchedClient { socket: Rc::new(socket), accepted_at: now }))
     }
 }
--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -21,87 +21,87 @@
 
 pub use crate::client::listener::MAX_ACCEPTS_PER_WAKE;
 
-/// What the event loop has to do for a client.
+/// An event of a client connection that the event loop has to handle.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// A statement was read whole. Once it has been handed on or answered, the next event of the client follows.
+    /// A complete statement was read. Once it has been passed on or answered, the client's next event can be fetched.
     Statement {
-        /// Its text.
+        /// Text of the statement.
         text: Bytes,
-        /// When its first byte came, in Unix seconds.
+        /// When the first byte of the statement arrived, in Unix seconds.
         arrived_at: f64,
     },
-    /// The client left while that request of it was in flight; its connection is closed.
+    /// The client disconnected while a request of it was in flight; its connection is closed.
     Left {
-        /// The request's number.
+        /// Number of the request.
         request_id: usize,
     },
 }
 
-/// What came of accepting the next client.
+/// Result of accepting the next client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// It has that number, and is to be read at once.
+    /// A client was accepted under this number, and is to be read at once.
     Client(usize),
-    /// It was closed, as the event loop could not watch it in its time.
+    /// The client was closed because its socket could not be registered with the event loop before its deadline.
     Closed,
-    /// It was lost; the next may be in order.
+    /// A single connection failed; the next one may be accepted.
     Lost,
-    /// Nobody waits.
+    /// The accept backlog is empty.
     NoneWaiting,
-    /// Accepting is tried again after a delay; nobody else is accepted before.
+    /// Accepting is retried after a delay; no client is accepted before.
     Delayed,
 }
 
-/// All client connections and the listener for them. Times are Unix seconds.
+/// All client connections, and the listener for them. Times are Unix seconds.
 pub struct Clients {
     table: ClientTable,
     listener: ClientListener,
     limits: ConnectionLimits,
-    /// After SIGTERM and the time in which clients still come: connections are closed once they idle.
+    /// Set after SIGTERM and the time in which new clients are still accepted: idle connections are closed.
     is_draining: bool,
-    /// What is accepted is answered by then; infinite, unless the router has been told to stop.
-    answers_by: f64,
+    /// When all accepted requests have to be answered; infinite unless the router is shutting down.
+    answer_deadline: f64,
 }
 
 impl Clients {
-    /// Nobody is connected, and nobody can connect yet.
+    /// Creates an empty set of connections without a listener.
     pub fn new(limits: ConnectionLimits) -> Clients {
         Clients {
             table: ClientTable::default(),
             listener: ClientListener::default(),
             limits,
             is_draining: false,
-            answers_by: f64::INFINITY,
+            answer_deadline: f64::INFINITY,
         }
     }
 
-    /// All connections with their numbers.
+    /// Iterates over all connections with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &ClientConnection)> {
         self.table.iter()
     }
 
-    /// The connection with that number.
+    /// Returns the connection with this number.
     pub fn get(&self, id: usize) -> Option<&ClientConnection> {
         self.table.get(id)
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// No connection is left.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// What is accepted is to be answered by then.
-    pub fn limit_answers(&mut self, answers_by: f64) {
-        self.answers_by = answers_by;
+    /// Sets the time by which all accepted requests have to be answered, in Unix seconds.
+    pub fn limit_answers(&mut self, answer_deadline: f64) {
+        self.answer_deadline = answer_deadline;
     }
 
-    /// From now on connections are closed once they idle, and the listener once nobody waits there.
+    /// Starts to drain: from now on idle connections are closed, and the listener once no client waits in its backlog.
     pub fn start_draining(&mut self) {
         self.is_draining = true;
     }
--- a/crates/ottersill/src/client/pipelining.rs
+++ b/crates/ottersill/src/client/pipelining.rs
@@ -1,38 +1,38 @@
-//! Statements that a client sends ahead of the answer to the one in hand.
+//! Pipelined statements: those that a client sends before its statement in flight is answered.
 
 use crate::client::Clients;
 use crate::protocol::frame;
 use crate::protocol::statement_text::peek_time_left;
 use crate::reactor::Context;
 
-/// Statements sent behind one that are looked at before it is sent: their number bounds what each costs; those further behind
-/// are looked at as it gets shorter.
+/// Maximum number of pipelined statements whose deadlines are checked before a statement is sent: it bounds the cost of each
+/// statement. Statements further behind are checked once those ahead of them are answered.
 pub const MAX_PIPELINED: usize = 16;
 
-/// A message's tag and length stand ahead of its text.
+/// Length of a message's tag and length field, which precede its text.
 const MESSAGE_HEAD_BYTES: usize = 5;
 
 impl Clients {
-    /// When a statement of a client is given up: its own time, the time by which a router that stops has answered, or that of a
-    /// statement behind it.
-    pub fn statement_deadline(&mut self, id: usize, own: f64, context: &Context) -> f64 {
-        own.min(self.answers_by).min(self.earliest_pipelined_deadline(id, context))
+    /// Returns the deadline of a client's statement, in Unix seconds: the earliest of its own deadline, the answer deadline of a
+    /// router that is shutting down, and the deadlines of the statements pipelined behind it.
+    pub fn statement_deadline(&mut self, id: usize, own_deadline: f64, context: &Context) -> f64 {
+        own_deadline.min(self.answer_deadline).min(self.earliest_pipelined_deadline(id, context))
     }
 
-    /// By when this statement has to be out of the way of those that its client has sent behind it: answers go out in order,
-    /// and one that waits for a longer one would come after its time.
+    /// Returns the earliest deadline of the statements that the client has pipelined, in Unix seconds. Answers are sent in
+    /// order, so a statement that waits for a longer one ahead of it would be answered too late.
     fn earliest_pipelined_deadline(&mut self, id: usize, context: &Context) -> f64 {
         let Some(client) = self.table.get_mut(id) else { return f64::INFINITY };
-        client.match_arrivals(context.clock.arrivals_since());
-        let (mut at, mut due) = (0, f64::INFINITY);
+        client.sync_arrivals(context.clock.arrivals_since());
+        let (mut offset, mut deadline) = (0, f64::INFINITY);
         for _ in 0..MAX_PIPELINED {
-            let Ok(Some(whole)) = frame::message_length(&client.inbox[at..]) else { break };
-            let text = &client.inbox[at + MESSAGE_HEAD_BYTES..at + whole];
+            let Ok(Some(length)) = frame::message_length(&client.inbox[offset..]) else { break };
+            let text = &client.inbox[offset + MESSAGE_HEAD_BYTES..offset + length];
             if let Some(time_left) = peek_time_left(text) {
-                due = due.min(client.arrived(at, context.now()) + time_left);
+                deadline = deadline.min(client.arrival_time(offset, context.now()) + time_left);
             }
-            at += whole;
+            offset += length;
         }
-        due
+        deadline
     }
 }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -1,4 +1,4 @@
-//! The session of a client connection: reading it, message by message.
+//! The session of a client connection: reads its input, and handles it message by message.
 
 use bytes::Bytes;
 
@@ -11,18 +11,18 @@
 use crate::protocol::socket::ReadOutcome;
 use crate::reactor::{Context, Source};
 
-/// Read ahead of the answer to the statement in hand while memory is plenty, so that the client's end is seen behind it, and
-/// those are seen that have to be answered before that one has had its time. What is beyond waits at the client: it counts
-/// as taken, and is never dropped.
+/// Maximum number of bytes read ahead while a request is in flight and memory is plentiful. Reading ahead detects the end of
+/// the connection behind pipelined statements, and finds those whose deadline is earlier than that of the request in flight.
+/// Input beyond it is left unread; it counts as accepted, and is never dropped.
 const MAX_READ_AHEAD_BYTES: usize = MAX_PIPELINED * frame::MAX_MESSAGE_BYTES;
 
-/// A message that was read whole.
+/// A complete message of a client.
 enum ClientMessage {
     Startup(Startup),
     Regular(frame::Message),
 }
 
-/// Takes the next message out of the inbox of a client that is before its startup or between statements.
+/// Removes the next message from the inbox of a client that has not sent its startup message yet or is between statements.
 fn take_message(client: &mut ClientConnection) -> Result<Option<ClientMessage>, ProtocolError> {
     if client.phase == ConnectionPhase::AwaitingStartup {
         let startup = frame::take_startup(&mut client.inbox)?;
@@ -33,7 +33,7 @@
 }
 
 impl Clients {
-    /// A connection became ready: writes what is left to write, and reads. Gives the first event of what was read.
+    /// Handles the readiness of a connection: writes pending output, reads input, and returns the first event of it.
     #[must_use]
     pub fn on_ready(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         match self.table.get(id)?.phase {
@@ -53,21 +53,22 @@
         let memory_is_plentiful = self.table.stored_statement_bytes() < self.limits.statement_bytes / 2;
         let client = &mut self.table[id];
         client.last_read_at = context.now();
-        // One message ahead of the one in hand at least.
-        let most =
+        // The limit leaves room for at least one message beyond the request in flight.
+        let max_bytes =
             if is_busy && memory_is_plentiful { MAX_READ_AHEAD_BYTES } else { frame::MAX_MESSAGE_BYTES };
         let read = client
             .outbox
             .flush(&client.socket)
-            .and_then(|_| socket::read(&client.socket, &mut client.inbox, most));
+            .and_then(|_| socket::read(&client.socket, &mut client.inbox, max_bytes));
         match read {
             Ok(ReadOutcome::Drained) => client.may_have_unread = false,
-            // Its end lies behind what it has sent ahead, and must not wait for that to be read.
+            // The end of the connection is detected at once, without waiting until the input ahead of it has been read.
             Ok(ReadOutcome::MoreLeft) if socket::has_ended(&client.socket) => return self.close(id, context),
             Ok(ReadOutcome::MoreLeft) => {
                 client.may_have_unread = true;
-                // Its end may be on its way still, held up by what is not read. Where memory is short it has to wait.
-                if is_busy && client.inbox.len() < most {
+                // The end of the connection may yet arrive, held back by unread input, so reading continues. When memory is
+                // short, that has to wait.
+                if is_busy && client.inbox.len() < max_bytes {
                     context.wake(Source::Client(id));
                 }
             }
@@ -76,18 +77,19 @@
         self.next_event(id, context)
     }
 
-    /// Takes in what is there whole, one query at a time: each waits for the answer before it to go out. Gives the next
-    /// statement; none if there is none, or one is in flight.
+    /// Handles the complete messages in the inbox up to the next statement, and returns that. Queries are handled one at a
+    /// time: each waits until the answer to the one before is written. Returns none if there is no complete statement, or if a
+    /// request is in flight.
     #[must_use]
     pub fn next_event(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         loop {
             self.count_stored_bytes(id);
             let client = self.table.get_mut(id)?;
-            client.match_arrivals(context.clock.arrivals_since());
+            client.sync_arrivals(context.clock.arrivals_since());
             if !client.outbox.is_empty() {
                 return None;
             }
-            let arrived_at = client.arrived(0, context.clock.arrivals_since());
+            let arrived_at = client.arrival_time(0, context.clock.arrivals_since());
             match client.phase {
                 ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle => {}
                 ConnectionPhase::Busy(_) | ConnectionPhase::Lingering => return None,
@@ -102,38 +104,40 @@
                         return Some(ClientEvent::Statement { text, arrived_at });
                     }
                 }
-                // A long statement that there is no room for is rejected before it is whole.
+                // A long statement for which there is no memory is rejected before it is complete.
                 Ok(None) if self.lacks_memory_for(id) => {
                     context.counters.client_connections_rejected += 1;
-                    let why = "no memory is left for this statement";
-                    self.reject_connection(id, ErrorCode::TooMany, why, context);
+                    let reason = "no memory is left for this statement";
+                    self.reject_connection(id, ErrorCode::TooMany, reason, context);
                 }
                 Ok(None) => {
                     self.await_more_input(id, context);
                     return None;
                 }
                 Err(error) => {
-                    let why = error.to_string();
-                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, &why, context);
+                    let reason = error.to_string();
+                    self.reject_protocol_violation(id, ErrorCode::ProtocolViolation, &reason, context);
                 }
             }
         }
     }
 
+    /// Whether the memory limit for statements is exceeded and the client's unfinished message is longer than usual.
     fn lacks_memory_for(&self, id: usize) -> bool {
         self.table.stored_statement_bytes() > self.limits.statement_bytes
             && self.table[id].inbox.len() > frame::TYPICAL_MESSAGE_BYTES
     }
 
-    /// All that came whole is answered by now; a part of a message may be left, whose rest is waited for.
+    /// Waits for more input once all complete messages are answered: for the rest of an incomplete message, or for a new one.
+    /// Closes the connection if the router is draining and no incomplete message is left.
     fn await_more_input(&mut self, id: usize, context: &mut Context) {
         let client = &self.table[id];
         if client.may_have_unread {
             return context.wake(Source::Client(id));
         }
         if !client.inbox.is_empty() {
-            let due_at = self.deadline(client, context.now());
-            self.set_timer(id, due_at, context);
+            let deadline = self.deadline(client, context.now());
+            self.set_timer(id, deadline, context);
         } else if self.is_draining {
             self.begin_close(id, context);
         }
@@ -146,7 +150,7 @@
                 self.send(id, [frame::AUTHENTICATION_OK.clone()], context);
             }
             Startup::Encryption => self.send(id, [frame::ENCRYPTION_REFUSED.clone()], context),
-            // Cancelling is not offered; the protocol has this end without a message.
+            // Cancelling is not supported; the protocol specifies that the connection closes without a message.
             Startup::Cancel => self.set_phase(id, ConnectionPhase::Terminated, context),
             Startup::OtherVersion => {
                 let reason = "only version 3 is spoken here";
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Handles a message, unless it is a statement, whose text it gives.
+    /// Handles a message; returns the text of a statement, which is left to the caller.
     fn on_message(&mut self, id: usize, message: ClientMessage, context: &mut Context) -> Option<Bytes> {
         let message = match message {
             ClientMessage::Startup(startup) => {
@@ -175,6 +179,7 @@
         None
     }
 
+    /// Answers an empty query; returns the text of any other.
     fn on_query(&mut self, id: usize, text: Option<Bytes>, context: &mut Context) -> Option<Bytes> {
         let Some(text) = text else {
             let reason = "a query without its end";
@@ -190,7 +195,7 @@
         None
     }
 
-    /// A request of the client is in flight from now on, with a statement of so many bytes.
+    /// Records that a request of the client is now in flight, with a statement of `statement_bytes` bytes.
     pub fn begin_request(
         &mut self,
         id: usize,
@@ -204,7 +209,7 @@
         client.has_queried = true;
     }
 
-    /// Counts what is stored for a client: what was read ahead, and its request in flight.
+    /// Updates the count of bytes stored for a client: input that was read ahead, and its request in flight.
     fn count_stored_bytes(&mut self, id: usize) {
         let Some(client) = self.table.get(id) else { return };
         let request_bytes = match client.phase {
--- a/crates/ottersill/src/client/table.rs
+++ b/crates/ottersill/src/client/table.rs
@@ -1,4 +1,4 @@
-//! All client connections, and the bytes of statements that are stored for them.
+//! The table of client connections, which also counts the statement bytes stored for them.
 
 use std::ops::{Index, IndexMut};
 
@@ -7,7 +7,7 @@
 
 use crate::client::connection::ClientConnection;
 
-/// Client connections by their number, which is used again once a connection is removed.
+/// Client connections by number. The number of a removed connection is reused.
 #[derive(Default)]
 pub struct ClientTable {
     connections: Slab<ClientConnection>,
@@ -15,7 +15,7 @@
 }
 
 impl ClientTable {
-    /// The number that the next connection gets.
+    /// Returns the number of the next connection to be inserted.
     pub fn next_id(&self) -> usize {
         self.connections.vacant_key()
     }
@@ -25,52 +25,52 @@
         self.connections.insert(connection);
     }
 
-    /// Removes a connection; what was stored for it is no longer counted.
+    /// Removes a connection and subtracts its stored bytes from the total.
     ///
     /// # Panics
-    /// If no connection has that number.
+    /// If no connection has this number.
     pub fn remove(&mut self, id: usize) -> ClientConnection {
         let connection = self.connections.remove(id);
         self.stored_statement_bytes -= connection.stored_bytes;
         connection
     }
 
-    /// The connection with that number.
+    /// Returns the connection with this number.
     pub fn get(&self, id: usize) -> Option<&ClientConnection> {
         self.connections.get(id)
     }
 
-    /// As [`get`](Self::get), to be changed.
+    /// Returns the connection with this number for modification.
     pub fn get_mut(&mut self, id: usize) -> Option<&mut ClientConnection> {
         self.connections.get_mut(id)
     }
 
-    /// All connections with their numbers.
+    /// Iterates over all connections with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &ClientConnection)> {
         self.connections.iter()
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// No connection is left.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Bytes of statements, whole or not, that are stored for all connections.
+    /// Bytes of statements, complete or not, that are stored for all connections.
     pub fn stored_statement_bytes(&self) -> usize {
         self.stored_statement_bytes
     }
 
-    /// Counts what is stored for a connection: what was read ahead, and the text of its request in flight. Buffers grow
-    /// by doubling, so each byte counts twice.
+    /// Updates the count of bytes stored for a connection: input that was read ahead, and the text of its request in flight,
+    /// which is `request_bytes` long. Buffers grow by doubling, so each byte counts twice.
     pub fn count_stored_bytes(&mut self, id: usize, request_bytes: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.inbox.is_empty() {
-            // What is left of it would hold on to all that was read with it.
+            // An empty buffer would still keep the allocation of everything that was read with it.
             connection.inbox = BytesMut::new();
         }
         let stored = 2 * (connection.inbox.len() + request_bytes);
--- a/crates/ottersill/src/client/time_limits.rs
+++ b/crates/ottersill/src/client/time_limits.rs
@@ -1,35 +1,36 @@
-//! The phases of a client connection, and how long it may stay in each.
+//! Phase changes of a client connection, and the time limit of each phase.
 
-use crate::client::connection::{ClientConnection, ConnectionPhase, INCOMPLETE_INPUT_TIMEOUT};
+use crate::client::connection::{ClientConnection, ConnectionPhase, INCOMPLETE_INPUT_TIMEOUT_SECONDS};
 use crate::client::{ClientEvent, Clients};
 use crate::protocol::frame::ErrorCode;
 use crate::reactor::Context;
 use crate::timers::{TIMING_MARGIN, Timer};
 
-/// A connection with no statement open may be closed after so many seconds, as the service page has it.
-const IDLE_TIMEOUT: f64 = 2.0;
+/// How long a connection without an open statement is kept; the service page allows it to be closed after this time.
+const IDLE_TIMEOUT_SECONDS: f64 = 2.0;
 
-/// Who has sent a part of a message behind a statement that took long has this much after its answer; seconds.
-const REMAINDER_TIMEOUT: f64 = 0.25;
+/// Minimum time after the answer to a long statement that its client gets to complete a partial message sent behind it.
+const REMAINDER_TIMEOUT_SECONDS: f64 = 0.25;
 
 impl Clients {
-    /// Every change of a client connection's phase.
+    /// Changes the phase of a client connection; all phase changes go through here.
     pub(super) fn set_phase(&mut self, id: usize, next: ConnectionPhase, context: &mut Context) {
         let client = &mut self.table[id];
         context.counters.check_invariant(
             client.phase.may_become(next),
-            "a client connection changes its phase as allowed",
+            "a client connection changes its phase only as ConnectionPhase::may_become allows",
         );
         client.phase = next;
         client.phase_since = context.now();
         if !matches!(next, ConnectionPhase::Busy(_)) && client.timer.is_none() {
-            client.timer = Some(context.timers.set(context.now() + IDLE_TIMEOUT, Timer::Client(id)));
+            client.timer = Some(context.timers.set(context.now() + IDLE_TIMEOUT_SECONDS, Timer::Client(id)));
         }
     }
 
-    /// The timer of a connection has expired. Guards against clients that connect and say nothing, stop halfway, or ask once and
-    /// stay: each would hold a descriptor, and the usual clients find no room. True if the connection is to be read as if it
-    /// became ready, so that what has come meanwhile is taken in, before [`enforce_deadline`](Self::enforce_deadline).
+    /// Handles the expiry of a connection's timer. Guards against clients that connect and send nothing, stop in the middle of a
+    /// message, or query once and stay connected: each would hold a descriptor, and leave no room for other clients. Returns
+    /// true if the connection is to be read as if it had become ready, so that input that has arrived meanwhile is handled,
+    /// before [`enforce_deadline`](Self::enforce_deadline) is called.
     pub fn on_timer(&mut self, id: usize, context: &mut Context) -> bool {
         self.table[id].timer = None;
         let is_lingering = self.table[id].phase == ConnectionPhase::Lingering;
@@ -39,7 +40,7 @@
         !is_lingering
     }
 
-    /// Ends the connection if its time is over.
+    /// Ends the connection if its deadline has passed; else sets its timer to the deadline.
     #[must_use]
     pub fn enforce_deadline(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         let client = self.table.get(id)?;
@@ -50,22 +51,25 @@
             self.set_timer(id, context.now() + TIMING_MARGIN, context);
             return None;
         }
-        let due_at = self.deadline(client, context.now());
-        if due_at > context.now() {
-            if due_at.is_finite() {
-                self.set_timer(id, due_at, context);
+        let deadline = self.deadline(client, context.now());
+        if deadline > context.now() {
+            if deadline.is_finite() {
+                self.set_timer(id, deadline, context);
             }
             return None;
         }
         self.end_overdue(id, context)
     }
 
+    /// Ends a connection whose deadline has passed: rejects an incomplete message, closes an idle connection, and drops any
+    /// other.
     fn end_overdue(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         context.counters.client_connections_closed_idle += 1;
         let client = &self.table[id];
-        let may_be_told = matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
-            && client.outbox.is_empty();
-        if !may_be_told {
+        let can_receive_error =
+            matches!(client.phase, ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle)
+                && client.outbox.is_empty();
+        if !can_receive_error {
             return self.close(id, context);
         }
         if client.inbox.is_empty() {
@@ -77,34 +81,36 @@
         self.next_event(id, context)
     }
 
-    /// When the time of this client connection is over; never while a request is in flight.
+    /// Returns the deadline of the connection's current phase, in Unix seconds; infinite while a request is in flight.
     pub(super) fn deadline(&self, client: &ClientConnection, now: f64) -> f64 {
-        let halfway = !client.inbox.is_empty();
+        let has_partial_message = !client.inbox.is_empty();
         match client.phase {
             ConnectionPhase::Busy(_) => f64::INFINITY,
-            // Nothing that was sent ahead is cut off, and an answer that nobody reads is no reason to stay. Who has sent a part of
-            // a message gets its error before a router that stops may be killed.
-            ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle if !client.has_queried && halfway => {
-                (client.connected_at + INCOMPLETE_INPUT_TIMEOUT).min(self.answers_by)
+            // Input that was sent ahead is not cut off, and an unread answer does not keep a connection open. A client that has
+            // sent a partial message gets its error before a router that is shutting down may be killed.
+            ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle
+                if !client.has_queried && has_partial_message =>
+            {
+                (client.connected_at + INCOMPLETE_INPUT_TIMEOUT_SECONDS).min(self.answer_deadline)
             }
             ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle if !client.has_queried => {
-                client.connected_at + INCOMPLETE_INPUT_TIMEOUT
+                client.connected_at + INCOMPLETE_INPUT_TIMEOUT_SECONDS
             }
-            ConnectionPhase::Idle if halfway => {
-                let due_at = client.arrived(0, now) + INCOMPLETE_INPUT_TIMEOUT;
-                due_at.max(client.phase_since + REMAINDER_TIMEOUT).min(self.answers_by)
+            ConnectionPhase::Idle if has_partial_message => {
+                let deadline = client.arrival_time(0, now) + INCOMPLETE_INPUT_TIMEOUT_SECONDS;
+                deadline.max(client.phase_since + REMAINDER_TIMEOUT_SECONDS).min(self.answer_deadline)
             }
             ConnectionPhase::Idle if !client.outbox.is_empty() => {
-                client.phase_since + INCOMPLETE_INPUT_TIMEOUT
+                client.phase_since + INCOMPLETE_INPUT_TIMEOUT_SECONDS
             }
-            _ => client.phase_since + IDLE_TIMEOUT,
+            _ => client.phase_since + IDLE_TIMEOUT_SECONDS,
         }
     }
 
-    /// Has the client looked at then, and not before.
+    /// Sets the connection's timer to expire at `at`, in Unix seconds, in place of its current one.
     pub(super) fn set_timer(&mut self, id: usize, at: f64, context: &mut Context) {
         let timer = context.timers.set(at, Timer::Client(id));
-        let before = self.table[id].timer.replace(timer);
-        context.timers.clear(before.filter(|before| *before != timer));
+        let previous = self.table[id].timer.replace(timer);
+        context.timers.clear(previous.filter(|previous| *previous != timer));
     }
 }
