--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: a connection, and the request that is out on it.
+//! One call to discovery: a connection, and the request in flight on it.
 
 use std::fmt;
 use std::io;
@@ -15,23 +15,23 @@
 use crate::protocol::socket::{self, Outbox, ReadOutcome};
 use crate::reactor::{Context, Source};
 
-/// The only status of a response that counts.
+/// The only status that is treated as a success.
 const STATUS_OK: u16 = 200;
 
-/// Why a call has failed.
+/// Why a call failed.
 #[derive(Debug)]
 pub enum CallError {
-    /// The connection did not come up, or broke.
+    /// The connection could not be established, or broke.
     Connection(io::Error),
-    /// Discovery ended the connection without an answer.
+    /// Discovery closed the connection before it had sent a complete answer.
     Ended,
-    /// Nothing came in time.
+    /// No answer arrived in time.
     Timeout,
-    /// The answer is no HTTP response.
+    /// The answer is not a valid HTTP response.
     Http(HttpError),
-    /// The response has another status than 200.
+    /// The status of the response is not 200.
     Status(u16),
-    /// The body is no endpoint list.
+    /// The body is not a valid endpoint list.
     List(serde_json::Error),
 }
 
@@ -39,10 +39,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CallError::Connection(error) => write!(f, "{error}"),
-            CallError::Ended => f.write_str("it ended the connection"),
+            CallError::Ended => f.write_str("connection closed before a complete answer"),
             CallError::Timeout => f.write_str("no answer in time"),
             CallError::Http(error) => write!(f, "{error}"),
-            CallError::Status(status) => write!(f, "status {status}"),
+            CallError::Status(status) => write!(f, "HTTP status {status}"),
             CallError::List(error) => write!(f, "{error}"),
         }
     }
@@ -65,13 +65,13 @@
     }
 }
 
-/// An answer that was read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// The endpoint list in it.
+    /// The endpoint list in the body.
     pub list: EndpointList,
-    /// Discovery closes the connection after it.
-    pub closes: bool,
+    /// Whether discovery closes the connection after this answer.
+    pub closes_connection: bool,
 }
 
 impl Answer {
@@ -80,7 +80,7 @@
             return Err(CallError::Status(response.status));
         }
         let list = serde_json::from_slice(&response.body).map_err(CallError::List)?;
-        Ok(Answer { list, closes: response.closes })
+        Ok(Answer { list, closes_connection: response.closes_connection })
     }
 }
 
@@ -92,15 +92,16 @@
     inbox: BytesMut,
     outbox: Outbox,
     requested_at: f64,
+    /// When the call is no longer kept open beside newer ones; infinite if it is the newest or was answered.
     keep_until: f64,
     was_answered: bool,
 }
 
 impl Call {
-    /// Begins to connect.
+    /// Starts to connect to discovery.
     ///
     /// # Errors
-    /// If this machine can't open or watch one more connection, or knows no way to the address.
+    /// If this machine cannot open or register one more connection, or has no route to the address.
     pub fn dial(address: SocketAddr, context: &Context) -> io::Result<Call> {
         let (socket, token) =
             context.register(socket::connect(address).map_err(io::Error::from)?, Source::Discovery)?;
@@ -116,30 +117,30 @@
         })
     }
 
-    /// Its state.
+    /// Returns the state of the call.
     pub fn state(&self) -> CallState {
         self.state
     }
 
-    /// Whether the connection is up by now.
+    /// Whether the connection is established.
     ///
     /// # Errors
-    /// If it never will be.
-    pub fn is_up(&self) -> io::Result<bool> {
+    /// If connecting has failed.
+    pub fn is_connected(&self) -> io::Result<bool> {
         socket::is_connected(&self.socket)
     }
 
-    /// Whether the time is over for which it is kept beside the calls that follow it.
-    pub fn is_over(&self, now: f64) -> bool {
+    /// Whether the time has passed for which this call is kept open beside newer ones.
+    pub fn has_expired(&self, now: f64) -> bool {
         now >= self.keep_until
     }
 
-    /// Keeps it no longer than until then beside the calls that follow it.
-    pub fn limit(&mut self, keep_until: f64) {
+    /// Keeps the call open beside newer ones until `keep_until` at most, in Unix seconds.
+    pub fn limit_lifetime(&mut self, keep_until: f64) {
         self.keep_until = self.keep_until.min(keep_until);
     }
 
-    /// Sends a request; what the socket does not take yet goes out when it is ready again.
+    /// Sends a request; bytes that the socket does not accept yet are written when it becomes ready again.
     ///
     /// # Errors
     /// If the connection broke.
@@ -150,13 +151,13 @@
         self.outbox.flush(&self.socket).map(|_| ())
     }
 
-    /// Sends what is left to send, and reads the answer if it is there whole.
+    /// Writes pending output, reads input, and returns the answer once it is complete.
     ///
     /// # Errors
-    /// If the connection broke or ended, or the answer can't be read; the call is of no further use then.
+    /// If the connection broke or was closed, or the answer is invalid; the call must then be closed.
     pub fn read(&mut self, context: &mut Context) -> Result<Option<Answer>, CallError> {
         self.outbox.flush(&self.socket)?;
-        // A reset is no end: what came before it is dropped with the connection.
+        // A reset is an error, not an end of the response: input that arrived before it is discarded with the connection.
         let outcome = socket::read(&self.socket, &mut self.inbox, http::MAX_RESPONSE_BYTES)?;
         let response =
             http::response(&mut self.inbox, outcome == ReadOutcome::Ended).map_err(CallError::Http)?;
@@ -173,14 +174,15 @@
         }
     }
 
-    /// Notes that it was answered: it is kept for good. True if a long poll was answered before its time.
-    pub fn answered(&mut self, now: f64) -> bool {
+    /// Records that the call was answered, and lifts the limit on its lifetime. Returns true if it was a long poll that was
+    /// answered early.
+    pub fn record_answer(&mut self, now: f64) -> bool {
         self.was_answered = true;
         self.keep_until = f64::INFINITY;
         self.state == CallState::Watching && watch::is_early(now - self.requested_at)
     }
 
-    /// Every change of its state.
+    /// Changes the state of the call; all state changes go through here.
     pub fn transition(&mut self, next: CallState, context: &mut Context) {
         context.counters.check_invariant(
             self.state.may_become(next),
@@ -189,7 +191,8 @@
         self.state = next;
     }
 
-    /// Closes the connection; true if a request on it was answered, as its end is no failure of discovery then.
+    /// Closes the connection. Returns true if a request on it was answered: the end of the connection is then not treated as a
+    /// failure of discovery.
     pub fn close(self, context: &Context) -> bool {
         context.deregister(self.token);
         self.was_answered
--- a/crates/ottersill/src/discovery/change.rs
+++ b/crates/ottersill/src/discovery/change.rs
@@ -1,14 +1,14 @@
-//! The log lines about what an endpoint list has changed.
+//! Logging of the changes that an endpoint list makes.
 
 use ottersill_routing::interface::EndpointState;
 use slog::{Logger, info};
 
 use crate::discovery::registry::{EndpointRegistry, RegistryChange};
 
-/// A list that changes more than this gets one log line with counts, a shorter one a line for each change.
+/// Number of changes up to which each change gets its own log line; a list with more changes gets one line with counts.
 pub const MAX_CHANGES_LOGGED: usize = 50;
 
-/// Logs what an endpoint list has changed.
+/// Logs the changes that an endpoint list has made.
 pub fn log_change(change: &RegistryChange, endpoints: &EndpointRegistry, log: &Logger) {
     let RegistryChange { updates, readdressed } = change;
     if updates.len() + readdressed.len() > MAX_CHANGES_LOGGED {
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The discovery client: its connections to discovery and the watch that it keeps there. It reports what it heard as
-//! [`DiscoveryEvent`]s and leaves what follows from them to the event loop.
+//! The discovery client: watches discovery for changes of the endpoint list, over one or two connections. It reports
+//! [`DiscoveryEvent`]s, which the event loop acts on.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,47 +8,49 @@
 
 use crate::discovery::call::{Answer, Call, CallError};
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::{self, CallState, RETRY_DELAY, Request, SUPERSEDED_CALL_LIFETIME};
+use crate::discovery::watch::{
+    self, CallState, RETRY_DELAY_SECONDS, Request, SUPERSEDED_CALL_LIFETIME_SECONDS,
+};
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
 
-/// Calls that are open at a time: one that is silent, and the next.
+/// Maximum number of open calls: one that is unanswered, and the next.
 const MAX_CALLS: usize = 2;
-/// Between two log lines about failed calls, in seconds.
-const LOG_INTERVAL: f64 = 1.0;
+/// Minimum time between two log lines about failed calls.
+const LOG_INTERVAL_SECONDS: f64 = 1.0;
 
-/// What the event loop is told by [`DiscoveryClient::poll_event`].
+/// An event that [`DiscoveryClient::poll_event`] returns to the event loop.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// An endpoint list was read. It is newer than all before it.
+    /// An endpoint list was received. It is newer than all before it.
     List(EndpointList),
-    /// A call has failed, or was not answered in time.
+    /// A call failed, or was not answered in time.
     CallFailed,
 }
 
-/// Keeps a watch on discovery. Times are Unix seconds, durations seconds.
+/// Watches discovery for endpoint lists. Times are Unix seconds, durations seconds.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    /// The older first. One that is not answered is kept beside the next. Whichever is answered first stays, and the
+    /// Open calls, oldest first. An unanswered call is kept open beside the next. Whichever is answered first stays, and the
     /// other one is closed, so that no answer is older than the one before it.
     calls: Vec<Call>,
-    /// When the newest call is given up, or, where there is none, the next one begins.
+    /// Expires when the newest call times out or leaves its pause or, if there is no call, when the next one begins.
     timer: Option<TimerHandle>,
-    /// The version of the last list that was read here; without one the complete list is asked for.
+    /// Version of the last list received from this address; if there is none, the complete list is requested.
     version: Option<u64>,
-    /// The last call was not answered: the next one asks for the complete list, which comes at once, as the silence of a
-    /// long poll could not be told from no news.
+    /// Whether the last call was not answered. The next call then requests the complete list, which is answered at once: an
+    /// unanswered long poll could not be distinguished from one without changes.
     is_unresponsive: bool,
-    /// After how long the next call follows one that stays silent.
-    silent_call_interval: f64,
+    /// How long a call that should be answered at once may stay unanswered before the next call begins.
+    fetch_timeout: f64,
     /// When a failure was last logged.
     logged_at: f64,
     events: VecDeque<DiscoveryEvent>,
 }
 
 impl DiscoveryClient {
-    /// A client of the discovery at `address`, which does nothing until [`start`](Self::start). `drain_grace` is how long
-    /// a draining endpoint may still be sent to.
+    /// Creates a client of the discovery at `address`, which does nothing until [`start`](Self::start). `drain_grace` is how
+    /// long requests may still be sent to a draining endpoint, in seconds.
     pub fn new(address: SocketAddr, drain_grace: f64) -> DiscoveryClient {
         DiscoveryClient {
             address,
@@ -56,25 +58,25 @@
             timer: None,
             version: None,
             is_unresponsive: false,
-            silent_call_interval: watch::silent_call_interval(drain_grace),
+            fetch_timeout: watch::fetch_timeout(drain_grace),
             logged_at: f64::NEG_INFINITY,
             events: VecDeque::new(),
         }
     }
 
-    /// The next thing that the event loop has to do; to be asked after each call of another method until there is none.
+    /// Returns the next event, if any. After each call of another method the event loop has to call this until there is none.
     #[must_use]
     pub fn poll_event(&mut self) -> Option<DiscoveryEvent> {
         self.events.pop_front()
     }
 
-    /// Begins the watch.
+    /// Starts to watch discovery.
     pub fn start(&mut self, context: &mut Context) {
         self.begin_call(context);
     }
 
-    /// Discovery is at another address from now on. What it said last holds until the complete list is read there, whose
-    /// versions need not continue the old ones.
+    /// Changes the address of discovery. The last endpoint list stays in use until the complete list has been read from the new
+    /// address, whose versions need not continue the old ones.
     pub fn move_to(&mut self, address: SocketAddr, context: &mut Context) {
         if address == self.address {
             return;
@@ -87,7 +89,7 @@
         self.begin_call(context);
     }
 
-    /// One of the connections became ready.
+    /// Handles the readiness of one of the connections.
     pub fn on_ready(&mut self, context: &mut Context) {
         let mut index = 0;
         while index < self.calls.len() {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The timer has expired.
+    /// Handles the expiry of the timer.
     pub fn on_timer(&mut self, context: &mut Context) {
         self.timer = None;
         match self.calls.last().map(Call::state) {
@@ -118,33 +120,34 @@
         }
     }
 
-    /// Dials discovery. The oldest call may still be answered for a while; the one between is closed.
+    /// Connects to discovery. If the maximum number of calls is open, the oldest call is kept while it may still be answered,
+    /// and the call after it is closed.
     fn begin_call(&mut self, context: &mut Context) {
         if self.calls.len() >= MAX_CALLS {
-            let oldest_is_over = self.calls[0].is_over(context.now());
-            self.close_call(usize::from(!oldest_is_over), context);
+            let oldest_has_expired = self.calls[0].has_expired(context.now());
+            self.close_call(usize::from(!oldest_has_expired), context);
         }
-        let keep_until = context.now() + SUPERSEDED_CALL_LIFETIME;
+        let keep_until = context.now() + SUPERSEDED_CALL_LIFETIME_SECONDS;
         for call in &mut self.calls {
-            call.limit(keep_until);
+            call.limit_lifetime(keep_until);
         }
         match Call::dial(self.address, context) {
             Ok(call) => {
                 self.calls.push(call);
-                self.set_timer(self.silent_call_interval, context);
+                self.set_timer(self.fetch_timeout, context);
             }
             Err(error) => {
                 self.report_failure(&CallError::Connection(error), context);
-                self.set_timer(RETRY_DELAY, context);
+                self.set_timer(RETRY_DELAY_SECONDS, context);
             }
         }
     }
 
-    /// The request that is due on a connection that is up.
+    /// Returns the next request to send on an established connection.
     fn next_request(&self) -> Request {
         match self.version {
             Some(version) if !self.is_unresponsive => Request::changes_since(version),
-            _ => Request::complete_list(self.silent_call_interval),
+            _ => Request::complete_list(self.fetch_timeout),
         }
     }
 
@@ -158,11 +161,12 @@
         Ok(sent?)
     }
 
-    /// Reads the answer on a call if it is there whole; one that has just come up gets its request first.
+    /// Returns the answer to a call once it is complete. A call whose connection has just been established first gets its
+    /// request.
     fn read_answer(&mut self, index: usize, context: &mut Context) -> Result<Option<Answer>, CallError> {
-        let is_up = self.calls[index].is_up()?;
+        let is_connected = self.calls[index].is_connected()?;
         if self.calls[index].state() == CallState::Connecting {
-            if !is_up {
+            if !is_connected {
                 return Ok(None);
             }
             self.send_request(index, context)?;
@@ -170,38 +174,38 @@
         self.calls[index].read(context)
     }
 
-    /// The call that was answered is the only one from here on. The next request follows at once, as only that keeps up
-    /// the watch.
+    /// Handles an answer. The answered call is kept and any other is closed. The next request is sent at once, because only
+    /// that continues the watch.
     fn on_answer(&mut self, index: usize, answer: Answer, context: &mut Context) {
         for other in (0..self.calls.len()).rev().filter(|other| *other != index) {
             self.close_call(other, context);
         }
-        let was_early = self.calls[0].answered(context.now());
+        let was_early = self.calls[0].record_answer(context.now());
         let old_version = self.version.replace(answer.list.version);
-        // A discovery that never waits must not keep this router busy.
+        // A discovery that answers long polls at once must not keep this router busy.
         let pauses = was_early && old_version == self.version;
         self.is_unresponsive = false;
         self.events.push_back(DiscoveryEvent::List(answer.list));
-        if answer.closes {
+        if answer.closes_connection {
             self.close_call(0, context);
         }
-        match (pauses, answer.closes) {
+        match (pauses, answer.closes_connection) {
             (true, false) => {
                 self.calls[0].transition(CallState::Pausing, context);
-                self.set_timer(RETRY_DELAY, context);
+                self.set_timer(RETRY_DELAY_SECONDS, context);
             }
-            (true, true) => self.set_timer(RETRY_DELAY, context),
+            (true, true) => self.set_timer(RETRY_DELAY_SECONDS, context),
             (false, true) => self.begin_call(context),
             (false, false) => match self.send_request(0, context) {
-                // What has come behind the answer raises no readiness of its own.
+                // Input that has arrived behind the answer causes no readiness event of its own.
                 Ok(()) => context.wake(Source::Discovery),
                 Err(error) => self.on_call_failed(0, &error, context),
             },
         }
     }
 
-    /// Closes a call that is of no further use. If it was the only one, the next follows: at once if this one had been
-    /// answered before, as what discovery says meanwhile counts.
+    /// Closes a failed call. If it was the only one, the next call follows: at once if the failed one had been answered before,
+    /// because updates that discovery has meanwhile apply at once.
     fn on_call_failed(&mut self, index: usize, error: &CallError, context: &mut Context) {
         let was_answered = self.close_call(index, context);
         self.is_unresponsive |= !was_answered;
@@ -210,14 +214,15 @@
         if self.calls.is_empty() && was_answered {
             self.begin_call(context);
         } else if was_newest {
-            // An older call may be left, and may still be answered.
-            self.set_timer(RETRY_DELAY, context);
+            // An older call may still be open, and may still be answered.
+            self.set_timer(RETRY_DELAY_SECONDS, context);
         }
     }
 
+    /// Counts a failed call, reports it to the event loop, and logs it unless another was logged shortly before.
     fn report_failure(&mut self, error: &CallError, context: &mut Context) {
         context.counters.discovery_calls_failed += 1;
-        if context.now() - self.logged_at >= LOG_INTERVAL {
+        if context.now() - self.logged_at >= LOG_INTERVAL_SECONDS {
             self.logged_at = context.now();
             let calls_failed = context.counters.discovery_calls_failed;
             warn!(context.log, "discovery call failed"; "error" => %error, "calls_failed" => calls_failed);
@@ -225,13 +230,13 @@
         self.events.push_back(DiscoveryEvent::CallFailed);
     }
 
-    /// Sets the one timer, in seconds from now.
-    fn set_timer(&mut self, after: f64, context: &mut Context) {
+    /// Sets the timer to expire after `delay` seconds, in place of its current expiry.
+    fn set_timer(&mut self, delay: f64, context: &mut Context) {
         context.timers.clear(self.timer.take());
-        self.timer = Some(context.timers.set(context.now() + after, Timer::Discovery));
+        self.timer = Some(context.timers.set(context.now() + delay, Timer::Discovery));
     }
 
-    /// Closes a connection; true if a request on it was answered.
+    /// Closes a call; returns true if a request on it was answered.
     fn close_call(&mut self, index: usize, context: &mut Context) -> bool {
         self.calls.remove(index).close(context)
     }
--- a/crates/ottersill/src/discovery/endpoint_list.rs
+++ b/crates/ottersill/src/discovery/endpoint_list.rs
@@ -1,18 +1,19 @@
-//! The endpoint list as discovery writes it: JSON, either complete or only what changed.
+//! The endpoint list as discovery serves it: JSON, either complete or only what has changed.
 
 use ottersill_routing::interface::EndpointState;
 use serde::Deserialize;
 
-/// An answer of discovery, and the list of last resort in the configuration.
+/// The body of an answer of discovery; also the form of the fallback list in the configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// Rises with each change. A watch asks for what came after it.
+    /// Increases with each change; a long poll requests the changes after a version.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Endpoints that a complete list lacks are gone; those that a partial one lacks are as they were.
+    /// Whether the list is complete. Endpoints missing from a complete list are removed; those missing from a partial list are
+    /// unchanged.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// In no particular order; each endpoint once.
+    /// Entries in no particular order, one for each endpoint.
     #[serde(rename = "hosts")]
     pub entries: Vec<EndpointEntry>,
 }
@@ -20,24 +21,24 @@
 /// One endpoint of a list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointEntry {
-    /// Names the endpoint for as long as the fleet exists.
+    /// Name of the endpoint, which identifies it for the lifetime of the fleet.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it is dialled, `address:port`; empty or missing once it has left.
+    /// Address to connect to, `address:port`; empty or missing once the endpoint has left.
     #[serde(default, rename = "dial")]
     pub address: String,
-    /// The site it stands at; empty where sites are not told apart.
+    /// Site of the endpoint; empty if the deployment does not distinguish sites.
     #[serde(default)]
     pub site: String,
-    /// The number of its replica set.
+    /// Number of the endpoint's replica set.
     #[serde(rename = "block")]
     pub group: u64,
-    /// Whether it may get anything new.
+    /// Whether the endpoint may get new requests.
     pub health: Health,
-    /// Its size relative to the other endpoints'.
+    /// Size relative to the other endpoints.
     #[serde(default = "default_size", rename = "share")]
     pub size: f64,
-    /// When its process started, in Unix milliseconds; 0 if that isn't known.
+    /// When the endpoint's process started, in Unix milliseconds; 0 if unknown.
     #[serde(default, rename = "born_ms")]
     pub started_at_ms: f64,
 }
@@ -46,13 +47,13 @@
     1.0
 }
 
-/// What discovery says of an endpoint.
+/// State of an endpoint as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
     /// In service.
     Active,
-    /// Finishes what it has, and is to get nothing new.
+    /// Finishes the requests that it has, and must not get new ones.
     Leaving,
     /// Out of service.
     Left,
--- a/crates/ottersill/src/discovery/http.rs
+++ b/crates/ottersill/src/discovery/http.rs
@@ -1,24 +1,24 @@
-//! As much of HTTP/1.1 as a client of discovery needs: GET requests, and responses of any framing.
+//! The subset of HTTP/1.1 that the discovery client needs: GET requests, and responses with any framing.
 
 use std::fmt;
 use std::str;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest response that is read, in bytes. A list names a few hundred endpoints at a few hundred bytes each.
+/// Maximum length of a response. A list names a few hundred endpoints at a few hundred bytes each.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 const MAX_HEADERS: usize = 64;
-/// The line end behind each chunk, in bytes.
-const CHUNK_END: usize = 2;
+/// Length of the CRLF after the data of each chunk.
+const CHUNK_END_BYTES: usize = 2;
 
-/// Why bytes are not a response that can be read.
+/// Why input cannot be parsed as a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// The head is not HTTP/1.x, has too many headers or is too long.
+    /// The head is not HTTP/1.x, has too many headers, or is too long.
     Head,
     /// The value of a header is not UTF-8.
     HeaderText,
-    /// `Content-Length` is no number.
+    /// `Content-Length` is not a number.
     ContentLength,
     /// `Content-Length` exceeds [`MAX_RESPONSE_BYTES`].
     TooLong,
@@ -31,35 +31,35 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            HttpError::Head => "no HTTP response",
-            HttpError::HeaderText => "a header that is not UTF-8",
-            HttpError::ContentLength => "a length that is no number",
-            HttpError::TooLong => "a response that is too long",
-            HttpError::ChunkSize => "no chunk size",
-            HttpError::ChunkTooLong => "a chunk that is too long",
+            HttpError::Head => "invalid HTTP response head",
+            HttpError::HeaderText => "a header value is not UTF-8",
+            HttpError::ContentLength => "Content-Length is not a number",
+            HttpError::TooLong => "Content-Length exceeds the maximum response length",
+            HttpError::ChunkSize => "invalid chunk size",
+            HttpError::ChunkTooLong => "a chunk exceeds the maximum response length",
         })
     }
 }
 
 impl std::error::Error for HttpError {}
 
-/// A GET request, as it is written to the socket.
+/// Formats a GET request.
 pub fn get(path: &str, host: &str) -> Bytes {
     Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"))
 }
 
-/// A response that was read whole.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body, without its framing.
+    /// Body, without its framing.
     pub body: Bytes,
-    /// The server closes the connection after it.
-    pub closes: bool,
+    /// Whether the server closes the connection after this response.
+    pub closes_connection: bool,
 }
 
-/// How the length of a body is told.
+/// How the length of a body is determined.
 #[derive(Clone, Copy)]
 enum BodyLength {
     Known(usize),
@@ -67,36 +67,36 @@
     UntilClose,
 }
 
-/// What the head of a response says.
+/// The parsed head of a response.
 struct Head {
-    /// How many bytes it takes.
+    /// Length of the head itself, in bytes.
     length: usize,
     status: u16,
     body: BodyLength,
-    closes: bool,
+    closes_connection: bool,
 }
 
-/// Takes the next response out of `inbox` once it is there whole; `ended` says that nothing more will come.
+/// Removes the next response from `inbox` once it is complete; `ended` tells that no more input will arrive.
 ///
 /// # Errors
-/// If the bytes are no response; the connection is of no further use then.
+/// If the input is not a valid response; the connection must then be closed.
 pub fn response(inbox: &mut BytesMut, ended: bool) -> Result<Option<Response>, HttpError> {
     let Some(head) = parse_head(inbox)? else { return Ok(None) };
-    let (start, status, closes) = (head.length, head.status, head.closes);
+    let (start, status, closes_connection) = (head.length, head.status, head.closes_connection);
     match head.body {
         BodyLength::Known(length) if length > MAX_RESPONSE_BYTES => Err(HttpError::TooLong),
         BodyLength::Known(length) if inbox.len() >= start + length => {
             let body = inbox.split_to(start + length).freeze().slice(start..);
-            Ok(Some(Response { status, body, closes }))
+            Ok(Some(Response { status, body, closes_connection }))
         }
         BodyLength::Chunked => {
             let Some((body, used)) = join_chunks(&inbox[start..])? else { return Ok(None) };
             inbox.advance(start + used);
-            Ok(Some(Response { status, body, closes }))
+            Ok(Some(Response { status, body, closes_connection }))
         }
         BodyLength::UntilClose if ended => {
             let body = inbox.split().freeze().slice(start..);
-            Ok(Some(Response { status, body, closes: true }))
+            Ok(Some(Response { status, body, closes_connection: true }))
         }
         BodyLength::Known(_) | BodyLength::UntilClose => Ok(None),
     }
@@ -111,29 +111,30 @@
         _ => return Err(HttpError::Head),
     };
     let status = parsed.code.unwrap_or_default();
-    let mut head = Head { length, status, body: BodyLength::UntilClose, closes: false };
+    let mut head = Head { length, status, body: BodyLength::UntilClose, closes_connection: false };
     for header in parsed.headers.iter() {
         let value = str::from_utf8(header.value).map_err(|_| HttpError::HeaderText)?.trim();
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             head.body = BodyLength::Chunked;
         } else if header.name.eq_ignore_ascii_case("content-length") {
-            // Chunks outrank a length, as RFC 9112 has it.
+            // `Transfer-Encoding: chunked` overrides `Content-Length` (RFC 9112).
             if !matches!(head.body, BodyLength::Chunked) {
                 head.body = BodyLength::Known(value.parse().map_err(|_| HttpError::ContentLength)?);
             }
         } else if header.name.eq_ignore_ascii_case("connection") {
-            head.closes = value.eq_ignore_ascii_case("close");
+            head.closes_connection = value.eq_ignore_ascii_case("close");
         }
     }
     Ok(Some(head))
 }
 
-/// The chunks joined to one body, and how many bytes they take with their framing; none until the last one is there.
+/// Joins the chunks of a body. Returns the body and the length of the chunks with their framing, or none until the last chunk
+/// has arrived.
 fn join_chunks(bytes: &[u8]) -> Result<Option<(Bytes, usize)>, HttpError> {
     let (mut body, mut position) = (BytesMut::new(), 0);
     loop {
-        let (head, length) = match httparse::parse_chunk_size(&bytes[position..]) {
-            Ok(httparse::Status::Complete(found)) => found,
+        let (size_line_length, length) = match httparse::parse_chunk_size(&bytes[position..]) {
+            Ok(httparse::Status::Complete(parsed)) => parsed,
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(HttpError::ChunkSize),
         };
@@ -141,12 +142,12 @@
         if length > MAX_RESPONSE_BYTES {
             return Err(HttpError::ChunkTooLong);
         }
-        let (start, end) = (position + head, position + head + length);
-        if bytes.len() < end + CHUNK_END {
+        let (start, end) = (position + size_line_length, position + size_line_length + length);
+        if bytes.len() < end + CHUNK_END_BYTES {
             return Ok(None);
         }
         body.extend_from_slice(&bytes[start..end]);
-        position = end + CHUNK_END;
+        position = end + CHUNK_END_BYTES;
         if length == 0 {
             return Ok(Some((body.freeze(), position)));
         }
--- a/crates/ottersill/src/discovery/mod.rs
+++ b/crates/ottersill/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list that it serves, the watch kept on it, and what is known of each endpoint.
+//! Discovery: the endpoint list that it serves, the client that watches it, and the registry of known endpoints.
 
 pub mod call;
 pub mod change;
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -1,5 +1,5 @@
-//! The endpoints that discovery has named, by name and by replica set. An endpoint stays known until the routing module,
-//! which refers to it by index, needs it no more ([`EndpointRegistry::remove`]); its index is used again then.
+//! The registry of endpoints that discovery has listed, by name and by replica set. An endpoint stays in the registry until the
+//! routing module, which refers to it by index, no longer needs it ([`EndpointRegistry::remove`]); its index is then reused.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,32 +12,32 @@
 use crate::discovery::endpoint_list::{EndpointEntry, EndpointList, Health};
 use crate::protocol::socket_failure::{ConnectFailure, LocalFailures};
 
-/// What is known of one endpoint.
+/// A known endpoint.
 pub struct Endpoint {
-    /// Its name in endpoint lists.
+    /// Name of the endpoint in endpoint lists.
     pub name: String,
-    /// A hash of its name, by which the members of a fleet refer to it.
+    /// Hash of the name, by which the members of a fleet refer to the endpoint.
     pub label: u64,
-    /// Where it is dialled; none until a list has said so.
+    /// Address to connect to; absent until a list has provided one.
     pub dial: Option<SocketAddr>,
-    /// What the last list that named it said.
+    /// State according to the last list that named the endpoint.
     pub listed: EndpointUpdate,
-    /// Connections that broke since the last log line about that.
+    /// Number of connections that broke since the last log line about broken connections.
     pub broken: u64,
-    /// When that line was written, in Unix seconds.
+    /// When that line was logged, in Unix seconds.
     pub logged_at: f64,
     local_failures: LocalFailures,
-    naming: Naming,
+    last_mention: ListMention,
 }
 
-/// Which list was the last to name an endpoint.
+/// The last list that named an endpoint.
 #[derive(Clone, Copy, Default)]
-struct Naming {
-    /// Counted from one.
+struct ListMention {
+    /// Number of the list, counted from one.
     list: u64,
-    /// The last entry there that did.
+    /// Index of the last entry in that list that names the endpoint.
     entry: usize,
-    /// No list has named it before.
+    /// Whether no earlier list has named the endpoint.
     is_first: bool,
 }
 
@@ -52,90 +52,91 @@
             broken: 0,
             logged_at: 0.0,
             local_failures: LocalFailures::default(),
-            naming: Naming::default(),
+            last_mention: ListMention::default(),
         }
     }
 }
 
-/// What a list has changed.
+/// The changes that a list makes to the registry.
 #[derive(Debug, Default)]
 pub struct RegistryChange {
-    /// What the routing module is to hear: the entries that say something else than what was known and, after a complete
-    /// list, the endpoints that it lacks and that were not gone before.
+    /// Updates for the routing module: entries that differ from the known state and, after a complete list, endpoints that it
+    /// does not name and that were not removed before.
     pub updates: Vec<EndpointUpdate>,
-    /// Endpoints whose address is another one now, by index.
+    /// Endpoints whose address has changed, by index.
     pub readdressed: Vec<usize>,
 }
 
 impl RegistryChange {
-    /// The list has said nothing new.
+    /// Whether the list has changed nothing.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty() && self.readdressed.is_empty()
     }
 }
 
-/// All endpoints by index, which is also their index in the routing module.
+/// All known endpoints by index, which is also their index in the routing module.
 #[derive(Default)]
 pub struct EndpointRegistry {
     endpoints: Slab<Endpoint>,
     by_name: HashMap<String, usize>,
     groups: HashMap<u64, usize>,
     sites: Vec<String>,
-    /// Hashes of the names of endpoints that were removed and have not been listed as anything but gone since.
-    removed: HashSet<u64>,
-    /// How many lists were taken over.
-    lists: u64,
-    /// Endpoints looked at for these.
+    /// Name hashes of endpoints that were removed from the registry and that no list has since named as anything but
+    /// [`Health::Left`].
+    removed_names: HashSet<u64>,
+    /// Number of lists applied so far.
+    applied_lists: u64,
+    /// Number of endpoints examined while applying lists.
     looked_at: u64,
-    /// When a connection to any endpoint was last begun without a failure, in Unix seconds.
-    connect_begun_at: f64,
+    /// When a connection to any endpoint was last started without a failure, in Unix seconds.
+    connect_started_at: f64,
 }
 
 impl EndpointRegistry {
-    /// No endpoint is known yet; `sites` are the names of the sites, by their index in the routing module.
+    /// Creates an empty registry; `sites` are the names of the sites, by their index in the routing module.
     pub fn new(sites: Vec<String>) -> EndpointRegistry {
         EndpointRegistry { sites, ..EndpointRegistry::default() }
     }
 
-    /// All endpoints that are kept, with their indices; those that are gone among them.
+    /// Iterates over all endpoints with their indices, including removed ones that are still kept.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Endpoint)> {
         self.endpoints.iter()
     }
 
-    /// How many endpoints are kept.
+    /// Number of endpoints, including removed ones that are still kept.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// No list has named an endpoint yet.
+    /// Whether no list has named an endpoint yet.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// How many endpoints were looked at for lists so far. It goes by what these name, not by the size of the fleet; each
-    /// complete list looks at all once more.
+    /// Number of endpoints examined while applying lists so far. It depends on how many endpoints the lists name, not on
+    /// the size of the fleet, except that each complete list also examines all endpoints once.
     pub fn looked_at(&self) -> u64 {
         self.looked_at
     }
 
-    /// The index of the replica set with that number, if a list has named it.
+    /// Returns the index of the replica set with this number, if a list has named it.
     pub fn group(&self, number: u64) -> Option<usize> {
         self.groups.get(&number).copied()
     }
 
-    /// The endpoint with that label, if a list has named it.
+    /// Returns the endpoint with this label, if a list has named it.
     pub fn by_label(&self, label: u64) -> Option<&Endpoint> {
         self.iter().map(|(_, endpoint)| endpoint).find(|endpoint| endpoint.label == label)
     }
 
-    /// A connection to that endpoint was begun at `now`, in Unix seconds.
+    /// Records that a connection to the endpoint was started at `now`, in Unix seconds.
     pub fn connect_begun(&mut self, endpoint: usize, now: f64) {
-        self.connect_begun_at = now;
+        self.connect_started_at = now;
         self.endpoints[endpoint].local_failures = LocalFailures::default();
     }
 
-    /// Whether a connection that could not be begun counts against its endpoint. A lack of this machine does so only where it
-    /// stays for this endpoint alone, for `at_least` seconds.
+    /// Records that a connection could not be started; returns whether the failure counts against the endpoint. A failure of
+    /// this machine counts only if it persists for `at_least` seconds, and for this endpoint alone.
     pub fn connect_failed(
         &mut self,
         endpoint: usize,
@@ -146,68 +147,69 @@
         match failure {
             ConnectFailure::Remote(_) => true,
             ConnectFailure::Local(_) => {
-                self.endpoints[endpoint].local_failures.note(now, at_least, self.connect_begun_at)
+                self.endpoints[endpoint].local_failures.note(now, at_least, self.connect_started_at)
             }
         }
     }
 
-    /// Takes over what a list says. Costs as much as the list names; a complete one is compared with all endpoints. Where a
-    /// list names an endpoint more than once, the last entry counts.
+    /// Applies a list and returns the changes. The cost is proportional to the number of entries; a complete list is also
+    /// compared with all endpoints. If a list names an endpoint more than once, the last entry counts.
     pub fn apply(&mut self, list: &EndpointList) -> RegistryChange {
-        self.lists += 1;
+        self.applied_lists += 1;
         let mut change = RegistryChange::default();
-        for index in self.name_endpoints(&list.entries) {
-            let entry = &list.entries[self.endpoints[index].naming.entry];
-            if self.readdress(index, entry) {
+        for index in self.resolve_entries(&list.entries) {
+            let entry = &list.entries[self.endpoints[index].last_mention.entry];
+            if self.update_address(index, entry) {
                 change.readdressed.push(index);
             }
             self.update(index, entry, &mut change);
         }
         if list.is_complete {
-            self.mark_missing_as_gone(&mut change);
+            self.mark_missing_as_removed(&mut change);
         }
         change
     }
 
-    /// Finds the endpoint of each entry, or adds it, and notes there which entry is the last to name it. Returns their
-    /// indices in the order in which they are first named.
-    fn name_endpoints(&mut self, entries: &[EndpointEntry]) -> Vec<usize> {
+    /// Finds or adds the endpoint of each entry, and records there the last entry that names it. Returns the indices of these
+    /// endpoints in the order in which the list first names them.
+    fn resolve_entries(&mut self, entries: &[EndpointEntry]) -> Vec<usize> {
         let mut named = Vec::with_capacity(entries.len());
         for (position, entry) in entries.iter().enumerate() {
             let Some(index) = self.find_or_add(entry) else { continue };
-            let naming = &mut self.endpoints[index].naming;
-            if naming.list != self.lists {
-                *naming = Naming { list: self.lists, entry: position, is_first: naming.list == 0 };
+            let mention = &mut self.endpoints[index].last_mention;
+            if mention.list != self.applied_lists {
+                *mention =
+                    ListMention { list: self.applied_lists, entry: position, is_first: mention.list == 0 };
                 named.push(index);
             }
-            naming.entry = position;
+            mention.entry = position;
         }
         self.looked_at += named.len() as u64;
         named
     }
 
-    /// The index of the endpoint that an entry names; a new name gets a free one. None if the entry calls gone what was
-    /// removed for being gone.
+    /// Returns the index of the endpoint that an entry names; a new name gets a free index. Returns none if the entry reports
+    /// as left an endpoint that has already been removed from the registry.
     fn find_or_add(&mut self, entry: &EndpointEntry) -> Option<usize> {
         if let Some(index) = self.by_name.get(entry.name.as_str()) {
             return Some(*index);
         }
         let order = name_hash(&entry.name);
-        if self.removed.contains(&order) {
+        if self.removed_names.contains(&order) {
             if entry.health == Health::Left {
                 return None;
             }
-            self.removed.remove(&order);
+            self.removed_names.remove(&order);
         }
         let index = self.endpoints.vacant_key();
-        let listed = self.listing(index, order, entry);
+        let listed = self.endpoint_update(index, order, entry);
         self.endpoints.insert(Endpoint::new(&entry.name, listed));
         self.by_name.insert(entry.name.clone(), index);
         Some(index)
     }
 
-    /// What an entry says of an endpoint. A new replica set gets the next index.
-    fn listing(&mut self, index: usize, order: u64, entry: &EndpointEntry) -> EndpointUpdate {
+    /// Converts an entry to an update for the routing module. A new replica set gets the next index.
+    fn endpoint_update(&mut self, index: usize, order: u64, entry: &EndpointEntry) -> EndpointUpdate {
         let next_group = self.groups.len();
         EndpointUpdate {
             endpoint: index,
@@ -220,21 +222,21 @@
         }
     }
 
-    /// Stores what an entry says of an endpoint, and notes it if it is new.
+    /// Stores the state of an endpoint according to an entry, and adds it to the updates if it has changed.
     fn update(&mut self, index: usize, entry: &EndpointEntry, change: &mut RegistryChange) {
-        let listed = self.listing(index, self.endpoints[index].listed.order, entry);
+        let listed = self.endpoint_update(index, self.endpoints[index].listed.order, entry);
         let endpoint = &mut self.endpoints[index];
-        if endpoint.naming.is_first || endpoint.listed != listed {
+        if endpoint.last_mention.is_first || endpoint.listed != listed {
             endpoint.listed = listed;
             change.updates.push(listed);
         }
     }
 
-    /// Endpoints that the last list did not name are gone.
-    fn mark_missing_as_gone(&mut self, change: &mut RegistryChange) {
+    /// Marks the endpoints that the last list did not name as removed.
+    fn mark_missing_as_removed(&mut self, change: &mut RegistryChange) {
         self.looked_at += self.endpoints.len() as u64;
         for (_, endpoint) in &mut self.endpoints {
-            let is_missing = endpoint.naming.list != self.lists;
+            let is_missing = endpoint.last_mention.list != self.applied_lists;
             if is_missing && endpoint.listed.state != EndpointState::Removed {
                 endpoint.listed.state = EndpointState::Removed;
                 change.updates.push(endpoint.listed);
@@ -242,20 +244,20 @@
         }
     }
 
-    /// Removes an endpoint that is gone and of which nothing is needed any more. Its index may be that of another one from
-    /// now on. Lists that go on calling it gone add it no more.
+    /// Removes an endpoint that has left and is no longer needed. Its index may be reused from now on. Lists that continue to
+    /// report it as left do not add it again.
     ///
     /// # Panics
-    /// If no endpoint has that index.
+    /// If no endpoint has this index.
     pub fn remove(&mut self, index: usize) {
         let endpoint = self.endpoints.remove(index);
         self.by_name.remove(&endpoint.name);
-        self.removed.insert(endpoint.listed.order);
+        self.removed_names.insert(endpoint.listed.order);
     }
 
-    /// Takes over the address of an entry; true if the endpoint had another one. An endpoint that has left may be
-    /// listed without an address, which changes nothing for what is in flight there.
-    fn readdress(&mut self, index: usize, entry: &EndpointEntry) -> bool {
+    /// Stores the address of an entry; returns true if the endpoint had a different one. An endpoint that has left may be listed
+    /// without an address, which does not affect requests in flight there.
+    fn update_address(&mut self, index: usize, entry: &EndpointEntry) -> bool {
         let endpoint = &mut self.endpoints[index];
         let address: Option<SocketAddr> = entry.address.parse().ok();
         if address.is_none() || address == endpoint.dial {
@@ -282,7 +284,7 @@
     }
 }
 
-/// Alike on all routers, which thereby order endpoints alike.
+/// Hashes a name to the same value on all routers, so that all routers order endpoints alike.
 fn name_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/ottersill/src/discovery/watch.rs
+++ b/crates/ottersill/src/discovery/watch.rs
@@ -1,45 +1,45 @@
-//! The watch on discovery: the states of a call, what the next request asks for, and all times. Nothing here touches a
-//! socket; [`client`](crate::discovery::client) does.
+//! The watch on discovery: the states of a call, the next request, and all time limits. Nothing here accesses a socket;
+//! [`client`](crate::discovery::client) does.
 
 use crate::clock::milliseconds;
 
-/// An update that discovery has counts as heard this long after, whatever failed before (the service page), in seconds.
-/// All that follows has to fit in: a long poll that falls silent, and two more calls that are not answered.
-const PROPAGATION_LIMIT: f64 = 6.0;
-/// How long discovery may hold a long poll while nothing changes, in seconds. Calls cost discovery nothing.
-const LONG_POLL: f64 = PROPAGATION_LIMIT / 3.0;
-/// A long poll that is not answered this long after it should have ended will not be, in seconds.
-const RESPONSE_GRACE: f64 = PROPAGATION_LIMIT / 12.0;
-/// A call that is not answered is kept open for so long beside those that follow it, in seconds.
-pub const SUPERSEDED_CALL_LIFETIME: f64 = PROPAGATION_LIMIT / 6.0;
-/// Between calls that fail, or that come back with nothing at once, in seconds. Shorter than what keeps up a watch
-/// (200 ms, the protocol page).
-pub const RETRY_DELAY: f64 = 0.1;
-/// Calls follow each other no sooner than this, however short the grace of a draining endpoint is, in seconds.
-const MIN_CALL_INTERVAL: f64 = RETRY_DELAY / 10.0;
+/// The service page treats an update as received this long after discovery has it, whatever failed before. All other times have
+/// to fit in: a long poll that goes unanswered, and two further calls that are not answered.
+const PROPAGATION_LIMIT_SECONDS: f64 = 6.0;
+/// How long discovery may hold a long poll while nothing changes. Calls cost discovery nothing.
+const LONG_POLL_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 3.0;
+/// How long after its scheduled end a long poll may still be answered; later it is treated as unanswered.
+const RESPONSE_GRACE_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 12.0;
+/// How long an unanswered call is kept open beside the calls that follow it.
+pub const SUPERSEDED_CALL_LIFETIME_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 6.0;
+/// Delay after a call that failed, or that was answered early without a change. It is shorter than the interval that keeps
+/// up a watch (200 ms, the protocol page).
+pub const RETRY_DELAY_SECONDS: f64 = 0.1;
+/// Minimum time between calls, however short the grace of a draining endpoint is.
+const MIN_CALL_INTERVAL_SECONDS: f64 = RETRY_DELAY_SECONDS / 10.0;
 
-/// How long a call that is answered at once may stay silent before the next one begins, in seconds. What discovery says
-/// when it comes back counts at once, and it answers only calls that come after that: a draining endpoint has to be
-/// known within half of `drain_grace`, in which it may still be sent to (seconds).
-pub fn silent_call_interval(drain_grace: f64) -> f64 {
-    (drain_grace / 2.0).clamp(MIN_CALL_INTERVAL, SUPERSEDED_CALL_LIFETIME)
+/// Returns how long a call that should be answered at once may stay unanswered before the next one begins, in seconds. What
+/// discovery reports after a failure applies from its recovery on, but it answers only calls that arrive after that: a draining
+/// endpoint has to be known within half of `drain_grace`, the time in which requests may still be sent to it (seconds).
+pub fn fetch_timeout(drain_grace: f64) -> f64 {
+    (drain_grace / 2.0).clamp(MIN_CALL_INTERVAL_SECONDS, SUPERSEDED_CALL_LIFETIME_SECONDS)
 }
 
 /// The state of one call: a connection to discovery, and the request on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// The connection is being set up.
+    /// The connection is being established.
     Connecting,
-    /// A request is out that is answered at once.
+    /// A request that should be answered at once is in flight.
     Fetching,
-    /// A long poll is out.
+    /// A long poll is in flight.
     Watching,
-    /// The last long poll came back early with nothing new; the next one follows after [`RETRY_DELAY`].
+    /// The last long poll was answered early without a change; the next one follows after [`RETRY_DELAY_SECONDS`].
     Pausing,
 }
 
 impl CallState {
-    /// Whether a call in this state may go over to that one.
+    /// Whether a call may go from this state to `next`.
     pub fn may_become(self, next: CallState) -> bool {
         use CallState::*;
         matches!(
@@ -51,35 +51,35 @@
     }
 }
 
-/// What a call asks for.
+/// A request to discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The path with its query.
+    /// Path with the query string.
     pub path: String,
-    /// The state of the call once the request is out.
+    /// State of the call once the request has been sent.
     pub state: CallState,
-    /// By when it has to be answered, in seconds from now.
+    /// Time within which the request has to be answered, in seconds.
     pub timeout: f64,
 }
 
 impl Request {
-    /// The complete list, answered at once. `timeout` is in seconds.
+    /// Requests the complete list, which discovery answers at once. `timeout` is in seconds.
     pub fn complete_list(timeout: f64) -> Request {
         Request { path: "/v1/servers".to_string(), state: CallState::Fetching, timeout }
     }
 
-    /// A long poll for what comes after `version`.
+    /// Requests the changes after `version`, as a long poll.
     pub fn changes_since(version: u64) -> Request {
-        let timeout_ms = milliseconds(LONG_POLL);
+        let timeout_ms = milliseconds(LONG_POLL_SECONDS);
         Request {
             path: format!("/v1/servers?since={version}&timeout_ms={timeout_ms}"),
             state: CallState::Watching,
-            timeout: LONG_POLL + RESPONSE_GRACE,
+            timeout: LONG_POLL_SECONDS + RESPONSE_GRACE_SECONDS,
         }
     }
 }
 
-/// Whether an answer `after` seconds came before a long poll should have ended.
-pub fn is_early(after: f64) -> bool {
-    after < LONG_POLL - RESPONSE_GRACE
+/// Whether a long poll that was answered after `elapsed` seconds was answered before its scheduled end.
+pub fn is_early(elapsed: f64) -> bool {
+    elapsed < LONG_POLL_SECONDS - RESPONSE_GRACE_SECONDS
 }
