--- a/crates/config/src/deployment/routing_config.rs
+++ b/crates/config/src/deployment/routing_config.rs
@@ -23,20 +23,20 @@
             site: self.localities.iter().position(|name| *name == self.zone),
             workloads: self.workloads()?,
             tenant_rates: self.accounts.iter().map(|account| account.quota_per_s).collect(),
-            over_share: self.over_share_worth,
+            over_share_factor: self.over_share_worth,
             reports: self.reports()?,
             endpoints_check_reads: self.endpoints_check_reads()?,
-            remembers_writes: self.remembers_writes()?,
+            must_remember_writes: self.must_remember_writes()?,
             list_on_request: self.list_on_request()?,
             may_check_health: limits.probes,
             may_cancel_attempts: limits.cancelling,
             max_attempts: limits.send_cap,
             max_retry_after: if limits.retry_after { seconds(limits.max_retry_after_ms) } else { 0.0 },
-            only_draining_bars: rules.soft_removal,
+            only_draining_excludes: rules.soft_removal,
             initial_capacity_fraction: rules.cold_from,
-            warmup: seconds(rules.ramp_time_ms),
+            warmup_seconds: seconds(rules.ramp_time_ms),
             overload_multiple: rules.fall_multiple,
-            overload_span: seconds(rules.overload_for_ms),
+            overload_seconds: seconds(rules.overload_for_ms),
         })
     }
 
@@ -60,7 +60,7 @@
         match self.stats.how.as_str() {
             "answers" if tell_role => Ok(ReportSource::WithAnswers),
             "probe" if tell_role => Ok(ReportSource::WithHealthChecks),
-            "answers" | "probe" | "none" => Ok(ReportSource::Nowhere),
+            "answers" | "probe" | "none" => Ok(ReportSource::NoReports),
             found => Err(unknown_value("stats.how", "stats.how", "answers, probe or none", found)),
         }
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn remembers_writes(&self) -> Result<bool, SettingsError> {
+    fn must_remember_writes(&self) -> Result<bool, SettingsError> {
         match self.domain.write_marks.as_str() {
             "carried" => Ok(false),
             "remembered" => Ok(true),
--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -16,7 +16,7 @@
         needs: needs(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
         priority_weight: profile.credit,
-        late_share: profile.late_value,
+        late_value_fraction: profile.late_value,
         slo_time: seconds(profile.aim_ms),
         statement_timeout: seconds(profile.deadline_ms),
     })
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -74,7 +74,7 @@
             format!("deduplicated {within} for {window} s")
         }
     };
-    let (priority_weight, late) = (workload.priority_weight, workload.late_share);
+    let (priority_weight, late) = (workload.priority_weight, workload.late_value_fraction);
     let (aim, limit) = (workload.slo_time, workload.statement_timeout);
     format!("{needs}, {effect}, importance {priority_weight}, late {late}, aim {aim} s, limit {limit} s")
 }
@@ -83,20 +83,20 @@
     let reports = match config.reports {
         ReportSource::WithAnswers => "with answers",
         ReportSource::WithHealthChecks => "with probes",
-        ReportSource::Nowhere => "nowhere",
+        ReportSource::NoReports => "nowhere",
     };
     let mut lines = vec![
         format!("seed {} routers {} site {:?}", config.seed, config.routers, config.site),
-        format!("tenants {:?} over share {}", config.tenant_rates, config.over_share),
+        format!("tenants {:?} over share {}", config.tenant_rates, config.over_share_factor),
         format!("reports {reports}"),
         format!("members check reads {}", config.endpoints_check_reads),
-        format!("remembers writes {}", config.remembers_writes),
+        format!("remembers writes {}", config.must_remember_writes),
         format!("list on request {}", config.list_on_request),
         format!("may probe {} may cancel {}", config.may_check_health, config.may_cancel_attempts),
         format!("at most {} attempts, {} s until retry", config.max_attempts, config.max_retry_after),
-        format!("only draining bars {}", config.only_draining_bars),
-        format!("cold {} warm after {} s", config.initial_capacity_fraction, config.warmup),
-        format!("falls at {} for {} s", config.overload_multiple, config.overload_span),
+        format!("only draining bars {}", config.only_draining_excludes),
+        format!("cold {} warm after {} s", config.initial_capacity_fraction, config.warmup_seconds),
+        format!("falls at {} for {} s", config.overload_multiple, config.overload_seconds),
         format!("names {:?} {:?} {:?}", names.workloads, names.tenants, names.sites),
         format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.zero),
     ];
--- a/crates/ottersill/src/event_loop/attempts.rs
+++ b/crates/ottersill/src/event_loop/attempts.rs
@@ -204,9 +204,9 @@
             Some(Assignment::Request(request_id)) => {
                 self.context.clock.read() < deadline
                     && self.client_still_waits(request_id)
-                    && self.facade.may_begin(self.context.now(), request_id, endpoint)
+                    && self.facade.may_send_attempt(self.context.now(), request_id, endpoint)
             }
-            Some(Assignment::HealthCheck) => self.facade.may_check_health(endpoint),
+            Some(Assignment::HealthCheck) => self.facade.may_send_health_check(endpoint),
             None => false,
         }
     }
@@ -218,9 +218,9 @@
         };
         let is_disallowed = |connection: &BackendConnection| match connection.assignment {
             Some(Assignment::Request(request_id)) => {
-                !self.facade.may_begin(self.context.now(), request_id, connection.endpoint)
+                !self.facade.may_send_attempt(self.context.now(), request_id, connection.endpoint)
             }
-            Some(Assignment::HealthCheck) => !self.facade.may_check_health(connection.endpoint),
+            Some(Assignment::HealthCheck) => !self.facade.may_send_health_check(connection.endpoint),
             None => false,
         };
         let disallowed = self
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -156,8 +156,8 @@
         let own_deadline = arrived_at + statement.time_left;
         let deadline = self.clients.statement_deadline(client, own_deadline, &self.context);
         let now = self.context.now();
-        let since_write = statement.comment.after.map(|after| self.facade.since_commit(now, after));
-        let request = statement.routing_request(deadline, now, since_write);
+        let seconds_since_write = statement.comment.after.map(|after| self.facade.since_commit(now, after));
+        let request = statement.routing_request(deadline, now, seconds_since_write);
         let in_flight = InFlightRequest {
             phase: RequestPhase::Waiting,
             client,
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -80,22 +80,22 @@
 }
 
 impl CheckedStatement<'_> {
-    /// Returns the request to pass to the routing module. `deadline` and `now` are Unix seconds; `since_write` is the time in
-    /// seconds since the commit that the comment names, by the clock of the endpoints that commit.
-    pub fn routing_request(&self, deadline: f64, now: f64, since_write: Option<f64>) -> Request {
+    /// Returns the request to pass to the routing module. `deadline` and `now` are Unix seconds; `seconds_since_write` is the
+    /// time in seconds since the commit that the comment names, by the clock of the endpoints that commit.
+    pub fn routing_request(&self, deadline: f64, now: f64, seconds_since_write: Option<f64>) -> Request {
         Request {
             workload: self.workload,
             group: self.group,
             tenant: None,
             session: self.comment.session,
             time_left: (deadline - now).max(0.0),
-            since_write,
-            repeat: self.comment.repeat,
-            writes: self.info.kind != StatementKind::Read,
+            seconds_since_write,
+            is_flagged_retry: self.comment.repeat,
+            may_write: self.info.kind != StatementKind::Read,
             work: self.info.estimate.map(|e| WorkEstimate {
-                own: e.work,
-                usual: e.typical,
-                spread: e.spread,
+                fingerprint_seconds: e.work,
+                workload_seconds: e.typical,
+                log_standard_error: e.spread,
             }),
         }
     }
@@ -124,7 +124,7 @@
 impl StatementChecker {
     /// Creates a checker with an empty fingerprint cache. `now` is in Unix seconds, `bytes` is the memory limit of the cache.
     pub fn new(now: f64, catalog: Catalog, routing: &RoutingConfig, bytes: usize) -> StatementChecker {
-        let typical_work = routing.workloads.iter().map(Router::typical).collect();
+        let typical_work = routing.workloads.iter().map(Router::initial_latency).collect();
         let fingerprints = FingerprintCache::new(now, Key::from_seed(routing.seed), bytes, typical_work);
         StatementChecker { catalog, fingerprints, logged_at: 0.0 }
     }
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -25,7 +25,7 @@
         needs: Consistency::Bounded(1.0),
         effect: Effect::Idempotent,
         priority_weight: 1.0,
-        late_share: 0.3,
+        late_value_fraction: 0.3,
         slo_time: SLO,
         statement_timeout: TIMEOUT,
     };
@@ -35,20 +35,20 @@
         site: None,
         workloads: vec![workload],
         tenant_rates: Vec::new(),
-        over_share: 1.0,
+        over_share_factor: 1.0,
         reports: ReportSource::WithAnswers,
         endpoints_check_reads: true,
-        remembers_writes: false,
+        must_remember_writes: false,
         list_on_request: false,
         may_check_health: true,
         may_cancel_attempts: true,
         max_attempts: 4,
         max_retry_after: 0.5,
-        only_draining_bars: false,
+        only_draining_excludes: false,
         initial_capacity_fraction: 1.0,
-        warmup: 1.0,
+        warmup_seconds: 1.0,
         overload_multiple: 3.0,
-        overload_span: 1.0,
+        overload_seconds: 1.0,
     }
 }
 
@@ -93,7 +93,7 @@
 
     fn play(seed: u64, load: f64, knows: bool) -> Day {
         let config = config(seed);
-        let usual = config.workloads.iter().map(Router::typical).collect();
+        let usual = config.workloads.iter().map(Router::initial_latency).collect();
         let book = FingerprintCache::new(0.0, Key::from_seed(seed), 1 << 20, usual);
         let mut day = Day {
             facade: Facade::start(0.0, config),
@@ -161,10 +161,14 @@
             tenant: None,
             session: None,
             time_left: TIMEOUT,
-            since_write: None,
-            repeat: false,
-            writes: false,
-            work: known.map(|e| WorkEstimate { own: e.work, usual: e.typical, spread: e.spread }),
+            seconds_since_write: None,
+            is_flagged_retry: false,
+            may_write: false,
+            work: known.map(|e| WorkEstimate {
+                fingerprint_seconds: e.work,
+                workload_seconds: e.typical,
+                log_standard_error: e.spread,
+            }),
         };
         self.asked[usize::from(heavy)] += 1.0;
         let (index, choice) = self.facade.pick(self.now, PickRequest::New(request));
--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -33,7 +33,7 @@
 
     /// Builds the record of a request from its statement and from the statistics of its class.
     fn build_request(&mut self, now: f64, statement: &Request) -> TrackedRequest {
-        let class_id = self.classes.classify(statement.workload, statement.writes);
+        let class_id = self.classes.classify(statement.workload, statement.may_write);
         let client = self.detect_client_retry(class_id, statement);
         let class = self.classes.get(class_id);
         let extra_work = statement.work.map_or(0.0, discounted_extra_work);
@@ -48,7 +48,7 @@
             arrived_at: now,
             time_left: statement.time_left,
             start_by: latest_start(now, time_left, estimate),
-            watermark: statement.since_write.map_or(0.0, |since| now - since),
+            watermark: statement.seconds_since_write.map_or(0.0, |since| now - since),
             extra_work,
             priority: admission::priority(priority_weight, estimate, share_factor),
             sample_counter: self.sampler.counter(),
@@ -64,7 +64,7 @@
     fn detect_client_retry(&mut self, class: ClassId, statement: &Request) -> ClientAttempt {
         let class = self.classes.get_mut(class);
         let statement_timeout = class.settings().statement_timeout;
-        class.client_retries().observe(statement.repeat, statement.time_left, statement_timeout)
+        class.client_retries().observe(statement.is_flagged_retry, statement.time_left, statement_timeout)
     }
 
     /// Returns the factor on the request's priority, which depends on whether its tenant is within its share (departure
@@ -72,7 +72,7 @@
     fn tenant_factor(&mut self, now: f64, tenant: Option<usize>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
         let rate = self.config.tenant_rates[tenant] / count_to_f64(self.config.routers);
-        if self.tenants.take(now, tenant, rate) { 1.0 } else { self.config.over_share }
+        if self.tenants.take(now, tenant, rate) { 1.0 } else { self.config.over_share_factor }
     }
 
     /// Adds the request to the demand of its group.
@@ -108,14 +108,14 @@
 /// Seconds of work that a request takes beyond the usual work of its class, discounted by the uncertainty of the
 /// estimate (departure 22 of docs/design.md).
 fn discounted_extra_work(work: WorkEstimate) -> f64 {
-    let confidence = (1.0 - work.spread / MAX_WORK_SPREAD).max(0.0);
-    confidence * (work.own - work.usual)
+    let confidence = (1.0 - work.log_standard_error / MAX_WORK_SPREAD).max(0.0);
+    confidence * (work.fingerprint_seconds - work.workload_seconds)
 }
 
 /// Seconds within which an answer still has value for the client (departure 10 of docs/design.md).
 fn useful_time(class: &ClassStats, statement: &Request, client: ClientAttempt) -> f64 {
     let settings = class.settings();
-    if settings.late_share > 0.0 {
+    if settings.late_value_fraction > 0.0 {
         return statement.time_left;
     }
     statement.time_left.min(settings.slo_time - client.elapsed)
--- a/crates/routing/src/clock_offset.rs
+++ b/crates/routing/src/clock_offset.rs
@@ -167,7 +167,7 @@
     }
 
     /// Records that a group with this index was listed.
-    pub fn note_group(&mut self, index: usize) {
+    pub fn record_group(&mut self, index: usize) {
         self.groups = self.groups.max(index + 1);
     }
 
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -46,7 +46,7 @@
     /// Attempts that the fleet grants this router there; `None` if it has no budget for the endpoint.
     quota: Option<f64>,
     /// Moving average of latencies as fractions of their SLO times.
-    latency: f64,
+    relative_latency: f64,
     /// When the endpoint last rejected an attempt because it was full, in seconds.
     full_at: f64,
 }
@@ -60,7 +60,13 @@
     /// Creates a limit with no attempts in flight, and with an average latency at the threshold below which the limit
     /// grows.
     pub(crate) fn new(limit: f64) -> ConcurrencyLimit {
-        ConcurrencyLimit { limit, in_flight: 0, quota: None, latency: LOW_RELATIVE_LATENCY, full_at: 0.0 }
+        ConcurrencyLimit {
+            limit,
+            in_flight: 0,
+            quota: None,
+            relative_latency: LOW_RELATIVE_LATENCY,
+            full_at: 0.0,
+        }
     }
 
     /// Attempts of this router in flight at the endpoint.
@@ -74,13 +80,13 @@
     }
 
     /// The average latency as a fraction of the SLO time.
-    pub(crate) fn latency(&self) -> f64 {
-        self.latency
+    pub(crate) fn relative_latency(&self) -> f64 {
+        self.relative_latency
     }
 
     /// The endpoint's utilization, estimated from its latency; may lie outside `0.0..=1.0`.
     pub(crate) fn utilization(&self) -> f64 {
-        (self.latency - LOW_RELATIVE_LATENCY) / (HIGH_RELATIVE_LATENCY - LOW_RELATIVE_LATENCY)
+        (self.relative_latency - LOW_RELATIVE_LATENCY) / (HIGH_RELATIVE_LATENCY - LOW_RELATIVE_LATENCY)
     }
 
     /// Sets the quota that the fleet grants; `None` if it has no budget for the endpoint.
@@ -118,7 +124,7 @@
     /// Halves the limit of an endpoint that returns after an ejection or a restart, and resets its average latency.
     pub(crate) fn begin_recovery(&mut self) {
         self.limit /= 2.0;
-        self.latency = LOW_RELATIVE_LATENCY;
+        self.relative_latency = LOW_RELATIVE_LATENCY;
     }
 
     /// Evaluates the result of an attempt. `latency` is a fraction of the SLO time; `None` if it says nothing about
@@ -130,7 +136,7 @@
         let weight = since_answer / (since_answer + HALF_WEIGHT_SECONDS);
         Observation {
             weight: weight.clamp(MIN_ANSWER_WEIGHT, MAX_ANSWER_WEIGHT),
-            latency: latency.unwrap_or(self.latency),
+            latency: latency.unwrap_or(self.relative_latency),
             // Keeps the limit from falling at endpoints that are slow by nature, as fewer attempts would not make
             // them faster.
             floor: self.limit.min(LOW_CONCURRENCY / count_to_f64(routers)),
@@ -140,11 +146,11 @@
     /// Records a completed attempt; requests of this kind may use `fraction` of the limit.
     pub(crate) fn record_success(&mut self, observation: &Observation, fraction: f64) {
         let Observation { weight, latency, floor } = *observation;
-        self.latency += weight * (latency - self.latency);
+        self.relative_latency += weight * (latency - self.relative_latency);
         let is_used_up = count_to_f64(self.in_flight) >= self.limit * fraction - 1.0;
-        if self.latency < LOW_RELATIVE_LATENCY && is_used_up {
+        if self.relative_latency < LOW_RELATIVE_LATENCY && is_used_up {
             self.limit += (1.0 / self.limit).min(self.limit);
-        } else if self.latency > HIGH_RELATIVE_LATENCY {
+        } else if self.relative_latency > HIGH_RELATIVE_LATENCY {
             self.limit = (self.limit * (1.0 - weight / 2.0)).max(floor);
         }
     }
@@ -170,7 +176,7 @@
 
     /// Moves the average latency towards at least the SLO time, and lowers the limit, but not below `floor`.
     fn shrink(&mut self, weight: f64, latency: f64, floor: f64) {
-        self.latency += weight * (latency.max(1.0) - self.latency);
+        self.relative_latency += weight * (latency.max(1.0) - self.relative_latency);
         self.limit = (self.limit * (1.0 - weight)).max(floor);
     }
 }
--- a/crates/routing/src/consistency.rs
+++ b/crates/routing/src/consistency.rs
@@ -28,7 +28,7 @@
 
 impl ReplicationPosition {
     /// The newest reported position.
-    pub(crate) fn known(&self) -> f64 {
+    pub(crate) fn last_reported(&self) -> f64 {
         self.position
     }
 
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -75,7 +75,7 @@
 
     /// Returns the session of a write, if the router has to remember the writes of sessions.
     pub(crate) fn remembered_session(&self, request: &TrackedRequest) -> Option<u64> {
-        let is_remembered = self.config.remembers_writes && self.classes.get(request.class).is_write();
+        let is_remembered = self.config.must_remember_writes && self.classes.get(request.class).is_write();
         request.session.filter(|_| is_remembered)
     }
 
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -77,7 +77,7 @@
         let is_primary = self.state.replica_sets[target.group()].tracker.is_primary(endpoint);
         self.state.config.endpoints_check_reads
             || is_primary
-            || target.position.known() >= self.required_position(request)
+            || target.position.last_reported() >= self.required_position(request)
     }
 
     /// Returns whether an attempt at the endpoint can't repeat the effect of an earlier one.
@@ -141,7 +141,7 @@
         let candidate = Candidate {
             is_second_in_a_row: request.last_endpoint == Some(endpoint),
             to_primary: matches!(self.class_of(request).needs(), Consistency::Primary | Consistency::Fresh),
-            waited: self.now - request.arrived_at,
+            waited_seconds: self.now - request.arrived_at,
             size: target.size(),
             members: members.map(|member| (self.endpoint(*member).size(), self.is_usable(*member))),
             throughput: &group.throughput,
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -85,7 +85,7 @@
     /// removal is binding.
     pub(crate) fn is_excluded(&self, config: &RoutingConfig) -> bool {
         let is_removed = self.listing.state == EndpointState::Removed;
-        self.is_draining || is_removed && !config.only_draining_bars
+        self.is_draining || is_removed && !config.only_draining_excludes
     }
 
     /// The group in which it is listed.
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -174,9 +174,16 @@
                     let slot = &mut self.pending.slots[request];
                     slot.in_flight -= 1;
                     slot.is_over |= outcome == AttemptOutcome::Completed;
-                    let closed = slot.is_over;
-                    let result =
-                        AttemptResult { request, endpoint, outcome, elapsed, closed, observed, report };
+                    let has_final_answer = slot.is_over;
+                    let result = AttemptResult {
+                        request,
+                        endpoint,
+                        outcome,
+                        elapsed,
+                        has_final_answer,
+                        observed,
+                        report,
+                    };
                     self.router.on_attempt_result(now, &result, &mut self.pending);
                     self.pending.free_if_over(request);
                 }
@@ -215,7 +222,7 @@
         self.times.local_report(now, endpoint, source, report)
     }
 
-    /// Returns the seconds since a commit that a client identifies by its position, for [`Request::since_write`].
+    /// Returns the seconds since a commit that a client identifies by its position, for [`Request::seconds_since_write`].
     #[must_use]
     pub fn since_commit(&self, now: f64, position: f64) -> f64 {
         self.times.since_commit(now, position)
@@ -241,7 +248,7 @@
                     endpoint,
                     outcome,
                     elapsed: 0.0,
-                    closed: true,
+                    has_final_answer: true,
                     observed,
                     report: None,
                 };
@@ -285,14 +292,14 @@
     /// Returns whether an attempt that was picked may still be sent; to be checked when its bytes are about to be
     /// written.
     #[must_use]
-    pub fn may_begin(&self, now: f64, request: usize, endpoint: usize) -> bool {
-        self.router.may_begin(now, request, endpoint)
+    pub fn may_send_attempt(&self, now: f64, request: usize, endpoint: usize) -> bool {
+        self.router.may_send_attempt(now, request, endpoint)
     }
 
     /// Returns whether a health check that was decided on may still be sent.
     #[must_use]
-    pub fn may_check_health(&self, endpoint: usize) -> bool {
-        self.router.may_check_health(endpoint)
+    pub fn may_send_health_check(&self, endpoint: usize) -> bool {
+        self.router.may_send_health_check(endpoint)
     }
 
     /// Returns the number of requests in a group that wait for an endpoint to accept them.
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -115,10 +115,10 @@
         };
         let is_late = result.outcome == AttemptOutcome::Refused || result.elapsed.min(latency) > slo_time;
         let group = self.endpoints[EndpointId::new(result.endpoint)].group();
-        self.throttled_or_heard.insert(group);
+        self.throttled_or_active.insert(group);
         let group = &mut self.replica_sets[group];
         let since_result = group.record_result(now);
-        if indicates_load && !self.stalls.has_stalled_since(request.sent_at) {
+        if indicates_load && !self.stall_detector.has_stalled_since(request.sent_at) {
             group.admit_ratio.record(since_result, is_late);
         }
     }
@@ -128,7 +128,7 @@
     fn update_endpoint(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
         let id = EndpointId::new(result.endpoint);
         let slo_time = self.classes.get(request.class).settings().slo_time;
-        let has_stalled = self.stalls.has_stalled_since(request.sent_at);
+        let has_stalled = self.stall_detector.has_stalled_since(request.sent_at);
         let endpoint = &mut self.endpoints[id];
         let since_answer = now - endpoint.last_answer_at();
         let has_answered_others = endpoint.last_answer_at() > request.sent_at;
@@ -180,7 +180,7 @@
 
     /// Updates the expected latency of the class and its fraction of all recent work.
     fn update_class(&mut self, request: &TrackedRequest, result: &AttemptResult, latency: f64) {
-        let has_stalled = self.stalls.has_stalled_since(request.sent_at);
+        let has_stalled = self.stall_detector.has_stalled_since(request.sent_at);
         let class = self.classes.get_mut(request.class);
         if result.outcome == AttemptOutcome::Completed {
             class.record_work(Some(latency));
--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -8,9 +8,9 @@
 use crate::convert::count_to_f64;
 
 /// Seconds between health checks of an endpoint while its group polls.
-pub(crate) const POLL_INTERVAL: f64 = 1.0;
+pub(crate) const POLL_INTERVAL_SECONDS: f64 = 1.0;
 /// Seconds between health checks of an endpoint where routing depends on its next report.
-pub(crate) const URGENT_INTERVAL: f64 = 0.25;
+pub(crate) const URGENT_INTERVAL_SECONDS: f64 = 0.25;
 /// Health checks funded by one request: the value of a report is in proportion to the requests that depend on it.
 const CHECKS_PER_REQUEST: f64 = 0.12;
 /// Largest number of routers at which each router checks all members of a group for a waiting request. The checks of
@@ -113,7 +113,7 @@
 
     /// Brings the next check forward by a random fraction of the urgent interval, because the endpoint was full.
     pub(crate) fn retry_sooner(&mut self, sample: f64) {
-        self.sent_at -= sample * URGENT_INTERVAL;
+        self.sent_at -= sample * URGENT_INTERVAL_SECONDS;
     }
 
     /// Whether a check of the endpoint should be sent now.
@@ -125,7 +125,7 @@
             return true;
         }
         let is_urgent = reasons.is_unresolved || reasons.position_expires_soon;
-        let interval = if is_urgent { URGENT_INTERVAL } else { POLL_INTERVAL };
+        let interval = if is_urgent { URGENT_INTERVAL_SECONDS } else { POLL_INTERVAL_SECONDS };
         let is_due = now - self.sent_at >= interval || reasons.has_waiting_request && reasons.is_unknown;
         let is_exempt = reasons.has_waiting_request && reasons.is_unresolved && reasons.is_exempt;
         let is_allowed = is_exempt || budget.is_available();
--- a/crates/routing/src/ids.rs
+++ b/crates/routing/src/ids.rs
@@ -59,7 +59,7 @@
 
 impl<I: Id, T> Table<I, T> {
     /// Returns a table of these entries, in their order.
-    pub(crate) fn of(entries: Vec<T>) -> Self {
+    pub(crate) fn from_entries(entries: Vec<T>) -> Self {
         Table { entries, kind: PhantomData }
     }
 
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -57,7 +57,7 @@
     /// Priority weight: the value of an answer in time.
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer after the SLO time still earns.
-    pub late_share: f64,
+    pub late_value_fraction: f64,
     /// Seconds from a client's first attempt within which an answer is in time.
     pub slo_time: f64,
     /// Longest time in seconds that a client allows for a first attempt.
@@ -83,7 +83,7 @@
     /// Health checks alone.
     WithHealthChecks,
     /// There are no load reports.
-    Nowhere,
+    NoReports,
 }
 
 /// Settings of a router.
@@ -100,13 +100,13 @@
     /// Requests per second, summed over all routers, that are within each tenant's share.
     pub tenant_rates: Vec<f64>,
     /// Value of a request above its tenant's share, as a fraction of its priority weight.
-    pub over_share: f64,
+    pub over_share_factor: f64,
     /// What carries load reports.
     pub reports: ReportSource,
     /// Whether endpoints reject a read for which they lag too far, instead of answering it from old data.
     pub endpoints_check_reads: bool,
     /// Whether the router has to remember the last write of each session, because reads don't state it.
-    pub remembers_writes: bool,
+    pub must_remember_writes: bool,
     /// Whether the endpoint list is sent only on request.
     pub list_on_request: bool,
     /// Whether health checks may be sent.
@@ -119,27 +119,26 @@
     pub max_retry_after: f64,
     /// Whether only endpoints that were listed as draining are excluded, and not those that are merely gone from the
     /// list.
-    pub only_draining_bars: bool,
+    pub only_draining_excludes: bool,
     /// Fraction of its full capacity that an endpoint has at least when it has just started.
     pub initial_capacity_fraction: f64,
     /// Seconds after its start from which on an endpoint has its full capacity.
-    pub warmup: f64,
-    /// Multiple of its present capacity that makes a warming endpoint fail if it is sent this for `overload_span`
-    /// seconds.
+    pub warmup_seconds: f64,
+    /// Multiple of its present capacity that makes a warming endpoint fail if it is sent this for `overload_seconds`.
     pub overload_multiple: f64,
     /// Duration of that overload in seconds, see `overload_multiple`.
-    pub overload_span: f64,
+    pub overload_seconds: f64,
 }
 
 /// Estimated cost of the requests with one fingerprint, in seconds of an endpoint's work.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkEstimate {
     /// Cost of a request with this fingerprint.
-    pub own: f64,
+    pub fingerprint_seconds: f64,
     /// Cost of a usual request of its workload.
-    pub usual: f64,
-    /// Uncertainty of `own`: the standard error of its logarithm.
-    pub spread: f64,
+    pub workload_seconds: f64,
+    /// Uncertainty of `fingerprint_seconds`: the standard error of its logarithm.
+    pub log_standard_error: f64,
 }
 
 /// A request as its client sent it.
@@ -157,11 +156,11 @@
     pub time_left: f64,
     /// Seconds since the session's last write was committed, if the client states it; negative if the commit lies ahead
     /// of the router's time.
-    pub since_write: Option<f64>,
+    pub seconds_since_write: Option<f64>,
     /// Whether the client flagged this as a retry.
-    pub repeat: bool,
+    pub is_flagged_retry: bool,
     /// Whether its text may write, regardless of its workload's settings.
-    pub writes: bool,
+    pub may_write: bool,
     /// Estimated cost; `None` where texts are not read, or while the fingerprint is unknown.
     pub work: Option<WorkEstimate>,
 }
@@ -243,7 +242,7 @@
     /// Seconds from its start to its end.
     pub elapsed: f64,
     /// Whether the request has its final answer, by this result or an earlier one.
-    pub closed: bool,
+    pub has_final_answer: bool,
     /// What the answer itself shows; for a completed write the position is that of its commit.
     pub observed: LoadReport,
     /// The load report that came with the answer.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -6,7 +6,7 @@
 use crate::eligibility::View;
 use crate::endpoint::Endpoint;
 use crate::health_check::{
-    CheckReasons, POLL_INTERVAL, URGENT_INTERVAL, WaitingRequests, checks_all_members,
+    CheckReasons, POLL_INTERVAL_SECONDS, URGENT_INTERVAL_SECONDS, WaitingRequests, checks_all_members,
 };
 use crate::ids::{EndpointId, GroupId, Id};
 use crate::interface::{AttemptOutcome, Consistency, EndpointState, EndpointUpdate, LoadReport, Transport};
@@ -64,10 +64,10 @@
         for (request, id) in self.requests.in_flight() {
             let endpoint = &self.endpoints[id];
             let class = self.classes.get(request.class);
-            let endpoint_latency = class.settings().slo_time * endpoint.limit.latency();
+            let endpoint_latency = class.settings().slo_time * endpoint.limit.relative_latency();
             let expected = class.estimate(request.extra_work).max(endpoint_latency);
             let last_activity_at =
-                request.sent_at.max(endpoint.last_answer_at()).max(self.stalls.resumed_at());
+                request.sent_at.max(endpoint.last_answer_at()).max(self.stall_detector.resumed_at());
             detector.add(id, (now - last_activity_at) / expected, endpoint.outlier.unanswered());
         }
         for endpoint in detector.silent_endpoints(self.endpoints.len()) {
@@ -163,7 +163,7 @@
         let primary = self.replica_sets[group].primary();
         let is_unknown = endpoint.role.is_unknown();
         let is_suspect = endpoint.outlier.is_ejected() || endpoint.position.rejects_reads();
-        let age = now - endpoint.position.known();
+        let age = now - endpoint.position.last_reported();
         CheckReasons {
             is_unresolved: primary.is_none() || is_unknown || is_suspect,
             position_expires_soon: primary != Some(id) && age > self.expiring_age_seconds(),
@@ -177,7 +177,7 @@
     /// endpoints check the staleness bound of reads themselves.
     fn expiring_age_seconds(&self) -> f64 {
         match self.tightest_bound {
-            Some(bound) if !self.config.endpoints_check_reads => bound - 2.0 * URGENT_INTERVAL,
+            Some(bound) if !self.config.endpoints_check_reads => bound - 2.0 * URGENT_INTERVAL_SECONDS,
             _ => f64::INFINITY,
         }
     }
@@ -226,7 +226,7 @@
     fn add_endpoint(&mut self, now: f64, listing: &EndpointUpdate, initial_limit: f64) {
         let id = EndpointId::new(listing.endpoint);
         // Spreads the first health checks of many endpoints over an interval.
-        let checked_at = now - POLL_INTERVAL * self.sampler.current(id.index());
+        let checked_at = now - POLL_INTERVAL_SECONDS * self.sampler.current(id.index());
         self.endpoints.set(id, Endpoint::new(*listing, initial_limit, checked_at));
         self.health_checks.deposit_for_new_endpoint(self.config.routers);
         self.replica_set_mut(GroupId::new(listing.group)).add(id);
@@ -236,9 +236,9 @@
     /// Examines only the groups in which that fraction may change.
     pub(crate) fn adjust_write_throttles(&mut self, now: f64) {
         let Some(bound) = self.tightest_bound else { return };
-        let mut groups = std::mem::take(&mut self.throttled_or_heard);
+        let mut groups = std::mem::take(&mut self.throttled_or_active);
         groups.retain(|group| self.adjust_write_throttle(now, *group, bound * LAGGING_BOUND_FRACTION));
-        self.throttled_or_heard = groups;
+        self.throttled_or_active = groups;
         self.demands.tick();
     }
 
@@ -246,7 +246,7 @@
     /// the next tick may change the fraction again if no result arrives until then.
     fn adjust_write_throttle(&mut self, now: f64, group: GroupId, limit: f64) -> bool {
         self.work.groups += 1;
-        let is_current = self.replica_sets[group].is_heard_often(now);
+        let is_current = self.replica_sets[group].has_frequent_results(now);
         let lagging = if is_current { self.lagging_fraction(now, group, limit) } else { 0.0 };
         let replica_set = &mut self.replica_sets[group];
         replica_set.write_throttle.tick(lagging, &self.demands, group, is_current);
@@ -282,7 +282,7 @@
         let mut watermarks = std::mem::take(&mut self.watermarks);
         let examined = watermarks.prune(|group, position| {
             let is_behind = |member: &EndpointId| {
-                !self.is_excluded(*member) && self.endpoints[*member].position.known() < position
+                !self.is_excluded(*member) && self.endpoints[*member].position.last_reported() < position
             };
             self.replica_sets[group].members().iter().any(is_behind)
         });
--- a/crates/routing/src/replica_set.rs
+++ b/crates/routing/src/replica_set.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether an attempt in the group has just ended.
-    pub(crate) fn is_heard_often(&self, now: f64) -> bool {
+    pub(crate) fn has_frequent_results(&self, now: f64) -> bool {
         now - self.last_result_at < FREQUENT_RESULT_SECONDS
     }
 
@@ -70,7 +70,7 @@
     pub(crate) fn admit_ratio(&self, now: f64, is_write: bool, is_long: bool) -> f64 {
         if is_write {
             self.write_throttle.admit_ratio()
-        } else if self.is_heard_often(now) {
+        } else if self.has_frequent_results(now) {
             1.0
         } else {
             self.admit_ratio.for_reads(is_long)
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -142,7 +142,7 @@
 
     /// Returns the endpoints that a held request refers to: that of its attempt in flight, that of its last attempt,
     /// and that of its earliest attempt that may have had an effect.
-    pub(crate) fn endpoints_named(&self) -> BTreeSet<EndpointId> {
+    pub(crate) fn referenced_endpoints(&self) -> BTreeSet<EndpointId> {
         let waiting = self.groups_waiting().flat_map(|group| self.waiting(group).iter().copied());
         let held = waiting.chain(self.in_flight_ids()).map(|id| &self.table[id]);
         let named = held.flat_map(|entry| {
--- a/crates/routing/src/retention.rs
+++ b/crates/routing/src/retention.rs
@@ -55,7 +55,7 @@
     /// attempts on which its next one depends.
     fn without_referenced(&self, mut endpoints: Vec<EndpointId>) -> Vec<EndpointId> {
         if !endpoints.is_empty() {
-            let referenced = self.requests.endpoints_named();
+            let referenced = self.requests.referenced_endpoints();
             endpoints.retain(|id| !referenced.contains(id));
         }
         endpoints
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -39,7 +39,7 @@
 
     /// Returns the latency in seconds that is assumed for a workload before it has had any answer.
     #[must_use]
-    pub fn typical(workload: &RequestClass) -> f64 {
+    pub fn initial_latency(workload: &RequestClass) -> f64 {
         stats::initial_latency(workload)
     }
 
@@ -61,12 +61,12 @@
         let state = &mut self.state;
         let id = RequestId::new(result.request);
         let before = *state.requests.get(id);
-        state.stalls.record_call(now);
+        state.stall_detector.record_call(now);
         state.record_result(now, &before, result);
         state.record_effect(now, id, result);
         state.update_role(now, &before, result);
         let is_abandoned = matches!(state.requests.state(id), RequestState::Abandoned(_));
-        if result.closed || is_abandoned {
+        if result.has_final_answer || is_abandoned {
             state.transition(id, RequestState::Free);
         } else {
             state.transition(id, RequestState::Waiting);
@@ -179,7 +179,7 @@
         if std::mem::take(&mut self.must_request_list) {
             transport.request_endpoint_list();
         }
-        self.state.stalls.record_call(now);
+        self.state.stall_detector.record_call(now);
         self.state.classes.tick();
         self.state.throughput_ticks.advance();
         self.state.eject_silent(now);
@@ -227,7 +227,7 @@
     /// Returns whether an attempt that was decided on may still be sent: the endpoint list, a role or the time may have
     /// changed since.
     #[must_use]
-    pub fn may_begin(&self, now: f64, index: usize, endpoint: usize) -> bool {
+    pub fn may_send_attempt(&self, now: f64, index: usize, endpoint: usize) -> bool {
         let endpoint = EndpointId::new(endpoint);
         let request = self.state.requests.get(RequestId::new(index));
         !self.state.is_excluded(endpoint)
@@ -236,7 +236,7 @@
 
     /// Returns whether a health check that was decided on may still be sent.
     #[must_use]
-    pub fn may_check_health(&self, endpoint: usize) -> bool {
+    pub fn may_send_health_check(&self, endpoint: usize) -> bool {
         !self.state.is_excluded(EndpointId::new(endpoint))
     }
 }
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -7,7 +7,7 @@
 use crate::concurrency_limit::PRIMARY_READ_FRACTION;
 use crate::convert::{count_to_f64, to_count};
 use crate::eligibility::View;
-use crate::health_check::{POLL_INTERVAL, URGENT_INTERVAL};
+use crate::health_check::{POLL_INTERVAL_SECONDS, URGENT_INTERVAL_SECONDS};
 use crate::ids::{EndpointId, GroupId, Id};
 use crate::interface::Consistency;
 use crate::replica_set::ReplicaSet;
@@ -44,7 +44,8 @@
     let group = &view.state.replica_sets[group];
     fewest_in_flight(view, group.members(), |endpoint| {
         let health_check = &view.endpoint(endpoint).health_check;
-        let is_due = !health_check.is_in_flight() && view.now - health_check.sent_at() >= URGENT_INTERVAL;
+        let is_due =
+            !health_check.is_in_flight() && view.now - health_check.sent_at() >= URGENT_INTERVAL_SECONDS;
         is_due
             && !group.tracker.is_primary(endpoint)
             && !view.meets_correctness_rules(endpoint, request)
@@ -73,7 +74,7 @@
     let target = view.endpoint(endpoint);
     let is_near = target.site() == view.state.config.site;
     let site_weight = if is_near { OWN_SITE_WEIGHT } else { 1.0 };
-    let latency = target.limit.latency().max(MIN_LATENCY_FRACTION);
+    let latency = target.limit.relative_latency().max(MIN_LATENCY_FRACTION);
     let weight = target.size() * site_weight * target.spare_capacity(view.now) / latency.powi(2);
     -view.state.sampler.current(endpoint.index()).ln() / weight
 }
@@ -192,7 +193,7 @@
         let kept = self.long_read_replicas();
         let is_unaffected = |endpoint: &EndpointId| {
             let reported_at = self.view.endpoint(*endpoint).position.reported_at();
-            !kept.contains(endpoint) || self.view.now - reported_at < POLL_INTERVAL
+            !kept.contains(endpoint) || self.view.now - reported_at < POLL_INTERVAL_SECONDS
         };
         if fresh.iter().any(is_unaffected) {
             fresh.retain(is_unaffected);
@@ -203,7 +204,7 @@
     /// (departure 8). Applies only while results from the group are infrequent: otherwise the concurrency limits of the
     /// replicas show when the primary is needed.
     fn primary_for_share_of_reads(&self, fresh: usize) -> Option<EndpointId> {
-        if self.group.is_heard_often(self.view.now) {
+        if self.group.has_frequent_results(self.view.now) {
             return None;
         }
         let primary = self.group.primary()?;
@@ -231,7 +232,7 @@
         if !fresh.is_empty() || !self.view.state.config.endpoints_check_reads {
             return None;
         }
-        let position = |endpoint: &EndpointId| self.view.endpoint(*endpoint).position.known();
+        let position = |endpoint: &EndpointId| self.view.endpoint(*endpoint).position.last_reported();
         let newest = stale.iter().copied().max_by(|one, other| position(one).total_cmp(&position(other)))?;
         let rejects_reads = self.view.endpoint(newest).position.rejects_reads();
         (self.accepts(newest) && !rejects_reads).then_some(newest)
@@ -261,7 +262,7 @@
     /// Returns whether a sample lies within the primary's spare capacity. Applies only while results from the group are
     /// infrequent: the primary's own report then shows the load that all routers send there.
     fn has_spare_capacity(&self, primary: EndpointId) -> bool {
-        if self.group.is_heard_often(self.view.now) {
+        if self.group.has_frequent_results(self.view.now) {
             return true;
         }
         let counter = self.request.sample_counter + SPARE_CAPACITY_SAMPLE_OFFSET;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -32,7 +32,7 @@
     /// Only the primary can serve the request.
     pub(crate) to_primary: bool,
     /// Seconds since the request arrived.
-    pub(crate) waited: f64,
+    pub(crate) waited_seconds: f64,
     /// The size of the endpoint.
     pub(crate) size: f64,
     /// The size of each member of the group, and whether the member is usable now.
@@ -57,7 +57,7 @@
     /// The fraction of its capacity that the endpoint is known to have, `1.0` once it is warm.
     pub(crate) fn capacity_fraction(&self, now: f64, config: &RoutingConfig) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let warm_up_progress = ((now - started_at) / config.warmup).clamp(0.0, 1.0);
+        let warm_up_progress = ((now - started_at) / config.warmup_seconds).clamp(0.0, 1.0);
         config.initial_capacity_fraction + (1.0 - config.initial_capacity_fraction) * warm_up_progress
     }
 
@@ -84,7 +84,7 @@
         }
         // Requests that have waited for the endpoint, for instance for a new primary, would arrive from all routers
         // at once, so few of them are admitted.
-        let promptness = (1.0 - candidate.waited / (config.overload_span / 2.0)).max(0.0);
+        let promptness = (1.0 - candidate.waited_seconds / (config.overload_seconds / 2.0)).max(0.0);
         let share = if candidate.to_primary {
             PRIMARY_ONLY_SHARE
         } else {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -30,7 +30,7 @@
     pub(crate) replica_sets: Table<GroupId, ReplicaSet>,
     /// Groups whose write throttle the next tick may change: those in which an attempt has just ended, those that
     /// reject some writes, and new ones.
-    pub(crate) throttled_or_heard: BTreeSet<GroupId>,
+    pub(crate) throttled_or_active: BTreeSet<GroupId>,
     pub(crate) demands: Demands,
     /// Tick count by which the groups' counts of answers and rejections decay.
     pub(crate) throughput_ticks: TickCount,
@@ -40,7 +40,7 @@
     pub(crate) retries: RetryBudget,
     pub(crate) health_checks: HealthCheckBudget,
     pub(crate) latency_pressure: LatencyPressure,
-    pub(crate) stalls: StallDetector,
+    pub(crate) stall_detector: StallDetector,
     pub(crate) sampler: Sampler,
     pub(crate) work: Work,
 }
@@ -55,7 +55,7 @@
             endpoints: Table::default(),
             departures: Departures::default(),
             replica_sets: Table::default(),
-            throttled_or_heard: BTreeSet::new(),
+            throttled_or_active: BTreeSet::new(),
             demands: Demands::default(),
             throughput_ticks: TickCount::default(),
             requests: Requests::default(),
@@ -64,7 +64,7 @@
             retries: RetryBudget::new(),
             health_checks: HealthCheckBudget::default(),
             latency_pressure: LatencyPressure::default(),
-            stalls: StallDetector::new(now),
+            stall_detector: StallDetector::new(now),
             sampler: Sampler::new(config.seed),
             work: Work::default(),
             config,
@@ -76,7 +76,7 @@
         let known = self.replica_sets.len();
         self.replica_sets.grow_to(group, ReplicaSet::new);
         let new = known..self.replica_sets.len();
-        self.throttled_or_heard.extend(new.map(GroupId::new));
+        self.throttled_or_active.extend(new.map(GroupId::new));
         &mut self.replica_sets[group]
     }
 
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -112,7 +112,7 @@
             ..workload.clone()
         };
         let write_classes = config.workloads.iter().map(write_class);
-        let table = Table::of(configured.chain(write_classes).map(ClassStats::new).collect());
+        let table = Table::from_entries(configured.chain(write_classes).map(ClassStats::new).collect());
         Classes { table, configured: config.workloads.len() }
     }
 
--- a/crates/routing/src/time_conversion.rs
+++ b/crates/routing/src/time_conversion.rs
@@ -80,7 +80,7 @@
     }
 
     fn record_listing(&mut self, now: f64, update: &EndpointUpdate) {
-        self.clock_offset.note_group(update.group);
+        self.clock_offset.record_group(update.group);
         if update.endpoint >= self.listed.len() {
             self.listed.resize(update.endpoint + 1, ListedEndpoint::default());
         }
--- a/crates/routing/tests/clock_offset.rs
+++ b/crates/routing/tests/clock_offset.rs
@@ -27,7 +27,7 @@
 impl Fleet {
     fn new(seed: u64, clocks: &[f64]) -> Fleet {
         let mut offset = ClockOffset::default();
-        (0..clocks.len()).for_each(|group| offset.note_group(group));
+        (0..clocks.len()).for_each(|group| offset.record_group(group));
         let random = SmallRng::seed_from_u64(seed);
         Fleet { offset, random, clocks: clocks.to_vec(), primary: 0, now: START, changes: Vec::new() }
     }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -63,9 +63,9 @@
         tenant: None,
         session: None,
         time_left,
-        since_write: None,
-        repeat: false,
-        writes: false,
+        seconds_since_write: None,
+        is_flagged_retry: false,
+        may_write: false,
         work: None,
     }
 }
@@ -134,8 +134,15 @@
     pub fn end(&mut self, request: usize, endpoint: usize, outcome: AttemptOutcome, role: Option<Role>) {
         let observed = LoadReport { role, lsn: None, utilization: None };
         let closed = outcome == AttemptOutcome::Completed;
-        let result =
-            AttemptResult { request, endpoint, outcome, elapsed: 0.05, closed, observed, report: None };
+        let result = AttemptResult {
+            request,
+            endpoint,
+            outcome,
+            elapsed: 0.05,
+            has_final_answer: closed,
+            observed,
+            report: None,
+        };
         self.router.on_attempt_result(self.now, &result, &mut self.book);
     }
 
@@ -168,5 +175,5 @@
 }
 
 pub fn work(own: f64, usual: f64, spread: f64) -> Option<WorkEstimate> {
-    Some(WorkEstimate { own, usual, spread })
+    Some(WorkEstimate { fingerprint_seconds: own, workload_seconds: usual, log_standard_error: spread })
 }
--- a/crates/routing/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -10,7 +10,7 @@
     slo_time: f64,
     statement_timeout: f64,
 ) -> RequestClass {
-    RequestClass { needs, effect, priority_weight, late_share: 0.0, slo_time, statement_timeout }
+    RequestClass { needs, effect, priority_weight, late_value_fraction: 0.0, slo_time, statement_timeout }
 }
 
 /// One router at site 0 for these classes, without what only some deployments have.
@@ -21,19 +21,19 @@
         site: Some(0),
         workloads,
         tenant_rates: Vec::new(),
-        over_share: 0.1,
+        over_share_factor: 0.1,
         reports: ReportSource::WithAnswers,
         endpoints_check_reads: false,
-        remembers_writes: false,
+        must_remember_writes: false,
         list_on_request: false,
         may_check_health: true,
         may_cancel_attempts: true,
         max_attempts: 8,
         max_retry_after: 1.0,
-        only_draining_bars: false,
+        only_draining_excludes: false,
         initial_capacity_fraction: 0.2,
-        warmup: 10.0,
+        warmup_seconds: 10.0,
         overload_multiple: 2.5,
-        overload_span: 1.0,
+        overload_seconds: 1.0,
     }
 }
--- a/crates/routing/tests/decisions/admission.rs
+++ b/crates/routing/tests/decisions/admission.rs
@@ -56,7 +56,7 @@
 fn what_was_never_sent_is_given_up_before_half_its_time(#[case] sent: bool, #[case] rejected: usize) {
     let mut terms = terms(false);
     // It earns a part after its SLO time, so there is a point in waiting on.
-    terms.workloads[WRITE].late_share = 0.3;
+    terms.workloads[WRITE].late_value_fraction = 0.3;
     let mut world = World::new(terms);
     world.report(0, Primary, 0.0);
     if !sent {
--- a/crates/routing/tests/decisions/concurrency_limit.rs
+++ b/crates/routing/tests/decisions/concurrency_limit.rs
@@ -96,7 +96,7 @@
             endpoint,
             outcome: AttemptOutcome::Completed,
             elapsed: 0.29,
-            closed: true,
+            has_final_answer: true,
             observed,
             report: None,
         };
--- a/crates/routing/tests/decisions/consistency.rs
+++ b/crates/routing/tests/decisions/consistency.rs
@@ -54,7 +54,7 @@
 #[case::joined(Between::Joined, false)]
 #[case::crowded(Between::Crowded, false)]
 fn a_session_sees_its_own_writes(#[case] between: Between, #[case] taken: bool) {
-    let mut all = RoutingConfig { remembers_writes: true, ..terms(false) };
+    let mut all = RoutingConfig { must_remember_writes: true, ..terms(false) };
     all.workloads[READ].needs = Consistency::Session;
     let mut world = World::new(all);
     world.report(0, Primary, 0.0);
@@ -73,7 +73,7 @@
             endpoint: 0,
             outcome,
             elapsed: 0.05,
-            closed,
+            has_final_answer: closed,
             observed,
             report: None,
         };
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -12,8 +12,8 @@
 #[case::gone(EndpointState::Removed, false, false)]
 #[case::gone_does_not_bind(EndpointState::Removed, true, true)]
 #[case::draining_binds_anyway(EndpointState::Draining, true, false)]
-fn drains_are_kept(#[case] state: EndpointState, #[case] only_draining_bars: bool, #[case] still: bool) {
-    let mut world = World::new(RoutingConfig { only_draining_bars, ..terms(false) });
+fn drains_are_kept(#[case] state: EndpointState, #[case] only_draining_excludes: bool, #[case] still: bool) {
+    let mut world = World::new(RoutingConfig { only_draining_excludes, ..terms(false) });
     world.report(0, Primary, 0.0);
     world.report(1, Replica, 0.0);
     world.list(1, state, None);
@@ -48,6 +48,6 @@
     }
     told.into_iter().for_each(|state| world.list(endpoint, state, None));
     world.now += later;
-    assert_eq!(world.router.may_begin(world.now, request, endpoint), may);
-    assert_eq!(world.router.may_check_health(endpoint), told.is_none());
+    assert_eq!(world.router.may_send_attempt(world.now, request, endpoint), may);
+    assert_eq!(world.router.may_send_health_check(endpoint), told.is_none());
 }
--- a/crates/routing/tests/decisions/primary.rs
+++ b/crates/routing/tests/decisions/primary.rs
@@ -80,7 +80,7 @@
 #[case::says_nothing(None, false)]
 fn a_text_that_the_primary_refuses_costs_it_no_role(#[case] role: Option<Role>, #[case] keeps: bool) {
     let mut world = World::settled(true, [0.0; 3]);
-    let request = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
+    let request = world.ask_for(Request { may_write: true, ..statement(READ, 0.75) });
     world.end(request, 0, AttemptOutcome::ReadOnly, role);
     let write = world.ask(WRITE);
     assert_eq!(world.sent_to(write) == [0], keeps);
--- a/crates/routing/tests/decisions/retention.rs
+++ b/crates/routing/tests/decisions/retention.rs
@@ -22,8 +22,8 @@
 }
 
 /// Endpoint 3 of a settled group goes through these states, a second apart.
-fn after(states: &[EndpointState], only_draining_bars: bool) -> World {
-    let mut world = World::new(RoutingConfig { only_draining_bars, ..terms(false) });
+fn after(states: &[EndpointState], only_draining_excludes: bool) -> World {
+    let mut world = World::new(RoutingConfig { only_draining_excludes, ..terms(false) });
     world.report(0, Primary, 0.0);
     (1..4).for_each(|endpoint| world.report(endpoint, Replica, 0.0));
     for state in states {
@@ -42,10 +42,10 @@
 #[case::may_still_be_sent_to(&[Removed], true, &[])]
 fn an_excluded_endpoint_that_left_is_forgotten_in_time(
     #[case] states: &[EndpointState],
-    #[case] only_draining_bars: bool,
+    #[case] only_draining_excludes: bool,
     #[case] forgotten: &[usize],
 ) {
-    let mut world = after(states, only_draining_bars);
+    let mut world = after(states, only_draining_excludes);
     world.now += LONG - 2.0;
     assert!(forget(&mut world).is_empty(), "it may come back as it was");
     world.now += 2.0;
@@ -109,7 +109,7 @@
 /// Guards against a warming endpoint that returns as a warm one.
 #[test]
 fn a_warming_endpoint_is_kept_until_it_would_be_warm() {
-    let mut world = World::new(RoutingConfig { warmup: 100.0, ..terms(false) });
+    let mut world = World::new(RoutingConfig { warmup_seconds: 100.0, ..terms(false) });
     world.list(3, Ready, Some(world.now));
     world.list(3, Removed, None);
     world.now += 99.0;
@@ -138,10 +138,10 @@
     world.list(0, Removed, None);
     world.now += LONG;
     assert_eq!(forget(&mut world), [0]);
-    assert!(!world.router.may_check_health(0), "nothing goes to an index that stands for none");
+    assert!(!world.router.may_send_health_check(0), "nothing goes to an index that stands for none");
     let other = EndpointUpdate { group, started_at: Some(world.now), ..listed(0, Ready) };
     world.router.on_endpoint_list(world.now, &[other], &mut world.book);
-    assert!(world.router.may_check_health(0) && world.router.is_warming(world.now, 0));
+    assert!(world.router.may_send_health_check(0) && world.router.is_warming(world.now, 0));
     world.now += 11.0;
     world
 }
--- a/crates/routing/tests/decisions/retry.rs
+++ b/crates/routing/tests/decisions/retry.rs
@@ -58,7 +58,7 @@
 #[case::lost(AttemptOutcome::Reset, Done::Abort(0))]
 fn a_text_that_may_write_goes_by_stricter_terms(#[case] outcome: AttemptOutcome, #[case] last: Done) {
     let mut world = World::settled(true, [0.0; 3]);
-    let request = world.ask_for(Request { writes: true, ..statement(READ, 0.75) });
+    let request = world.ask_for(Request { may_write: true, ..statement(READ, 0.75) });
     assert_eq!(world.sent_to(request), [0]);
     world.end(request, 0, outcome, None);
     world.pass(0.3);
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -80,7 +80,7 @@
 }
 
 pub fn remembered_sessions() -> Scenario {
-    let terms = RoutingConfig { remembers_writes: true, ..terms(3) };
+    let terms = RoutingConfig { must_remember_writes: true, ..terms(3) };
     Scenario {
         terms,
         weights: weights(&[(SESSION_READ, 5), (GROUP_WRITE, 2), (WRITE, 1)]),
@@ -174,8 +174,8 @@
     Scenario { changes, failures: 10, ..calm(14) }
 }
 
-pub fn only_draining_bars() -> Scenario {
-    let terms = RoutingConfig { only_draining_bars: true, reports: ReportSource::Nowhere, ..terms(15) };
+pub fn only_draining_excludes() -> Scenario {
+    let terms = RoutingConfig { only_draining_excludes: true, reports: ReportSource::NoReports, ..terms(15) };
     Scenario { terms, ..replaced_endpoints() }
 }
 
@@ -239,7 +239,7 @@
 
 pub fn repeats_and_late_answers() -> Scenario {
     let mut terms = terms(22);
-    terms.workloads.iter_mut().for_each(|workload| workload.late_share = 0.3);
+    terms.workloads.iter_mut().for_each(|workload| workload.late_value_fraction = 0.3);
     let changes = vec![Change::Failover, Change::Crash, Change::Recover];
     Scenario { terms, repeats: 300, failures: 80, service_time: 0.3, hangups: 100, changes, ..calm(22) }
 }
--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -271,10 +271,24 @@
         let early = self.random.chance(self.scenario.hangups);
         let patience = statement.time_left * if early { self.random.unit() } else { 1.0 };
         self.schedule(patience, Event::Hangup { request, taken });
-        let Request { workload, group, tenant, session, time_left, since_write, repeat, writes, work } =
-            statement;
+        let Request {
+            workload,
+            group,
+            tenant,
+            session,
+            time_left,
+            seconds_since_write,
+            is_flagged_retry: repeat,
+            may_write: writes,
+            work,
+        } = statement;
         let work = work.map_or("-".to_string(), |work| {
-            format!("{} {} {}", bits(work.own), bits(work.usual), bits(work.spread))
+            format!(
+                "{} {} {}",
+                bits(work.fingerprint_seconds),
+                bits(work.workload_seconds),
+                bits(work.log_standard_error)
+            )
         });
         self.recorder.line(format_args!(
             "request {} {request} {workload} {group} {} {} {} {} {repeat} {writes} {work}",
@@ -282,7 +296,7 @@
             tenant.map_or("-".to_string(), |tenant| tenant.to_string()),
             session.map_or("-".to_string(), |session| session.to_string()),
             bits(time_left),
-            optional(since_write),
+            optional(seconds_since_write),
         ));
         self.router.on_request(self.now, request, statement, &mut self.recorder);
     }
@@ -296,12 +310,12 @@
         let tenants = self.scenario.terms.tenant_rates.len();
         let session =
             (self.scenario.sessions > 0).then(|| self.random.next() % self.scenario.sessions.max(1));
-        let since_write = self.scenario.tells_writes.then(|| 3.0 * self.random.unit());
+        let seconds_since_write = self.scenario.tells_writes.then(|| 3.0 * self.random.unit());
         let usual = terms.slo_time * self.scenario.service_time;
         let work = (self.scenario.with_work && self.random.chance(800)).then(|| WorkEstimate {
-            own: usual * 4.0 * self.random.unit(),
-            usual,
-            spread: self.random.unit(),
+            fingerprint_seconds: usual * 4.0 * self.random.unit(),
+            workload_seconds: usual,
+            log_standard_error: self.random.unit(),
         });
         let reads = terms.needs != Consistency::Primary;
         let statement = Request {
@@ -310,9 +324,9 @@
             tenant: (tenants > 0).then(|| self.random.below(tenants.max(1))),
             session,
             time_left: terms.statement_timeout * left_of_it,
-            since_write,
-            repeat: repeat && self.random.chance(700),
-            writes: reads && self.random.chance(self.scenario.hidden_writes),
+            seconds_since_write,
+            is_flagged_retry: repeat && self.random.chance(700),
+            may_write: reads && self.random.chance(self.scenario.hidden_writes),
             work,
         };
         (statement, reads && self.random.chance(self.scenario.hidden_writes))
@@ -348,7 +362,7 @@
 
     fn begin(&mut self, request: usize, serial: u64) {
         let Some(attempt) = self.attempt(request, serial).copied() else { return };
-        let may = self.router.may_begin(self.now, request, attempt.endpoint);
+        let may = self.router.may_send_attempt(self.now, request, attempt.endpoint);
         self.recorder.line(format_args!("begin {} {request} {} {may}", bits(self.now), attempt.endpoint));
         if !may {
             return self.end(request, serial);
@@ -380,14 +394,15 @@
         }
         let old = matches!(needs, Consistency::Bounded(bound) if lag > bound)
             && self.scenario.terms.endpoints_check_reads;
-        if !is_primary && (needs == Consistency::Primary || statement.writes) || old {
+        if !is_primary && (needs == Consistency::Primary || statement.may_write) || old {
             return (AttemptOutcome::WrongEndpoint, quick);
         }
         if hidden_write && !is_primary {
             return (AttemptOutcome::ReadOnly, quick);
         }
         let slow = if health == Health::Slow { 6.0 } else { 1.0 };
-        let own = statement.work.map_or(slo_time * self.scenario.service_time, |work| work.own);
+        let own =
+            statement.work.map_or(slo_time * self.scenario.service_time, |work| work.fingerprint_seconds);
         let elapsed = own * crowd * slow * (0.3 + 1.4 * self.random.unit());
         if self.random.chance(self.scenario.failures) {
             let endings = [
@@ -447,7 +462,7 @@
             endpoint: attempt.endpoint,
             outcome: attempt.outcome,
             elapsed: self.now - attempt.sent,
-            closed,
+            has_final_answer: closed,
             observed,
             report,
         };
@@ -495,7 +510,7 @@
     }
 
     fn check(&mut self, endpoint: usize) {
-        let may = self.router.may_check_health(endpoint);
+        let may = self.router.may_send_health_check(endpoint);
         self.recorder.line(format_args!("may-check {endpoint} {may}"));
         let lost = self.random.chance(self.scenario.failures);
         let elapsed = match self.endpoints[endpoint].health {
@@ -516,7 +531,7 @@
             _ => AttemptOutcome::Completed,
         };
         let told =
-            outcome == AttemptOutcome::Completed && self.scenario.terms.reports != ReportSource::Nowhere;
+            outcome == AttemptOutcome::Completed && self.scenario.terms.reports != ReportSource::NoReports;
         let mut report = self.report_of(endpoint, 0.0);
         if outcome != AttemptOutcome::Completed {
             report = LoadReport::default();
--- a/crates/routing/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -25,7 +25,8 @@
 fn end(world: &mut World, request: usize, outcome: AttemptOutcome, elapsed: f64) -> Option<usize> {
     let endpoint = world.sent_to(request).last().copied()?;
     let (observed, report) = (LoadReport::default(), None);
-    let result = AttemptResult { request, endpoint, outcome, elapsed, closed: true, observed, report };
+    let result =
+        AttemptResult { request, endpoint, outcome, elapsed, has_final_answer: true, observed, report };
     world.router.on_attempt_result(world.now, &result, &mut world.book);
     Some(endpoint)
 }
@@ -260,7 +261,7 @@
     let sent = |waited: f64| -> usize {
         let each = |seed: u64| {
             let mut late_too = terms(true);
-            late_too.workloads[MARKED].late_share = 0.3;
+            late_too.workloads[MARKED].late_value_fraction = 0.3;
             let mut world = World::new(RoutingConfig { seed, routers: 40, ..late_too });
             (0..4).for_each(|endpoint| world.report(endpoint, Role::Replica, 0.0));
             world.list(0, EndpointState::Ready, Some(world.now + waited + 0.1 - age));
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -36,7 +36,7 @@
         class(Consistency::Bounded(10.0), Effect::Idempotent),
         class(Consistency::Primary, Effect::NonIdempotent),
     ];
-    RoutingConfig { routers, site: None, remembers_writes: true, ..routing_config(workloads) }
+    RoutingConfig { routers, site: None, must_remember_writes: true, ..routing_config(workloads) }
 }
 
 fn listed(endpoint: usize, group: usize, state: EndpointState, started_at: Option<f64>) -> EndpointUpdate {
@@ -196,9 +196,9 @@
             tenant: None,
             session: Some(self.figures.asked as u64 % 50),
             time_left: 1.0,
-            since_write: None,
-            repeat: false,
-            writes: false,
+            seconds_since_write: None,
+            is_flagged_retry: false,
+            may_write: false,
             work: None,
         };
         let Fleet { router, asked, figures, .. } = self;
@@ -216,7 +216,7 @@
                     endpoint,
                     outcome,
                     elapsed: 0.04,
-                    closed: true,
+                    has_final_answer: true,
                     observed,
                     report: Some(observed),
                 };
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -111,14 +111,14 @@
             routers,
             site: None,
             initial_capacity_fraction: random.between(0.15, 0.4),
-            warmup: random.between(3.0, 6.0),
+            warmup_seconds: random.between(3.0, 6.0),
             overload_multiple: random.between(2.0, 3.0),
-            overload_span: random.between(0.8, 1.5),
+            overload_seconds: random.between(0.8, 1.5),
             ..terms(true)
         };
         let allowed_at_start = (random.between(3.0_f64.ln(), 400.0_f64.ln())).exp();
         let capacity = allowed_at_start
-            / (terms.overload_multiple * terms.initial_capacity_fraction * terms.overload_span);
+            / (terms.overload_multiple * terms.initial_capacity_fraction * terms.overload_seconds);
         let group_capacity = capacity * HOSTS_PER_GROUP as f64;
         let three_times_the_mean = random.chance(0.4);
         let offered = if three_times_the_mean {
@@ -163,22 +163,22 @@
     }
 
     fn end(&self) -> f64 {
-        self.cold_start() + self.terms.warmup
+        self.cold_start() + self.terms.warmup_seconds
     }
 
     /// What the settings allow a host that is so many seconds old.
     fn allowed(&self, age: f64) -> f64 {
-        self.terms.overload_multiple * self.capacity * self.part(age) * self.terms.overload_span
+        self.terms.overload_multiple * self.capacity * self.part(age) * self.terms.overload_seconds
     }
 
     fn part(&self, age: f64) -> f64 {
-        let grown = (age / self.terms.warmup).clamp(0.0, 1.0);
+        let grown = (age / self.terms.warmup_seconds).clamp(0.0, 1.0);
         self.terms.initial_capacity_fraction + (1.0 - self.terms.initial_capacity_fraction) * grown
     }
 
     fn allowed_in_all(&self) -> f64 {
         let mean_part = f64::midpoint(self.terms.initial_capacity_fraction, 1.0);
-        self.terms.overload_multiple * self.capacity * mean_part * self.terms.warmup
+        self.terms.overload_multiple * self.capacity * mean_part * self.terms.warmup_seconds
     }
 }
 
@@ -492,9 +492,9 @@
             tenant: None,
             session: None,
             time_left: self.scenario.terms.workloads[request.workload].statement_timeout,
-            since_write: None,
-            repeat: request.retries > 0 && self.scenario.marks_repeats,
-            writes: false,
+            seconds_since_write: None,
+            is_flagged_retry: request.retries > 0 && self.scenario.marks_repeats,
+            may_write: false,
             work: None,
         };
         let slot = self.instances[request.router].open(request);
@@ -543,13 +543,14 @@
     fn count(&mut self, endpoint: usize) {
         let Some(started_at) = self.hosts[endpoint].listed.started_at else { return };
         let age = self.now - started_at;
-        let (allowed, span) = (self.scenario.allowed(age), (age / self.scenario.terms.overload_span) as u64);
+        let (allowed, span) =
+            (self.scenario.allowed(age), (age / self.scenario.terms.overload_seconds) as u64);
         let limit = bound(allowed);
         let at = &mut self.hosts[endpoint];
         (at.sent_in_span, at.span) = (if at.span == span { at.sent_in_span + 1 } else { 1 }, span);
         at.sent_as_allowed += usize::from(at.sent_in_span as f64 <= allowed);
         at.sent.push_back(self.now);
-        while at.sent.front().is_some_and(|sent| *sent <= self.now - self.scenario.terms.overload_span) {
+        while at.sent.front().is_some_and(|sent| *sent <= self.now - self.scenario.terms.overload_seconds) {
             at.sent.pop_front();
         }
         at.exceeded |= at.sent.len() as f64 > limit;
@@ -575,7 +576,7 @@
             endpoint,
             outcome,
             elapsed,
-            closed,
+            has_final_answer: closed,
             observed: report,
             report: closed.then_some(report),
         };
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -131,9 +131,9 @@
             tenant,
             session: demand.key,
             time_left: demand.budget_ms / 1000.0,
-            since_write: (demand.token_ms > 0.0).then_some(demand.token_ms / 1000.0),
-            repeat: demand.resent,
-            writes: false,
+            seconds_since_write: (demand.token_ms > 0.0).then_some(demand.token_ms / 1000.0),
+            is_flagged_retry: demand.resent,
+            may_write: false,
             work: None,
         };
         let index = names.requests.insert(demand.tid);
@@ -165,7 +165,7 @@
             endpoint,
             outcome,
             elapsed: resolved.cost_time_ms / 1000.0,
-            closed: resolved.done_flag,
+            has_final_answer: resolved.done_flag,
             observed: names.answer_report(resolved.progress),
             report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
         };
