--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Peer};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Peer};
 
 use super::error::{FleetConfigError, Reason};
 use super::locate::FieldMap;
@@ -69,11 +69,11 @@
         let fleet = FleetConfig {
             name: self.member.to_string(),
             voters: file.voter.clone(),
-            leader_lease: file.keeper_lease_s,
-            lease: file.lease_s,
-            floor_lease: file.floor_lease_s,
-            drift: file.drift,
-            members_at_most: u64::from(file.members_at_most),
+            leader_lease_seconds: file.keeper_lease_s,
+            lease_seconds: file.lease_s,
+            floor_lease_seconds: file.floor_lease_s,
+            max_clock_drift: file.drift,
+            max_members: u64::from(file.members_at_most),
             budgets,
         };
         Ok(FleetFile {
@@ -206,20 +206,20 @@
             BudgetKind::AttemptsPerEndpoint => self.concurrent_units(entry, field)?,
             _ => self.rate(entry, field)?,
         };
-        Ok(Budget::named(entry.of.budget_name(), kind, whole, floor))
+        Ok(Budget::new(entry.of.budget_name(), kind, whole, floor))
     }
 
-    fn concurrent_units(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<Kind> {
+    fn concurrent_units(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
         let longest = self.longest_timeout;
         let long_enough = entry.hold_s >= longest && entry.hold_s <= MAX_HOLD_S;
         self.require(long_enough, &field("hold_s"), || Reason::HoldTooShort { longest })?;
         self.require(entry.every_s == 0.0, &field("every_s"), || Reason::NotARate)?;
-        Ok(Kind::Concurrency { hold: entry.hold_s })
+        Ok(LimitKind::Concurrency { hold_seconds: entry.hold_s })
     }
 
-    fn rate(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<Kind> {
+    fn rate(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
         self.require_duration(&field("every_s"), entry.every_s, RATE_PERIOD_S)?;
         self.require(entry.hold_s == 0.0, &field("hold_s"), || Reason::IsARate)?;
-        Ok(Kind::Rate { every: entry.every_s })
+        Ok(LimitKind::Rate { refill_seconds: entry.every_s })
     }
 }
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -90,7 +90,7 @@
         let fields = [
             (
                 "voter, leases, drift, members_at_most or a budget's floor, every_s or hold_s",
-                ours.electorate() != theirs.electorate(),
+                ours.shared_settings_hash() != theirs.shared_settings_hash(),
             ),
             ("peer", self.peers != other.peers),
             ("listen", self.listen != other.listen),
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! Fleet files that are rejected, each with its line, its field and the reason.
 
 use ottersill_config::fleet::FleetFile;
-use ottersill_fleet::settings::Kind;
+use ottersill_fleet::settings::LimitKind;
 use rstest::rstest;
 
 const GOOD: &str = r#"# Three routers.
@@ -235,12 +235,15 @@
     let config = FleetFile::from_textproto(text, "b", 2.0).expect("the deployed file");
     let fleet = &config.fleet;
     assert_eq!((fleet.name.as_str(), fleet.voters.join(" ")), ("b", "a b c".to_string()));
-    assert_eq!((fleet.leader_lease, fleet.lease, fleet.floor_lease), (0.8, 2.0, 30.0));
-    assert_eq!((fleet.drift, fleet.members_at_most), (0.01, 6));
+    assert_eq!(
+        (fleet.leader_lease_seconds, fleet.lease_seconds, fleet.floor_lease_seconds),
+        (0.8, 2.0, 30.0)
+    );
+    assert_eq!((fleet.max_clock_drift, fleet.max_members), (0.01, 6));
     let budgets = fleet.budgets.iter().zip(&config.budget_kinds).map(|(budget, limits)| {
         let kind = match budget.kind {
-            Kind::Rate { every } => format!("every {every} s"),
-            Kind::Concurrency { hold } => format!("held {hold} s"),
+            LimitKind::Rate { refill_seconds } => format!("every {refill_seconds} s"),
+            LimitKind::Concurrency { hold_seconds } => format!("held {hold_seconds} s"),
         };
         let each = if limits.is_per_endpoint() { ", each host" } else { "" };
         format!("{}: {} of floor {}, {kind}{each}", budget.name, budget.total, budget.floor)
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -36,14 +36,14 @@
         held: bool,
     },
     /// The voter has already promised this higher ballot.
-    Outbid(Ballot),
+    Preempted(Ballot),
     /// The voter grants the lease.
     Granted,
 }
 
 /// A request that a candidate sends to all voters.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CandidateCall {
+pub enum CandidateRequest {
     /// Requests a promise: phase one of Paxos.
     Prepare(Ballot),
     /// Requests the lease: phase two of Paxos.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Answers [`CandidateCall::Prepare`]; returns `None` while the voter recovers.
+    /// Answers [`CandidateRequest::Prepare`]; returns `None` while the voter recovers.
     pub fn handle_prepare(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
         self.update_state(now);
         let held = match self.state {
@@ -106,18 +106,18 @@
             VoterState::Free => false,
         };
         if ballot < self.promised {
-            return Some(VoterReply::Outbid(self.promised));
+            return Some(VoterReply::Preempted(self.promised));
         }
         self.promised = ballot;
         Some(VoterReply::Promised { held })
     }
 
-    /// Answers [`CandidateCall::Accept`]; returns `None` while the voter recovers.
+    /// Answers [`CandidateRequest::Accept`]; returns `None` while the voter recovers.
     pub fn handle_accept(&mut self, now: f64, ballot: Ballot) -> Option<VoterReply> {
         self.update_state(now);
         match self.state {
             VoterState::Recovering { .. } => None,
-            _ if ballot < self.promised => Some(VoterReply::Outbid(self.promised)),
+            _ if ballot < self.promised => Some(VoterReply::Preempted(self.promised)),
             VoterState::Granted { to, .. } if !to.is_from_same_process(ballot) => {
                 Some(VoterReply::Promised { held: true })
             }
@@ -236,7 +236,7 @@
 
     /// Stands for election when an attempt is due; a leader does so well before its lease expires. `other_leader_known`
     /// says that another member is known to be leader. Returns the request to send to all voters, if any.
-    pub fn tick(&mut self, now: f64, other_leader_known: bool) -> Option<CandidateCall> {
+    pub fn tick(&mut self, now: f64, other_leader_known: bool) -> Option<CandidateRequest> {
         if now < self.next_timeout() {
             return None;
         }
@@ -246,7 +246,7 @@
             let ballot = Ballot { round: self.highest_round, ..self.base_ballot };
             let deadline = now + self.holder_lease * ANSWER_TIMEOUT_LEASE_FRACTION;
             self.transition(CandidateState::Preparing { ballot, deadline, promised: VoterSet::default() });
-            return Some(CandidateCall::Prepare(ballot));
+            return Some(CandidateRequest::Prepare(ballot));
         }
         self.transition(CandidateState::Waiting { next_attempt_at: now + self.retry_delay() });
         None
@@ -259,8 +259,8 @@
         voter_index: u16,
         ballot: Ballot,
         reply: VoterReply,
-    ) -> Option<CandidateCall> {
-        if let VoterReply::Outbid(higher) = reply {
+    ) -> Option<CandidateRequest> {
+        if let VoterReply::Preempted(higher) = reply {
             self.highest_round = self.highest_round.max(higher.round);
         }
         match (self.state, reply) {
@@ -286,7 +286,7 @@
         ballot: Ballot,
         deadline: f64,
         promised: VoterSet,
-    ) -> Option<CandidateCall> {
+    ) -> Option<CandidateRequest> {
         if !promised.is_majority_of(self.voter_count) {
             self.transition(CandidateState::Preparing { ballot, deadline, promised });
             return None;
@@ -299,7 +299,7 @@
             deadline: grant_deadline,
             granted,
         });
-        Some(CandidateCall::Accept(ballot))
+        Some(CandidateRequest::Accept(ballot))
     }
 
     fn handle_grant(&mut self, now: f64, ballot: Ballot, (sent_at, deadline): (f64, f64), granted: VoterSet) {
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -20,15 +20,15 @@
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
-        /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
-        electorate: u64,
+        /// See [`FleetConfig::shared_settings_hash`](crate::settings::FleetConfig::shared_settings_hash).
+        shared_settings_hash: u64,
     },
     /// A candidate's request for the leader lease.
     Accept {
         /// The candidate's ballot.
         ballot: Ballot,
-        /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
-        electorate: u64,
+        /// See [`FleetConfig::shared_settings_hash`](crate::settings::FleetConfig::shared_settings_hash).
+        shared_settings_hash: u64,
     },
     /// A voter's answer to a candidate.
     VoterReply {
@@ -51,9 +51,9 @@
     /// Increases with each request of a process, starting at 1.
     pub request_id: u64,
     /// The newest term that the router knows.
-    pub seen: Ballot,
-    /// See [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
-    pub electorate: u64,
+    pub newest_known_term: Ballot,
+    /// See [`FleetConfig::shared_settings_hash`](crate::settings::FleetConfig::shared_settings_hash).
+    pub shared_settings_hash: u64,
     /// Whether the router leaves and releases all its leases.
     pub leaving: bool,
     /// The router's report and request for each budget.
@@ -66,7 +66,7 @@
     /// The id of the request that it answers.
     pub request_id: u64,
     /// The incarnation of the process that sent the request.
-    pub to: u64,
+    pub to_incarnation: u64,
     /// The leader's term.
     pub term: Ballot,
     /// The grants; empty unless the router's request names this term.
@@ -76,13 +76,13 @@
 /// The answer of a member that is not leader.
 ///
 /// With [`NO_REQUEST`] as `request_id` it tells a process that the sender knows a larger incarnation of the process's name;
-/// `to` is that larger incarnation.
+/// `to_incarnation` is that larger incarnation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NotLeader {
     /// The id of the request that it answers, or [`NO_REQUEST`].
     pub request_id: u64,
     /// The incarnation of the process that sent the request.
-    pub to: u64,
+    pub to_incarnation: u64,
     /// The name of the leader, if known.
     pub leader: Option<String>,
 }
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -5,7 +5,7 @@
 use crate::convert::{units_to_f64, whole_units};
 use crate::election::Ballot;
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
-use crate::settings::Kind;
+use crate::settings::LimitKind;
 
 /// Period over which demand is measured. It is short compared to a lease, so that a router's share follows its traffic.
 const DEMAND_SAMPLE_PERIOD_SECONDS: f64 = 0.5;
@@ -55,7 +55,7 @@
 /// One router's quota of one budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalQuota {
-    kind: Kind,
+    kind: LimitKind,
     /// The total in this router's own settings, which bounds its spending regardless of the leader's grants.
     total: u64,
     leases: Pools<Lease>,
@@ -85,7 +85,7 @@
 
 impl LocalQuota {
     /// Creates a quota without a lease. Grants in answer to requests up to `last_ignored_request_id` are ignored.
-    pub fn new(now: f64, kind: Kind, total: u64, last_ignored_request_id: u64) -> LocalQuota {
+    pub fn new(now: f64, kind: LimitKind, total: u64, last_ignored_request_id: u64) -> LocalQuota {
         LocalQuota {
             kind,
             total,
@@ -144,9 +144,9 @@
         while self.lingering.front().is_some_and(|ended_at| *ended_at <= now) {
             self.lingering.pop_front();
         }
-        if let Kind::Rate { every } = self.kind {
+        if let LimitKind::Rate { refill_seconds } = self.kind {
             let depth = units_to_f64(self.spendable(now));
-            let refilled = depth * (now - self.refreshed_at).max(0.0) / every;
+            let refilled = depth * (now - self.refreshed_at).max(0.0) / refill_seconds;
             self.tokens = (self.tokens + refilled).min(depth);
         }
         self.refreshed_at = now.max(self.refreshed_at);
@@ -178,8 +178,8 @@
     pub fn is_available(&mut self, now: f64) -> bool {
         self.refresh(now);
         match self.kind {
-            Kind::Rate { .. } => self.tokens >= 1.0,
-            Kind::Concurrency { .. } => self.in_use() < self.spendable(now),
+            LimitKind::Rate { .. } => self.tokens >= 1.0,
+            LimitKind::Concurrency { .. } => self.in_use() < self.spendable(now),
         }
     }
 
@@ -191,8 +191,8 @@
         if acquired {
             self.acquired += 1;
             match self.kind {
-                Kind::Rate { .. } => self.tokens -= 1.0,
-                Kind::Concurrency { .. } => self.in_flight += 1,
+                LimitKind::Rate { .. } => self.tokens -= 1.0,
+                LimitKind::Concurrency { .. } => self.in_flight += 1,
             }
         } else {
             self.denied_since_request += 1;
@@ -206,10 +206,10 @@
     /// Releases a unit of a concurrency budget. Unless the end of its operation is `confirmed`, the unit is counted for
     /// the full hold, because an abandoned operation may still be running.
     pub fn release(&mut self, now: f64, confirmed: bool) {
-        let Kind::Concurrency { hold } = self.kind else { return };
+        let LimitKind::Concurrency { hold_seconds } = self.kind else { return };
         self.in_flight = self.in_flight.saturating_sub(1);
         if !confirmed {
-            self.lingering.push_back(now + hold);
+            self.lingering.push_back(now + hold_seconds);
         }
     }
 
@@ -247,8 +247,8 @@
             return;
         }
         let sample = match self.kind {
-            Kind::Rate { every } => self.requested_units * every / elapsed,
-            Kind::Concurrency { .. } => self.peak_in_use,
+            LimitKind::Rate { refill_seconds } => self.requested_units * refill_seconds / elapsed,
+            LimitKind::Concurrency { .. } => self.peak_in_use,
         };
         let weight = (elapsed / DEMAND_SAMPLE_PERIOD_SECONDS).min(1.0);
         let smoothed = self.recent_demand + weight * (sample - self.recent_demand);
--- a/crates/fleet/src/node/elections.rs
+++ b/crates/fleet/src/node/elections.rs
@@ -1,6 +1,6 @@
 //! The voter and the candidate of a node that is one of the voters.
 
-use crate::election::{Ballot, Candidate, CandidateCall, Voter, VoterReply};
+use crate::election::{Ballot, Candidate, CandidateRequest, Voter, VoterReply};
 use crate::settings::FleetConfig;
 
 /// Delay between the first attempts of two candidates with adjacent voter indices, as a fraction of the leader lease.
@@ -15,7 +15,7 @@
 
 impl Elections {
     pub(super) fn start(now: f64, config: &FleetConfig, incarnation: u64) -> Elections {
-        let (lease, voters) = (config.leader_lease, config.voters.len());
+        let (lease, voters) = (config.leader_lease_seconds, config.voters.len());
         let voter = config.voter_index().map(|_| Voter::start(now, lease));
         let candidate = config.voter_index().map(|voter_index| {
             // A voter that has just started grants nothing for one full lease.
@@ -47,16 +47,20 @@
         self.voter.as_ref().and_then(|voter| voter.holder(now))
     }
 
-    pub(super) fn tick(&mut self, now: f64) -> Option<CandidateCall> {
+    pub(super) fn tick(&mut self, now: f64) -> Option<CandidateRequest> {
         let other_leader_known = self.term(now).is_none() && self.known_leader(now).is_some();
         self.candidate.as_mut()?.tick(now, other_leader_known)
     }
 
-    pub(super) fn handle_call(&mut self, now: f64, call: CandidateCall) -> Option<VoterReply> {
+    pub(super) fn handle_candidate_request(
+        &mut self,
+        now: f64,
+        request: CandidateRequest,
+    ) -> Option<VoterReply> {
         let voter = self.voter.as_mut()?;
-        match call {
-            CandidateCall::Prepare(ballot) => voter.handle_prepare(now, ballot),
-            CandidateCall::Accept(ballot) => voter.handle_accept(now, ballot),
+        match request {
+            CandidateRequest::Prepare(ballot) => voter.handle_prepare(now, ballot),
+            CandidateRequest::Accept(ballot) => voter.handle_accept(now, ballot),
         }
     }
 
@@ -66,7 +70,7 @@
         voter_index: u16,
         ballot: Ballot,
         reply: VoterReply,
-    ) -> Option<CandidateCall> {
+    ) -> Option<CandidateRequest> {
         self.candidate.as_mut()?.handle_reply(now, voter_index, ballot, reply)
     }
 
--- a/crates/fleet/src/node/incarnation_messages.rs
+++ b/crates/fleet/src/node/incarnation_messages.rs
@@ -9,10 +9,11 @@
     /// Handles a message whose sender has a smaller incarnation than the one known for its name: replies with the known
     /// incarnation.
     pub(super) fn handle_superseded(&mut self, now: f64, envelope: &Envelope, known: u64) {
-        if let Message::NotLeader(NotLeader { request_id: NO_REQUEST, to, .. }) = envelope.message {
+        if let Message::NotLeader(NotLeader { request_id: NO_REQUEST, to_incarnation, .. }) = envelope.message
+        {
             // Each of the two processes knows a larger incarnation of the other. This process still has to learn its own
             // from the message, or neither ever would. It does not answer, or both would answer endlessly.
-            self.handle_known_incarnation(now, to);
+            self.handle_known_incarnation(now, to_incarnation);
             return self.finish(now);
         }
         self.send_known_incarnation(envelope, known);
@@ -26,7 +27,7 @@
             _ => None,
         };
         let address = address.or_else(|| self.membership.address_of(to));
-        let answer = NotLeader { request_id: NO_REQUEST, to: known, leader: None };
+        let answer = NotLeader { request_id: NO_REQUEST, to_incarnation: known, leader: None };
         self.transport.send(to, address, Message::NotLeader(answer), &mut self.counters);
     }
 
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -37,7 +37,7 @@
 
 use crate::authenticator::RejectReason;
 use crate::datagram::Datagram;
-use crate::election::CandidateCall;
+use crate::election::CandidateRequest;
 use crate::envelope::{Envelope, Message};
 use crate::membership::{Membership, SwimDatagram};
 use crate::settings::{FleetConfig, Process};
@@ -60,7 +60,7 @@
 /// One member of the fleet.
 pub struct FleetNode {
     config: FleetConfig,
-    electorate: u64,
+    shared_settings_hash: u64,
     phase: Phase,
     transport: Transport,
     membership: Membership,
@@ -80,7 +80,7 @@
         let MemberIdentity { incarnation, address, seeds, secret, seed } = identity;
         let process = Process { name: config.name.clone(), incarnation };
         FleetNode {
-            electorate: config.electorate(),
+            shared_settings_hash: config.shared_settings_hash(),
             phase: Phase::Joined,
             transport: Transport::new(secret, process.clone()),
             membership: Membership::start(now, process, address, seeds, seed),
@@ -118,8 +118,8 @@
     pub fn tick(&mut self, now: f64) {
         self.membership.tick(now);
         self.send_membership();
-        if let Some(call) = self.elections.tick(now) {
-            self.send_to_voters(call);
+        if let Some(request) = self.elections.tick(now) {
+            self.send_to_voters(request);
         }
         if now >= self.quota_client.next_request_at() && self.phase == Phase::Joined {
             self.send_requests(now);
@@ -154,7 +154,7 @@
             return;
         }
         self.phase = Phase::Left;
-        let notice = self.quota_client.leave(now, self.electorate, &mut self.events);
+        let notice = self.quota_client.leave(now, self.shared_settings_hash, &mut self.events);
         if let Some(LeaveNotice { leader, request }) = notice {
             self.send(&leader, Message::QuotaRequest(request));
         }
@@ -172,11 +172,23 @@
                 self.membership.handle_datagram(now, &data);
                 self.send_membership();
             }
-            Message::Prepare { ballot, electorate } => {
-                self.handle_call(now, &from, electorate, ballot, CandidateCall::Prepare(ballot));
+            Message::Prepare { ballot, shared_settings_hash } => {
+                self.handle_candidate_request(
+                    now,
+                    &from,
+                    shared_settings_hash,
+                    ballot,
+                    CandidateRequest::Prepare(ballot),
+                );
             }
-            Message::Accept { ballot, electorate } => {
-                self.handle_call(now, &from, electorate, ballot, CandidateCall::Accept(ballot));
+            Message::Accept { ballot, shared_settings_hash } => {
+                self.handle_candidate_request(
+                    now,
+                    &from,
+                    shared_settings_hash,
+                    ballot,
+                    CandidateRequest::Accept(ballot),
+                );
             }
             Message::VoterReply { ballot, reply } => self.handle_voter_reply(now, &from, ballot, reply),
             Message::QuotaRequest(request) => self.handle_quota_request(now, &from, &request),
--- a/crates/fleet/src/node/quota_client.rs
+++ b/crates/fleet/src/node/quota_client.rs
@@ -121,7 +121,7 @@
 
     /// Schedules a request for the next tick, or for when the interval between urgent requests has passed.
     pub(super) fn request_soon(&mut self, now: f64, config: &FleetConfig) {
-        let allowed_at = self.last_request_at + config.lease / URGENT_REQUESTS_PER_LEASE;
+        let allowed_at = self.last_request_at + config.lease_seconds / URGENT_REQUESTS_PER_LEASE;
         self.next_request_at = self.next_request_at.min(allowed_at.max(now));
     }
 
@@ -136,7 +136,7 @@
         &mut self,
         now: f64,
         config: &FleetConfig,
-        electorate: u64,
+        shared_settings_hash: u64,
         counters: &mut Counters,
     ) -> RequestBatch {
         self.discard_unresponsive_leader(now, config, counters);
@@ -145,18 +145,18 @@
         let has_unmet_demand = self.quotas.values().any(LocalQuota::has_unmet_demand);
         let budgets = self.budget_requests(now);
         let chunks = budgets.chunks(BUDGETS_PER_REQUEST);
-        let requests = chunks.map(|chunk| self.request(now, electorate, chunk)).collect();
+        let requests = chunks.map(|chunk| self.request(now, shared_settings_hash, chunk)).collect();
         self.unanswered_since.get_or_insert(now);
         self.last_request_at = now;
         let is_urgent = has_unmet_demand || self.leader.is_none();
         let per_lease = if is_urgent { URGENT_REQUESTS_PER_LEASE } else { REQUESTS_PER_LEASE };
-        self.next_request_at = now + config.lease / per_lease;
+        self.next_request_at = now + config.lease_seconds / per_lease;
         RequestBatch { to, requests }
     }
 
     /// Drops the leader if requests have gone unanswered for one regular request interval.
     fn discard_unresponsive_leader(&mut self, now: f64, config: &FleetConfig, counters: &mut Counters) {
-        let timeout = config.lease / REQUESTS_PER_LEASE;
+        let timeout = config.lease_seconds / REQUESTS_PER_LEASE;
         if self.unanswered_since.is_some_and(|since| now >= since + timeout) {
             counters.unanswered += 1;
             self.unanswered_since = None;
@@ -184,7 +184,7 @@
         self.quotas.iter_mut().map(request).collect()
     }
 
-    fn request(&mut self, now: f64, electorate: u64, budgets: &[BudgetRequest]) -> QuotaRequest {
+    fn request(&mut self, now: f64, shared_settings_hash: u64, budgets: &[BudgetRequest]) -> QuotaRequest {
         self.last_request_id += 1;
         if self.sent_requests.len() >= MAX_REMEMBERED_REQUESTS {
             self.sent_requests.pop_front();
@@ -192,8 +192,8 @@
         self.sent_requests.push_back(SentRequest { id: self.last_request_id, sent_at: now });
         QuotaRequest {
             request_id: self.last_request_id,
-            seen: self.term,
-            electorate,
+            newest_known_term: self.term,
+            shared_settings_hash,
             leaving: false,
             budgets: budgets.to_vec(),
         }
@@ -241,11 +241,11 @@
         events: &mut Vec<Event>,
     ) {
         let Some(quota) = self.quotas.get_mut(&grant.key) else { return };
-        let durations =
-            Pools { demand: config.lease, floor: config.floor_lease }.map(|lease| config.holder_lease(lease));
+        let durations = Pools { demand: config.lease_seconds, floor: config.floor_lease_seconds }
+            .map(|lease| config.holder_lease(lease));
         let before = quota.leased(now);
         if quota.apply_grant(now, self.term, grant, request, durations) {
-            let confirm_at = now + config.lease / CONFIRMATION_DELAY_DIVISOR;
+            let confirm_at = now + config.lease_seconds / CONFIRMATION_DELAY_DIVISOR;
             self.next_request_at = self.next_request_at.min(confirm_at);
         }
         let (key, units) = (grant.key, quota.leased(now));
@@ -289,7 +289,7 @@
     pub(super) fn leave(
         &mut self,
         now: f64,
-        electorate: u64,
+        shared_settings_hash: u64,
         events: &mut Vec<Event>,
     ) -> Option<LeaveNotice> {
         for (key, quota) in &mut self.quotas {
@@ -305,8 +305,8 @@
         self.last_request_id += 1;
         let request = QuotaRequest {
             request_id: self.last_request_id,
-            seen: self.term,
-            electorate,
+            newest_known_term: self.term,
+            shared_settings_hash,
             leaving: true,
             budgets: Vec::new(),
         };
--- a/crates/fleet/src/node/quota_server.rs
+++ b/crates/fleet/src/node/quota_server.rs
@@ -28,14 +28,14 @@
         }
         let mut grants = Vec::new();
         // A router that does not know this term yet only gets to know it: its report may be arbitrarily old.
-        if request.seen == term {
+        if request.newest_known_term == term {
             let requests = request.budgets.iter();
             // The reply omits budgets whose request is refused; the router requests them again.
             let granted = requests
                 .filter_map(|budget| ledger.request(now, config, from, request.request_id, budget).ok());
             grants.extend(granted);
         }
-        Some(QuotaReply { request_id: request.request_id, to: from.incarnation, term, grants })
+        Some(QuotaReply { request_id: request.request_id, to_incarnation: from.incarnation, term, grants })
     }
 
     fn ledger_for(&mut self, now: f64, term: Ballot) -> &mut QuotaLedger {
--- a/crates/fleet/src/node/spending.rs
+++ b/crates/fleet/src/node/spending.rs
@@ -65,7 +65,7 @@
     }
 
     /// Changes totals after the settings were reloaded. The other settings cannot change: see
-    /// [`FleetConfig::electorate`](crate::settings::FleetConfig::electorate).
+    /// [`FleetConfig::shared_settings_hash`](crate::settings::FleetConfig::shared_settings_hash).
     pub fn set_totals(&mut self, now: f64, totals: &[BudgetTotal]) {
         for BudgetTotal { id, total } in totals.iter().copied() {
             for budget in self.config.budgets.iter_mut().filter(|budget| budget.id == id) {
--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -285,8 +285,8 @@
         let budget = config.budget(id).ok_or(RequestError::UnknownBudget(id))?;
         self.sweep(now, config);
         self.open_account(request.key, holder)?;
-        let hold = budget.kind.hold();
-        let leases = Pools { demand: config.lease, floor: config.floor_lease };
+        let hold = budget.kind.hold_seconds();
+        let leases = Pools { demand: config.lease_seconds, floor: config.floor_lease_seconds };
         let settled = leases.map(|lease| now >= self.settled_at(lease, hold));
         let accounts = self.accounts.entry(request.key).or_default();
         let account = accounts.entry(holder.clone()).or_default();
@@ -316,7 +316,7 @@
     /// Records that a holder has left.
     pub fn holder_left(&mut self, now: f64, holder: &Process, request_id: u64, config: &FleetConfig) {
         for (key, accounts) in &mut self.accounts {
-            let hold = config.budget(key.budget).map_or(0.0, |budget| budget.kind.hold());
+            let hold = config.budget(key.budget).map_or(0.0, |budget| budget.kind.hold_seconds());
             if let Some(account) = accounts.get_mut(holder) {
                 account.record_leave(now, request_id, hold);
             }
@@ -326,14 +326,14 @@
     /// Removes accounts that have no outstanding units and whose holder has stopped sending requests; runs at most once
     /// in a lease.
     fn sweep(&mut self, now: f64, config: &FleetConfig) {
-        if now < self.last_sweep_at + config.lease {
+        if now < self.last_sweep_at + config.lease_seconds {
             return;
         }
         self.last_sweep_at = now;
         for accounts in self.accounts.values_mut() {
             accounts.retain(|_, account| {
                 account.outstanding(now).sum() > 0
-                    || now < account.last_request_at + IDLE_ACCOUNT_RETENTION_LEASES * config.lease
+                    || now < account.last_request_at + IDLE_ACCOUNT_RETENTION_LEASES * config.lease_seconds
             });
         }
         self.accounts.retain(|_, accounts| !accounts.is_empty());
@@ -419,6 +419,6 @@
 
     /// Whether the account's holder has sent a request within the last lease.
     fn is_active(&self, account: &Account) -> bool {
-        self.now < account.last_request_at + self.config.lease
+        self.now < account.last_request_at + self.config.lease_seconds
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -8,26 +8,26 @@
 
 /// How the units of a budget are spent. Units are integers, so that shares add up to the total exactly.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// A token bucket. A unit is one token of bucket depth that is refilled every `every` seconds: `n` units allow at
-    /// most `n x (1 + t / every)` operations in any `t` seconds.
+pub enum LimitKind {
+    /// A token bucket. A unit is one token of bucket depth that is refilled every `refill_seconds`: `n` units allow at
+    /// most `n x (1 + t / refill_seconds)` operations in any `t` seconds.
     Rate {
         /// Seconds until a spent token is refilled.
-        every: f64,
+        refill_seconds: f64,
     },
     /// A limit on operations in flight. A unit is one operation.
     Concurrency {
         /// Seconds within which an operation ends, even if its router crashes.
-        hold: f64,
+        hold_seconds: f64,
     },
 }
 
-impl Kind {
+impl LimitKind {
     /// Returns the seconds by which an operation may outlast the lease under which it began; 0 for a rate.
-    pub fn hold(self) -> f64 {
+    pub fn hold_seconds(self) -> f64 {
         match self {
-            Kind::Rate { .. } => 0.0,
-            Kind::Concurrency { hold } => hold,
+            LimitKind::Rate { .. } => 0.0,
+            LimitKind::Concurrency { hold_seconds } => hold_seconds,
         }
     }
 }
@@ -59,7 +59,7 @@
     /// The budget's name, the same at all members.
     pub name: String,
     /// How the units are spent.
-    pub kind: Kind,
+    pub kind: LimitKind,
     /// Units that all routers together may hold.
     pub total: u64,
     /// Units reserved for each router, granted with a longer lease than the others.
@@ -68,7 +68,7 @@
 
 impl Budget {
     /// Creates a budget whose id is derived from its name.
-    pub fn named(name: &str, kind: Kind, total: u64, floor: u64) -> Budget {
+    pub fn new(name: &str, kind: LimitKind, total: u64, floor: u64) -> Budget {
         Budget { id: label(name), name: name.to_string(), kind, total, floor }
     }
 }
@@ -87,16 +87,16 @@
     /// Names of the members that elect the leader from among themselves, in the same order at all members.
     pub voters: Vec<String>,
     /// Seconds for which a member stays leader after it was last elected.
-    pub leader_lease: f64,
+    pub leader_lease_seconds: f64,
     /// Seconds for which granted units of the demand pool may be spent, counted from the request for them.
-    pub lease: f64,
+    pub lease_seconds: f64,
     /// Seconds for which granted floors may be spent, counted from the request for them.
-    pub floor_lease: f64,
+    pub floor_lease_seconds: f64,
     /// The largest rate error of any member's clock, as a fraction.
-    pub drift: f64,
-    /// The largest number of routers at any time, including those that crashed within the last `floor_lease` seconds.
+    pub max_clock_drift: f64,
+    /// The largest number of routers at any time, including those that crashed within the last `floor_lease_seconds`.
     /// Each budget's floor is reserved this many times.
-    pub members_at_most: u64,
+    pub max_members: u64,
     /// The fleet-wide budgets.
     pub budgets: Vec<Budget>,
 }
@@ -105,22 +105,23 @@
     /// Returns the seconds for which the holder of a lease may use it, where its grantor counts `lease` seconds. It is
     /// shorter by about twice the drift, so that the lease expires at the holder first, whichever clock is slow.
     pub fn holder_lease(&self, lease: f64) -> f64 {
-        lease * (1.0 - self.drift) / (1.0 + self.drift)
+        lease * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
     }
 
     /// Returns a hash of all settings that must be the same at all members: the voters, the leases, the drift, the member
     /// limit, and the names, kinds and floors of the budgets. Totals are excluded because they may be changed while the
     /// fleet runs.
-    pub fn electorate(&self) -> u64 {
+    pub fn shared_settings_hash(&self) -> u64 {
         let budgets: Vec<_> =
             self.budgets.iter().map(|budget| (&budget.name, HashedKind(budget.kind), budget.floor)).collect();
-        let leases = (self.leader_lease, self.lease, self.floor_lease, self.drift);
-        label(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.members_at_most))
+        let leases =
+            (self.leader_lease_seconds, self.lease_seconds, self.floor_lease_seconds, self.max_clock_drift);
+        label(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.max_members))
     }
 
     /// Returns the units of a budget that are reserved for floors.
     pub fn reserved_for_floors(&self, budget: &Budget) -> u64 {
-        budget.floor * self.members_at_most
+        budget.floor * self.max_members
     }
 
     /// Returns this member's index among the voters, if it is a voter.
@@ -140,15 +141,15 @@
     }
 }
 
-/// Formats a [`Kind`] for the text that [`FleetConfig::electorate`] hashes. Members of all releases must hash the same
-/// text, so it stays the same even if the type's names change.
-struct HashedKind(Kind);
+/// Formats a [`LimitKind`] for the text that [`FleetConfig::shared_settings_hash`] hashes. Members of all releases must
+/// hash the same text, so it stays the same even if the type's names change.
+struct HashedKind(LimitKind);
 
 impl fmt::Debug for HashedKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Kind::Rate { every } => write!(formatter, "Rate {{ every: {every:?} }}"),
-            Kind::Concurrency { hold } => write!(formatter, "InHand {{ hold: {hold:?} }}"),
+            LimitKind::Rate { refill_seconds: every } => write!(formatter, "Rate {{ every: {every:?} }}"),
+            LimitKind::Concurrency { hold_seconds: hold } => write!(formatter, "InHand {{ hold: {hold:?} }}"),
         }
     }
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -147,7 +147,7 @@
     simulation.run(13.0, |_| {});
     assert!(simulation.sum(0) >= 88, "{}", simulation.sum(0));
     [3, 5].into_iter().for_each(|dead| simulation.kill(dead));
-    let lease = simulation.nodes[0].config.lease;
+    let lease = simulation.nodes[0].config.lease_seconds;
     simulation.run(13.0 + lease + 1.0, |_| {});
     assert!(simulation.sum(0) >= 88, "{}", simulation.sum(0));
     assert!(simulation.violations.is_empty());
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use ottersill_fleet::election::{Candidate, CandidateCall, VoterReply};
+use ottersill_fleet::election::{Candidate, CandidateRequest, VoterReply};
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
@@ -43,7 +43,7 @@
     let until = simulation.time + 0.2;
     simulation.run(until, |_| {});
     simulation.start_as(node, incarnation);
-    let lease = simulation.nodes[0].config.lease;
+    let lease = simulation.nodes[0].config.lease_seconds;
     simulation.run(until + lease + 1.0, |_| {});
     let refused: u64 =
         simulation.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters().outdated).sum();
@@ -238,10 +238,10 @@
 #[test]
 fn a_candidate_that_goes_on_as_another_process_is_not_leader() {
     let mut candidate = Candidate::start(0.0, 0, 1_000, 3, 1.0, 0.0);
-    let Some(CandidateCall::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
+    let Some(CandidateRequest::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
     let promise = VoterReply::Promised { held: false };
     assert_eq!(candidate.handle_reply(0.0, 0, ballot, promise), None);
-    assert_eq!(candidate.handle_reply(0.0, 1, ballot, promise), Some(CandidateCall::Accept(ballot)));
+    assert_eq!(candidate.handle_reply(0.0, 1, ballot, promise), Some(CandidateRequest::Accept(ballot)));
     for voter in 0..2 {
         assert_eq!(candidate.handle_reply(0.0, voter, ballot, VoterReply::Granted), None);
     }
@@ -252,7 +252,7 @@
     assert_eq!((late, candidate.term(0.1)), (None, None), "a late reply to the earlier process");
     let again = candidate.tick(1.0, false);
     assert!(
-        matches!(again, Some(CandidateCall::Prepare(next)) if next > ballot && next.incarnation == 2_000)
+        matches!(again, Some(CandidateRequest::Prepare(next)) if next > ballot && next.incarnation == 2_000)
     );
 }
 
--- a/crates/fleet/tests/model_election.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -7,7 +7,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use ottersill_fleet::election::{Ballot, Candidate, CandidateCall, Voter, VoterReply};
+use ottersill_fleet::election::{Ballot, Candidate, CandidateRequest, Voter, VoterReply};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const LEASE: f64 = 2.0;
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Message {
-    Call(CandidateCall),
+    Call(CandidateRequest),
     Reply(Ballot, VoterReply),
 }
 
@@ -59,11 +59,11 @@
 impl InTransit {
     fn key(&self) -> (usize, usize, u8, Ballot) {
         let (kind, ballot) = match self.message {
-            Message::Call(CandidateCall::Prepare(ballot)) => (0, ballot),
-            Message::Call(CandidateCall::Accept(ballot)) => (1, ballot),
+            Message::Call(CandidateRequest::Prepare(ballot)) => (0, ballot),
+            Message::Call(CandidateRequest::Accept(ballot)) => (1, ballot),
             Message::Reply(ballot, VoterReply::Granted) => (2, ballot),
             Message::Reply(ballot, VoterReply::Promised { held }) => (3 + u8::from(held), ballot),
-            Message::Reply(ballot, VoterReply::Outbid(_)) => (5, ballot),
+            Message::Reply(ballot, VoterReply::Preempted(_)) => (5, ballot),
         };
         (self.from, self.to, kind, ballot)
     }
@@ -102,11 +102,16 @@
 }
 
 impl State {
-    fn deliver_call(&mut self, now: f64, voter: usize, call: CandidateCall) -> (Ballot, Option<VoterReply>) {
+    fn deliver_call(
+        &mut self,
+        now: f64,
+        voter: usize,
+        call: CandidateRequest,
+    ) -> (Ballot, Option<VoterReply>) {
         let voter = &mut self.voters[voter];
         match call {
-            CandidateCall::Prepare(ballot) => (ballot, voter.handle_prepare(now, ballot)),
-            CandidateCall::Accept(ballot) => (ballot, voter.handle_accept(now, ballot)),
+            CandidateRequest::Prepare(ballot) => (ballot, voter.handle_prepare(now, ballot)),
+            CandidateRequest::Accept(ballot) => (ballot, voter.handle_accept(now, ballot)),
         }
     }
 
@@ -116,7 +121,7 @@
     }
 
     /// What a candidate sends to itself arrives at once, as in the program.
-    fn send_call(&mut self, now: f64, from: usize, call: Option<CandidateCall>) {
+    fn send_call(&mut self, now: f64, from: usize, call: Option<CandidateRequest>) {
         let Some(call) = call else { return };
         let others = (0..self.voters.len()).filter(|to| *to != from);
         self.in_transit.extend(others.map(|to| InTransit { from, to, message: Message::Call(call) }));
@@ -158,7 +163,7 @@
         actions.extend((0..state.in_transit.len()).map(Action::Deliver));
         // Twice only where it can matter: what moves a voter.
         let moves =
-            |in_transit: &InTransit| matches!(in_transit.message, Message::Call(CandidateCall::Accept(_)));
+            |in_transit: &InTransit| matches!(in_transit.message, Message::Call(CandidateRequest::Accept(_)));
         if state.repeats_left > 0 {
             actions.extend(
                 (0..state.in_transit.len())
--- a/crates/fleet/tests/model_quota.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -11,7 +11,7 @@
 use ottersill_fleet::election::Ballot;
 use ottersill_fleet::local_quota::{LocalQuota, SentRequest};
 use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, Grant, Pools, QuotaLedger};
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Process};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -98,7 +98,7 @@
 
 struct Division {
     mutant: Mutant,
-    kind: Kind,
+    kind: LimitKind,
     size: Size,
 }
 
@@ -107,12 +107,12 @@
         FleetConfig {
             name: "k".to_string(),
             voters: vec!["k".to_string()],
-            leader_lease: self.size.term as f64,
-            lease,
-            floor_lease: lease,
-            drift: 0.0,
-            members_at_most: 2,
-            budgets: vec![Budget::named("units", self.kind, TOTAL, 0)],
+            leader_lease_seconds: self.size.term as f64,
+            lease_seconds: lease,
+            floor_lease_seconds: lease,
+            max_clock_drift: 0.0,
+            max_members: 2,
+            budgets: vec![Budget::new("units", self.kind, TOTAL, 0)],
         }
     }
 
@@ -267,7 +267,7 @@
 }
 
 fn check(mutant: Mutant, size: Size) -> (bool, usize, usize) {
-    let model = Division { mutant, kind: Kind::Concurrency { hold: 0.0 }, size };
+    let model = Division { mutant, kind: LimitKind::Concurrency { hold_seconds: 0.0 }, size };
     let options = model.checker().finish_when(HasDiscoveries::AnyFailures).threads(2);
     let checker = options.spawn_bfs().join();
     let broken = checker.discovery("the sum is within the total").is_some();
--- a/crates/fleet/tests/quota_ledger.rs
+++ b/crates/fleet/tests/quota_ledger.rs
@@ -2,12 +2,12 @@
 
 use ottersill_fleet::election::Ballot;
 use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, HeldQuota, Pools, QuotaLedger, RequestError};
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Process};
 
 /// Guards against: a late request of a holder that has left, which reports fewer units in use than are.
 #[test]
 fn a_request_that_comes_after_its_holder_left_frees_nothing() {
-    let budget = Budget::named("units", Kind::Concurrency { hold: 1.0 }, 10, 0);
+    let budget = Budget::new("units", LimitKind::Concurrency { hold_seconds: 1.0 }, 10, 0);
     let entry = |in_use: u64, held: HeldQuota| BudgetRequest {
         key: BudgetKey { budget: budget.id, subject: 0 },
         total: 10,
@@ -18,11 +18,11 @@
     let config = FleetConfig {
         name: "k".to_string(),
         voters: vec!["k".to_string()],
-        leader_lease: 1.0,
-        lease: 2.0,
-        floor_lease: 2.0,
-        drift: 0.01,
-        members_at_most: 2,
+        leader_lease_seconds: 1.0,
+        lease_seconds: 2.0,
+        floor_lease_seconds: 2.0,
+        max_clock_drift: 0.01,
+        max_members: 2,
         budgets: vec![budget.clone()],
     };
     let [one, other] = ["one", "other"].map(|name| Process { name: name.to_string(), incarnation: 1 });
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -7,7 +7,7 @@
 
 use ottersill_fleet::node::{FleetNode, MemberIdentity};
 use ottersill_fleet::quota_ledger::{BudgetKey, Pools};
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Peer};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Peer};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -20,18 +20,18 @@
 const RATE_INDEX: usize = 0;
 const CONCURRENCY_INDEX: usize = 1;
 
-pub fn config(name: &str, voters: usize, total: u64, floor: u64, members_at_most: u64) -> FleetConfig {
+pub fn config(name: &str, voters: usize, total: u64, floor: u64, max_members: u64) -> FleetConfig {
     FleetConfig {
         name: name.to_string(),
         voters: (0..voters).map(|voter| format!("r{voter}")).collect(),
-        leader_lease: 0.8,
-        lease: 2.0,
-        floor_lease: 6.0,
-        drift: 0.02,
-        members_at_most,
+        leader_lease_seconds: 0.8,
+        lease_seconds: 2.0,
+        floor_lease_seconds: 6.0,
+        max_clock_drift: 0.02,
+        max_members,
         budgets: vec![
-            Budget::named(RATE, Kind::Rate { every: EVERY }, total, floor),
-            Budget::named(CONCURRENCY, Kind::Concurrency { hold: HOLD }, total, floor),
+            Budget::new(RATE, LimitKind::Rate { refill_seconds: EVERY }, total, floor),
+            Budget::new(CONCURRENCY, LimitKind::Concurrency { hold_seconds: HOLD }, total, floor),
         ],
     }
 }
@@ -138,7 +138,7 @@
         let members = 2 * nodes as u64;
         let nodes = (0..nodes).map(|index| {
             let config = config(&format!("r{index}"), voters, total, floor, members);
-            let rate = rng.random_range(1.0 - config.drift..1.0 + config.drift);
+            let rate = rng.random_range(1.0 - config.max_clock_drift..1.0 + config.max_clock_drift);
             let offset = rng.random_range(0.0..100.0);
             let appetite = rng.random_range(0.0..total as f64);
             Node {
@@ -425,7 +425,7 @@
 
     /// The most that was spent of the rate over what any window allows; at most 1 if the budget was kept.
     pub fn spent_at_most(&self) -> f64 {
-        let drift = self.nodes[0].config.drift;
+        let drift = self.nodes[0].config.max_clock_drift;
         let mut most: f64 = 0.0;
         for (first, from) in self.spent.iter().enumerate().step_by(7) {
             for (last, to) in self.spent.iter().enumerate().skip(first).step_by(5) {
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -5,7 +5,7 @@
 use ottersill_fleet::election::{Ballot, VoterReply};
 use ottersill_fleet::envelope::{Message, NotLeader, QuotaReply, QuotaRequest};
 use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, Grant, HeldQuota, Pools};
-use ottersill_fleet::settings::{Budget, FleetConfig, Kind, Process, label};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Process, label};
 use rstest::rstest;
 
 const SECRET: &[u8] = b"a secret of sixteen bytes or more";
@@ -34,18 +34,24 @@
 }
 
 fn request(leaving: bool, budgets: Vec<BudgetRequest>) -> Message {
-    let electorate = 0x0123_4567_89ab_cdef;
-    Message::QuotaRequest(QuotaRequest { request_id: 77, seen: ballot(), electorate, leaving, budgets })
+    let shared_settings_hash = 0x0123_4567_89ab_cdef;
+    Message::QuotaRequest(QuotaRequest {
+        request_id: 77,
+        newest_known_term: ballot(),
+        shared_settings_hash,
+        leaving,
+        budgets,
+    })
 }
 
 fn reply() -> Message {
     let (to, term, grants) = (INCARNATION, ballot(), vec![grant()]);
-    Message::QuotaReply(QuotaReply { request_id: 77, to, term, grants })
+    Message::QuotaReply(QuotaReply { request_id: 77, to_incarnation: to, term, grants })
 }
 
 fn not_leader(leader: Option<&str>) -> Message {
     let leader = leader.map(str::to_string);
-    Message::NotLeader(NotLeader { request_id: 77, to: INCARNATION, leader })
+    Message::NotLeader(NotLeader { request_id: 77, to_incarnation: INCARNATION, leader })
 }
 
 fn voter_reply(reply: VoterReply) -> Message {
@@ -59,11 +65,11 @@
 /// Guards against: a change of names or of the order of fields that changes what goes over the wire.
 #[rstest]
 #[case::membership(Message::Membership(vec![1, 2, 3, 255]), "01926728c6f73909a8a59b66b061172495027231c0c4d9bddb9e9103027230010004010203ff")]
-#[case::prepare(Message::Prepare { ballot: ballot(), electorate: 9 }, "01bca5685aba6a14b036047b99bd9e8bd3027231c0c4d9bddb9e91030272300101ac0202c0c4d9bddb9e910309")]
-#[case::accept(Message::Accept { ballot: ballot(), electorate: 9 }, "010646d109c329394770b5e11a222e2525027231c0c4d9bddb9e91030272300102ac0202c0c4d9bddb9e910309")]
+#[case::prepare(Message::Prepare { ballot: ballot(), shared_settings_hash: 9 }, "01bca5685aba6a14b036047b99bd9e8bd3027231c0c4d9bddb9e91030272300101ac0202c0c4d9bddb9e910309")]
+#[case::accept(Message::Accept { ballot: ballot(), shared_settings_hash: 9 }, "010646d109c329394770b5e11a222e2525027231c0c4d9bddb9e91030272300102ac0202c0c4d9bddb9e910309")]
 #[case::promised(voter_reply(VoterReply::Promised { held: true }), "015703ba5465c9c43c07c542245a09e5e9027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e91030001")]
 #[case::outbid(
-    voter_reply(VoterReply::Outbid(ballot())),
+    voter_reply(VoterReply::Preempted(ballot())),
     "013e88c630c2f6955c07d483a8f9be4e15027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910301ac0202c0c4d9bddb9e9103"
 )]
 #[case::granted(
@@ -100,15 +106,15 @@
     let config = FleetConfig {
         name: "r1".to_string(),
         voters: ["r0", "r1", "r2"].map(String::from).to_vec(),
-        leader_lease: 0.8,
-        lease: 2.0,
-        floor_lease: 6.0,
-        drift: 0.02,
-        members_at_most: 10,
+        leader_lease_seconds: 0.8,
+        lease_seconds: 2.0,
+        floor_lease_seconds: 6.0,
+        max_clock_drift: 0.02,
+        max_members: 10,
         budgets: vec![
-            Budget::named("probes", Kind::Rate { every: 1.0 }, 400, 1),
-            Budget::named("executions", Kind::Concurrency { hold: 0.5 }, 40, 2),
+            Budget::new("probes", LimitKind::Rate { refill_seconds: 1.0 }, 400, 1),
+            Budget::new("executions", LimitKind::Concurrency { hold_seconds: 0.5 }, 40, 2),
         ],
     };
-    assert_eq!(format!("{:016x}", config.electorate()), "0354645b93dd3041");
+    assert_eq!(format!("{:016x}", config.shared_settings_hash()), "0354645b93dd3041");
 }
