--- a/crates/ottersill/src/backend/connection.rs
+++ b/crates/ottersill/src/backend/connection.rs
@@ -44,13 +44,13 @@
 
     /// Returns the outcome of an attempt whose connection fails in this state. The statement may have run only in
     /// [`Sent`](Self::Sent).
-    pub fn broken(self) -> AttemptOutcome {
+    pub fn outcome_if_broken(self) -> AttemptOutcome {
         if self == ConnectionState::Sent { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
 
     /// Returns the outcome of an attempt for which the router stops waiting in this state; `if_sent` is the outcome once the
     /// statement may have run.
-    pub fn given_up(self, if_sent: AttemptOutcome) -> AttemptOutcome {
+    pub fn outcome_if_abandoned(self, if_sent: AttemptOutcome) -> AttemptOutcome {
         if self == ConnectionState::Sent { if_sent } else { AttemptOutcome::NeverSent }
     }
 }
--- a/crates/ottersill/src/backend/mod.rs
+++ b/crates/ottersill/src/backend/mod.rs
@@ -38,7 +38,7 @@
     /// All available bytes were read.
     Drained,
     /// More bytes are available, and no further readiness event will announce them.
-    MoreLeft,
+    MoreToRead,
     /// The connection failed, or the endpoint closed it.
     Broken,
     /// The connection could not be established.
--- a/crates/ottersill/src/backend/pool.rs
+++ b/crates/ottersill/src/backend/pool.rs
@@ -32,7 +32,7 @@
         let connection = &mut self.table[id];
         context.counters.check_invariant(
             connection.state.may_become(next),
-            "a backend connection changes its state as allowed",
+            "a backend connection changes its state only as ConnectionState::may_become allows",
         );
         connection.state = next;
         context.timers.clear(connection.timer.take());
@@ -80,7 +80,7 @@
         let (socket, token) =
             opened.map_err(|failure| self.on_connect_failed(endpoint, &failure, endpoints, context))?;
         let now = context.now();
-        endpoints.connect_begun(endpoint, now);
+        endpoints.record_connect_started(endpoint, now);
         context.counters.backend_connections_opened += 1;
         let connected_by = now + self.timeouts.connect;
         let timer = context.timers.set(deadline.min(connected_by), Timer::Backend(id));
@@ -112,7 +112,8 @@
     ) -> AttemptOutcome {
         context.counters.backend_connections_failed += 1;
         log_connection_failure(endpoint, ConnectionState::Dialing, &failure.to_string(), endpoints, context);
-        let counts = endpoints.connect_failed(endpoint, context.now(), self.timeouts.connect, failure);
+        let counts =
+            endpoints.record_connect_failure(endpoint, context.now(), self.timeouts.connect, failure);
         if counts { AttemptOutcome::ConnectFailed } else { AttemptOutcome::NeverSent }
     }
 
@@ -204,10 +205,10 @@
     context: &Context,
 ) {
     let endpoint = &mut endpoints[endpoint];
-    endpoint.broken += 1;
-    if context.now() - endpoint.logged_at >= LOG_INTERVAL_SECONDS {
+    endpoint.failures_since_log += 1;
+    if context.now() - endpoint.last_logged_at >= LOG_INTERVAL_SECONDS {
         info!(context.log, "backend connection failed"; "endpoint" => endpoint.name.as_str(), "state" => format!("{state:?}"),
-            "reason" => reason, "failures" => endpoint.broken);
-        (endpoint.logged_at, endpoint.broken) = (context.now(), 0);
+            "reason" => reason, "failures" => endpoint.failures_since_log);
+        (endpoint.last_logged_at, endpoint.failures_since_log) = (context.now(), 0);
     }
 }
--- a/crates/ottersill/src/backend/sending.rs
+++ b/crates/ottersill/src/backend/sending.rs
@@ -83,7 +83,7 @@
         if_sent: AttemptOutcome,
         context: &mut Context,
     ) -> FinishedAssignment {
-        let outcome = self.table[id].state.given_up(if_sent);
+        let outcome = self.table[id].state.outcome_if_abandoned(if_sent);
         let finished = self.take_assignment(id, outcome);
         self.close(id, context);
         finished
--- a/crates/ottersill/src/backend/session.rs
+++ b/crates/ottersill/src/backend/session.rs
@@ -33,7 +33,7 @@
         let read = socket::read(&connection.socket, &mut connection.inbox, frame::MAX_MESSAGE_BYTES);
         Some(match read {
             Ok(ReadOutcome::Drained) if wrote => TransferEnd::Drained,
-            Ok(ReadOutcome::MoreLeft) if wrote => TransferEnd::MoreLeft,
+            Ok(ReadOutcome::MoreToRead) if wrote => TransferEnd::MoreToRead,
             _ => TransferEnd::Broken,
         })
     }
@@ -93,7 +93,7 @@
     ) -> Option<FinishedAssignment> {
         match end {
             TransferEnd::Drained => None,
-            TransferEnd::MoreLeft => {
+            TransferEnd::MoreToRead => {
                 context.wake(Source::Backend(id));
                 None
             }
@@ -168,7 +168,7 @@
         let outcome = match state {
             ConnectionState::Greeting => reply.connection_refusal().unwrap_or(AttemptOutcome::ConnectFailed),
             ConnectionState::Sent if reply.is_completed() => AttemptOutcome::Completed,
-            state => state.broken(),
+            state => state.outcome_if_broken(),
         };
         let finished = self.take_assignment(id, outcome);
         self.close(id, context);
--- a/crates/ottersill/src/client/accept.rs
+++ b/crates/ottersill/src/client/accept.rs
@@ -6,7 +6,7 @@
 use slog::warn;
 
 use crate::client::connection::{ClientConnection, INCOMPLETE_INPUT_TIMEOUT_SECONDS, UnwatchedClient};
-use crate::client::{Accepted, Clients};
+use crate::client::{AcceptOutcome, Clients};
 use crate::protocol::socket;
 use crate::protocol::socket_failure::AcceptFailure;
 use crate::reactor::{Context, Source};
@@ -60,18 +60,18 @@
     /// Accepts the next client. A client for which there is no room (`is_admitted` is false) is accepted as well, and is
     /// rejected only after its statement has been read: closing a socket with unread input resets the connection, and the
     /// reset would discard the rejection.
-    pub fn accept_next(&mut self, is_admitted: bool, context: &mut Context) -> Accepted {
+    pub fn accept_next(&mut self, is_admitted: bool, context: &mut Context) -> AcceptOutcome {
         if !self.has_descriptor(context) {
             // Waiting clients stay in the accept backlog, which keeps what they have sent, until another client disconnects.
             return self.accept_later(context);
         }
         match self.listener.next_client(context.now()) {
             Ok(Some(next)) => self.add(next, is_admitted, context),
-            Ok(None) => Accepted::NoneWaiting,
+            Ok(None) => AcceptOutcome::BacklogEmpty,
             Err(error) => {
                 context.counters.accepts_failed += 1;
                 if AcceptFailure::of(&error) == AcceptFailure::TakeNext && self.listener.may_accept_next() {
-                    return Accepted::Lost;
+                    return AcceptOutcome::ConnectionFailed;
                 }
                 warn!(context.log, "accept failed"; "error" => %error);
                 self.accept_later(context)
@@ -81,14 +81,14 @@
 
     /// Schedules a retry of accepting. An immediate retry would busy-loop, and the edge-triggered event loop does not report
     /// clients again that already wait in the accept backlog.
-    fn accept_later(&mut self, context: &mut Context) -> Accepted {
+    fn accept_later(&mut self, context: &mut Context) -> AcceptOutcome {
         self.listener.retry_at(context.now() + ACCEPT_RETRY_DELAY_SECONDS, context);
-        Accepted::Delayed
+        AcceptOutcome::Delayed
     }
 
     /// Adds a client to the table. If the event loop cannot register its socket for now, the connection is kept unread and
     /// registration is retried; after its deadline the connection is closed.
-    fn add(&mut self, next: UnwatchedClient, is_admitted: bool, context: &mut Context) -> Accepted {
+    fn add(&mut self, next: UnwatchedClient, is_admitted: bool, context: &mut Context) -> AcceptOutcome {
         let id = self.table.next_id();
         let deadline = next.accepted_at + INCOMPLETE_INPUT_TIMEOUT_SECONDS;
         match context.register_shared(&next.socket, Source::Client(id)) {
@@ -100,14 +100,14 @@
             Err(_) => {
                 context.counters.client_connections += 1;
                 context.counters.client_connections_unwatched += 1;
-                Accepted::Closed
+                AcceptOutcome::Closed
             }
             Ok(token) => {
                 context.counters.client_connections += 1;
                 context.counters.client_connections_rejected += u64::from(!is_admitted);
                 let timer = context.timers.set(deadline, Timer::Client(id));
                 self.table.insert(ClientConnection::new(next, token, timer, is_admitted));
-                Accepted::Client(id)
+                AcceptOutcome::Client(id)
             }
         }
     }
--- a/crates/ottersill/src/client/close.rs
+++ b/crates/ottersill/src/client/close.rs
@@ -61,7 +61,7 @@
         self.remove(id, context);
         let ConnectionPhase::Busy(request_id) = phase else { return None };
         context.counters.statements_abandoned += 1;
-        Some(ClientEvent::Left { request_id })
+        Some(ClientEvent::Disconnected { request_id })
     }
 
     /// Removes a connection from the table and closes its socket. If accepting is being retried, it is retried at once, as a
--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -52,7 +52,7 @@
     }
 
     /// Number of descriptors in use by clients, out of those shared by client and backend connections.
-    pub fn descriptors_taken(&self) -> usize {
+    pub fn descriptors_in_use(&self) -> usize {
         self.table.len().min(self.limits.clients)
     }
 
--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -32,7 +32,7 @@
         arrived_at: f64,
     },
     /// The client disconnected while a request of it was in flight; its connection is closed.
-    Left {
+    Disconnected {
         /// Number of the request.
         request_id: usize,
     },
@@ -40,15 +40,15 @@
 
 /// Result of accepting the next client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepted {
+pub enum AcceptOutcome {
     /// A client was accepted under this number, and is to be read at once.
     Client(usize),
     /// The client was closed because its socket could not be registered with the event loop before its deadline.
     Closed,
     /// A single connection failed; the next one may be accepted.
-    Lost,
+    ConnectionFailed,
     /// The accept backlog is empty.
-    NoneWaiting,
+    BacklogEmpty,
     /// Accepting is retried after a delay; no client is accepted before.
     Delayed,
 }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -63,8 +63,10 @@
         match read {
             Ok(ReadOutcome::Drained) => client.may_have_unread = false,
             // The end of the connection is detected at once, without waiting until the input ahead of it has been read.
-            Ok(ReadOutcome::MoreLeft) if socket::has_ended(&client.socket) => return self.close(id, context),
-            Ok(ReadOutcome::MoreLeft) => {
+            Ok(ReadOutcome::MoreToRead) if socket::has_ended(&client.socket) => {
+                return self.close(id, context);
+            }
+            Ok(ReadOutcome::MoreToRead) => {
                 client.may_have_unread = true;
                 // The end of the connection may yet arrive, held back by unread input, so reading continues. When memory is
                 // short, that has to wait.
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -166,7 +166,7 @@
         }
         match outcome {
             ReadOutcome::Ended => Err(CallError::Ended),
-            ReadOutcome::MoreLeft => {
+            ReadOutcome::MoreToRead => {
                 context.wake(Source::Discovery);
                 Ok(None)
             }
--- a/crates/ottersill/src/discovery/change.rs
+++ b/crates/ottersill/src/discovery/change.rs
@@ -25,7 +25,7 @@
     }
     for endpoint in readdressed {
         let endpoint = &endpoints[*endpoint];
-        let address = endpoint.dial.map(|address| address.to_string()).unwrap_or_default();
+        let address = endpoint.address.map(|address| address.to_string()).unwrap_or_default();
         info!(log, "endpoint readdressed"; "endpoint" => endpoint.name.as_str(), "address" => address);
     }
 }
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -77,7 +77,7 @@
 
     /// Changes the address of discovery. The last endpoint list stays in use until the complete list has been read from the new
     /// address, whose versions need not continue the old ones.
-    pub fn move_to(&mut self, address: SocketAddr, context: &mut Context) {
+    pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if address == self.address {
             return;
         }
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -19,13 +19,13 @@
     /// Hash of the name, by which the members of a fleet refer to the endpoint.
     pub label: u64,
     /// Address to connect to; absent until a list has provided one.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// State according to the last list that named the endpoint.
     pub listed: EndpointUpdate,
     /// Number of connections that broke since the last log line about broken connections.
-    pub broken: u64,
+    pub failures_since_log: u64,
     /// When that line was logged, in Unix seconds.
-    pub logged_at: f64,
+    pub last_logged_at: f64,
     local_failures: LocalFailures,
     last_mention: ListMention,
 }
@@ -47,10 +47,10 @@
         Endpoint {
             name: name.to_string(),
             label,
-            dial: None,
+            address: None,
             listed,
-            broken: 0,
-            logged_at: 0.0,
+            failures_since_log: 0,
+            last_logged_at: 0.0,
             local_failures: LocalFailures::default(),
             last_mention: ListMention::default(),
         }
@@ -87,7 +87,7 @@
     /// Number of lists applied so far.
     applied_lists: u64,
     /// Number of endpoints examined while applying lists.
-    looked_at: u64,
+    examined_endpoints: u64,
     /// When a connection to any endpoint was last started without a failure, in Unix seconds.
     connect_started_at: f64,
 }
@@ -115,8 +115,8 @@
 
     /// Number of endpoints examined while applying lists so far. It depends on how many endpoints the lists name, not on
     /// the size of the fleet, except that each complete list also examines all endpoints once.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at
+    pub fn examined_endpoints(&self) -> u64 {
+        self.examined_endpoints
     }
 
     /// Returns the index of the replica set with this number, if a list has named it.
@@ -130,14 +130,14 @@
     }
 
     /// Records that a connection to the endpoint was started at `now`, in Unix seconds.
-    pub fn connect_begun(&mut self, endpoint: usize, now: f64) {
+    pub fn record_connect_started(&mut self, endpoint: usize, now: f64) {
         self.connect_started_at = now;
         self.endpoints[endpoint].local_failures = LocalFailures::default();
     }
 
     /// Records that a connection could not be started; returns whether the failure counts against the endpoint. A failure of
     /// this machine counts only if it persists for `at_least` seconds, and for this endpoint alone.
-    pub fn connect_failed(
+    pub fn record_connect_failure(
         &mut self,
         endpoint: usize,
         now: f64,
@@ -147,7 +147,7 @@
         match failure {
             ConnectFailure::Remote(_) => true,
             ConnectFailure::Local(_) => {
-                self.endpoints[endpoint].local_failures.note(now, at_least, self.connect_started_at)
+                self.endpoints[endpoint].local_failures.record(now, at_least, self.connect_started_at)
             }
         }
     }
@@ -184,7 +184,7 @@
             }
             mention.entry = position;
         }
-        self.looked_at += named.len() as u64;
+        self.examined_endpoints += named.len() as u64;
         named
     }
 
@@ -234,7 +234,7 @@
 
     /// Marks the endpoints that the last list did not name as removed.
     fn mark_missing_as_removed(&mut self, change: &mut RegistryChange) {
-        self.looked_at += self.endpoints.len() as u64;
+        self.examined_endpoints += self.endpoints.len() as u64;
         for (_, endpoint) in &mut self.endpoints {
             let is_missing = endpoint.last_mention.list != self.applied_lists;
             if is_missing && endpoint.listed.state != EndpointState::Removed {
@@ -260,11 +260,11 @@
     fn update_address(&mut self, index: usize, entry: &EndpointEntry) -> bool {
         let endpoint = &mut self.endpoints[index];
         let address: Option<SocketAddr> = entry.address.parse().ok();
-        if address.is_none() || address == endpoint.dial {
+        if address.is_none() || address == endpoint.address {
             return false;
         }
-        let had_address = endpoint.dial.is_some();
-        endpoint.dial = address;
+        let had_address = endpoint.address.is_some();
+        endpoint.address = address;
         endpoint.local_failures = LocalFailures::default();
         had_address
     }
--- a/crates/ottersill/src/event_loop/attempts.rs
+++ b/crates/ottersill/src/event_loop/attempts.rs
@@ -33,7 +33,7 @@
         self.context.counters.attempts += 1;
         match self.assign_to_endpoint(endpoint, Assignment::Request(request_id), deadline) {
             Ok(connection) => {
-                let next = RequestPhase::Executing(connection);
+                let next = RequestPhase::AttemptInFlight(connection);
                 self.requests.transition(request_id, next, &mut self.context.counters);
             }
             Err(outcome) => {
@@ -74,7 +74,7 @@
             self.send_assignment(id);
             return Ok(id);
         }
-        let address = self.endpoints[endpoint].dial.ok_or(AttemptOutcome::ConnectFailed)?;
+        let address = self.endpoints[endpoint].address.ok_or(AttemptOutcome::ConnectFailed)?;
         self.check_may_connect(assignment)?;
         let task = (assignment, deadline);
         self.backends.open(endpoint, address, task, &mut self.endpoints, &mut self.context)
@@ -88,7 +88,7 @@
             Assignment::HealthCheck => 0,
             Assignment::Request(_) => self.endpoints.len().min(self.limits.total / 4),
         };
-        let taken = self.clients.descriptors_taken() + self.backends.len();
+        let taken = self.clients.descriptors_in_use() + self.backends.len();
         let has_room = taken + reserved < self.limits.total
             || self.clients.close_one_lingering(&mut self.context)
             || self.backends.close_longest_idle(&mut self.context);
@@ -244,7 +244,7 @@
     /// Cancels the attempt of a request, so that the request can be retried.
     pub(super) fn cancel_attempt(&mut self, request_id: usize) {
         let phase = self.requests.get(request_id).map(|request| request.phase);
-        if let Some(RequestPhase::Executing(connection)) = phase {
+        if let Some(RequestPhase::AttemptInFlight(connection)) = phase {
             let finished = self.backends.cancel(connection, &mut self.context);
             self.finish_assignment(finished);
         }
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -7,7 +7,7 @@
 use ottersill_routing::facade::RoutingEvent;
 
 use crate::client::answers::rejection;
-use crate::client::{Accepted, ClientEvent, MAX_ACCEPTS_PER_WAKE};
+use crate::client::{AcceptOutcome, ClientEvent, MAX_ACCEPTS_PER_WAKE};
 use crate::event_loop::EventLoop;
 use crate::in_flight::{InFlightRequest, RequestPhase};
 use crate::protocol::frame;
@@ -41,13 +41,13 @@
         for _ in 0..limit {
             let is_admitted = self.make_room_for_client();
             match self.clients.accept_next(is_admitted, &mut self.context) {
-                Accepted::Client(id) => {
+                AcceptOutcome::Client(id) => {
                     self.on_client_ready(id);
                     self.close_surplus_established();
                 }
-                Accepted::Closed => self.close_surplus_established(),
-                Accepted::Lost => {}
-                Accepted::NoneWaiting | Accepted::Delayed => return false,
+                AcceptOutcome::Closed => self.close_surplus_established(),
+                AcceptOutcome::ConnectionFailed => {}
+                AcceptOutcome::BacklogEmpty | AcceptOutcome::Delayed => return false,
             }
         }
         true
@@ -124,7 +124,7 @@
                     self.on_statement(id, &text, arrived_at);
                     self.clients.next_event(id, &mut self.context)
                 }
-                ClientEvent::Left { request_id } => return self.abandon_request(request_id),
+                ClientEvent::Disconnected { request_id } => return self.abandon_request(request_id),
             };
         }
     }
@@ -182,7 +182,7 @@
     fn abandon_request(&mut self, request_id: usize) {
         let Some(request) = self.requests.get(request_id) else { return };
         let next = match request.phase {
-            RequestPhase::Executing(backend) => RequestPhase::Abandoned(backend),
+            RequestPhase::AttemptInFlight(backend) => RequestPhase::Abandoned(backend),
             _ => RequestPhase::Vacant,
         };
         self.requests.transition(request_id, next, &mut self.context.counters);
--- a/crates/ottersill/src/event_loop/discovery.rs
+++ b/crates/ottersill/src/event_loop/discovery.rs
@@ -18,7 +18,7 @@
 
     /// Changes the address of the discovery service.
     pub fn move_discovery(&mut self, address: SocketAddr) {
-        self.discovery.move_to(address, &mut self.context);
+        self.discovery.set_address(address, &mut self.context);
         self.on_discovery_events();
     }
 
--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -15,7 +15,7 @@
     /// The routing module has deferred the request, or is about to decide about it.
     Waiting,
     /// An attempt is in flight on the backend connection with that number.
-    Executing(usize),
+    AttemptInFlight(usize),
     /// The client has disconnected; an attempt is still in flight on the backend connection with that number.
     Abandoned(usize),
 }
@@ -26,9 +26,9 @@
     pub fn may_become(self, next: RequestPhase) -> bool {
         use RequestPhase::*;
         match (self, next) {
-            (Vacant, Waiting) | (Waiting, Vacant | Executing(_)) => true,
-            (Executing(_), Waiting | Vacant) | (Abandoned(_), Vacant) => true,
-            (Executing(connection), Abandoned(same)) => connection == same,
+            (Vacant, Waiting) | (Waiting, Vacant | AttemptInFlight(_)) => true,
+            (AttemptInFlight(_), Waiting | Vacant) | (Abandoned(_), Vacant) => true,
+            (AttemptInFlight(connection), Abandoned(same)) => connection == same,
             _ => false,
         }
     }
@@ -80,7 +80,10 @@
     /// Changes a request's phase; the only place that does so.
     pub fn transition(&mut self, index: usize, next: RequestPhase, counters: &mut Counters) {
         let request = &mut self.by_id[index];
-        counters.check_invariant(request.phase.may_become(next), "a request changes its phase as allowed");
+        counters.check_invariant(
+            request.phase.may_become(next),
+            "a request changes its phase only as RequestPhase::may_become allows",
+        );
         match (request.phase, next) {
             (RequestPhase::Vacant, _) => {
                 self.in_flight += 1;
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -23,7 +23,7 @@
     /// All available bytes were read.
     Drained,
     /// More bytes may be available: the buffer is full, or the limit of reads in a row is reached.
-    MoreLeft,
+    MoreToRead,
     /// The peer has closed its side of the connection.
     Ended,
 }
@@ -34,7 +34,7 @@
     for _ in 0..MAX_READS_PER_WAKE {
         let from = inbox.len();
         if from >= max_bytes {
-            return Ok(ReadOutcome::MoreLeft);
+            return Ok(ReadOutcome::MoreToRead);
         }
         inbox.resize(from + READ_CHUNK_BYTES, 0);
         let read = socket.read(&mut inbox[from..]);
@@ -47,7 +47,7 @@
             Err(e) => return Err(e),
         }
     }
-    Ok(ReadOutcome::MoreLeft)
+    Ok(ReadOutcome::MoreToRead)
 }
 
 /// Returns whether the peer has closed the connection, even if bytes that it sent before are still unread. Reads nothing.
--- a/crates/ottersill/src/protocol/socket_failure.rs
+++ b/crates/ottersill/src/protocol/socket_failure.rs
@@ -114,7 +114,7 @@
 impl LocalFailures {
     /// Records another failure. Returns whether the failures now count against the endpoint: there are enough, they have lasted
     /// for `at_least` seconds, and a connection to another endpoint was started in the meantime, the last one at `others_at`.
-    pub fn note(&mut self, now: f64, at_least: f64, others_at: f64) -> bool {
+    pub fn record(&mut self, now: f64, at_least: f64, others_at: f64) -> bool {
         if self.count == 0 {
             self.since = now;
         }
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -78,7 +78,7 @@
     /// The replication position that a read of a session has to see, in Unix seconds.
     pub after: Option<f64>,
     /// Whether the client flags the statement as a retry.
-    pub repeat: bool,
+    pub is_flagged_retry: bool,
     /// A number that represents the session to which it belongs.
     pub session: Option<u64>,
 }
@@ -93,7 +93,7 @@
     /// The position of the digits of `d` in the text.
     time_left_digits: Range<usize>,
     after: Option<f64>,
-    repeat: bool,
+    is_flagged_retry: bool,
 }
 
 impl<'a> CommentFields<'a> {
@@ -125,7 +125,7 @@
                 self.time_left_digits = value_at..value_at + value.len();
             }
             "after" => self.after = parse_position(value),
-            "r" => self.repeat = value == "1",
+            "r" => self.is_flagged_retry = value == "1",
             _ => {}
         }
     }
@@ -162,7 +162,7 @@
             cluster: fields.cluster.ok_or(StatementTextError::NoCluster)?,
             time_left: fields.time_left.ok_or(StatementTextError::NoTimeLeft)?,
             after: fields.after,
-            repeat: fields.repeat,
+            is_flagged_retry: fields.is_flagged_retry,
             session: scan.literal.as_ref().and_then(|at| session_number(&text[at.clone()])),
         };
         Ok((StatementText { text: query.clone(), time_left_digits: fields.time_left_digits }, parsed))
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -90,7 +90,7 @@
             session: self.comment.session,
             time_left: (deadline - now).max(0.0),
             seconds_since_write,
-            is_flagged_retry: self.comment.repeat,
+            is_flagged_retry: self.comment.is_flagged_retry,
             may_write: self.info.kind != StatementKind::Read,
             work: self.info.estimate.map(|e| WorkEstimate {
                 fingerprint_seconds: e.work,
--- a/crates/ottersill/tests/codec.rs
+++ b/crates/ottersill/tests/codec.rs
@@ -109,7 +109,10 @@
     let whole = Bytes::from(READ);
     let (_, said) = StatementText::parse(&whole, &scan(KEY, &whole)).expect("a statement");
     assert_eq!((said.workload, said.cluster, said.time_left), ("basket", 2, 0.48));
-    assert_eq!((said.after, said.repeat, said.session), (Some(1_767_225_600.123), false, Some(0x1f)));
+    assert_eq!(
+        (said.after, said.is_flagged_retry, said.session),
+        (Some(1_767_225_600.123), false, Some(0x1f))
+    );
 }
 
 #[rstest]
@@ -290,14 +293,23 @@
     #[case] broken: AttemptOutcome,
     #[case] late: AttemptOutcome,
 ) {
-    assert_eq!((course.broken(), course.given_up(AttemptOutcome::TimedOut)), (broken, late));
+    assert_eq!(
+        (course.outcome_if_broken(), course.outcome_if_abandoned(AttemptOutcome::TimedOut)),
+        (broken, late)
+    );
     assert_eq!(broken.had_no_effect(), late.had_no_effect());
 }
 
 #[test]
 fn no_state_is_left_but_by_its_ways() {
-    assert!(!RequestPhase::Vacant.may_become(RequestPhase::Executing(1)), "an execution without a statement");
-    assert!(!RequestPhase::Executing(1).may_become(RequestPhase::Executing(2)), "two executions at once");
+    assert!(
+        !RequestPhase::Vacant.may_become(RequestPhase::AttemptInFlight(1)),
+        "an execution without a statement"
+    );
+    assert!(
+        !RequestPhase::AttemptInFlight(1).may_become(RequestPhase::AttemptInFlight(2)),
+        "two executions at once"
+    );
     assert!(!RequestPhase::Abandoned(1).may_become(RequestPhase::Waiting), "a further execution for nobody");
     assert!(!ConnectionState::Sent.may_become(ConnectionState::Sending), "two loads at once");
     assert!(!ConnectionState::Closed.may_become(ConnectionState::Idle));
--- a/crates/ottersill/tests/endpoint_registry.rs
+++ b/crates/ottersill/tests/endpoint_registry.rs
@@ -35,9 +35,9 @@
 
 /// Endpoints that a list has the registry look at, and what it hands on.
 fn cost(registry: &mut EndpointRegistry, list: &EndpointList) -> (u64, RegistryChange) {
-    let before = registry.looked_at();
+    let before = registry.examined_endpoints();
     let change = registry.apply(list);
-    (registry.looked_at() - before, change)
+    (registry.examined_endpoints() - before, change)
 }
 
 /// Guards against a walk over the fleet with each change of the list.
@@ -45,10 +45,10 @@
 fn a_delta_costs_its_own_entries(#[values(200, LARGE)] size: usize) {
     let mut registry = registry_of(size);
     let delta = list(false, vec![entry(7, Health::Leaving)]);
-    let (looked_at, change) = cost(&mut registry, &delta);
-    assert_eq!((looked_at, change.updates.len()), (1, 1));
-    let (looked_at, change) = cost(&mut registry, &delta);
-    assert!(looked_at == 1 && change.is_empty(), "the same again hands on nothing");
+    let (examined_endpoints, change) = cost(&mut registry, &delta);
+    assert_eq!((examined_endpoints, change.updates.len()), (1, 1));
+    let (examined_endpoints, change) = cost(&mut registry, &delta);
+    assert!(examined_endpoints == 1 && change.is_empty(), "the same again hands on nothing");
 }
 
 /// Guards against all endpoints told again with each complete list, and those that are gone for ever after.
@@ -56,8 +56,8 @@
 fn the_same_complete_list_hands_on_nothing() {
     let mut registry = registry_of(LARGE);
     assert!(registry.apply(&complete(0..LARGE)).is_empty());
-    let (looked_at, change) = cost(&mut registry, &complete(1..LARGE));
-    assert!(looked_at <= 2 * LARGE as u64, "{looked_at}");
+    let (examined_endpoints, change) = cost(&mut registry, &complete(1..LARGE));
+    assert!(examined_endpoints <= 2 * LARGE as u64, "{examined_endpoints}");
     let told: Vec<_> = change.updates.iter().map(|update| (update.endpoint, update.state)).collect();
     assert_eq!(told, [(0, EndpointState::Removed)]);
     assert!(registry.apply(&complete(1..LARGE)).is_empty(), "it was told to be gone once");
@@ -77,8 +77,8 @@
         (&[(5, EndpointState::Draining)][..], &[5][..])
     );
     assert!(registry.apply(&twice).is_empty());
-    let (looked_at, _) = cost(&mut registry, &list(false, vec![entry(5, Health::Active); LARGE]));
-    assert_eq!(looked_at, 1, "one endpoint, however often it is named");
+    let (examined_endpoints, _) = cost(&mut registry, &list(false, vec![entry(5, Health::Active); LARGE]));
+    assert_eq!(examined_endpoints, 1, "one endpoint, however often it is named");
 }
 
 /// The same for a name that is new: it gets one index, and is told once.
@@ -100,9 +100,9 @@
 #[test]
 fn a_list_that_changes_all_hands_on_each_once() {
     let mut registry = registry_of(LARGE);
-    let (looked_at, change) = cost(&mut registry, &complete(LARGE..2 * LARGE));
+    let (examined_endpoints, change) = cost(&mut registry, &complete(LARGE..2 * LARGE));
     assert_eq!(change.updates.len(), 2 * LARGE);
-    assert!(looked_at <= 3 * LARGE as u64, "{looked_at}");
+    assert!(examined_endpoints <= 3 * LARGE as u64, "{examined_endpoints}");
 }
 
 /// Removes whatever is gone, as the event loop does with what the routing module needs no more.
