--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -1,4 +1,4 @@
-//! What operators are told about the fleet, in JSON objects.
+//! The answers of the control listener: the state of the fleet as JSON objects.
 
 use ottersill_fleet::local_quota::LocalQuota;
 use ottersill_fleet::membership::Member;
@@ -10,24 +10,24 @@
 use crate::fleet_link::names::BudgetNames;
 use crate::fleet_link::{FleetLink, MembershipState};
 
-/// The state that answers are made of.
+/// The state from which control answers are built.
 pub struct FleetReport<'a> {
-    /// Unix seconds, read from the clock for this answer.
+    /// The time in Unix seconds, read from the clock for this answer.
     pub now: f64,
-    /// The link to the fleet; none if this router is in no fleet.
+    /// The link to the fleet; none if this router is not in a fleet.
     pub link: Option<&'a FleetLink>,
-    /// Names the endpoints that budgets are for.
+    /// Gives the names of the endpoints that budgets apply to.
     pub endpoints: &'a EndpointRegistry,
 }
 
 impl FleetReport<'_> {
-    /// The answer to a question: JSON objects, a line each. An unknown question is answered by one with the field
-    /// `fault`.
+    /// Returns the answer to a question: JSON objects, one per line. The answer to an unknown question is a single object with
+    /// the field `fault`.
     pub fn answer(&self, question: &str) -> String {
         let objects = match question {
             "members" => self.members(),
             "budgets" => self.budgets(),
-            // The second word of each is its name before.
+            // `books` and `counts` are earlier names of these questions.
             "ledger" | "books" => self.ledger(),
             "counters" | "counts" => self.counters(),
             other => vec![fault(&format!("expected members, budgets, ledger or counters, found {other:?}"))],
@@ -35,7 +35,7 @@
         objects.into_iter().map(|object| object.to_string() + "\n").collect()
     }
 
-    /// The member and the names of its budgets, once it has joined.
+    /// This member and the names of its budgets, if it has joined the fleet.
     fn joined(&self) -> Option<(&FleetNode, BudgetNames<'_>)> {
         let link = self.link?;
         match link.state() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Who is a member, and since when.
+    /// The known members, and since when each is present or absent.
     fn members(&self) -> Vec<Value> {
         let fleet = match self.link.map(FleetLink::state) {
             Some(MembershipState::Joined { fleet, .. }) => fleet,
@@ -63,7 +63,7 @@
         fleet.members().map(object).collect()
     }
 
-    /// What this router may spend, and until when.
+    /// This router's quota of each budget, and when it expires.
     fn budgets(&self) -> Vec<Value> {
         let Some((fleet, names)) = self.joined() else { return Vec::new() };
         let object = |(key, quota): (&BudgetKey, &LocalQuota)| {
@@ -76,7 +76,7 @@
         fleet.quotas().map(object).collect()
     }
 
-    /// Who holds what of each budget, which the leader alone knows.
+    /// The holders of each budget and their quota. Only the leader knows them.
     fn ledger(&self) -> Vec<Value> {
         let Some((fleet, names)) = self.joined() else { return Vec::new() };
         if !fleet.is_leader(self.now) {
@@ -92,7 +92,7 @@
         fleet.ledger_lines(self.now).into_iter().map(object).collect()
     }
 
-    /// Datagrams, elections, refusals.
+    /// Counts of datagrams, elections and refused acquisitions.
     fn counters(&self) -> Vec<Value> {
         let (Some(link), Some((fleet, _))) = (self.link, self.joined()) else { return Vec::new() };
         let counts = fleet.counters();
@@ -100,12 +100,13 @@
             json!({"received": counts.received, "received_bytes": counts.received_bytes, "sent": counts.sent,
             "sent_bytes": counts.sent_bytes, "unauthenticated": counts.unauthenticated, "misaddressed": counts.misaddressed, "outdated": counts.outdated,
             "unanswered": counts.unanswered, "stale": counts.stale, "incompatible": counts.incompatible,
-            "own_name": counts.own_name, "elections": counts.elections, "refused": link.refused(),
-            "unwritten": link.unwritten()}),
+            "own_name": counts.own_name, "elections": counts.elections, "refused": link.refused_acquisitions(),
+            "unwritten": link.unwritten_audit_lines()}),
         ]
     }
 }
 
+/// An object that tells why a question can't be answered.
 fn fault(text: &str) -> Value {
     json!({"fault": text})
 }
--- a/crates/ottersill/src/control/mod.rs
+++ b/crates/ottersill/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control listener, where operators ask a running router about its fleet (`ottersill fleet`). It changes nothing.
+//! The control listener, through which operators query the state of the fleet at a running router (`ottersill fleet`). It is
+//! read-only.
 
 pub mod fleet_report;
 pub mod server;
--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -1,4 +1,5 @@
-//! The control listener: a line with a question in, JSON objects out, a line each. On loopback only.
+//! The control listener. A client sends one line with a question, and receives JSON objects, one per line. It listens on
+//! loopback addresses only.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,42 +17,43 @@
 use crate::reactor::{Context, Source};
 use crate::timers::{Timer, TimerHandle};
 
-/// Connections at a time; the next waits in the accept backlog.
+/// Concurrent connections. Further ones wait in the listen backlog.
 const MAX_CLIENTS: usize = 4;
-/// Failures of accept in a row after which it is called again only after [`RETRY_DELAY`].
-const MAX_FAILURES: usize = 32;
-/// Seconds between two calls of accept where it fails.
-const RETRY_DELAY: f64 = 0.25;
-/// A connection is closed after so many seconds, whatever is left to read or write.
-const CLIENT_LIFETIME: f64 = 2.0;
-/// The longest question, in bytes.
+/// Failed calls of accept in a row that are retried at once; after these it is called again after
+/// [`ACCEPT_RETRY_DELAY_SECONDS`].
+const MAX_ACCEPT_FAILURES: usize = 32;
+/// Delay before accept is called again after it has failed.
+const ACCEPT_RETRY_DELAY_SECONDS: f64 = 0.25;
+/// Lifetime of a connection. It is closed then, even if the question or the answer is incomplete.
+const CLIENT_LIFETIME_SECONDS: f64 = 2.0;
+/// Maximum length of a question, in bytes.
 const MAX_QUESTION_BYTES: usize = 256;
 
-/// The connection of an operator.
+/// The connection of an operator's client.
 struct ControlClient {
     socket: Rc<Socket>,
     token: RegistrationToken,
     inbox: BytesMut,
     outbox: Outbox,
-    was_answered: bool,
+    is_answered: bool,
     timer: TimerHandle,
 }
 
-/// The listener, if the fleet's configuration names one, and its connections.
+/// The control listener, if the fleet file gives an address for it, and its connections.
 #[derive(Default)]
 pub struct ControlServer {
     listener: Option<Rc<Socket>>,
-    /// Each is closed with its answer, or after its lifetime.
+    /// Open connections. Each is closed once its answer is sent, or at the end of its lifetime.
     clients: Slab<ControlClient>,
-    /// When accepting is tried again after a failure.
+    /// The timer for the next call of accept after a failure.
     retry: Option<TimerHandle>,
 }
 
 impl ControlServer {
-    /// Listens at `address`.
+    /// Starts to listen at `address`.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub fn open(&mut self, address: SocketAddr, context: &mut Context) -> io::Result<()> {
         let socket = socket::listen(address, MAX_CLIENTS)?;
         let (listener, _) = context.register(socket, Source::Control)?;
@@ -59,7 +61,7 @@
         Ok(())
     }
 
-    /// The listener became ready: accepts as many as there is room for.
+    /// Handles readiness of the listener: accepts connections, [`MAX_CLIENTS`] at a time.
     pub fn on_ready(&mut self, report: &FleetReport, context: &mut Context) {
         let Some(listener) = self.listener.clone() else { return };
         let mut failures = 0;
@@ -68,16 +70,17 @@
                 Ok(Some(socket)) => socket,
                 Ok(None) => return,
                 Err(error)
-                    if AcceptFailure::of(&error) == AcceptFailure::TakeNext && failures < MAX_FAILURES =>
+                    if AcceptFailure::of(&error) == AcceptFailure::TakeNext
+                        && failures < MAX_ACCEPT_FAILURES =>
                 {
                     failures += 1;
                     continue;
                 }
-                Err(error) => return self.retry_later(&error, context),
+                Err(error) => return self.schedule_accept_retry(&error, context),
             };
             let id = self.clients.vacant_key();
             let Ok((socket, token)) = context.register(socket, Source::ControlClient(id)) else {
-                // The socket is closed by this; the operator can ask again.
+                // The failed registration has closed the socket. The operator can connect again.
                 continue;
             };
             self.clients.insert(ControlClient {
@@ -85,34 +88,34 @@
                 token,
                 inbox: BytesMut::new(),
                 outbox: Outbox::default(),
-                was_answered: false,
-                timer: context.timers.set(context.now() + CLIENT_LIFETIME, Timer::ControlClient(id)),
+                is_answered: false,
+                timer: context.timers.set(context.now() + CLIENT_LIFETIME_SECONDS, Timer::ControlClient(id)),
             });
             self.on_client_ready(id, report, context);
         }
     }
 
-    /// Has accepting tried again: no readiness tells anew of connections that wait already.
-    fn retry_later(&mut self, error: &io::Error, context: &mut Context) {
+    /// Schedules the next call of accept, as the edge-triggered listener reports no readiness for connections that already wait.
+    fn schedule_accept_retry(&mut self, error: &io::Error, context: &mut Context) {
         warn!(context.log, "accept failed on the control listener"; "error" => %error);
-        let retry = context.timers.set(context.now() + RETRY_DELAY, Timer::Control);
+        let retry = context.timers.set(context.now() + ACCEPT_RETRY_DELAY_SECONDS, Timer::Control);
         let previous = self.retry.replace(retry);
         context.timers.clear(previous.filter(|previous| *previous != retry));
     }
 
-    /// A connection became ready: reads the question, and writes what `report` answers.
+    /// Handles readiness of a connection: reads the question, and writes the answer that `report` gives.
     pub fn on_client_ready(&mut self, id: usize, report: &FleetReport, context: &mut Context) {
         let Some(client) = self.clients.get_mut(id) else { return };
         let outcome = socket::read(&client.socket, &mut client.inbox, MAX_QUESTION_BYTES);
-        if let Some(question) = client.take_line() {
+        if let Some(question) = client.take_question() {
             client.outbox.push(Bytes::from(report.answer(&question)));
-            client.was_answered = true;
+            client.is_answered = true;
         }
         let keep = match client.outbox.flush(&client.socket) {
-            // More than the socket takes: the rest once there is room, or the lifetime is over.
+            // The socket's send buffer is full. The remainder is written once the socket is writable again.
             Ok(false) => true,
-            // One question a connection: its end says that the answer is complete.
-            Ok(true) => !client.was_answered && matches!(outcome, Ok(ReadOutcome::Drained)),
+            // There is one question per connection; closing the connection marks the end of the answer.
+            Ok(true) => !client.is_answered && matches!(outcome, Ok(ReadOutcome::Drained)),
             Err(_) => false,
         };
         if !keep {
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Closes a connection, which was answered or whose lifetime is over; the next may be accepted.
+    /// Closes a connection that is answered or has reached its lifetime, so that the next one can be accepted.
     pub fn close_client(&mut self, id: usize, context: &mut Context) {
         let Some(client) = self.clients.try_remove(id) else { return };
         context.timers.clear(Some(client.timer));
@@ -130,8 +133,8 @@
 }
 
 impl ControlClient {
-    /// The question, once its line is there whole.
-    fn take_line(&mut self) -> Option<String> {
+    /// Returns the question once its line is complete.
+    fn take_question(&mut self) -> Option<String> {
         let end = self.inbox.iter().position(|byte| *byte == b'\n')?;
         let line = self.inbox.split_to(end + 1);
         Some(String::from_utf8_lossy(&line).trim().to_string())
--- a/crates/ottersill/src/fleet_link/audit_file.rs
+++ b/crates/ottersill/src/fleet_link/audit_file.rs
@@ -1,5 +1,5 @@
-//! The fleet's audit file: a line for each right and each unit spent, appended as it happens. A disk that takes nothing for a
-//! while costs lines, never a decision.
+//! Appends lines to the fleet's audit file, one for each grant and for each unit acquired or released. A write that fails, for
+//! instance on a full disk, loses audit lines but does not affect any quota decision.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
@@ -7,34 +7,34 @@
 /// The audit file, open for appending.
 pub struct AuditFile {
     file: File,
-    /// The file ends within a line, as a write failed or the process that wrote it was killed. That line is ended before the
-    /// next one begins.
+    /// Whether the file ends in an incomplete line, because a write failed or the process that wrote it was killed. The next
+    /// write ends that line first.
     ends_within_line: bool,
 }
 
 impl AuditFile {
-    /// Opens the file, and creates it if it is not there.
+    /// Opens the file for appending, and creates it if it does not exist.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// If the file can't be opened or created.
     pub fn open(path: &str) -> io::Result<AuditFile> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        // Where it can't be read an empty line comes first, which counts as a torn one.
+        // If the file can't be read, an empty line is written first, which readers treat as an incomplete line.
         let ends_within_line = last_byte(path).map_or(true, |last| last.is_some_and(|last| last != b'\n'));
         Ok(AuditFile { file, ends_within_line })
     }
 
-    /// Appends a line, given without its end. On an error a part of it may have been written.
+    /// Appends a line, which is passed without its line feed. On an error, part of the line may have been written.
     pub fn write_line(&mut self, line: &str) -> io::Result<()> {
         let before = if self.ends_within_line { "\n" } else { "" };
         let text = format!("{before}{line}\n");
-        let mut rest = text.as_bytes();
-        while !rest.is_empty() {
-            match self.file.write(rest) {
+        let mut remaining = text.as_bytes();
+        while !remaining.is_empty() {
+            match self.file.write(remaining) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => {
-                    self.ends_within_line = rest[count - 1] != b'\n';
-                    rest = &rest[count..];
+                    self.ends_within_line = remaining[count - 1] != b'\n';
+                    remaining = &remaining[count..];
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -44,7 +44,7 @@
     }
 }
 
-/// None for an empty file, and for what is no regular file, as a pipe.
+/// Returns the last byte of a regular file; none if the file is empty or not a regular file (such as a pipe).
 fn last_byte(path: &str) -> io::Result<Option<u8>> {
     if !std::fs::metadata(path)?.is_file() {
         return Ok(None);
--- a/crates/ottersill/src/fleet_link/datagrams.rs
+++ b/crates/ottersill/src/fleet_link/datagrams.rs
@@ -1,4 +1,5 @@
-//! The other members of the fleet: joining them, datagrams out and in, and log lines about them.
+//! Communication with the other members of the fleet: binding the member's address, sending and receiving datagrams, and
+//! logging membership and quota events.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io::{self, ErrorKind};
@@ -19,13 +20,13 @@
 use crate::protocol::socket;
 use crate::reactor::{Context, Source};
 
-/// Datagrams read in one iteration, so that a flood of them holds up no statement.
-const MAX_DATAGRAMS_PER_WAKE: usize = 64;
-/// Between two tries to have the member's address; seconds.
-const BIND_RETRY_DELAY: f64 = 0.5;
+/// Datagrams read in one iteration of the event loop, so that a flood of them does not delay statements.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+/// Delay before binding the member's address is tried again.
+const BIND_RETRY_DELAY_SECONDS: f64 = 0.5;
 
 impl FleetLink {
-    /// Joins the fleet if the address is free; it is tried again if not.
+    /// Joins the fleet if the member's address can be bound; otherwise binding it is tried again later.
     pub fn start(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         self.join(context);
         self.flush(endpoints, context);
@@ -40,14 +41,15 @@
                 self.state = MembershipState::Joined { fleet, socket, token };
                 info!(context.log, "joined the fleet"; "listen" => %listen);
             }
-            Err(fault) => self.on_address_taken(&fault, context),
+            Err(fault) => self.on_bind_failed(&fault, context),
         }
     }
 
-    /// The address is ours from here on: who has it is the member of that name.
+    /// Starts the member's side of the fleet protocol. To be called once the address is bound: the process that has bound the
+    /// address of a name is the member of that name.
     fn new_member(&self, now: f64) -> FleetNode {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).ok();
-        // The system's randomness: the wall clock may say twice the same.
+        // Randomness of the system, as the wall clock may give the same time at two starts.
         let random = RandomState::new().build_hasher().finish();
         let voters = &self.file.fleet.voters;
         let identity = MemberIdentity {
@@ -60,29 +62,29 @@
         FleetNode::start(now, self.file.fleet.clone(), identity)
     }
 
-    fn on_address_taken(&mut self, fault: &io::Error, context: &Context) {
+    fn on_bind_failed(&mut self, fault: &io::Error, context: &Context) {
         if matches!(self.state, MembershipState::AddressTaken { retry_at } if retry_at == 0.0) {
-            warn!(context.log, "not in the fleet: its address is not available"; "listen" => %self.file.listen,
+            warn!(context.log, "fleet not joined: the member's address is not available"; "listen" => %self.file.listen,
                 "fault" => %fault);
         }
-        self.state = MembershipState::AddressTaken { retry_at: context.now() + BIND_RETRY_DELAY };
+        self.state = MembershipState::AddressTaken { retry_at: context.now() + BIND_RETRY_DELAY_SECONDS };
     }
 
-    /// The socket for datagrams became ready.
+    /// Handles readiness of the datagram socket: reads datagrams, and sends the replies.
     pub fn on_ready(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         let MembershipState::Joined { fleet, socket, .. } = &mut self.state else { return };
         let outcome = read_datagrams(fleet, socket, context);
         if let Err(fault) = &outcome {
             warn!(context.log, "fleet datagrams failed"; "error" => %fault);
-            self.read_again = true;
+            self.retry_read = true;
         }
         self.flush(endpoints, context);
-        if matches!(outcome, Ok(DatagramsLeft::Maybe)) {
+        if matches!(outcome, Ok(UnreadDatagrams::Maybe)) {
             context.wake(Source::Fleet);
         }
     }
 
-    /// The fleet has something to do, or its address is tried again.
+    /// Runs the fleet protocol's timers, or tries again to bind the member's address.
     pub fn on_timer(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         let now = context.clock.read();
         match &mut self.state {
@@ -90,13 +92,13 @@
             MembershipState::Joined { fleet, .. } => fleet.tick(now),
             MembershipState::AddressTaken { .. } | MembershipState::Left => {}
         }
-        if std::mem::take(&mut self.read_again) {
+        if std::mem::take(&mut self.retry_read) {
             context.wake(Source::Fleet);
         }
         self.flush(endpoints, context);
     }
 
-    /// Sends what is to be sent, says what changed, and sets the timer anew.
+    /// Sends the queued datagrams, resets the timer and logs the events.
     pub fn flush(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         let now = context.clock.read();
         let events = self.send_datagrams(now);
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Sends the datagrams that wait; gives the events that came with them, their rights written down first.
+    /// Sends the queued datagrams and returns the pending events. Grants among these are recorded in the audit file first.
     fn send_datagrams(&mut self, now: f64) -> Vec<Event> {
         let Some(fleet) = self.fleet() else { return Vec::new() };
         let (datagrams, events) = (fleet.take_datagrams(), fleet.take_events());
@@ -123,16 +125,16 @@
         }
         for datagram in datagrams {
             if let Some(at) = self.address(&datagram.to).or(datagram.advertised_address) {
-                // One that is lost is asked for again.
+                // A failed send is treated like a lost datagram, which the protocol recovers from.
                 let _ = socket.send_to(&datagram.bytes, &SockAddr::from(at));
             }
         }
         events
     }
 
-    /// Where the member of that name is reached.
-    fn address(&self, to: &str) -> Option<SocketAddr> {
-        self.file.peers.iter().find(|peer| peer.name == to).map(|peer| peer.address)
+    /// The address that the fleet file gives for the member of that name.
+    fn address(&self, name: &str) -> Option<SocketAddr> {
+        self.file.peers.iter().find(|peer| peer.name == name).map(|peer| peer.address)
     }
 
     fn log_event(&self, event: Event, endpoints: &EndpointRegistry, context: &Context) {
@@ -153,21 +155,21 @@
                 warn!(log, "member rejected, its fleet file differs"; "member" => process.name);
             }
             Event::SmallerTotal { key, own, used } => {
-                warn!(log, "smaller total of another member's file in force";
+                warn!(log, "budget total reduced to the smaller one in another member's fleet file";
                     "budget" => names.budget(key.budget), "own" => own, "used" => used);
             }
             Event::IncarnationRaised { from, to } => {
-                info!(log, "incarnation raised, a larger one of this name was known"; "from" => from, "to" => to);
+                info!(log, "incarnation raised: another member knew a larger one for this name"; "from" => from, "to" => to);
             }
             Event::Superseded { by } => {
-                warn!(log, "not in the fleet: a later process of this name is known"; "incarnation" => by);
+                warn!(log, "superseded in the fleet by a later process of the same name"; "incarnation" => by);
             }
-            // Each is in the audit; in the log they would bury all else.
+            // Grants are recorded in the audit file. They are too frequent for the log.
             Event::QuotaGranted { .. } => {}
         }
     }
 
-    /// Gives back all quota, and says so to the others.
+    /// Releases all quota and notifies the other members.
     pub fn leave(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
         let now = context.clock.read();
         if let Some(fleet) = self.fleet() {
@@ -176,9 +178,9 @@
         self.flush(endpoints, context);
     }
 
-    /// Reads the fleet's file again; what is wrong with it is logged, and all goes on as it was then.
+    /// Reads the fleet file again. If it is invalid, an error is logged and the previous file stays in force.
     pub fn reload(&mut self, endpoints: &EndpointRegistry, context: &mut Context) {
-        match self.take_over_totals(context.clock.read()) {
+        match self.apply_totals(context.clock.read()) {
             Ok(changed) => {
                 info!(context.log, "fleet file reloaded"; "changed" => changed.join(", "));
             }
@@ -190,11 +192,11 @@
         self.flush(endpoints, context);
     }
 
-    /// Takes over the totals of budgets from the fleet's file; gives which have changed.
+    /// Applies the budget totals of the fleet file, and returns a description of each that has changed.
     ///
     /// # Errors
-    /// If the file is wrong, or something has changed in it that needs a restart; nothing is taken over then.
-    fn take_over_totals(&mut self, now: f64) -> Result<Vec<String>, FleetLinkError> {
+    /// If the file is invalid, or has a change that needs a restart. Nothing is applied then.
+    fn apply_totals(&mut self, now: f64) -> Result<Vec<String>, FleetLinkError> {
         let new = files::read(&self.path, &self.name, self.longest_statement_timeout)?;
         if let Some(field) = self.file.restart_required(&new) {
             return Err(FleetLinkError::RestartRequired {
@@ -204,7 +206,7 @@
         }
         let (old, new) = (&self.file.fleet.budgets, new.fleet.budgets);
         let changed = old.iter().zip(&new).filter(|(old, new)| old.total != new.total);
-        let told =
+        let changes =
             changed.map(|(old, new)| format!("{}: {} to {}", old.name, old.total, new.total)).collect();
         let total = |budget: &Budget| BudgetTotal { id: budget.id, total: budget.total };
         let totals: Vec<BudgetTotal> = new.iter().map(total).collect();
@@ -212,38 +214,38 @@
         if let Some(fleet) = self.fleet() {
             fleet.set_totals(now, &totals);
         }
-        Ok(told)
+        Ok(changes)
     }
 }
 
-/// Whether datagrams may be left that nothing tells of again.
-enum DatagramsLeft {
+/// Whether unread datagrams may be left, for which the edge-triggered socket reports no further readiness.
+enum UnreadDatagrams {
     None,
     Maybe,
 }
 
-/// Hands the member the datagrams that have come.
+/// Reads datagrams and passes them to the member, [`MAX_DATAGRAMS_PER_ITERATION`] at most.
 fn read_datagrams(
     fleet: &mut FleetNode,
     socket: &Rc<Socket>,
     context: &Context,
-) -> io::Result<DatagramsLeft> {
-    let mut space = [0; MAX_DATAGRAM_BYTES];
-    for _ in 0..MAX_DATAGRAMS_PER_WAKE {
-        match socket::receive_datagram(socket, &mut space) {
-            // Each by the clock as it is when it is read: what is granted counts from then.
-            Ok(Some(length)) => fleet.handle_datagram(context.clock.read(), &space[..length]),
-            Ok(None) => return Ok(DatagramsLeft::None),
-            // An earlier datagram found nobody, or no way; the next may be in order.
-            Err(error) if is_of_one_datagram(error.kind()) => {}
+) -> io::Result<UnreadDatagrams> {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+        match socket::receive_datagram(socket, &mut buffer) {
+            // The clock is read for each datagram, as the time of a grant counts from when its datagram is read.
+            Ok(Some(length)) => fleet.handle_datagram(context.clock.read(), &buffer[..length]),
+            Ok(None) => return Ok(UnreadDatagrams::None),
+            // The error is about a single datagram, such as one sent earlier that was not delivered.
+            Err(error) if concerns_one_datagram(error.kind()) => {}
             Err(error) => return Err(error),
         }
     }
-    Ok(DatagramsLeft::Maybe)
+    Ok(UnreadDatagrams::Maybe)
 }
 
-/// Whether a failed read of a datagram tells about that one alone, or one sent before, so that the next can be read at once.
-fn is_of_one_datagram(kind: ErrorKind) -> bool {
+/// Whether a failed read concerns that datagram alone, or one sent earlier, so that the next can be read at once.
+fn concerns_one_datagram(kind: ErrorKind) -> bool {
     use ErrorKind::{ConnectionRefused, HostUnreachable, Interrupted, NetworkUnreachable};
     matches!(kind, ConnectionRefused | HostUnreachable | Interrupted | NetworkUnreachable)
 }
--- a/crates/ottersill/src/fleet_link/demand.rs
+++ b/crates/ottersill/src/fleet_link/demand.rs
@@ -1,26 +1,26 @@
-//! What this router wants of the fleet's budgets.
+//! The demand of this router for units of the fleet's budgets.
 
 use ottersill_routing::facade::Facade;
 
 use crate::discovery::registry::EndpointRegistry;
 
-/// What this router has to spend quota on.
+/// The state of this router from which its demand for quota follows.
 pub struct FleetDemand<'a> {
     /// All endpoints.
     pub endpoints: &'a EndpointRegistry,
-    /// Knows what waits for them, and which of them warm up.
+    /// Gives the number of requests that wait for an endpoint, and whether it is warming up.
     pub routing: &'a Facade,
-    /// How many requests are in flight.
+    /// The number of requests in flight.
     pub requests_in_flight: usize,
 }
 
-/// An attempt that quota is wanted for.
+/// An attempt for which quota is requested.
 #[derive(Clone, Copy)]
 pub struct AttemptQuota<'a> {
     /// The endpoint's name.
     pub endpoint: &'a str,
-    /// An earlier attempt of the request may have run.
+    /// Whether an earlier attempt of the request may have run.
     pub is_retry: bool,
-    /// The endpoint warms up.
+    /// Whether the endpoint is warming up.
     pub is_warming: bool,
 }
--- a/crates/ottersill/src/fleet_link/error.rs
+++ b/crates/ottersill/src/fleet_link/error.rs
@@ -1,4 +1,4 @@
-//! Why the link to the fleet can't be set up, or its file not be taken over.
+//! Errors of setting up the link to the fleet, and of reloading the fleet file.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,76 +6,76 @@
 use ottersill_config::fleet::FleetConfigError;
 use thiserror::Error;
 
-/// The shortest secret that members prove themselves with, in bytes.
+/// Minimum length, in bytes, of the secret with which members authenticate.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// What is wrong, and where. Its text is one line for the operator.
+/// An error of the fleet link. Its text is a single line that names the file or setting.
 #[derive(Debug, Error)]
 pub enum FleetLinkError {
-    /// The fleet's file can't be read.
+    /// The fleet file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The fleet's file.
+        /// The path of the fleet file.
         path: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A field of the fleet's file is wrong.
+    /// A field of the fleet file is invalid.
     #[error("{path}: {source}")]
     Invalid {
-        /// The fleet's file.
+        /// The path of the fleet file.
         path: String,
-        /// Which field, and what is wrong with it.
+        /// The field and the reason.
         source: FleetConfigError,
     },
     /// The audit file can't be opened.
     #[error("{path}: audit_file: {audit_file}: {source}")]
     AuditFile {
-        /// The fleet's file.
+        /// The path of the fleet file.
         path: String,
-        /// As named there.
+        /// The audit file, as the fleet file names it.
         audit_file: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file with the secret can't be read.
+    /// The key file can't be read.
     #[error("key_file: {path}: {source}")]
     KeyFile {
-        /// The file with the secret.
+        /// The path of the key file.
         path: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Others than the owner may use the file with the secret: who has read it is a member.
+    /// The key file is accessible to users other than its owner, any of whom could then act as a member.
     #[error("key_file: {path}: others than its owner may use it ({mode:o}); chmod 600")]
     KeyFileNotPrivate {
-        /// The file with the secret.
+        /// The path of the key file.
         path: String,
-        /// Its permissions.
+        /// The permission bits of the file.
         mode: u32,
     },
-    /// The secret is too short.
+    /// The secret in the key file is too short.
     #[error("key_file: {path}: expected {MIN_KEY_BYTES} bytes at least, found {found}")]
     KeyTooShort {
-        /// The file with the secret.
+        /// The path of the key file.
         path: String,
-        /// Its length in bytes.
+        /// The length of the secret in bytes.
         found: usize,
     },
-    /// A field differs that a reload can't take over.
-    #[error("{path}: {field}: differs, and is alike at all members as long as any runs")]
+    /// The fleet file has a change that can't be applied by a reload.
+    #[error("{path}: {field}: has changed, but must stay the same at all members while any of them runs")]
     RestartRequired {
-        /// The fleet's file.
+        /// The path of the fleet file.
         path: String,
-        /// The first such field.
+        /// The first field that can't be changed by a reload.
         field: String,
     },
-    /// The address for operators can't be had.
+    /// The control listener can't be opened.
     #[error("control: listen on {address}: {source}")]
     ControlListener {
-        /// As configured.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
 }
--- a/crates/ottersill/src/fleet_link/files.rs
+++ b/crates/ottersill/src/fleet_link/files.rs
@@ -1,4 +1,4 @@
-//! The fleet's file, and the file with its secret.
+//! Reads the fleet file and its key file.
 
 use std::os::unix::fs::PermissionsExt;
 
@@ -6,10 +6,10 @@
 
 use crate::fleet_link::error::{FleetLinkError, MIN_KEY_BYTES};
 
-/// Reads the fleet's file for the member of that name. `longest_statement_timeout` is in seconds.
+/// Reads the fleet file at `path` for the member `name`. `longest_statement_timeout` is in seconds.
 ///
 /// # Errors
-/// If it can't be read, or a field of it is wrong.
+/// If the file can't be read, or a field in it is invalid.
 pub fn read(path: &str, name: &str, longest_statement_timeout: f64) -> Result<FleetFile, FleetLinkError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| FleetLinkError::Unreadable { path: path.to_string(), source })?;
@@ -17,10 +17,11 @@
         .map_err(|source| FleetLinkError::Invalid { path: path.to_string(), source })
 }
 
-/// The secret that members prove themselves with. Who has read the key is a member, so a file that others may read is refused.
+/// Reads the secret with which members authenticate. Anyone who knows the secret can act as a member, so a file that users
+/// other than its owner may access is rejected.
 ///
 /// # Errors
-/// If the file can't be read, others than its owner may use it, or the secret is too short.
+/// If the file can't be read, is accessible to users other than its owner, or holds too short a secret.
 pub fn secret(path: &str) -> Result<Vec<u8>, FleetLinkError> {
     let unreadable = |source| FleetLinkError::KeyFile { path: path.to_string(), source };
     let mode = std::fs::metadata(path).map_err(unreadable)?.permissions().mode() & 0o777;
--- a/crates/ottersill/src/fleet_link/mod.rs
+++ b/crates/ottersill/src/fleet_link/mod.rs
@@ -1,5 +1,5 @@
-//! The link to the other routers of the fleet: membership, datagrams, quota leases, the audit file. `ottersill-fleet`
-//! decides.
+//! The link to the other routers of the fleet: membership, datagrams, quota leases and the audit file. It does the input and
+//! output; the decisions are made in the crate `ottersill-fleet`.
 
 mod audit;
 pub mod audit_file;
@@ -26,54 +26,56 @@
 use crate::reactor::Context;
 use crate::timers::{Timer, TimerHandle};
 
-/// Where the link stands.
+/// Whether this process is a member of the fleet.
 pub enum MembershipState {
-    /// Another process holds the member's address: whoever has it is the member. Tried again at `retry_at`; until then
-    /// this router has no part of any budget.
+    /// The member's address is not bound, as another process has bound it: that process is the member then.
+    /// Binding is tried again at `retry_at`; until it succeeds, this router has no quota of any budget.
     AddressTaken {
-        /// When binding it is tried again, in Unix seconds.
+        /// When binding is tried again, in Unix seconds; 0 before the first try.
         retry_at: f64,
     },
     /// This process is the member.
     Joined {
-        /// Its part in the protocol of the fleet.
+        /// This member's side of the fleet protocol.
         fleet: Box<FleetNode>,
-        /// For datagrams.
+        /// The datagram socket.
         socket: Rc<Socket>,
-        /// Of its registration at the event loop.
+        /// The registration of the socket at the event loop.
         token: RegistrationToken,
     },
-    /// Everything was given back.
+    /// This process has left the fleet and released all quota.
     Left,
 }
 
-/// The link to the other routers. Times are Unix seconds.
+/// The link to the other routers of the fleet. Points in time are Unix seconds.
 pub struct FleetLink {
+    /// The path of the fleet file.
     path: String,
+    /// This router's name.
     name: String,
+    /// The longest statement timeout of all workloads, in seconds.
     longest_statement_timeout: f64,
-    /// The configuration in force.
+    /// The fleet file in force.
     file: FleetFile,
     secret: Vec<u8>,
     seed: u64,
-    /// Whether this process is the member.
     state: MembershipState,
     audit: Audit,
     timer: Option<TimerHandle>,
-    /// Reading datagrams failed for want of memory: read again with the next tick, as no readiness tells of those that have
-    /// come already.
-    read_again: bool,
-    /// What the routing module was last told.
+    /// Reading datagrams failed, for instance for lack of memory. They are read again at the next timer, as the edge-triggered
+    /// socket reports no readiness for datagrams that have already arrived.
+    retry_read: bool,
+    /// The quota last reported to the routing module.
     quota: FleetQuota,
-    /// Acquisitions that were refused.
+    /// The number of acquisitions that were refused.
     refused: u64,
 }
 
 impl FleetLink {
-    /// Reads the file at `path`; the fleet is joined by [`start`](Self::start).
+    /// Reads the fleet file at `path` without joining the fleet, which [`start`](Self::start) does.
     ///
     /// # Errors
-    /// If the file, its key file or its audit file can't be used.
+    /// If the fleet file, its key file or its audit file can't be opened, or one of the first two is invalid.
     pub fn open(
         path: &str,
         name: &str,
@@ -93,38 +95,38 @@
             state: MembershipState::AddressTaken { retry_at: 0.0 },
             audit,
             timer: None,
-            read_again: false,
+            retry_read: false,
             quota: FleetQuota::default(),
             refused: 0,
         })
     }
 
-    /// Whether this process is the member.
+    /// Whether this process is a member of the fleet.
     pub fn state(&self) -> &MembershipState {
         &self.state
     }
 
-    /// Where operators are answered, if the configuration says so.
+    /// The address of the control listener, if the fleet file gives one.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.file.control
     }
 
-    /// Acquisitions that were refused.
-    pub fn refused(&self) -> u64 {
+    /// The number of acquisitions that were refused.
+    pub fn refused_acquisitions(&self) -> u64 {
         self.refused
     }
 
-    /// Lines of the audit file that could not be written.
-    pub fn unwritten(&self) -> u64 {
-        self.audit.unwritten()
+    /// The number of audit lines that could not be written.
+    pub fn unwritten_audit_lines(&self) -> u64 {
+        self.audit.unwritten_lines()
     }
 
-    /// The names of the budgets in the configuration in force.
+    /// The names of the budgets in the fleet file in force, and of endpoints.
     pub fn names<'a>(&'a self, endpoints: &'a EndpointRegistry) -> BudgetNames<'a> {
         BudgetNames::new(&self.file.fleet, endpoints)
     }
 
-    /// The member, once it has joined.
+    /// This member's side of the fleet protocol, if this process has joined the fleet.
     fn fleet(&mut self) -> Option<&mut FleetNode> {
         match &mut self.state {
             MembershipState::Joined { fleet, .. } => Some(fleet),
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Sets the timer for what the fleet has to do next.
+    /// Sets the timer to [`next_at`](Self::next_at), or clears it if there is nothing to do.
     fn reset_timer(&mut self, context: &mut Context) {
         context.timers.clear(self.timer.take());
         let next = self.next_at();
@@ -141,7 +143,7 @@
         }
     }
 
-    /// When the fleet has something to do; infinite if never.
+    /// When the fleet protocol, or binding the address, is due next; infinite if never.
     fn next_at(&self) -> f64 {
         match &self.state {
             MembershipState::AddressTaken { retry_at } => *retry_at,
--- a/crates/ottersill/src/fleet_link/names.rs
+++ b/crates/ottersill/src/fleet_link/names.rs
@@ -1,10 +1,10 @@
-//! What log lines and operators call the fleet's budgets and their subjects.
+//! Names of budgets and of their subjects (endpoints), for log lines and control answers.
 
 use ottersill_fleet::settings::FleetConfig;
 
 use crate::discovery::registry::EndpointRegistry;
 
-/// Names of budgets by their identifiers, and of endpoints by their labels.
+/// Looks up names of budgets by their identifiers, and names of endpoints by their labels.
 #[derive(Clone, Copy)]
 pub struct BudgetNames<'a> {
     config: &'a FleetConfig,
@@ -12,18 +12,19 @@
 }
 
 impl<'a> BudgetNames<'a> {
-    /// Names of the budgets in that configuration, and of the endpoints that lists have named.
+    /// Uses the budgets in `config` and the endpoints in `endpoints`.
     pub fn new(config: &'a FleetConfig, endpoints: &'a EndpointRegistry) -> BudgetNames<'a> {
         BudgetNames { config, endpoints }
     }
 
-    /// The name of a budget, or its identifier where the configuration names none.
+    /// The name of a budget, or its identifier in hexadecimal if the configuration has no such budget.
     pub fn budget(&self, id: u64) -> String {
         let budget = self.config.budget(id);
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
-    /// The name of the endpoint that a budget is for, or its label if it isn't known here; empty if the budget is for all.
+    /// The name of the endpoint that a budget applies to, or its label in hexadecimal if the endpoint is unknown; empty if the
+    /// budget applies to all endpoints.
     pub fn subject(&self, label: u64) -> String {
         if label == 0 {
             return String::new();
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -1,4 +1,4 @@
-//! The fleet's budgets: what of them is this router's, told to the routing module, spent and given back.
+//! This router's quota of the fleet's budgets: reporting it to the routing module, acquiring and releasing it.
 
 use ottersill_config::fleet::BudgetKind;
 use ottersill_fleet::membership::Presence;
@@ -13,7 +13,7 @@
 use crate::reactor::Context;
 
 impl FleetLink {
-    /// What this router may spend now, for the routing module. Tells the fleet what waits for more.
+    /// Returns the quota that this router may spend now, for the routing module. Reports to the fleet what waits for more.
     pub fn update_quota(&mut self, demand: &FleetDemand, context: &mut Context) -> &FleetQuota {
         let now = context.clock.read();
         self.quota.endpoints.clear();
@@ -24,14 +24,14 @@
                 self.quota.endpoints.push(EndpointQuota { endpoint: index, units, tokens });
             }
         }
-        self.quota.routers = self.fleet().map(present_members);
+        self.quota.routers = self.fleet().map(count_present_members);
         let retries = self.budget_key(BudgetKind::Retries, "");
         self.quota.retries = retries.map(|key| self.fleet().map_or(0.0, |fleet| fleet.tokens(now, key)));
         self.reset_timer(context);
         &self.quota
     }
 
-    /// How many attempts this router may have in flight at an endpoint; none where no budget limits that.
+    /// The number of attempts that this router may have in flight at an endpoint; none if no budget limits that.
     fn attempt_units(&mut self, now: f64, endpoint: &Endpoint, demand: &FleetDemand) -> Option<f64> {
         let key = self.budget_key(BudgetKind::AttemptsPerEndpoint, &endpoint.name)?;
         let Some(fleet) = self.fleet() else { return Some(0.0) };
@@ -46,9 +46,9 @@
         Some(units)
     }
 
-    /// How many attempts this router may send to an endpoint that warms up; none where it is warm, or no budget limits that.
-    /// What a warm one had of the budget is given back when nobody asks for it. `iteration_at` is the time by which the
-    /// routing module judges.
+    /// The number of attempts that this router may send to an endpoint that is warming up; none if it is warm, or if no budget
+    /// limits that. Quota of an endpoint that has become warm is released once nothing requests it. `iteration_at` is the time
+    /// of the event loop's iteration, which the routing module uses.
     fn warming_tokens(
         &mut self,
         now: f64,
@@ -63,25 +63,26 @@
         }
         let Some(fleet) = self.fleet() else { return Some(0.0) };
         let tokens = fleet.tokens(now, key);
-        // Nothing waits for a warming endpoint as long as a warm one has room: who has traffic wants a share.
+        // No request waits for a warming endpoint while a warm one has room, so a router with any traffic requests a unit.
         if demand.requests_in_flight > 0 && tokens < 1.0 {
             fleet.note_waiting(now, key, 1);
         }
         Some(tokens)
     }
 
-    /// Whether the fleet's budgets let an attempt go out now, and counts it if they do. `now` is read from the clock for this.
+    /// Acquires the quota that an attempt needs, and returns whether it was available. `now` has to be read from the clock for
+    /// this call.
     #[must_use]
     pub fn acquire_attempt(&mut self, now: f64, attempt: AttemptQuota) -> bool {
         if attempt.is_retry && !self.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
-        // What is taken for one budget and not had of the next is lost to this router for a while, and to nobody else.
+        // A unit acquired from one budget is not returned if the next budget has none. Only this router lacks it for a while.
         (!attempt.is_warming || self.acquire(now, BudgetKind::AttemptsPerWarmingEndpoint, attempt.endpoint))
             && self.acquire(now, BudgetKind::AttemptsPerEndpoint, attempt.endpoint)
     }
 
-    /// An attempt at that endpoint that was counted is over; `proved` if it is known to run no more.
+    /// Releases the quota of an attempt at that endpoint; `proved` if the attempt is known to have ended.
     pub fn release_attempt(&mut self, now: f64, endpoint: &str, proved: bool) {
         let Some(key) = self.budget_key(BudgetKind::AttemptsPerEndpoint, endpoint) else { return };
         if let MembershipState::Joined { fleet, .. } = &mut self.state {
@@ -90,11 +91,11 @@
         }
     }
 
-    /// Whether a unit was there at this instant, and is spent. `now` is read from the clock for this. Without a budget for
-    /// that everything may be done.
+    /// Acquires a unit of a budget, and returns whether one was available. `now` has to be read from the clock for this call.
+    /// If there is no such budget, nothing is limited and the result is `true`.
     #[must_use]
-    pub fn acquire(&mut self, now: f64, of: BudgetKind, subject: &str) -> bool {
-        let Some(key) = self.budget_key(of, subject) else { return true };
+    pub fn acquire(&mut self, now: f64, kind: BudgetKind, subject: &str) -> bool {
+        let Some(key) = self.budget_key(kind, subject) else { return true };
         let MembershipState::Joined { fleet, .. } = &mut self.state else {
             self.refused += 1;
             return false;
@@ -107,14 +108,15 @@
         was_acquired
     }
 
-    /// The budget for that, if there is one, and its subject: an endpoint's name, or nothing.
-    fn budget_key(&self, of: BudgetKind, subject: &str) -> Option<BudgetKey> {
-        let index = self.file.budget_kinds.iter().position(|kind| *kind == of)?;
-        let subject = if of.is_per_endpoint() { label(subject) } else { 0 };
+    /// The key of the budget of that kind, if there is one. The subject is the name of an endpoint; it is not used for a budget
+    /// that applies to all endpoints.
+    fn budget_key(&self, kind: BudgetKind, subject: &str) -> Option<BudgetKey> {
+        let index = self.file.budget_kinds.iter().position(|configured| *configured == kind)?;
+        let subject = if kind.is_per_endpoint() { label(subject) } else { 0 };
         Some(BudgetKey { budget: self.file.fleet.budgets[index].id, subject })
     }
 }
 
-fn present_members(fleet: &mut FleetNode) -> usize {
+fn count_present_members(fleet: &mut FleetNode) -> usize {
     fleet.members().filter(|member| member.presence == Presence::Here).count()
 }
