--- a/crates/ottersill/src/command/error.rs
+++ b/crates/ottersill/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Why what the command line asks for has failed.
+//! Errors of the commands.
 
 use thiserror::Error;
 
@@ -6,16 +6,16 @@
 use crate::command::fleet::FleetCommandError;
 use crate::lifecycle::error::RunError;
 
-/// Why the router or a command has failed. The text is one line for whoever typed the command.
+/// An error of the router or of a command. Its text is a single line for the user of the command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The router does not start, or does not go on.
+    /// The router failed to start, or stopped running.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// `ottersill explain`.
+    /// `ottersill explain` failed.
     #[error(transparent)]
     Explain(#[from] ExplainError),
-    /// `ottersill fleet`.
+    /// `ottersill fleet` failed.
     #[error(transparent)]
     Fleet(#[from] FleetCommandError),
 }
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `ottersill explain`: what the router takes statements for, and where it may send them.
+//! `ottersill explain`: how the router classifies statements, and where it may send them.
 
 use std::fs::File;
 use std::io::{self, BufWriter, ErrorKind, Read, Write};
@@ -12,70 +12,70 @@
 
 use crate::lifecycle::config::{Config, ConfigError};
 
-/// The name that stands for standard input.
+/// The file name that denotes standard input.
 const STDIN: &str = "-";
 
 /// The arguments of `ottersill explain`.
 #[derive(Args)]
 pub struct Arguments {
-    /// By the terms of this workload, in the file that NODE_CONFIG names; without such a file, or such a name, an
-    /// unmarked read counts as idempotent.
+    /// Apply the settings of this workload, from the configuration file that NODE_CONFIG names. Without this option, or if
+    /// NODE_CONFIG is not set, a read that is not flagged counts as idempotent.
     #[arg(long, value_name = "NAME")]
     workload: Option<String>,
-    /// One object a line.
+    /// Print one JSON object per line.
     #[arg(long)]
     json: bool,
-    /// A NUL ends each statement, which may then hold line ends.
+    /// Statements end with a NUL instead of a line feed, so that they can contain line feeds.
     #[arg(long)]
     nul: bool,
-    /// One statement a line; - is standard input.
+    /// File with one statement per line; - is standard input.
     #[arg(value_name = "FILE", default_value = STDIN)]
     file: String,
 }
 
-/// What is said of one statement. The names of the fields are those of the JSON output.
+/// The explanation of one statement. The field names are those of the JSON output.
 #[derive(Serialize)]
 struct Explanation<'a> {
     nature: &'static str,
-    /// A replica may take it.
+    /// Whether it may be sent to a replica.
     replica: bool,
-    /// It may be sent again after it may have run.
+    /// Whether it may be sent again if an earlier attempt may have run.
     resend: bool,
     shape: String,
     tables: &'a [Box<str>],
     functions: &'a [Box<str>],
-    /// Why it is not taken at all, where connections are shared.
+    /// Why the router refuses it, as connections are shared; none if it does not.
     refused: Option<&'static str>,
     why: &'a str,
 }
 
 impl<'a> Explanation<'a> {
     fn new(
-        reading: &'a Classification,
+        classification: &'a Classification,
         fingerprint: Fingerprint,
         workload: Option<&RequestClass>,
     ) -> Explanation<'a> {
-        let reads = reading.kind == StatementKind::Read;
-        // As in the routing module: what the text says only makes the workload's terms stricter.
+        let reads = classification.kind == StatementKind::Read;
+        // As in the routing module, the classification of the text can only make the workload's settings stricter.
         let replica_suffices =
             workload.is_none_or(|w| !matches!(w.needs, Consistency::Primary | Consistency::Fresh));
         let may_write = workload.is_some_and(|w| w.needs == Consistency::Primary);
         let is_idempotent = workload.is_none_or(|w| w.effect != Effect::NonIdempotent);
         Explanation {
-            nature: reading.kind.name(),
+            nature: classification.kind.name(),
             replica: reads && replica_suffices,
-            resend: (reads || may_write) && is_idempotent && reading.refusal().is_none(),
+            resend: (reads || may_write) && is_idempotent && classification.refusal().is_none(),
             shape: format!("{:032x}", fingerprint.0),
-            tables: &reading.tables,
-            functions: &reading.functions,
-            refused: reading.refusal(),
-            why: &reading.why,
+            tables: &classification.tables,
+            functions: &classification.functions,
+            refused: classification.refusal(),
+            why: &classification.why,
         }
     }
 
-    /// One line, and one more for tables, functions and a refusal each, where there are any.
+    /// Formats the explanation as one line, followed by one line each for tables, functions and the refusal, if any.
     fn to_text(&self) -> String {
-        let yes_or_no = |what: bool| if what { "yes" } else { "no" };
+        let yes_or_no = |flag: bool| if flag { "yes" } else { "no" };
         let mut text = format!(
             "{:7}  replica {:3}  resend {:3}  {}  {}",
             self.nature,
@@ -96,16 +96,16 @@
     }
 }
 
-/// Why statements are not explained. The text is one line for whoever typed the command.
+/// An error of `ottersill explain`. Its text is a single line for the user of the command.
 #[derive(Debug, Error)]
 pub enum ExplainError {
-    /// The configuration that has the workload is not taken.
+    /// The configuration that should define the workload is rejected.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The configuration has no workload of that name.
     #[error("--workload: no workload {name:?}; there are {known}")]
     UnknownWorkload {
-        /// As typed.
+        /// The name given on the command line.
         name: String,
         /// The names of all workloads.
         known: String,
@@ -113,30 +113,30 @@
     /// The input can't be read.
     #[error("{file}: {source}")]
     Input {
-        /// As typed.
+        /// The file given on the command line.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// An explanation can't be written as JSON.
+    /// An explanation can't be serialized as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The output can't be written.
+    /// The output can't be printed.
     #[error(transparent)]
     Output(#[from] io::Error),
 }
 
-/// The workload with that name in the configuration; none if no configuration is named.
+/// Looks up a workload in the configuration; none if NODE_CONFIG is not set.
 fn find_workload(name: &str) -> Result<Option<RequestClass>, ExplainError> {
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
     let config = Config::load()?;
     let routing_config = config.settings.routing_config(config.seed).map_err(ConfigError::from)?;
-    let names = config.settings.catalog();
+    let catalog = config.settings.catalog();
     let unknown =
-        || ExplainError::UnknownWorkload { name: name.to_string(), known: names.workloads.join(", ") };
-    let index = names.workloads.iter().position(|known| known == name).ok_or_else(unknown)?;
+        || ExplainError::UnknownWorkload { name: name.to_string(), known: catalog.workloads.join(", ") };
+    let index = catalog.workloads.iter().position(|known| known == name).ok_or_else(unknown)?;
     Ok(routing_config.workloads.get(index).cloned())
 }
 
@@ -150,31 +150,31 @@
     Ok(text)
 }
 
-/// Writes what each statement of the input is.
+/// Prints an explanation of each statement of the input.
 ///
 /// # Errors
-/// If the input can't be read, the workload isn't known, or the output can't be written.
+/// If the input can't be read, the configuration is rejected, the workload is unknown, or the output can't be printed.
 pub fn run(arguments: &Arguments) -> Result<(), ExplainError> {
     let workload = arguments.workload.as_deref().map(find_workload).transpose()?.flatten();
     let text = read_input(&arguments.file)
         .map_err(|source| ExplainError::Input { file: arguments.file.clone(), source })?;
     let separator = if arguments.nul { 0 } else { b'\n' };
-    // What follows the last separator is a statement only if it isn't empty.
+    // The text after the last separator is a statement only if it is not empty.
     let statements = text.strip_suffix(&[separator]).unwrap_or(&text);
     if statements.is_empty() {
         return Ok(());
     }
-    // Nothing secret: the same text has the same fingerprint each time.
+    // A fixed key, which gives the same text the same fingerprint at each run. Fingerprints need no secret key here.
     let key = Key::from_seed(0);
     let mut out = BufWriter::new(io::stdout().lock());
     for statement in statements.split(|byte| *byte == separator) {
         let statement = statement.strip_suffix(b"\r").unwrap_or(statement);
-        let reading = classify::classify(statement);
+        let classification = classify::classify(statement);
         let fingerprint = fingerprint::fingerprint_of(key, statement);
-        let explanation = Explanation::new(&reading, fingerprint, workload.as_ref());
+        let explanation = Explanation::new(&classification, fingerprint, workload.as_ref());
         let line = if arguments.json { serde_json::to_string(&explanation)? } else { explanation.to_text() };
         match writeln!(out, "{line}") {
-            // Whoever reads the output has stopped reading, such as `head`.
+            // The reader of the output, for instance `head`, has closed the pipe.
             Err(fault) if fault.kind() == ErrorKind::BrokenPipe => return Ok(()),
             written => written?,
         }
--- a/crates/ottersill/src/command/fleet.rs
+++ b/crates/ottersill/src/command/fleet.rs
@@ -1,4 +1,4 @@
-//! `ottersill fleet`: who is a member and who holds which budget, asked of a running router at its control address.
+//! `ottersill fleet`: queries members and budgets of the fleet at the control address of a running router.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,20 +8,20 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// How long to wait for the connection and for each answer. A router answers within two seconds or not at all.
+/// Timeout for connecting and for each read. A router answers within two seconds or not at all.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What can be asked. The names are those of the command line, and go to the router in lower case.
+/// The questions. Their names are the values on the command line, and are sent to the router in lower case.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Question {
-    /// Who is there, and since when.
+    /// The members, and since when each is present or absent.
     Members,
-    /// What this router may spend, and until when.
+    /// The router's quota of each budget, and when it expires.
     Budgets,
-    /// Who holds what of each budget; the leader knows.
+    /// The holders of each budget and their quota. Only the leader can answer this.
     #[value(alias = "books")]
     Ledger,
-    /// Datagrams, elections, refusals.
+    /// Counts of datagrams, elections and refused acquisitions.
     #[value(alias = "counts")]
     Counters,
 }
@@ -29,51 +29,51 @@
 /// The arguments of `ottersill fleet`.
 #[derive(Args)]
 pub struct Arguments {
-    /// The `control` address of the router's fleet file.
+    /// The `control` address in the router's fleet file.
     #[arg(long, value_name = "ADDRESS")]
     at: SocketAddr,
-    /// One object a line.
+    /// Print one JSON object per line.
     #[arg(long)]
     json: bool,
     #[arg(value_enum, default_value = "members")]
     question: Question,
 }
 
-/// Why there is no answer to print. The text is one line for whoever typed the command.
+/// An error of `ottersill fleet`. Its text is a single line for the user of the command.
 #[derive(Debug, Error)]
 pub enum FleetCommandError {
-    /// The router can't be reached, or does not answer in time.
+    /// The router can't be reached, or did not answer in time.
     #[error("{at}: {source}")]
     Unreachable {
-        /// Its control address.
+        /// The router's control address.
         at: SocketAddr,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A line of the answer is no JSON.
+    /// A line of the answer is not valid JSON.
     #[error("{at}: {source}")]
     Malformed {
         /// The router's control address.
         at: SocketAddr,
-        /// Where and why.
+        /// The reason, with line and column.
         source: serde_json::Error,
     },
-    /// The answer can't be written.
+    /// The answer can't be printed.
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
-    /// The router says that it can't answer this.
+    /// The router replied that it can't answer the question.
     #[error("the router has no answer to that")]
     Refused,
 }
 
-/// Asks the router, and writes what it answers.
+/// Sends the question to the router, and prints the answer.
 ///
 /// # Errors
-/// If the router can't be reached or has no answer, or the answer can't be written.
+/// If the router can't be reached, has no answer or sends a malformed one, or if the answer can't be printed.
 pub fn run(arguments: &Arguments) -> Result<(), FleetCommandError> {
     let at = arguments.at;
     let lines =
-        ask(at, arguments.question).map_err(|source| FleetCommandError::Unreachable { at, source })?;
+        query(at, arguments.question).map_err(|source| FleetCommandError::Unreachable { at, source })?;
     let mut has_fault = false;
     let mut out = std::io::stdout().lock();
     for line in &lines {
@@ -86,8 +86,8 @@
     if has_fault { Err(FleetCommandError::Refused) } else { Ok(()) }
 }
 
-/// The lines that the router at that address answers with.
-fn ask(at: SocketAddr, question: Question) -> io::Result<Vec<String>> {
+/// Sends the question to the router at that address, and returns the lines of its answer.
+fn query(at: SocketAddr, question: Question) -> io::Result<Vec<String>> {
     let mut router = TcpStream::connect_timeout(&at, TIMEOUT)?;
     router.set_read_timeout(Some(TIMEOUT))?;
     let question = format!("{question:?}").to_lowercase();
@@ -95,7 +95,7 @@
     BufReader::new(router).lines().collect()
 }
 
-/// An object as `name=value` pairs, sorted by name.
+/// Formats an object as `name=value` pairs, sorted by name.
 fn to_text(object: &Value) -> String {
     let pairs = object.as_object().into_iter().flatten().map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text:?}"),
--- a/crates/ottersill/src/command/mod.rs
+++ b/crates/ottersill/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Without a command the router runs.
+//! The command line. Without a command, the router runs.
 
 mod error;
 pub mod explain;
@@ -10,29 +10,31 @@
 
 use crate::lifecycle::{log, start};
 
-/// Routes reads and writes in a replicated store. Without a command: runs the router as the file tells that NODE_CONFIG names.
+/// Routes reads and writes in a replicated store. Without a command, runs the router with the configuration file that the
+/// environment variable NODE_CONFIG names.
 #[derive(Parser)]
 #[command(version, about)]
 pub struct Arguments {
-    /// The fleet's file, in protobuf text format: budgets divided among routers that talk. Without it there is no talk.
+    /// The fleet file, in protobuf text format: the members of a fleet and the budgets that they share. Without it, the router
+    /// is not in a fleet.
     #[arg(long, value_name = "FILE")]
     fleet: Option<String>,
-    /// How the log is written.
+    /// The format of log lines.
     #[arg(long, value_enum, default_value_t)]
-    log: log::Form,
+    log: log::LogFormat,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Says of each statement what it is, where it may go, and why.
+    /// Classifies statements: what each is, where it may be sent, and why.
     Explain(explain::Arguments),
-    /// Asks a running router about its fleet.
+    /// Queries the state of the fleet at a running router.
     Fleet(fleet::Arguments),
 }
 
-/// Does what the command line asks for.
+/// Runs the command, or the router if there is none.
 ///
 /// # Errors
 /// If the router or the command fails.
--- a/crates/ottersill/src/lifecycle/config.rs
+++ b/crates/ottersill/src/lifecycle/config.rs
@@ -11,34 +11,34 @@
 use crate::client::connection_limits::ConnectionLimits;
 use crate::discovery::endpoint_list::EndpointList;
 
-/// The environment variable with the path of the file.
+/// The environment variable that holds the path of the configuration file.
 const PATH_VARIABLE: &str = "NODE_CONFIG";
 
-/// Descriptors that are not connections: three standard streams, four of the event loop, the listener, two of discovery
-/// (one of which may be unresponsive) and one to accept with.
+/// Descriptors that the router needs besides its connections: three standard streams, four of the event loop, the listener, two
+/// connections to discovery (one of which may be unresponsive) and one for accepting.
 const OWN_DESCRIPTORS: usize = 11;
-/// Descriptors for clients that are only told that there is no room; each leaves with that answer.
-const SPARE_DESCRIPTORS: usize = 8;
-/// The fewest connections with which a router can serve: one client and one endpoint.
+/// Descriptors for clients beyond the connection limit, which receive a rejection and are disconnected.
+const REJECTION_DESCRIPTORS: usize = 8;
+/// Minimum number of connections with which a router can serve: one to a client and one to an endpoint.
 const MIN_CONNECTIONS: usize = 2;
-/// Bytes for statement fingerprints where memory is plentiful: some eight thousand statements.
+/// Upper bound of the memory for statement fingerprints, in bytes: about eight thousand statements.
 const MAX_FINGERPRINT_BYTES: usize = 4 << 20;
 
-/// The configuration of one router, as parsed.
+/// The configuration of a router.
 #[derive(Deserialize)]
 pub struct Config {
-    /// The router's name, the same after a restart.
+    /// The router's name, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the router's random choices; new with each start.
+    /// The seed of the router's random choices, which differs at each start.
     #[serde(deserialize_with = "hexadecimal")]
     pub seed: u64,
     /// Resource limits of the process.
     pub limits: Limits,
-    /// The endpoints as this router last had them; may be old.
+    /// The endpoint list that this router last had. It may be out of date.
     #[serde(default)]
     pub known: Option<EndpointList>,
     /// The settings of the deployment.
@@ -48,43 +48,43 @@
 /// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Limits {
-    /// Memory in MiB, above which the process is killed.
+    /// Memory limit in MiB. A process that exceeds it is killed.
     pub memory_mb: usize,
-    /// File descriptors that it may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
 }
 
-/// Why a configuration is not taken. The text is one line for the operator.
+/// An error of the configuration. Its text is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable is not set, or is not valid Unicode.
     #[error("{PATH_VARIABLE}: {0}")]
     NoPath(#[source] VarError),
-    /// The file can't be read.
+    /// The configuration file can't be read.
     #[error("{PATH_VARIABLE}: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is not JSON of the expected form.
+    /// The file is not valid JSON, or a field is missing or invalid.
     #[error("{PATH_VARIABLE}: {path}: {source}")]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The field and the reason.
         source: ParseError,
     },
-    /// A limit is too low for a router.
+    /// A resource limit is too low for a router.
     #[error("{PATH_VARIABLE}: limits.{0}")]
     Limits(#[from] LimitsError),
-    /// The settings are rejected.
+    /// The deployment's settings are invalid.
     #[error("{PATH_VARIABLE}: settings.{0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Why a text is not a configuration: the path of the field, then the reason with line and column.
+/// An error of parsing a configuration: the path of the field, followed by the reason with line and column.
 #[derive(Debug, Error)]
 #[error("{field}: {source}")]
 pub struct ParseError {
@@ -94,21 +94,21 @@
     pub source: serde_json::Error,
 }
 
-/// Why [`Limits`] are too low.
+/// An error of [`Limits`] that are too low.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LimitsError {
     /// Too few file descriptors.
     #[error("sockets: expected {least} at least, found {found}")]
     Sockets {
-        /// The fewest that a router needs.
+        /// The minimum that a router needs.
         least: usize,
-        /// Those that there are.
+        /// The configured number.
         found: usize,
     },
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the configuration file that the environment variable names.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// [`ParseError`] for the first field that is missing or wrong.
+    /// [`ParseError`] for the first field that is missing or invalid.
     pub fn parse(json: &[u8]) -> Result<Config, ParseError> {
         let mut json = serde_json::Deserializer::from_slice(json);
         serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -134,7 +134,7 @@
         })
     }
 
-    /// The fields in which `other` differs that a reload can't take over.
+    /// The fields in which `other` differs and that can't be changed by a reload.
     pub fn restart_required(&self, other: &Config) -> Vec<&'static str> {
         let fields = [
             ("name", self.name != other.name),
@@ -147,18 +147,18 @@
 }
 
 impl Limits {
-    /// How descriptors and memory are divided.
+    /// Divides descriptors and memory among clients, endpoints and statements.
     ///
-    /// Every client may have one attempt in flight, so clients get half of the connections at most, and connections to
-    /// endpoints what clients leave. Clients keep a third of the descriptors open for requests, as the operators' service
-    /// page has it, so from a quarter on there must be room for more. A quarter of the memory is for statements; answers
-    /// on both sides and the program itself get the rest.
+    /// Each client may have one attempt in flight, so clients get at most half of the connections, and endpoints the remainder.
+    /// According to the operators' service page, clients keep connections open on a third of the descriptors for requests, so
+    /// there must still be room for more once a quarter is in use. A quarter of the memory is for statements; answers on both
+    /// sides and the program itself get the rest.
     ///
     /// # Errors
     ///
     /// [`LimitsError::Sockets`] if there are too few descriptors to serve a client.
     pub fn connection_limits(&self) -> Result<ConnectionLimits, LimitsError> {
-        let reserved = OWN_DESCRIPTORS + SPARE_DESCRIPTORS;
+        let reserved = OWN_DESCRIPTORS + REJECTION_DESCRIPTORS;
         let connections = self.sockets.saturating_sub(reserved);
         if connections < MIN_CONNECTIONS {
             return Err(LimitsError::Sockets { least: reserved + MIN_CONNECTIONS, found: self.sockets });
@@ -168,13 +168,14 @@
             total: connections,
             clients: connections / 2,
             established_clients: self.sockets / 4,
-            rejected_clients: SPARE_DESCRIPTORS,
+            rejected_clients: REJECTION_DESCRIPTORS,
             statement_bytes: memory_bytes / 4,
             fingerprint_bytes: (memory_bytes / 64).min(MAX_FINGERPRINT_BYTES),
         })
     }
 }
 
+/// Deserializes a string of hexadecimal digits.
 fn hexadecimal<'de, D: Deserializer<'de>>(json: D) -> Result<u64, D::Error> {
     let text = String::deserialize(json)?;
     u64::from_str_radix(&text, 16)
--- a/crates/ottersill/src/lifecycle/error.rs
+++ b/crates/ottersill/src/lifecycle/error.rs
@@ -1,4 +1,4 @@
-//! Why a router ends with an error.
+//! Errors that end a router.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use crate::fleet_link::error::FleetLinkError;
 use crate::lifecycle::config::ConfigError;
 
-/// Why a router does not start, or does not go on. Its text is one line for the operator.
+/// An error with which a router fails to start or stops running. Its text is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The configuration is not taken.
+    /// The configuration is rejected.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The link to the fleet can't be set up.
@@ -20,15 +20,15 @@
     /// The event loop failed.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// The signals can't be had.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] calloop::Error),
-    /// The address for clients can't be had.
+    /// The address for clients can't be bound.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// As configured.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
 }
--- a/crates/ottersill/src/lifecycle/mod.rs
+++ b/crates/ottersill/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! A router's life: its configuration, its log, start, reload and shutdown.
+//! The lifecycle of a router process: configuration, log, start, reload and shutdown.
 
 pub mod config;
 pub mod error;
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -1,33 +1,33 @@
-//! SIGHUP: the configuration is read again, and discovery is asked where it names it now.
+//! Reloads the configuration on SIGHUP, and switches to the discovery address that it gives.
 
 use slog::{info, warn};
 
 use crate::event_loop::EventLoop;
 use crate::lifecycle::config::Config;
 
-/// What the new discovery says counts as heard this long after SIGHUP (the service page), in seconds. Until then a
-/// configuration that can't be read is tried again, as it may be half written.
-const RELOAD_DEADLINE: f64 = 4.0;
-/// Between two such tries, in seconds.
-const RETRY_INTERVAL: f64 = 0.25;
+/// The service page expects the endpoint list of the new discovery to be in use this long after SIGHUP. Until then, loading a
+/// configuration that is invalid is tried again, as the file may be only partly written.
+const RELOAD_DEADLINE_SECONDS: f64 = 4.0;
+/// Interval between two such tries.
+const RETRY_INTERVAL_SECONDS: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Nobody has asked for a reload.
+    /// No reload is requested.
     Idle,
-    /// A reload is due. Both times are Unix seconds.
-    Requested { at: f64, next_try_at: f64 },
+    /// A reload is requested and not done yet. Both times are Unix seconds.
+    Requested { requested_at: f64, next_try_at: f64 },
 }
 
-/// Reads the configuration again when asked to.
+/// Reloads the configuration on request.
 pub struct Reload {
-    /// The configuration that the router goes by.
+    /// The configuration in force.
     config: Config,
     state: State,
 }
 
 impl Reload {
-    /// `config` is what the router was started with.
+    /// `config` is the configuration with which the router was started.
     pub fn new(config: Config) -> Reload {
         Reload { config, state: State::Idle }
     }
@@ -40,15 +40,15 @@
         }
     }
 
-    /// Asks for a reload at `now`, in Unix seconds. Another request while one is due asks for the same.
+    /// Requests a reload at `now`, in Unix seconds. It replaces a request that is not done yet.
     pub fn request(&mut self, now: f64) {
-        self.state = State::Requested { at: now, next_try_at: now };
+        self.state = State::Requested { requested_at: now, next_try_at: now };
     }
 
-    /// Tries to reload if that is due.
+    /// Tries to reload the configuration if that is due.
     pub fn poll_once(&mut self, event_loop: &mut EventLoop) {
         let now = event_loop.context().now();
-        let State::Requested { at, next_try_at } = self.state else { return };
+        let State::Requested { requested_at, next_try_at } = self.state else { return };
         if now < next_try_at {
             return;
         }
@@ -58,14 +58,14 @@
                 State::Idle
             }
             Err(fault) => {
-                let is_first_try = next_try_at == at;
+                let is_first_try = next_try_at == requested_at;
                 if is_first_try {
                     warn!(event_loop.context().log, "configuration not reloaded, the old one stays in force"; "error" => %fault);
                 }
                 event_loop.context().counters.reloads_failed += 1;
-                let next_try_at = now + RETRY_INTERVAL;
-                if next_try_at < at + RELOAD_DEADLINE {
-                    State::Requested { at, next_try_at }
+                let next_try_at = now + RETRY_INTERVAL_SECONDS;
+                if next_try_at < requested_at + RELOAD_DEADLINE_SECONDS {
+                    State::Requested { requested_at, next_try_at }
                 } else {
                     State::Idle
                 }
@@ -78,7 +78,7 @@
         let needs_restart = self.config.restart_required(config).join(",");
         info!(event_loop.context().log, "configuration reloaded"; "discovery" => %config.discovery,
             "needs_restart" => needs_restart);
-        // What needs a restart is told of each time, so only what was taken over is kept.
+        // Only the applied field is stored, so that changes that need a restart are logged again at each reload.
         self.config.discovery = config.discovery;
         event_loop.move_discovery(config.discovery);
     }
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -1,4 +1,4 @@
-//! The main loop: waits for events, has them handled, and carries out what the phases of the router's life ask for.
+//! The main loop: waits for events, dispatches them, and carries out the actions of each lifecycle phase.
 
 use std::io;
 use std::mem;
@@ -14,53 +14,61 @@
 use crate::lifecycle::shutdown::{Observation, Phase};
 use crate::reactor::Reactor;
 
-/// The loop waits no longer than this, in seconds.
-const MAX_WAIT: f64 = 1.0;
+/// Maximum time for which the loop waits for events.
+const MAX_WAIT_SECONDS: f64 = 1.0;
 
-/// Where clients are listened for.
+/// The address at which the router listens for clients.
 pub struct ListenAddress {
-    /// As configured; port 0 has the system choose one.
+    /// The configured address. With port 0, the system chooses a port.
     pub address: SocketAddr,
-    /// The length of the accept backlog. A full one drops the first packet of a connection, which is then sent again
-    /// after a second.
+    /// The length of the listen backlog. While it is full, the system drops the first packet of new connections, which clients
+    /// retransmit only after a second.
     pub backlog: usize,
 }
 
-/// A router that was built and runs.
+/// A router with its main loop.
 pub struct Program {
-    events: Reactor,
+    reactor: Reactor,
     event_loop: EventLoop,
     reload: Reload,
     log: Log,
     listen: ListenAddress,
-    /// Of all workloads, in seconds.
+    /// The longest statement timeout of all workloads, in seconds.
     longest_statement_timeout: f64,
     phase: Phase,
 }
 
 impl Program {
-    /// In the phase [`Phase::Starting`]. `longest_statement_timeout` is in seconds.
+    /// A router in the phase [`Phase::Starting`]. `longest_statement_timeout` is in seconds.
     pub fn new(
-        events: Reactor,
+        reactor: Reactor,
         event_loop: EventLoop,
         reload: Reload,
         log: Log,
         listen: ListenAddress,
         longest_statement_timeout: f64,
     ) -> Program {
-        Program { events, event_loop, reload, log, listen, longest_statement_timeout, phase: Phase::Starting }
+        Program {
+            reactor,
+            event_loop,
+            reload,
+            log,
+            listen,
+            longest_statement_timeout,
+            phase: Phase::Starting,
+        }
     }
 
     /// Runs until the router has shut down.
     ///
     /// # Errors
-    /// If the event loop fails, or the address for clients can't be had.
+    /// If the event loop fails, or the address for clients can't be bound.
     pub fn run(mut self) -> Result<(), RunError> {
         while self.phase != Phase::Stopped {
             self.advance_phase()?;
             self.wait_for_events()?;
             self.event_loop.poll_once();
-            self.reload_if_asked();
+            self.reload_if_requested();
             self.event_loop.context().counters.log_lines_dropped = self.log.dropped();
             if mem::take(&mut self.event_loop.readiness().signals.print_counters) {
                 self.event_loop.log_counters();
@@ -73,20 +81,21 @@
         Ok(())
     }
 
-    /// Dropping the signal source would unblock its signals, and another SIGTERM would then end the process by its default
-    /// action, as if the shutdown had failed. The source belongs to the reactor, which is therefore left to the system.
+    /// Leaks the reactor, so that its signals stay blocked until the process exits. Dropping the reactor's signal source would
+    /// unblock them, and another SIGTERM would then terminate the process by its default action, as if the shutdown had failed.
     fn keep_signals_blocked(self) {
-        mem::forget(self.events);
+        mem::forget(self.reactor);
     }
 
+    /// Waits until a socket is ready, a signal arrives or a deadline is reached.
     fn wait_for_events(&mut self) -> Result<(), RunError> {
         let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
-        let wait = (next_at - self.event_loop.context().clock.read()).clamp(0.0, MAX_WAIT);
+        let wait = (next_at - self.event_loop.context().clock.read()).clamp(0.0, MAX_WAIT_SECONDS);
         let wait = Some(Duration::from_secs_f64(wait));
-        self.events.dispatch(wait, self.event_loop.readiness()).map_err(RunError::EventLoop)
+        self.reactor.dispatch(wait, self.event_loop.readiness()).map_err(RunError::EventLoop)
     }
 
-    fn reload_if_asked(&mut self) {
+    fn reload_if_requested(&mut self) {
         if mem::take(&mut self.event_loop.readiness().signals.reload) {
             self.reload.request(self.event_loop.context().now());
             self.event_loop.reload_fleet();
@@ -94,7 +103,7 @@
         self.reload.poll_once(&mut self.event_loop);
     }
 
-    /// Goes over to the next phase if it is time, and does what that asks for.
+    /// Enters the next phase if it is due, and carries out its actions.
     fn advance_phase(&mut self) -> Result<(), RunError> {
         let event_loop = &mut self.event_loop;
         let observed = Observation {
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -1,75 +1,77 @@
-//! The phases of a router's life, above all of its graceful shutdown, as one state machine. It only says which phase
-//! comes next; [`run`](crate::lifecycle::run) does what the phase asks for. Times are Unix seconds, durations seconds.
+//! The phases of a router's lifecycle, in particular of its graceful shutdown, as a state machine. It only decides which phase
+//! follows; [`run`](crate::lifecycle::run) carries out the actions of a phase. Points in time are Unix seconds, and durations
+//! are seconds.
 
 use crate::timers::TIMING_MARGIN;
 
-/// A router serves after this time even if no endpoint list has come, so that one without a list can be told from one
-/// that does not start.
-const LIST_PATIENCE: f64 = 5.0;
-/// New clients still come for this long after SIGTERM: 0.4 s by the protocol page, and what is on its way then.
-const MIN_LAME_DUCK: f64 = 0.5;
-/// The process may be killed this long after the longest statement timeout.
-const KILL_DELAY: f64 = 0.7;
-/// After the longest statement timeout clients have this long to take in their last answer and end their connections.
-const CLOSE_MARGIN: f64 = 1.0;
-/// The most that the longest statement timeout counts for in that.
-const MAX_COUNTED_TIMEOUT: f64 = 3.0;
+/// Without an endpoint list, a router starts to serve this long after its start, so that a router without a list can be
+/// distinguished from one that does not start.
+const FIRST_LIST_TIMEOUT_SECONDS: f64 = 5.0;
+/// Minimum duration of the lame-duck phase. According to the protocol page, new clients connect for up to 0.4 s after SIGTERM;
+/// the remainder is for connections that are on their way then.
+const MIN_LAME_DUCK_SECONDS: f64 = 0.5;
+/// Once the longest statement timeout has passed since SIGTERM, the process may be killed after this delay.
+const KILL_DELAY_SECONDS: f64 = 0.7;
+/// Time after the longest statement timeout in which clients can read their last answer and close their connections.
+const CLOSE_MARGIN_SECONDS: f64 = 1.0;
+/// Upper bound of the longest statement timeout in the calculation of when the process may be killed.
+const MAX_COUNTED_TIMEOUT_SECONDS: f64 = 3.0;
 
-/// What decides on the next phase.
+/// The inputs that determine the next phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// The time of this iteration.
+    /// The time of this iteration of the main loop.
     pub now: f64,
-    /// When the router was started.
+    /// When the router started.
     pub started_at: f64,
-    /// SIGTERM or SIGINT has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub shutdown_requested: bool,
-    /// An endpoint list has named an endpoint.
+    /// Whether an endpoint list has named an endpoint.
     pub knows_endpoints: bool,
-    /// No client is connected, and none can connect.
+    /// Whether no client is connected and none can connect.
     pub has_no_clients: bool,
     /// The longest statement timeout of all workloads.
     pub longest_statement_timeout: f64,
 }
 
-/// A phase of a router's life.
+/// A phase of a router's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// No list has named an endpoint yet; the router does not listen.
+    /// No endpoint list has named an endpoint yet. The router does not listen for clients.
     Starting,
-    /// In service.
+    /// The router serves clients.
     Serving,
-    /// Asked to shut down. Clients still come, and go on on the connections they have: where several routers restart,
-    /// clients that are rejected at once would find nobody.
+    /// A shutdown was requested. New connections are still accepted, and existing ones can still be used: if several routers
+    /// restart at the same time, clients that were rejected at once would find no router.
     LameDuck {
         /// When this phase ends.
         until: f64,
-        /// By when everything taken in has to be answered.
+        /// By when every accepted statement has to be answered.
         answers_by: f64,
     },
-    /// What was taken in is answered, idle connections are closed.
+    /// Accepted statements are answered, and idle connections are closed.
     Draining {
         /// When this phase ends at the latest.
         until: f64,
     },
-    /// Nothing is left to do.
+    /// The router has shut down.
     Stopped,
 }
 
 impl Phase {
-    /// The phase that follows, which is this one as long as nothing calls for another.
+    /// Returns the phase that follows, which is the same one while no transition is due.
     pub fn next(self, observed: &Observation) -> Phase {
         let now = observed.now;
         match self {
             Phase::Starting if observed.shutdown_requested => Phase::Stopped,
-            // Ready only once something can be served: clients come as soon as they get through.
+            // The router listens only once it can serve: clients send statements as soon as they can connect.
             Phase::Starting if observed.knows_endpoints => Phase::Serving,
-            Phase::Starting if now >= observed.started_at + LIST_PATIENCE => Phase::Serving,
+            Phase::Starting if now >= observed.started_at + FIRST_LIST_TIMEOUT_SECONDS => Phase::Serving,
             Phase::Serving if observed.shutdown_requested => {
                 Phase::lame_duck(now, observed.longest_statement_timeout)
             }
             Phase::LameDuck { until, .. } if now >= until => {
-                Phase::Draining { until: now + observed.longest_statement_timeout + CLOSE_MARGIN }
+                Phase::Draining { until: now + observed.longest_statement_timeout + CLOSE_MARGIN_SECONDS }
             }
             Phase::Draining { .. } if observed.has_no_clients => Phase::Stopped,
             Phase::Draining { until } if now >= until => Phase::Stopped,
@@ -77,15 +79,15 @@
         }
     }
 
-    /// Half of the time that a shutdown has, as the last statements need their time too.
+    /// The lame-duck phase lasts for half of the time that a shutdown has, as the last statements need time as well.
     fn lame_duck(now: f64, longest_statement_timeout: f64) -> Phase {
-        let counted_timeout = longest_statement_timeout.min(MAX_COUNTED_TIMEOUT);
-        let answers_by = now + counted_timeout + KILL_DELAY - TIMING_MARGIN;
-        let until = (now + MIN_LAME_DUCK).max((now + answers_by) / 2.0);
+        let counted_timeout = longest_statement_timeout.min(MAX_COUNTED_TIMEOUT_SECONDS);
+        let answers_by = now + counted_timeout + KILL_DELAY_SECONDS - TIMING_MARGIN;
+        let until = (now + MIN_LAME_DUCK_SECONDS).max((now + answers_by) / 2.0);
         Phase::LameDuck { until, answers_by }
     }
 
-    /// When this phase ends though nothing happens; infinite if it does not.
+    /// When this phase ends even if nothing happens; infinite if it has no time limit.
     pub fn ends_at(self) -> f64 {
         match self {
             Phase::LameDuck { until, .. } | Phase::Draining { until } => until,
