--- a/crates/ottersill/src/control/server.rs
+++ b/crates/ottersill/src/control/server.rs
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Handles readiness of the listener: accepts connections, [`MAX_CLIENTS`] at a time.
+    /// Handles readiness of the listener: accepts connections up to the limit of concurrent ones.
     pub fn on_ready(&mut self, report: &FleetReport, context: &mut Context) {
         let Some(listener) = self.listener.clone() else { return };
         let mut failures = 0;
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -5,8 +5,8 @@
 use crate::event_loop::EventLoop;
 use crate::lifecycle::config::Config;
 
-/// The service page expects the endpoint list of the new discovery to be in use this long after SIGHUP. Until then, loading a
-/// configuration that is invalid is tried again, as the file may be only partly written.
+/// The service page assumes that the router knows the new discovery's endpoints this long after SIGHUP. Until then, a
+/// configuration that can't be loaded is tried again, as its file may be only partly written.
 const RELOAD_DEADLINE_SECONDS: f64 = 4.0;
 /// Interval between two such tries.
 const RETRY_INTERVAL_SECONDS: f64 = 0.25;
