--- a/crates/config/src/deployment/routing_config.rs
+++ b/crates/config/src/deployment/routing_config.rs
@@ -1,6 +1,6 @@
 //! The settings as routing's [`RoutingConfig`].
 
-use ottersill_routing::interface::{ReportSource, RequestClass, RoutingConfig};
+use ottersill_routing::interface::{ReportSource, RoutingConfig, WorkloadSettings};
 
 use super::workload::workload;
 use super::{DeploymentSettings, SettingsError, seconds};
@@ -40,7 +40,7 @@
         })
     }
 
-    fn workloads(&self) -> Result<Vec<RequestClass>, SettingsError> {
+    fn workloads(&self) -> Result<Vec<WorkloadSettings>, SettingsError> {
         let (profiles, domain) = (&self.profiles, &self.domain);
         if domain.class_read.len() != profiles.len() || domain.oldest_data_ms.len() != profiles.len() {
             return Err(SettingsError::EntryCount);
--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -1,6 +1,6 @@
-//! One workload of the settings as routing's [`RequestClass`].
+//! One workload of the settings as routing's [`WorkloadSettings`].
 
-use ottersill_routing::interface::{Consistency, DeduplicationScope, Effect, RequestClass};
+use ottersill_routing::interface::{Consistency, DeduplicationScope, Effect, WorkloadSettings};
 
 use super::schema::Profile;
 use super::{SettingsError, seconds};
@@ -11,8 +11,8 @@
     profile: &Profile,
     class_read: &str,
     oldest_data_ms: f64,
-) -> Result<RequestClass, SettingsError> {
-    Ok(RequestClass {
+) -> Result<WorkloadSettings, SettingsError> {
+    Ok(WorkloadSettings {
         needs: needs(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
         priority_weight: profile.credit,
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -3,7 +3,7 @@
 
 use ottersill_config::deployment::{Catalog, DeploymentSettings};
 use ottersill_routing::interface::{
-    Consistency, DeduplicationScope, Effect, ReportSource, RequestClass, RoutingConfig,
+    Consistency, DeduplicationScope, Effect, ReportSource, RoutingConfig, WorkloadSettings,
 };
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -54,7 +54,7 @@
     serde_json::from_value(settings.clone()).expect("settings of the right form")
 }
 
-fn describe_workload(workload: &RequestClass) -> String {
+fn describe_workload(workload: &WorkloadSettings) -> String {
     let needs = match workload.needs {
         Consistency::Primary => "primary".to_string(),
         Consistency::Fresh => "fresh".to_string(),
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufWriter, ErrorKind, Read, Write};
 
 use clap::Args;
-use ottersill_routing::interface::{Consistency, Effect, RequestClass};
+use ottersill_routing::interface::{Consistency, Effect, WorkloadSettings};
 use ottersill_statement::classify::{self, Classification, StatementKind};
 use ottersill_statement::fingerprint::{self, Fingerprint, Key};
 use serde::Serialize;
@@ -53,7 +53,7 @@
     fn new(
         classification: &'a Classification,
         fingerprint: Fingerprint,
-        workload: Option<&RequestClass>,
+        workload: Option<&WorkloadSettings>,
     ) -> Explanation<'a> {
         let reads = classification.kind == StatementKind::Read;
         // As in the routing module, the classification of the text can only make the workload's settings stricter.
@@ -127,7 +127,7 @@
 }
 
 /// Looks up a workload in the configuration; none if NODE_CONFIG is not set.
-fn find_workload(name: &str) -> Result<Option<RequestClass>, ExplainError> {
+fn find_workload(name: &str) -> Result<Option<WorkloadSettings>, ExplainError> {
     if std::env::var_os("NODE_CONFIG").is_none() {
         return Ok(None);
     }
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -21,7 +21,7 @@
             let units = self.attempt_units(now, endpoint, demand);
             let tokens = self.warming_tokens(now, context.now(), index, demand);
             if units.is_some() || tokens.is_some() {
-                self.quota.endpoints.push(EndpointQuota { endpoint: index, units, tokens });
+                self.quota.endpoints.push(EndpointQuota { endpoint: index, in_flight_quota: units, tokens });
             }
         }
         self.quota.routers = self.fleet().map(count_present_members);
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -21,7 +21,7 @@
 const SEEDS: u64 = if cfg!(debug_assertions) { 2 } else { 4 };
 
 fn config(seed: u64) -> RoutingConfig {
-    let workload = RequestClass {
+    let workload = WorkloadSettings {
         needs: Consistency::Bounded(1.0),
         effect: Effect::Idempotent,
         priority_weight: 1.0,
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -49,7 +49,7 @@
 
 /// Settings of one workload.
 #[derive(Clone, Debug)]
-pub struct RequestClass {
+pub struct WorkloadSettings {
     /// The data that it needs.
     pub needs: Consistency,
     /// How often one of its requests may take effect.
@@ -64,7 +64,7 @@
     pub statement_timeout: f64,
 }
 
-impl RequestClass {
+impl WorkloadSettings {
     /// Returns the staleness bound in seconds; `None` if the workload is not a bounded read.
     #[must_use]
     pub fn bound(&self) -> Option<f64> {
@@ -96,7 +96,7 @@
     /// The router's own site.
     pub site: Option<usize>,
     /// All workloads; requests refer to them by index.
-    pub workloads: Vec<RequestClass>,
+    pub workloads: Vec<WorkloadSettings>,
     /// Requests per second, summed over all routers, that are within each tenant's share.
     pub tenant_rates: Vec<f64>,
     /// Value of a request above its tenant's share, as a fraction of its priority weight.
@@ -286,7 +286,7 @@
     /// The endpoint.
     pub endpoint: usize,
     /// Attempts that the router may have in flight there.
-    pub units: Option<f64>,
+    pub in_flight_quota: Option<f64>,
     /// Attempts that the router may send there now while the endpoint warms up.
     pub tokens: Option<f64>,
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,7 +7,7 @@
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{
     AttemptOutcome, AttemptResult, EndpointUpdate, FleetQuota, LoadReport, ReportSource, Request,
-    RequestClass, RoutingConfig, Transport, Work,
+    RoutingConfig, Transport, Work, WorkloadSettings,
 };
 use crate::request::RequestState;
 use crate::state::RouterState;
@@ -39,7 +39,7 @@
 
     /// Returns the latency in seconds that is assumed for a workload before it has had any answer.
     #[must_use]
-    pub fn initial_latency(workload: &RequestClass) -> f64 {
+    pub fn initial_latency(workload: &WorkloadSettings) -> f64 {
         stats::initial_latency(workload)
     }
 
@@ -124,7 +124,7 @@
         let state = &mut self.state;
         for quota in &quotas.endpoints {
             let endpoint = &mut state.endpoints[EndpointId::new(quota.endpoint)];
-            endpoint.limit.set_quota(quota.units);
+            endpoint.limit.set_quota(quota.in_flight_quota);
             endpoint.slow_start.set_tokens(quota.tokens);
         }
         if let Some(routers) = quotas.routers {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -48,7 +48,7 @@
 impl RouterState {
     /// Returns the state of a router that has just started.
     pub(crate) fn new(now: f64, config: RoutingConfig) -> RouterState {
-        let bounds = config.workloads.iter().filter_map(super::interface::RequestClass::bound);
+        let bounds = config.workloads.iter().filter_map(super::interface::WorkloadSettings::bound);
         RouterState {
             tightest_bound: bounds.reduce(f64::min),
             classes: Classes::new(&config),
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::decayed;
 use crate::ids::{ClassId, Id, Table};
-use crate::interface::{Consistency, Effect, RequestClass, RoutingConfig};
+use crate::interface::{Consistency, Effect, RoutingConfig, WorkloadSettings};
 use crate::retry::ClientRetryDetector;
 
 /// The expected latency before the first answer is the SLO time divided by this.
@@ -19,14 +19,14 @@
 const MIN_WORK: f64 = 1e-9;
 
 /// The expected latency of a workload in seconds before its first answer.
-pub(crate) fn initial_latency(workload: &RequestClass) -> f64 {
+pub(crate) fn initial_latency(workload: &WorkloadSettings) -> f64 {
     workload.slo_time / INITIAL_LATENCY_DIVISOR
 }
 
 /// The settings and statistics of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassStats {
-    settings: RequestClass,
+    settings: WorkloadSettings,
     /// Moving average of the latency of answers in seconds.
     expected_latency: f64,
     /// Seconds of endpoint work recently spent on the class, decaying over time.
@@ -36,7 +36,7 @@
 
 impl ClassStats {
     /// Creates a class without any answers so far.
-    fn new(settings: RequestClass) -> ClassStats {
+    fn new(settings: WorkloadSettings) -> ClassStats {
         ClassStats {
             expected_latency: initial_latency(&settings),
             settings,
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(crate) fn settings(&self) -> &RequestClass {
+    pub(crate) fn settings(&self) -> &WorkloadSettings {
         &self.settings
     }
 
@@ -106,7 +106,7 @@
     pub(crate) fn new(config: &RoutingConfig) -> Classes {
         let configured = config.workloads.iter().cloned();
         // A statement that may write is handled by the strictest settings, whatever its workload specifies.
-        let write_class = |workload: &RequestClass| RequestClass {
+        let write_class = |workload: &WorkloadSettings| WorkloadSettings {
             needs: Consistency::Primary,
             effect: Effect::NonIdempotent,
             ..workload.clone()
--- a/crates/routing/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -9,12 +9,12 @@
     priority_weight: f64,
     slo_time: f64,
     statement_timeout: f64,
-) -> RequestClass {
-    RequestClass { needs, effect, priority_weight, late_value_fraction: 0.0, slo_time, statement_timeout }
+) -> WorkloadSettings {
+    WorkloadSettings { needs, effect, priority_weight, late_value_fraction: 0.0, slo_time, statement_timeout }
 }
 
 /// One router at site 0 for these classes, without what only some deployments have.
-pub fn routing_config(workloads: Vec<RequestClass>) -> RoutingConfig {
+pub fn routing_config(workloads: Vec<WorkloadSettings>) -> RoutingConfig {
     RoutingConfig {
         seed: 7,
         routers: 1,
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -16,7 +16,7 @@
 const GLOBAL_WRITE: usize = 8;
 const ANY_READ: usize = 9;
 
-pub fn workloads() -> Vec<RequestClass> {
+pub fn workloads() -> Vec<WorkloadSettings> {
     let once_in = |within, window| Effect::Deduplicated { within, window };
     vec![
         request_class(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -579,14 +579,16 @@
             if self.random.chance(400) {
                 let units = self.random.chance(700).then(|| (12.0 * self.random.unit()).floor());
                 let tokens = self.random.chance(700).then(|| 3.0 * self.random.unit());
-                endpoints.push(EndpointQuota { endpoint, units, tokens });
+                endpoints.push(EndpointQuota { endpoint, in_flight_quota: units, tokens });
             }
         }
         let routers = self.random.chance(100).then(|| 1 + self.random.below(4));
         let retries = self.random.chance(500).then(|| 4.0 * self.random.unit());
         let words: Vec<String> = endpoints
             .iter()
-            .map(|part| format!("{} {} {}", part.endpoint, optional(part.units), optional(part.tokens)))
+            .map(|part| {
+                format!("{} {} {}", part.endpoint, optional(part.in_flight_quota), optional(part.tokens))
+            })
             .collect();
         let count = routers.map_or("-".to_string(), |routers| routers.to_string());
         let (words, tries) = (words.join(","), optional(retries));
--- a/crates/routing/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -415,7 +415,8 @@
 #[test]
 fn a_part_of_the_fleet_s_budget_bounds_what_is_out() {
     let mut world = World::settled(true, [0.0; 3]);
-    let part = |endpoint: usize, units: f64| EndpointQuota { endpoint, units: Some(units), tokens: None };
+    let part =
+        |endpoint: usize, units: f64| EndpointQuota { endpoint, in_flight_quota: Some(units), tokens: None };
     let parts = |units: f64| FleetQuota {
         endpoints: (0..4).map(|endpoint| part(endpoint, units)).collect(),
         ..FleetQuota::default()
@@ -436,7 +437,7 @@
     world.list(1, EndpointState::Ready, Some(world.now - 1.0));
     assert!(world.router.is_warming(world.now, 1) && !world.router.is_warming(world.now, 2));
     let hand_over = |world: &mut World, tokens: f64| {
-        let endpoints = vec![EndpointQuota { endpoint: 1, units: None, tokens: Some(tokens) }];
+        let endpoints = vec![EndpointQuota { endpoint: 1, in_flight_quota: None, tokens: Some(tokens) }];
         let parts = FleetQuota { endpoints, routers: Some(4), retries: None };
         world.router.on_quota(world.now, &parts, &mut world.book);
     };
