--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -66,7 +66,7 @@
     /// Operations of a concurrency budget that are in flight.
     in_flight: u64,
     /// Latest end of each abandoned operation that may still be running, in ascending order.
-    lingering: VecDeque<f64>,
+    unconfirmed_in_use: VecDeque<f64>,
     /// Units that callers tried to acquire since the last sample.
     requested_units: f64,
     /// Largest number of units in use or denied since the last sample.
@@ -94,7 +94,7 @@
             tokens: 0.0,
             refreshed_at: now,
             in_flight: 0,
-            lingering: VecDeque::new(),
+            unconfirmed_in_use: VecDeque::new(),
             requested_units: 0.0,
             peak_in_use: 0.0,
             recent_demand: 0.0,
@@ -138,11 +138,11 @@
         self.state
     }
 
-    /// Removes lingering operations that must have ended, and refills tokens up to now. The elapsed time adds
+    /// Removes unconfirmed operations that must have ended, and refills tokens up to now. The elapsed time adds
     /// tokens at the rate of the units that may be spent now, so a lease that has expired meanwhile adds none.
     fn refresh(&mut self, now: f64) {
-        while self.lingering.front().is_some_and(|ended_at| *ended_at <= now) {
-            self.lingering.pop_front();
+        while self.unconfirmed_in_use.front().is_some_and(|ended_at| *ended_at <= now) {
+            self.unconfirmed_in_use.pop_front();
         }
         if let LimitKind::Rate { refill_seconds } = self.kind {
             let depth = units_to_f64(self.spendable(now));
@@ -154,7 +154,7 @@
 
     /// Returns the units in use, including those of abandoned operations that may still be running.
     pub fn in_use(&self) -> u64 {
-        self.in_flight + self.lingering()
+        self.in_flight + self.unconfirmed_in_use()
     }
 
     /// Returns the units in use as of `now`.
@@ -164,8 +164,8 @@
     }
 
     /// Returns the units in use by abandoned operations whose end is not confirmed. Each is counted for the full hold.
-    pub fn lingering(&self) -> u64 {
-        self.lingering.len() as u64
+    pub fn unconfirmed_in_use(&self) -> u64 {
+        self.unconfirmed_in_use.len() as u64
     }
 
     /// Returns the tokens of a rate budget that can be spent now.
@@ -209,12 +209,12 @@
         let LimitKind::Concurrency { hold_seconds } = self.kind else { return };
         self.in_flight = self.in_flight.saturating_sub(1);
         if !confirmed {
-            self.lingering.push_back(now + hold_seconds);
+            self.unconfirmed_in_use.push_back(now + hold_seconds);
         }
     }
 
     /// Records that callers wait for `units` units beyond those in use. The next request includes them in the demand.
-    pub fn note_waiting(&mut self, units: u64) {
+    pub fn record_waiting(&mut self, units: u64) {
         self.denied_since_request = self.denied_since_request.max(units);
         self.waiting = self.waiting.max(units);
         self.peak_in_use = self.peak_in_use.max(units_to_f64(self.in_use() + units));
--- a/crates/fleet/src/node/quota_server.rs
+++ b/crates/fleet/src/node/quota_server.rs
@@ -2,7 +2,7 @@
 
 use crate::election::Ballot;
 use crate::envelope::{QuotaReply, QuotaRequest};
-use crate::quota_ledger::{LedgerLine, QuotaLedger};
+use crate::quota_ledger::{LedgerEntry, QuotaLedger};
 use crate::settings::{FleetConfig, Process};
 
 #[derive(Default)]
@@ -48,7 +48,7 @@
         self.ledger = None;
     }
 
-    pub(super) fn lines(&self, now: f64) -> Vec<LedgerLine> {
+    pub(super) fn lines(&self, now: f64) -> Vec<LedgerEntry> {
         self.ledger.as_ref().map_or_else(Vec::new, |ledger| ledger.lines(now))
     }
 }
--- a/crates/fleet/src/node/spending.rs
+++ b/crates/fleet/src/node/spending.rs
@@ -31,9 +31,9 @@
     }
 
     /// Records that callers wait for `units` units beyond those in use, and requests them.
-    pub fn note_waiting(&mut self, now: f64, key: BudgetKey, units: u64) {
+    pub fn record_waiting(&mut self, now: f64, key: BudgetKey, units: u64) {
         if let Some(quota) = self.quota_client.track(now, &self.config, key) {
-            quota.note_waiting(units);
+            quota.record_waiting(units);
             self.quota_client.request_soon(now, &self.config);
         }
     }
@@ -54,8 +54,8 @@
     }
 
     /// Returns the units in use by abandoned operations whose end is not confirmed.
-    pub fn lingering(&self, key: BudgetKey) -> u64 {
-        self.quota_client.quota(key).map_or(0, LocalQuota::lingering)
+    pub fn unconfirmed_in_use(&self, key: BudgetKey) -> u64 {
+        self.quota_client.quota(key).map_or(0, LocalQuota::unconfirmed_in_use)
     }
 
     /// Returns the tokens of a rate budget that can be spent now.
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -3,7 +3,7 @@
 use super::{Counters, FleetNode};
 use crate::local_quota::LocalQuota;
 use crate::membership::Member;
-use crate::quota_ledger::{BudgetKey, LedgerLine};
+use crate::quota_ledger::{BudgetKey, LedgerEntry};
 use crate::settings::{FleetConfig, Process};
 
 impl FleetNode {
@@ -38,7 +38,7 @@
     }
 
     /// Returns every holder's account of every budget; empty unless this process is leader.
-    pub fn ledger_lines(&self, now: f64) -> Vec<LedgerLine> {
+    pub fn ledger_entries(&self, now: f64) -> Vec<LedgerEntry> {
         if self.is_leader(now) { self.quota_server.lines(now) } else { Vec::new() }
     }
 
--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -49,7 +49,7 @@
 pub struct BudgetKey {
     /// The budget's id.
     pub budget: u64,
-    /// The [`label`](crate::settings::label) of the subject; zero if the budget has none.
+    /// The [`name_hash`](crate::settings::name_hash) of the subject; zero if the budget has none.
     pub subject: u64,
 }
 
@@ -106,7 +106,7 @@
 
 /// One holder's account of one budget, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LedgerLine {
+pub struct LedgerEntry {
     /// The budget.
     pub key: BudgetKey,
     /// The process that holds the units.
@@ -347,10 +347,10 @@
     }
 
     /// Returns every holder's account of every budget.
-    pub fn lines(&self, now: f64) -> Vec<LedgerLine> {
+    pub fn lines(&self, now: f64) -> Vec<LedgerEntry> {
         let mut lines = Vec::with_capacity(self.account_count);
         for (key, accounts) in &self.accounts {
-            lines.extend(accounts.iter().map(|(holder, account)| LedgerLine {
+            lines.extend(accounts.iter().map(|(holder, account)| LedgerEntry {
                 key: *key,
                 holder: holder.clone(),
                 outstanding: account.outstanding(now),
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -54,7 +54,7 @@
 /// subject of a [`BudgetKey`](crate::quota_ledger::BudgetKey).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// The budget's identifier: the [`label`] of its name.
+    /// The budget's identifier: the [`name_hash`] of its name.
     pub id: u64,
     /// The budget's name, the same at all members.
     pub name: String,
@@ -69,12 +69,12 @@
 impl Budget {
     /// Creates a budget whose id is derived from its name.
     pub fn new(name: &str, kind: LimitKind, total: u64, floor: u64) -> Budget {
-        Budget { id: label(name), name: name.to_string(), kind, total, floor }
+        Budget { id: name_hash(name), name: name.to_string(), kind, total, floor }
     }
 }
 
 /// Returns a 64-bit hash of a name, the same at all members: the first eight bytes of its BLAKE3 hash, big-endian.
-pub fn label(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     hash.as_bytes().iter().take(8).fold(0, |label, byte| label << 8 | u64::from(*byte))
 }
@@ -116,7 +116,7 @@
             self.budgets.iter().map(|budget| (&budget.name, HashedKind(budget.kind), budget.floor)).collect();
         let leases =
             (self.leader_lease_seconds, self.lease_seconds, self.floor_lease_seconds, self.max_clock_drift);
-        label(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.max_members))
+        name_hash(&format!("{:?} {leases:?} {} {budgets:?}", self.voters, self.max_members))
     }
 
     /// Returns the units of a budget that are reserved for floors.
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -5,7 +5,7 @@
 use ottersill_fleet::election::{Ballot, VoterReply};
 use ottersill_fleet::envelope::{Message, NotLeader, QuotaReply, QuotaRequest};
 use ottersill_fleet::quota_ledger::{BudgetKey, BudgetRequest, Grant, HeldQuota, Pools};
-use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Process, label};
+use ottersill_fleet::settings::{Budget, FleetConfig, LimitKind, Process, name_hash};
 use rstest::rstest;
 
 const SECRET: &[u8] = b"a secret of sixteen bytes or more";
@@ -20,7 +20,7 @@
 }
 
 fn key() -> BudgetKey {
-    BudgetKey { budget: label("probes"), subject: label("host-1") }
+    BudgetKey { budget: name_hash("probes"), subject: name_hash("host-1") }
 }
 
 fn budget_request() -> BudgetRequest {
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -3,7 +3,7 @@
 use ottersill_fleet::local_quota::LocalQuota;
 use ottersill_fleet::membership::Member;
 use ottersill_fleet::node::FleetNode;
-use ottersill_fleet::quota_ledger::{BudgetKey, LedgerLine};
+use ottersill_fleet::quota_ledger::{BudgetKey, LedgerEntry};
 use serde_json::{Value, json};
 
 use crate::discovery::registry::EndpointRegistry;
@@ -82,14 +82,14 @@
         if !fleet.is_leader(self.now) {
             return vec![json!({"fault": "another member is the leader", "leader": fleet.leader()})];
         }
-        let object = |line: LedgerLine| {
+        let object = |line: LedgerEntry| {
             let granted = line.outstanding.sum();
             json!({"budget": names.budget(line.key.budget), "subject": names.subject(line.key.subject),
                 "holder": line.holder.name, "incarnation": line.holder.incarnation, "leased": line.outstanding.demand,
                 "floor": line.outstanding.floor, "in_use": line.in_use, "demand": line.demand,
                 "unused": granted.saturating_sub(line.demand.max(line.in_use))})
         };
-        fleet.ledger_lines(self.now).into_iter().map(object).collect()
+        fleet.ledger_entries(self.now).into_iter().map(object).collect()
     }
 
     /// Counts of datagrams, elections and refused acquisitions.
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -43,7 +43,7 @@
 
 impl Endpoint {
     fn new(name: &str, listed: EndpointUpdate) -> Endpoint {
-        let label = ottersill_fleet::settings::label(name);
+        let label = ottersill_fleet::settings::name_hash(name);
         Endpoint {
             name: name.to_string(),
             label,
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -4,7 +4,7 @@
 use ottersill_fleet::membership::Presence;
 use ottersill_fleet::node::FleetNode;
 use ottersill_fleet::quota_ledger::BudgetKey;
-use ottersill_fleet::settings::label;
+use ottersill_fleet::settings::name_hash;
 use ottersill_routing::interface::{EndpointQuota, FleetQuota};
 
 use crate::discovery::registry::Endpoint;
@@ -38,9 +38,9 @@
         fleet.track(now, key);
         let waiting = demand.routing.waiting(endpoint.listed.group) as u64;
         if waiting > 0 && !fleet.is_available(now, key) {
-            fleet.note_waiting(now, key, waiting);
+            fleet.record_waiting(now, key, waiting);
         }
-        let units = fleet.spendable(now, key).saturating_sub(fleet.lingering(key));
+        let units = fleet.spendable(now, key).saturating_sub(fleet.unconfirmed_in_use(key));
         #[expect(clippy::cast_precision_loss, reason = "no budget has 2^52 units")]
         let units = units as f64;
         Some(units)
@@ -65,7 +65,7 @@
         let tokens = fleet.tokens(now, key);
         // No request waits for a warming endpoint while a warm one has room, so a router with any traffic requests a unit.
         if demand.requests_in_flight > 0 && tokens < 1.0 {
-            fleet.note_waiting(now, key, 1);
+            fleet.record_waiting(now, key, 1);
         }
         Some(tokens)
     }
@@ -112,7 +112,7 @@
     /// that applies to all endpoints.
     fn budget_key(&self, kind: BudgetKind, subject: &str) -> Option<BudgetKey> {
         let index = self.file.budget_kinds.iter().position(|configured| *configured == kind)?;
-        let subject = if kind.is_per_endpoint() { label(subject) } else { 0 };
+        let subject = if kind.is_per_endpoint() { name_hash(subject) } else { 0 };
         Some(BudgetKey { budget: self.file.fleet.budgets[index].id, subject })
     }
 }
