--- a/crates/ottersill/src/client/limits.rs
+++ b/crates/ottersill/src/client/limits.rs
@@ -4,7 +4,7 @@
 use crate::client::connection::{ClientConnection, ConnectionPhase};
 use crate::protocol::socket;
 use crate::reactor::Context;
-use crate::timers::TIMING_MARGIN;
+use crate::timers::TIMING_MARGIN_SECONDS;
 
 /// Number of the oldest lingering connections among which the one to close is chosen.
 const MAX_LINGERING_CANDIDATES: usize = 8;
@@ -62,7 +62,7 @@
         // router, however, many connections are new at once, and they must not displace clients that have queried: once they
         // exceed the places that are open to them, the oldest of them is closed.
         let new_since =
-            if self.has_surplus_unqueried() { f64::INFINITY } else { context.now() - TIMING_MARGIN };
+            if self.has_surplus_unqueried() { f64::INFINITY } else { context.now() - TIMING_MARGIN_SECONDS };
         IdleCriterion { has_queried, new_since }
     }
 
@@ -104,7 +104,8 @@
         oldest.sort_by(|a, b| a.1.phase_since.total_cmp(&b.1.phase_since));
         oldest.truncate(MAX_LINGERING_CANDIDATES);
         let clean = oldest.iter().find(|(_, client)| !socket::close_would_reset(&client.socket));
-        let first = oldest.first().filter(|(_, client)| client.phase_since < context.now() - TIMING_MARGIN);
+        let first =
+            oldest.first().filter(|(_, client)| client.phase_since < context.now() - TIMING_MARGIN_SECONDS);
         let chosen = clean.or(first).map(|(id, _)| *id);
         chosen.into_iter().for_each(|id| self.remove(id, context));
         chosen.is_some()
--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -97,7 +97,7 @@
     }
 
     /// Sets the time by which all accepted requests have to be answered, in Unix seconds.
-    pub fn limit_answers(&mut self, answer_deadline: f64) {
+    pub fn set_answer_deadline(&mut self, answer_deadline: f64) {
         self.answer_deadline = answer_deadline;
     }
 
--- a/crates/ottersill/src/client/time_limits.rs
+++ b/crates/ottersill/src/client/time_limits.rs
@@ -4,7 +4,7 @@
 use crate::client::{ClientEvent, Clients};
 use crate::protocol::frame::ErrorCode;
 use crate::reactor::Context;
-use crate::timers::{TIMING_MARGIN, Timer};
+use crate::timers::{TIMING_MARGIN_SECONDS, Timer};
 
 /// How long a connection without an open statement is kept; the service page allows it to be closed after this time.
 const IDLE_TIMEOUT_SECONDS: f64 = 2.0;
@@ -48,7 +48,7 @@
             return None;
         }
         if client.may_have_unread && client.outbox.is_empty() {
-            self.set_timer(id, context.now() + TIMING_MARGIN, context);
+            self.set_timer(id, context.now() + TIMING_MARGIN_SECONDS, context);
             return None;
         }
         let deadline = self.deadline(client, context.now());
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -205,8 +205,8 @@
     }
 
     /// Sets the time, in Unix seconds, by which all accepted statements have to be answered.
-    pub fn limit_answers(&mut self, answers_by: f64) {
-        self.clients.limit_answers(answers_by);
+    pub fn set_answer_deadline(&mut self, answer_deadline: f64) {
+        self.clients.set_answer_deadline(answer_deadline);
     }
 
     /// Writes all counters to the log.
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -121,10 +121,10 @@
         }
         match next {
             Phase::Serving => open_listener(event_loop, &self.listen)?,
-            Phase::LameDuck { answers_by, .. } => {
+            Phase::LameDuck { answer_deadline, .. } => {
                 let in_flight = event_loop.requests_in_flight();
                 info!(event_loop.context().log, "shutdown requested"; "statements_in_flight" => in_flight);
-                event_loop.limit_answers(answers_by);
+                event_loop.set_answer_deadline(answer_deadline);
             }
             Phase::Draining { .. } => event_loop.drain(),
             Phase::Stopped if matches!(previous, Phase::Draining { .. }) => event_loop.leave_fleet(),
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -2,7 +2,7 @@
 //! follows; [`run`](crate::lifecycle::run) carries out the actions of a phase. Points in time are Unix seconds, and durations
 //! are seconds.
 
-use crate::timers::TIMING_MARGIN;
+use crate::timers::TIMING_MARGIN_SECONDS;
 
 /// Without an endpoint list, a router starts to serve this long after its start, so that a router without a list can be
 /// distinguished from one that does not start.
@@ -47,7 +47,7 @@
         /// When this phase ends.
         until: f64,
         /// By when every accepted statement has to be answered.
-        answers_by: f64,
+        answer_deadline: f64,
     },
     /// Accepted statements are answered, and idle connections are closed.
     Draining {
@@ -82,9 +82,9 @@
     /// The lame-duck phase lasts for half of the time that a shutdown has, as the last statements need time as well.
     fn lame_duck(now: f64, longest_statement_timeout: f64) -> Phase {
         let counted_timeout = longest_statement_timeout.min(MAX_COUNTED_TIMEOUT_SECONDS);
-        let answers_by = now + counted_timeout + KILL_DELAY_SECONDS - TIMING_MARGIN;
-        let until = (now + MIN_LAME_DUCK_SECONDS).max((now + answers_by) / 2.0);
-        Phase::LameDuck { until, answers_by }
+        let answer_deadline = now + counted_timeout + KILL_DELAY_SECONDS - TIMING_MARGIN_SECONDS;
+        let until = (now + MIN_LAME_DUCK_SECONDS).max((now + answer_deadline) / 2.0);
+        Phase::LameDuck { until, answer_deadline }
     }
 
     /// When this phase ends even if nothing happens; infinite if it has no time limit.
--- a/crates/ottersill/src/timers.rs
+++ b/crates/ottersill/src/timers.rs
@@ -5,7 +5,7 @@
 
 /// How long before a documented time limit the router acts, so that the result arrives within the limit; seconds. It is not
 /// derived from the connect timeout, as a deployment's settings may give that any length.
-pub const TIMING_MARGIN: f64 = 0.25;
+pub const TIMING_MARGIN_SECONDS: f64 = 0.25;
 
 /// The owner of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/ottersill/tests/phases.rs
+++ b/crates/ottersill/tests/phases.rs
@@ -44,12 +44,12 @@
     #[case] answers: f64,
 ) {
     let asked = Observation { shutdown_requested: true, longest_statement_timeout, ..usual(2000.0) };
-    let Phase::LameDuck { until, answers_by } = Phase::Serving.next(&asked) else {
+    let Phase::LameDuck { until, answer_deadline } = Phase::Serving.next(&asked) else {
         panic!("a shutdown begins")
     };
     let close = |at: f64, expected: f64| (at - 2000.0 - expected).abs() < 1e-9;
-    assert!(close(until, lame_duck) && close(answers_by, answers), "{until} {answers_by}");
-    let phase = Phase::LameDuck { until, answers_by };
+    assert!(close(until, lame_duck) && close(answer_deadline, answers), "{until} {answer_deadline}");
+    let phase = Phase::LameDuck { until, answer_deadline };
     assert_eq!(phase.next(&Observation { now: until - 0.001, has_no_clients: true, ..asked }), phase);
     let drains = phase.next(&Observation { now: until, ..asked });
     assert_eq!(drains, Phase::Draining { until: until + longest_statement_timeout + 1.0 });
