--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -1,6 +1,6 @@
-//! One workload of the settings as routing's [`RequestClass`].
+//! One workload of the settings as routing's [`WorkloadSettings`].
 
-use ottersill_routing::interface::{Consistency, DeduplicationScope, Effect, RequestClass};
+use ottersill_routing::interface::{Consistency, DeduplicationScope, Effect, WorkloadSettings};
 
 use super::schema::Profile;
 use super::{SettingsError, seconds};
@@ -11,12 +11,12 @@
     profile: &Profile,
     class_read: &str,
     oldest_data_ms: f64,
-) -> Result<RequestClass, SettingsError> {
-    Ok(RequestClass {
+) -> Result<WorkloadSettings, SettingsError> {
+    Ok(WorkloadSettings {
         needs: needs(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
         priority_weight: profile.credit,
-        late_share: profile.late_value,
+        late_value_fraction: profile.late_value,
         slo_time: seconds(profile.aim_ms),
         statement_timeout: seconds(profile.deadline_ms),
     })
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -5,7 +5,7 @@
 use crate::convert::{units_to_f64, whole_units};
 use crate::election::Ballot;
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
-use crate::settings::Kind;
+use crate::settings::LimitKind;
 
 /// Period over which demand is measured. It is short compared to a lease, so that a router's share follows its traffic.
 const DEMAND_SAMPLE_PERIOD_SECONDS: f64 = 0.5;
@@ -55,7 +55,7 @@
 /// One router's quota of one budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalQuota {
-    kind: Kind,
+    kind: LimitKind,
     /// The total in this router's own settings, which bounds its spending regardless of the leader's grants.
     total: u64,
     leases: Pools<Lease>,
@@ -66,7 +66,7 @@
     /// Operations of a concurrency budget that are in flight.
     in_flight: u64,
     /// Latest end of each abandoned operation that may still be running, in ascending order.
-    lingering: VecDeque<f64>,
+    unconfirmed_in_use: VecDeque<f64>,
     /// Units that callers tried to acquire since the last sample.
     requested_units: f64,
     /// Largest number of units in use or denied since the last sample.
@@ -85,7 +85,7 @@
 
 impl LocalQuota {
     /// Creates a quota without a lease. Grants in answer to requests up to `last_ignored_request_id` are ignored.
-    pub fn new(now: f64, kind: Kind, total: u64, last_ignored_request_id: u64) -> LocalQuota {
+    pub fn new(now: f64, kind: LimitKind, total: u64, last_ignored_request_id: u64) -> LocalQuota {
         LocalQuota {
             kind,
             total,
@@ -94,7 +94,7 @@
             tokens: 0.0,
             refreshed_at: now,
             in_flight: 0,
-            lingering: VecDeque::new(),
+            unconfirmed_in_use: VecDeque::new(),
             requested_units: 0.0,
             peak_in_use: 0.0,
             recent_demand: 0.0,
@@ -138,15 +138,15 @@
         self.state
     }
 
-    /// Removes lingering operations that must have ended, and refills tokens up to now. The elapsed time adds
+    /// Removes unconfirmed operations that must have ended, and refills tokens up to now. The elapsed time adds
     /// tokens at the rate of the units that may be spent now, so a lease that has expired meanwhile adds none.
     fn refresh(&mut self, now: f64) {
-        while self.lingering.front().is_some_and(|ended_at| *ended_at <= now) {
-            self.lingering.pop_front();
+        while self.unconfirmed_in_use.front().is_some_and(|ended_at| *ended_at <= now) {
+            self.unconfirmed_in_use.pop_front();
         }
-        if let Kind::Rate { every } = self.kind {
+        if let LimitKind::Rate { refill_seconds } = self.kind {
             let depth = units_to_f64(self.spendable(now));
-            let refilled = depth * (now - self.refreshed_at).max(0.0) / every;
+            let refilled = depth * (now - self.refreshed_at).max(0.0) / refill_seconds;
             self.tokens = (self.tokens + refilled).min(depth);
         }
         self.refreshed_at = now.max(self.refreshed_at);
@@ -154,7 +154,7 @@
 
     /// Returns the units in use, including those of abandoned operations that may still be running.
     pub fn in_use(&self) -> u64 {
-        self.in_flight + self.lingering()
+        self.in_flight + self.unconfirmed_in_use()
     }
 
     /// Returns the units in use as of `now`.
@@ -164,8 +164,8 @@
     }
 
     /// Returns the units in use by abandoned operations whose end is not confirmed. Each is counted for the full hold.
-    pub fn lingering(&self) -> u64 {
-        self.lingering.len() as u64
+    pub fn unconfirmed_in_use(&self) -> u64 {
+        self.unconfirmed_in_use.len() as u64
     }
 
     /// Returns the tokens of a rate budget that can be spent now.
@@ -178,8 +178,8 @@
     pub fn is_available(&mut self, now: f64) -> bool {
         self.refresh(now);
         match self.kind {
-            Kind::Rate { .. } => self.tokens >= 1.0,
-            Kind::Concurrency { .. } => self.in_use() < self.spendable(now),
+            LimitKind::Rate { .. } => self.tokens >= 1.0,
+            LimitKind::Concurrency { .. } => self.in_use() < self.spendable(now),
         }
     }
 
@@ -191,8 +191,8 @@
         if acquired {
             self.acquired += 1;
             match self.kind {
-                Kind::Rate { .. } => self.tokens -= 1.0,
-                Kind::Concurrency { .. } => self.in_flight += 1,
+                LimitKind::Rate { .. } => self.tokens -= 1.0,
+                LimitKind::Concurrency { .. } => self.in_flight += 1,
             }
         } else {
             self.denied_since_request += 1;
@@ -206,15 +206,15 @@
     /// Releases a unit of a concurrency budget. Unless the end of its operation is `confirmed`, the unit is counted for
     /// the full hold, because an abandoned operation may still be running.
     pub fn release(&mut self, now: f64, confirmed: bool) {
-        let Kind::Concurrency { hold } = self.kind else { return };
+        let LimitKind::Concurrency { hold_seconds } = self.kind else { return };
         self.in_flight = self.in_flight.saturating_sub(1);
         if !confirmed {
-            self.lingering.push_back(now + hold);
+            self.unconfirmed_in_use.push_back(now + hold_seconds);
         }
     }
 
     /// Records that callers wait for `units` units beyond those in use. The next request includes them in the demand.
-    pub fn note_waiting(&mut self, units: u64) {
+    pub fn record_waiting(&mut self, units: u64) {
         self.denied_since_request = self.denied_since_request.max(units);
         self.waiting = self.waiting.max(units);
         self.peak_in_use = self.peak_in_use.max(units_to_f64(self.in_use() + units));
@@ -247,8 +247,8 @@
             return;
         }
         let sample = match self.kind {
-            Kind::Rate { every } => self.requested_units * every / elapsed,
-            Kind::Concurrency { .. } => self.peak_in_use,
+            LimitKind::Rate { refill_seconds } => self.requested_units * refill_seconds / elapsed,
+            LimitKind::Concurrency { .. } => self.peak_in_use,
         };
         let weight = (elapsed / DEMAND_SAMPLE_PERIOD_SECONDS).min(1.0);
         let smoothed = self.recent_demand + weight * (sample - self.recent_demand);
--- a/crates/routing/tests/rarely_heard.rs
+++ b/crates/routing/tests/rarely_heard.rs
@@ -25,7 +25,8 @@
 fn end(world: &mut World, request: usize, outcome: AttemptOutcome, elapsed: f64) -> Option<usize> {
     let endpoint = world.sent_to(request).last().copied()?;
     let (observed, report) = (LoadReport::default(), None);
-    let result = AttemptResult { request, endpoint, outcome, elapsed, closed: true, observed, report };
+    let result =
+        AttemptResult { request, endpoint, outcome, elapsed, has_final_answer: true, observed, report };
     world.router.on_attempt_result(world.now, &result, &mut world.book);
     Some(endpoint)
 }
@@ -260,7 +261,7 @@
     let sent = |waited: f64| -> usize {
         let each = |seed: u64| {
             let mut late_too = terms(true);
-            late_too.workloads[MARKED].late_share = 0.3;
+            late_too.workloads[MARKED].late_value_fraction = 0.3;
             let mut world = World::new(RoutingConfig { seed, routers: 40, ..late_too });
             (0..4).for_each(|endpoint| world.report(endpoint, Role::Replica, 0.0));
             world.list(0, EndpointState::Ready, Some(world.now + waited + 0.1 - age));
@@ -414,7 +415,8 @@
 #[test]
 fn a_part_of_the_fleet_s_budget_bounds_what_is_out() {
     let mut world = World::settled(true, [0.0; 3]);
-    let part = |endpoint: usize, units: f64| EndpointQuota { endpoint, units: Some(units), tokens: None };
+    let part =
+        |endpoint: usize, units: f64| EndpointQuota { endpoint, in_flight_quota: Some(units), tokens: None };
     let parts = |units: f64| FleetQuota {
         endpoints: (0..4).map(|endpoint| part(endpoint, units)).collect(),
         ..FleetQuota::default()
@@ -435,7 +437,7 @@
     world.list(1, EndpointState::Ready, Some(world.now - 1.0));
     assert!(world.router.is_warming(world.now, 1) && !world.router.is_warming(world.now, 2));
     let hand_over = |world: &mut World, tokens: f64| {
-        let endpoints = vec![EndpointQuota { endpoint: 1, units: None, tokens: Some(tokens) }];
+        let endpoints = vec![EndpointQuota { endpoint: 1, in_flight_quota: None, tokens: Some(tokens) }];
         let parts = FleetQuota { endpoints, routers: Some(4), retries: None };
         world.router.on_quota(world.now, &parts, &mut world.book);
     };
