--- a/crates/statement/tests/churn.rs
+++ b/crates/statement/tests/churn.rs
@@ -1,4 +1,4 @@
-//! A flood of ever-new fingerprints among typical ones, with the memory that the cache really takes.
+//! A flood of new fingerprints among typical ones, with the heap memory that the cache actually uses.
 
 use ottersill_statement::fingerprint::Key;
 use ottersill_statement::fingerprint_cache::FingerprintCache;
@@ -9,7 +9,7 @@
 
 const BUDGET_BYTES: usize = 1 << 20;
 const TYPICAL_FINGERPRINTS: usize = 200;
-/// Statements of a typical fingerprint come among so many of new ones.
+/// Number of statements with a new fingerprint for each one with a typical fingerprint.
 const NEW_PER_TYPICAL: usize = 4;
 
 fn look_up(cache: &mut FingerprintCache, now: f64, text: &str) {
@@ -17,7 +17,8 @@
     cache.lookup(now, 0, text.as_bytes(), fingerprint);
 }
 
-/// As many new fingerprints as `OTTERSILL_CHURN` says, two million for the figures of the docs; CI does with fewer.
+/// Guards against a flood of new fingerprints that evicts typical ones from the cache, or that grows the cache beyond its budget.
+/// `OTTERSILL_CHURN` sets the number of new fingerprints: two million for the figures in the docs, and fewer by default for CI.
 #[test]
 fn a_flood_of_new_fingerprints_evicts_no_typical_one() {
     let new_statements =
@@ -26,7 +27,7 @@
         .map(|n| format!("SELECT a{n} FROM kv WHERE name = '7f' AND n > 3"))
         .collect();
     let heap_before = HEAP.current_usage();
-    // Eight thousand statements a second: what two routers take on a busy day, four fifths of it the flood.
+    // Eight thousand statements per second, the load of two routers on a busy day; four fifths of them are the flood.
     let mut now = 0.0;
     let mut cache = FingerprintCache::new(now, Key::from_seed(7), BUDGET_BYTES, vec![0.01]);
     for round in 0..3 {
@@ -41,7 +42,7 @@
         let text = format!("SELECT x{n}, y FROM new_{} WHERE z{n} = 1 OR length(w) > 5", n % 1000);
         look_up(&mut cache, now, &text);
         if n % NEW_PER_TYPICAL == 0 {
-            // Skewed, as typical statements are: some come a hundred times as often as others.
+            // A skewed choice, as of typical statements: some are sent a hundred times as often as others.
             let index = (n / NEW_PER_TYPICAL).wrapping_mul(2_654_435_761)
                 % (TYPICAL_FINGERPRINTS * TYPICAL_FINGERPRINTS);
             let index = TYPICAL_FINGERPRINTS - 1 - index.isqrt();
@@ -55,7 +56,7 @@
             next_report += new_statements / 20;
             let heap_bytes = HEAP.current_usage() - heap_before;
             println!(
-                "{:>9} new  {:>5} entries  {:>8} bytes counted  {heap_bytes:>8} on the heap  {:.4} found",
+                "{:>9} new  {:>5} entries  {:>8} bytes counted  {heap_bytes:>8} on the heap  {:.4} hit rate",
                 n + 1,
                 cache.entries(),
                 cache.bytes(),
@@ -65,6 +66,6 @@
     }
     println!("{:?}", cache.counts);
     assert!(peak_bytes <= BUDGET_BYTES + BUDGET_BYTES / 10, "{peak_bytes} bytes on the heap");
-    assert!(hits * 100 >= lookups * 99, "{hits} of {lookups} found");
-    assert!(cache.counts.parsed > (TYPICAL_FINGERPRINTS as u64), "the flood was not parsed at all");
+    assert!(hits * 100 >= lookups * 99, "{hits} cache hits in {lookups} lookups of typical statements");
+    assert!(cache.counts.parsed > (TYPICAL_FINGERPRINTS as u64), "no statement of the flood was parsed");
 }
--- a/crates/statement/tests/corpus.rs
+++ b/crates/statement/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! The corpus under `corpus/`: what each statement is, by the full reading and by the tokens alone.
+//! Classifies the statements under `corpus/`, each of which is listed with its expected kind: in full, and by the tokens alone.
 
 use std::path::Path;
 
@@ -8,10 +8,10 @@
 
 fn corpus(file: &str) -> Vec<(String, String)> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus").join(file);
-    let text = std::fs::read_to_string(path).expect("a file of the corpus");
+    let text = std::fs::read_to_string(path).expect("corpus file is unreadable");
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let parse_line = |line: &str| {
-        let (kind, text) = line.split_once('|').expect("a bar");
+        let (kind, text) = line.split_once('|').expect("corpus line has no `|`");
         (kind.to_string(), text.replace('⏎', "\n"))
     };
     lines.map(parse_line).collect()
@@ -38,10 +38,11 @@
             ));
         }
     }
-    assert!(wrong.is_empty(), "{} of them:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(wrong.is_empty(), "{} statements are misclassified:\n{}", wrong.len(), wrong.join("\n"));
 }
 
-/// Whatever else is asked of them: neither way calls one that writes a read.
+/// Guards against the one dangerous error: neither the full classification nor the prescan may classify a write as a read. Also
+/// checks that each statement has the fingerprint of its canonical text.
 #[test]
 fn no_write_is_classified_as_a_read() {
     let mut count = 0;
@@ -53,7 +54,7 @@
             assert_ne!(full, StatementKind::Read, "{text}");
             assert_ne!(tokens, StatementKind::Read, "by its tokens alone: {text}");
         }
-        // Of one fingerprint, of one kind: the shortest text of the fingerprint stands for all.
+        // All texts of a fingerprint have one kind, as its canonical text is classified for all of them.
         let canonical = fingerprint::canonical_text(bytes);
         let key = fingerprint::Key::from_seed(1);
         assert_eq!(
@@ -65,7 +66,7 @@
     assert!(count >= 400, "{count} statements");
 }
 
-/// The tokens alone tell most plain reads, as they have to in a flood.
+/// The prescan alone recognizes most plain reads. A flood of new fingerprints, which exhausts the parse budget, depends on that.
 #[test]
 fn plain_reads_are_classified_as_reads() {
     let reads = corpus(CORPUS_FILES[0]);
@@ -74,7 +75,9 @@
     });
     let by_parser = reads.iter().filter(|(_, text)| classify(text.as_bytes()).kind == StatementKind::Read);
     let (tokens, parser, total) = (by_tokens.count(), by_parser.count(), reads.len());
-    println!("of {total} plain reads {parser} are told by the full reading, {tokens} by the tokens alone");
+    println!(
+        "of {total} plain reads {parser} are recognized by the full classification, {tokens} by the tokens alone"
+    );
     assert!(parser * 100 >= total * 95, "{parser} of {total}");
     assert!(tokens * 100 >= total * 85, "{tokens} of {total} by their tokens");
 }
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -1,4 +1,4 @@
-//! The cost of fingerprints on made-up hosts that queue: cores, a queue in order of arrival, work with chance in it.
+//! The cost model on simulated endpoints with several cores, a queue in order of arrival and random variation of the work.
 
 use ottersill_statement::cost_model::{CostModel, QueueingDelay};
 use ottersill_statement::fingerprint::Key;
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 struct WorkloadMix {
-    /// Seconds of work of each fingerprint, and how often it comes.
+    /// Mean seconds of work of each fingerprint, and its fraction of the statements.
     fingerprints: Vec<(f64, f64)>,
     load: f64,
     endpoints: usize,
@@ -20,11 +20,11 @@
     core_free_at: Vec<Vec<f64>>,
     now: f64,
     rng: StdRng,
-    /// Ended, in the order of their ends: time, fingerprint, host, took.
+    /// Attempts that have not ended, the latest end first: end, fingerprint, endpoint, duration; times in seconds.
     in_flight: Vec<(f64, usize, usize, f64)>,
     waited_seconds: f64,
     work: f64,
-    /// Executions of each fingerprint that were learnt from.
+    /// Completed attempts of each fingerprint that the cost model recorded.
     completions: Vec<usize>,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// One more statement arrives; `learn` says whether this router sees it.
+    /// Lets the next statement arrive, and records the attempts that ended before it. Returns its fingerprint.
     fn step(&mut self, mix: &WorkloadMix) -> usize {
         let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
         let rate = mix.load * (mix.endpoints * mix.cores) as f64 / typical;
@@ -56,7 +56,7 @@
         });
         let fingerprint = fingerprint.unwrap_or(0);
         let endpoint = self.rng.random_range(0..mix.endpoints);
-        // Sum of three evens: near enough to a bell, with a spread of a quarter.
+        // The sum of three uniform numbers approximates a normal distribution; the work varies by about a quarter.
         let deviation: f64 = (0..3).map(|_| self.rng.random::<f64>() - 0.5).sum();
         let work = mix.fingerprints[fingerprint].0 * (deviation * 0.5).exp();
         let cores = &mut self.core_free_at[endpoint];
@@ -80,7 +80,7 @@
     WorkloadMix { fingerprints: vec![(0.002, 0.95), (0.2, 0.05)], load, endpoints: 3, cores: 4 }
 }
 
-/// How far off an estimate is, as a factor of at least one.
+/// Returns the error of an estimate as a factor of at least one.
 fn error_factor(simulation: &Simulation, mix: &WorkloadMix, fingerprint: usize) -> f64 {
     let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
     let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical).work
@@ -88,7 +88,8 @@
     ratio.max(1.0 / ratio)
 }
 
-/// Two fingerprints 100 times apart in one workload: after 50 executions of each, in nine runs of ten.
+/// Guards against queueing delay that is taken for work: two fingerprints whose work differs by a factor of 100 are estimated to
+/// within a factor of 1.5 in nine runs of ten, once 50 attempts of the heavy one have completed.
 #[rstest]
 #[case::calm(0.3)]
 #[case::busy(0.6)]
@@ -107,7 +108,7 @@
     }
     errors.iter_mut().for_each(|factors| factors.sort_by(f64::total_cmp));
     println!(
-        "load {load}: waited {:.2} of work; cheap off by {:.2} median, {:.2} at 90%; heavy {:.2}, {:.2}",
+        "load {load}: waited {:.2} of work; error factor of cheap {:.2} median, {:.2} at 90%; of heavy {:.2}, {:.2}",
         waited_seconds / 40.0,
         errors[0][20],
         errors[0][36],
@@ -117,7 +118,8 @@
     assert!(errors.iter().all(|factors| factors[36] < 1.5), "{errors:?}");
 }
 
-/// A fingerprint whose work grows, or falls, tenfold in the middle of the day, among others that stay as they are.
+/// Guards against an estimate that stays at the former work: the work of one fingerprint grows or falls tenfold, while that of
+/// others does not change.
 #[rstest]
 #[case::grows(0.002, 0.02)]
 #[case::falls(0.02, 0.002)]
@@ -134,7 +136,11 @@
         for _ in 0..2000 {
             simulation.step(&mix);
         }
-        assert!(error_factor(&simulation, &mix, 0) < 1.5, "before: {}", error_factor(&simulation, &mix, 0));
+        assert!(
+            error_factor(&simulation, &mix, 0) < 1.5,
+            "estimate before the change is off by a factor of {}",
+            error_factor(&simulation, &mix, 0)
+        );
         mix.fingerprints[0].0 = after;
         mix.load = 0.6;
         let changed_at = simulation.now;
@@ -142,7 +148,7 @@
             simulation.step(&mix);
             assert!(
                 simulation.now < changed_at + 20.0,
-                "still off by {} after 20 s",
+                "estimate is still off by a factor of {} after 20 s",
                 error_factor(&simulation, &mix, 0)
             );
         }
@@ -150,13 +156,14 @@
     }
     delays_until_learnt.sort_by(f64::total_cmp);
     println!(
-        "from {before} to {after}: known again after {:.1} s median, {:.1} s at most",
+        "from {before} to {after}: learnt after {:.1} s median, {:.1} s at most",
         delays_until_learnt[10], delays_until_learnt[19]
     );
     assert!(delays_until_learnt[19] < 12.0, "{delays_until_learnt:?}");
 }
 
-/// What rests on two executions is not believed like what rests on a thousand, nor what is old like what is new.
+/// Guards against estimates that claim too much certainty: the spread is larger with two attempts than with a thousand, and
+/// larger for old observations than for recent ones.
 #[test]
 fn spread_shrinks_with_attempts_and_grows_with_age() {
     let mut cost = CostModel::new(0.01);
@@ -170,37 +177,38 @@
             spreads.push(cost.estimate(now, 0.01).spread);
         }
     }
-    println!("spread with none {none:.2}, with 2, 50 and 1000 executions {spreads:.2?}");
+    println!("spread with no attempt {none:.2}, with 2, 50 and 1000 attempts {spreads:.2?}");
     assert!(
         none > 0.7 && spreads[0] > 0.25 && spreads[1] < 0.1 && spreads[2] <= spreads[1],
         "{none} {spreads:?}"
     );
-    // With two the estimate still leans to the workload's.
+    // With two attempts the estimate still leans towards the typical work of the workload.
     let mut few_attempts = CostModel::new(0.01);
     (1..=2).for_each(|n| few_attempts.record(f64::from(n), 0.1, &mut delay));
     assert!(few_attempts.estimate(2.0, 0.01).work < 0.08, "{}", few_attempts.estimate(2.0, 0.01).work);
     let old = cost.estimate(10.0 + 60.0, 0.01);
-    assert!(old.spread > 0.25, "a minute later it is believed like {}", old.spread);
+    assert!(old.spread > 0.25, "a minute later the spread is only {}", old.spread);
 }
 
-/// Found on sockets: a fingerprint that was turned away for what it had taken once was never sent again, so nothing showed
-/// that it took less by then; and a workload of a single fingerprint was taken for dearer than itself.
+/// Guards against two failures. A fingerprint that is rejected for its former cost is never sent again, so nothing shows that it
+/// costs less by then. And the only fingerprint of a workload is estimated to cost more than a typical statement of it.
 #[test]
 fn a_single_shape_is_what_is_usual_and_a_stall_is_forgotten() {
     let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
     let text = b"SELECT content FROM kv WHERE name = 'a'";
     let fingerprint = cache.scan(text).fingerprint;
-    let key = cache.lookup(0.0, 0, text, fingerprint).key.expect("a cache entry");
+    let key = cache.lookup(0.0, 0, text, fingerprint).key.expect("statement was not cached");
     let mut now = 0.0;
     for n in 0..300 {
         now += 0.02;
-        // A stall of two seconds, of all that is sent.
+        // A stall of two seconds that affects all attempts.
         let elapsed = if (100..200).contains(&n) { 1.5 } else { 0.02 };
         cache.record_completion(now, key, 0, elapsed, true);
-        let estimate = cache.lookup(now, 0, text, fingerprint).estimate.expect("an estimate");
+        let estimate =
+            cache.lookup(now, 0, text, fingerprint).estimate.expect("cached statement has no estimate");
         assert!(n < 120 || estimate.work < estimate.typical * 1.5 + 0.01, "{n}: {estimate:?}");
     }
-    // Nothing is sent for a while, however dear it was taken for.
+    // The fingerprint becomes expensive, and then nothing is sent for 40 seconds.
     let stalled = vec![1.5; 50];
     stalled.iter().for_each(|elapsed| {
         cache.record_completion(
@@ -217,6 +225,6 @@
     let later = (0..400)
         .filter_map(|_| cache.lookup(now + 40.0, 0, text, fingerprint).estimate)
         .last()
-        .expect("an estimate");
+        .expect("cached statement has no estimate");
     assert!(later.spread > 0.25 && later.work < later.typical * 1.2, "{later:?}");
 }
--- a/crates/statement/tests/lexer.rs
+++ b/crates/statement/tests/lexer.rs
@@ -1,4 +1,5 @@
-//! The lexer beside `sqlparser`'s, on any bytes, and on reads with a write put into them.
+//! The lexer, fingerprints and classification: single cases, arbitrary bytes, comparison with the lexer of `sqlparser`, and reads
+//! with an embedded write.
 
 use ottersill_statement::classify::{StatementKind, classify, classify_by_prescan, prescan};
 use ottersill_statement::fingerprint::{self, Key};
@@ -67,7 +68,7 @@
 #[case::doubtful("SELECT 'a'", r"SELECT 'a\'", false)]
 #[case::split_word("SELECT ab", "SELECT a b", false)]
 #[case::semicolon("SELECT 1", "SELECT 1;", false)]
-fn compares_fingerprints(#[case] one: &str, #[case] other: &str, #[case] same: bool) {
+fn fingerprints_ignore_values_alone(#[case] one: &str, #[case] other: &str, #[case] same: bool) {
     let fingerprint = |text: &str| fingerprint::fingerprint_of(KEY, text.as_bytes());
     assert_eq!(
         fingerprint(one) == fingerprint(other),
@@ -76,11 +77,12 @@
         fingerprint::canonical_text(one.as_bytes()),
         fingerprint::canonical_text(other.as_bytes())
     );
-    // Another key, other fingerprints: or a client could work out two texts of one fingerprint beforehand.
+    // A different key gives different fingerprints; otherwise a client could compute colliding texts in advance.
     assert_ne!(fingerprint(one), fingerprint::fingerprint_of(Key(1, 3), one.as_bytes()));
 }
 
-/// Bounded time, no panic, no end of the stack; and none of them is believed to read but the one that does.
+/// Guards against texts that take unbounded time, panic or overflow the stack, and against a read found in any but the cases that
+/// only read.
 #[rstest]
 #[case::parentheses("SELECT ".to_string() + &"(".repeat(10_000) + "1" + &")".repeat(10_000), StatementKind::Unknown)]
 #[case::open_parentheses("(".repeat(60_000), StatementKind::Unknown)]
@@ -109,12 +111,12 @@
 fn oversized_texts_take_bounded_time(#[case] text: String, #[case] expected: StatementKind) {
     let started = std::time::Instant::now();
     let kind = classify(text.as_bytes()).kind;
-    // A debug build on a busy machine; unbounded ones take minutes, or end in a fault.
+    // Allows for a debug build on a busy machine. Without limits, such texts take minutes or crash the process.
     assert!(started.elapsed().as_secs_f64() < 5.0, "{:?}", started.elapsed());
     assert_eq!(kind, expected);
 }
 
-/// Words, quoted names and literals, as both lexers find them.
+/// Returns the start of each word, quoted name and literal, which both lexers have in common.
 fn token_starts(text: &str) -> Vec<String> {
     let bytes = text.as_bytes();
     let tokens = Lexer::new(bytes).filter(|t| {
@@ -126,6 +128,7 @@
     tokens.map(|t| format!("{:?}", t.span.start)).collect()
 }
 
+/// Returns the same for the lexer of `sqlparser`, or nothing if it rejects the text.
 fn sqlparser_token_starts(text: &str) -> Option<Vec<String>> {
     let tokens =
         Tokenizer::new(&PostgreSqlDialect {}, text).with_unescape(false).tokenize_with_location().ok()?;
@@ -134,7 +137,7 @@
         .collect();
     let start_offset = |token: &sqlparser::tokenizer::TokenWithSpan| {
         let line = line_starts[token.span.start.line as usize - 1];
-        // Columns count characters.
+        // Columns are counted in characters, not in bytes.
         let column = token.span.start.column as usize - 1;
         let bytes: usize = text[line..].chars().take(column).map(char::len_utf8).sum();
         format!("{:?}", line + bytes)
@@ -155,7 +158,7 @@
     Some(tokens.iter().filter(|token| is_compared(&token.token)).map(start_offset).collect())
 }
 
-/// Pieces of SQL in any order, with what makes lexers stumble.
+/// Generates pieces of SQL in any order, including those that lexers often misread.
 fn sql_pieces() -> impl Strategy<Value = String> {
     let piece = prop_oneof![
         Just("SELECT"),
@@ -200,7 +203,7 @@
     prop::collection::vec(piece, 0..30).prop_map(|pieces| pieces.join(" "))
 }
 
-/// Reads as they are written, with a hole where anything can stand.
+/// Reads with a placeholder for any expression.
 const READS: [&str; 8] = [
     "SELECT a FROM b WHERE c = {}",
     "SELECT a, {} FROM b",
@@ -212,6 +215,7 @@
     "VALUES (1, {}), (2, 3)",
 ];
 
+/// Expressions that write, or that may write.
 const WRITES: [&str; 10] = [
     "nextval('s')",
     "\"nextval\"('s')",
@@ -265,7 +269,7 @@
         }
     }
 
-    /// The shortest text of a fingerprint is of that fingerprint, and is its own shortest text.
+    /// The canonical text has the fingerprint of the original, and is its own canonical text.
     #[test]
     fn canonical_text_keeps_its_fingerprint(text in sql_pieces()) {
         let canonical = fingerprint::canonical_text(text.as_bytes());
@@ -282,14 +286,14 @@
         upper in any::<bool>(),
     ) {
         let combined = READS[read_at].replace("{}", WRITES[write_at]);
-        // Any white space for each space outside of quotes, of which these have none around a space.
+        // Replaces each space by any white space. None of these texts has a space within quotes.
         let mut gaps = gaps.iter().cycle();
         let text: Vec<String> = combined.split(' ').flat_map(|part| [part.to_string(), gaps.next().cloned().unwrap_or_default()]).collect();
         let text = text.concat();
         let text = if upper { text.replace("nextval(", "NextVal(").replace("select", "SELECT") } else { text };
         prop_assert_ne!(classify(text.as_bytes()).kind, StatementKind::Read, "{}", text);
         prop_assert_ne!(classify_by_prescan(text.as_bytes(), &prescan(text.as_bytes())).kind, StatementKind::Read, "{}", text);
-        // And the read itself is one, so that the test could fail.
+        // The text without the write is classified as a read, so the write alone makes the difference.
         let read = READS[read_at].replace("{}", "1");
         prop_assert_eq!(classify(read.as_bytes()).kind, StatementKind::Read);
     }
