--- a/crates/statement/src/classify/mod.rs
+++ b/crates/statement/src/classify/mod.rs
@@ -112,23 +112,23 @@
     let (kind, why) = match objection.cause {
         Cause::Invalid => (
             StatementKind::Unknown,
-            "no SQL, or unfinished, from its byte ".to_string() + &objection.span.start.to_string(),
+            "invalid or unterminated SQL from byte ".to_string() + &objection.span.start.to_string(),
         ),
         Cause::AmbiguousLiteral => (
             StatementKind::Unknown,
-            "a literal that ends elsewhere without standard_conforming_strings".into(),
+            "the end of a literal depends on standard_conforming_strings".into(),
         ),
         Cause::MultipleStatements => (StatementKind::Unknown, "several statements in one query".into()),
         Cause::TooDeeplyNested => (StatementKind::Unknown, "parentheses nested too deeply to follow".into()),
         Cause::WritingKeyword => (StatementKind::Write, format!("changes {excerpt}")),
-        Cause::IntoClause => (StatementKind::Write, "INTO makes a table or fills one".into()),
+        Cause::IntoClause => (StatementKind::Write, "INTO creates or fills a table".into()),
         Cause::RowLocks => (StatementKind::Write, "locks rows".into()),
         Cause::WritingCall => (StatementKind::Write, format!("{excerpt}() writes or locks")),
         Cause::SessionCall => (StatementKind::Session, format!("{excerpt}() belongs to a session")),
         Cause::UnknownCall => (StatementKind::Unknown, format!("{excerpt}() may write")),
         Cause::UnknownOperator => (StatementKind::Unknown, format!("operator {excerpt} may write")),
         Cause::UnknownType => {
-            (StatementKind::Unknown, format!("a cast at {excerpt} to a type that is no built-in one"))
+            (StatementKind::Unknown, format!("a cast at {excerpt} to a type that is not built in"))
         }
     };
     let mut classification = Classification::new(kind, why);
@@ -152,7 +152,7 @@
         }
         LeadingKeyword::Write => Classification::new(StatementKind::Write, format!("{keyword} writes")),
         LeadingKeyword::Unknown => {
-            Classification::new(StatementKind::Unknown, "begins as no statement that is known")
+            Classification::new(StatementKind::Unknown, "does not begin like a known statement")
         }
         _ if prescan.is_read() => Classification::new(StatementKind::Read, "nothing in it can write"),
         LeadingKeyword::Explain | LeadingKeyword::Copy if prescan.objection.is_none() => {
--- a/crates/statement/src/classify/tree_findings.rs
+++ b/crates/statement/src/classify/tree_findings.rs
@@ -63,7 +63,7 @@
             }
         }
         let Some(called) = name(called) else {
-            return self.note_unknown("a name that is made by a function");
+            return self.note_unknown("a name that is computed by a function");
         };
         let unqualified = called.strip_prefix("pg_catalog.").unwrap_or(&called);
         if !builtin_catalog::contains_exact(builtin_catalog::READ_ONLY_FUNCTIONS, unqualified.as_bytes()) {
@@ -95,7 +95,7 @@
             _ => false,
         };
         if is_unknown_type {
-            self.note_unknown(format!("a cast to {to}, which is no built-in type"));
+            self.note_unknown(format!("a cast to {to}, which is not a built-in type"));
         }
     }
 
@@ -167,7 +167,7 @@
         }
         match target {
             CopyTarget::Stdout if to => {}
-            _ => self.note_write("COPY writes a table, or out of the server"),
+            _ => self.note_write("COPY writes to a table or outside the server"),
         }
     }
 
@@ -252,7 +252,7 @@
     fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
         match name(relation) {
             Some(name) => drop(self.tables.insert(name)),
-            None => self.note_unknown("a name that is made by a function"),
+            None => self.note_unknown("a name that is computed by a function"),
         }
         ControlFlow::Continue(())
     }
@@ -277,7 +277,7 @@
             TableFactor::UNNEST { alias, .. } | TableFactor::NestedJoin { alias, .. } => {
                 self.record_alias(alias.as_ref());
             }
-            _ => self.note_unknown("a kind of table that is not known"),
+            _ => self.note_unknown("an unknown kind of table"),
         }
         ControlFlow::Continue(())
     }
@@ -296,7 +296,7 @@
                 op: BinaryOperator::PGCustomBinaryOperator(_) | BinaryOperator::Custom(_),
                 ..
             } => {
-                self.note_unknown("an operator by its schema may write");
+                self.note_unknown("a schema-qualified operator may write");
             }
             Expr::Convert { .. }
             | Expr::MatchAgainst { .. }
@@ -331,7 +331,7 @@
         match body {
             SetExpr::Select(select) => {
                 if select.into.is_some() {
-                    self.note_write("INTO makes a table");
+                    self.note_write("INTO creates a table");
                 }
             }
             SetExpr::SetOperation { left, right, .. } => {
@@ -339,7 +339,7 @@
                 self.record_body(right);
             }
             SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_) => {
-                self.note_write("changes rows in a part of it");
+                self.note_write("changes rows in a part of the statement");
             }
             SetExpr::Table(table) => {
                 let parts = [&table.schema_name, &table.table_name];
