--- a/crates/statement/src/classify/mod.rs
+++ b/crates/statement/src/classify/mod.rs
@@ -114,10 +114,9 @@
             StatementKind::Unknown,
             "invalid or unterminated SQL from byte ".to_string() + &objection.span.start.to_string(),
         ),
-        Cause::AmbiguousLiteral => (
-            StatementKind::Unknown,
-            "the end of a literal depends on standard_conforming_strings".into(),
-        ),
+        Cause::AmbiguousLiteral => {
+            (StatementKind::Unknown, "the end of a literal depends on standard_conforming_strings".into())
+        }
         Cause::MultipleStatements => (StatementKind::Unknown, "several statements in one query".into()),
         Cause::TooDeeplyNested => (StatementKind::Unknown, "parentheses nested too deeply to follow".into()),
         Cause::WritingKeyword => (StatementKind::Write, format!("changes {excerpt}")),
--- a/crates/statement/src/classify/tree_findings.rs
+++ b/crates/statement/src/classify/tree_findings.rs
@@ -15,7 +15,9 @@
 /// The findings of a visit to the syntax tree.
 #[derive(Default)]
 pub(super) struct TreeFindings {
+    /// Names of tables, including those of common table expressions.
     pub(super) tables: BTreeSet<String>,
+    /// Names of common table expressions.
     pub(super) cte_names: BTreeSet<String>,
     pub(super) functions: BTreeSet<String>,
     /// Names before a parenthesis that are not calls: aliases, and targets of `COPY`, with a list of columns.
--- a/crates/statement/src/cost_model.rs
+++ b/crates/statement/src/cost_model.rs
@@ -156,10 +156,12 @@
         let typical = typical.max(1e-6);
         let freshness = (-(now - self.updated_at).max(0.0) / COST_HALF_LIFE_SECONDS).exp2();
         let weight = f64::from(self.weight) * freshness;
-        let known = weight / (weight + PRIOR_ATTEMPTS);
-        let work = known * self.work() + (1.0 - known) * typical;
+        let learnt_fraction = weight / (weight + PRIOR_ATTEMPTS);
+        let work = learnt_fraction * self.work() + (1.0 - learnt_fraction) * typical;
         // With few attempts the variance is close to that of an arbitrary fingerprint.
-        let variance = known * f64::from(self.log_variance) + (1.0 - known) * PRIOR_LOG_VARIANCE + 0.02;
+        let variance = learnt_fraction * f64::from(self.log_variance)
+            + (1.0 - learnt_fraction) * PRIOR_LOG_VARIANCE
+            + 0.02;
         let spread = (variance / (weight + 1.0)).sqrt();
         Estimate { work, typical, spread }
     }
@@ -210,8 +212,8 @@
         }
         self.current.record(to_f32(elapsed));
         let (floor, mean) = (self.floor(), self.work());
-        let known = self.current.answers.max(self.previous.answers) >= WINDOW_ANSWERS;
-        if self.weight > 0.0 && known && (mean > floor * QUEUED_RATIO || mean < floor) {
+        let has_full_window = self.current.answers.max(self.previous.answers) >= WINDOW_ANSWERS;
+        if self.weight > 0.0 && has_full_window && (mean > floor * QUEUED_RATIO || mean < floor) {
             self.weight = 0.0;
             self.log_variance = to_f32(PRIOR_LOG_VARIANCE);
         }
--- a/crates/statement/src/fingerprint.rs
+++ b/crates/statement/src/fingerprint.rs
@@ -84,21 +84,21 @@
         self.length = 0;
     }
 
-    /// Adds `bytes` between a tag and a terminating zero, in lower case if `fold` is set. Only invalid input can contain a zero
-    /// byte itself, and that is always the last item.
-    fn push_bytes(&mut self, tag: u8, bytes: &[u8], fold: bool) {
+    /// Adds `bytes` between a tag and a terminating zero, in lower case if `lowercase` is set. Only invalid input can contain a
+    /// zero byte itself, and that is always the last item.
+    fn push_bytes(&mut self, tag: u8, bytes: &[u8], lowercase: bool) {
         self.push_byte(tag);
         if bytes.len() > self.buffer.len() {
             bytes
                 .iter()
-                .for_each(|byte| self.push_byte(if fold { byte.to_ascii_lowercase() } else { *byte }));
+                .for_each(|byte| self.push_byte(if lowercase { byte.to_ascii_lowercase() } else { *byte }));
         } else {
             if self.length + bytes.len() > self.buffer.len() {
                 self.flush();
             }
             let place = &mut self.buffer[self.length..self.length + bytes.len()];
             place.copy_from_slice(bytes);
-            if fold {
+            if lowercase {
                 place.make_ascii_lowercase();
             }
             self.length += bytes.len();
@@ -225,7 +225,7 @@
 
 /// Computes the fingerprint and locates the comment and the first literal, without allocation.
 pub fn scan(key: Key, text: &[u8]) -> Scan {
-    let mut builder = hashing(key);
+    let mut builder = fingerprint_builder(key);
     let (mut comment, mut behind, mut literal, mut unfinished) = (None, false, None, false);
     for token in Lexer::new(text) {
         match token.kind {
@@ -246,13 +246,13 @@
 
 /// Computes the fingerprint alone.
 pub fn fingerprint_of(key: Key, text: &[u8]) -> Fingerprint {
-    let mut builder = hashing(key);
+    let mut builder = fingerprint_builder(key);
     Lexer::new(text).for_each(|token| builder.push(&token, text));
     builder.finish()
 }
 
 /// Returns a builder that takes the tokens one by one and computes their fingerprint.
-pub fn hashing(key: Key) -> FingerprintBuilder<impl Sink + Finish> {
+pub fn fingerprint_builder(key: Key) -> FingerprintBuilder<impl Sink + Finish> {
     FingerprintBuilder::new(HashSink {
         hasher: SipHasher13::new_with_keys(key.0, key.1),
         buffer: [0; 256],
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -129,7 +129,7 @@
     typical: Vec<TypicalWork>,
     /// The queueing delay of each endpoint, up to the highest index that completed an attempt.
     delays: Vec<QueueingDelay>,
-    /// The results of all lookups so far.
+    /// Counts of all lookups, and of rejections by replicas, so far.
     pub counts: LookupCounts,
 }
 
--- a/crates/statement/src/prescan.rs
+++ b/crates/statement/src/prescan.rs
@@ -92,12 +92,15 @@
     pub write_objection: Option<Objection>,
     tokens: usize,
     after_semicolon: bool,
+    /// Number of open parentheses.
     depth: usize,
     /// Number of open square brackets; negative if more were closed than opened.
     open_brackets: i64,
     /// One bit for each open parenthesis, set if it belongs to a `CAST`.
     cast_parentheses: u64,
+    /// The last three tokens, the most recent first.
     recent: [Option<Token>; 3],
+    /// Whether the next token has to be a type.
     expects_type: bool,
     /// Whether the last token was a type. A following full stop would make it a schema instead.
     after_type: bool,
@@ -132,8 +135,8 @@
 
     /// Returns whether the statement is a read by its tokens.
     pub fn is_read(&self) -> bool {
-        let query = matches!(self.leading_keyword, LeadingKeyword::Query | LeadingKeyword::Show);
-        query
+        let is_query = matches!(self.leading_keyword, LeadingKeyword::Query | LeadingKeyword::Show);
+        is_query
             && self.depth == 0
             && self.open_brackets == 0
             && self.objection.is_none()
@@ -164,11 +167,13 @@
         self.track_keywords(token, prev, before_prev, text);
         self.track_types(token, prev, text);
         match token.kind {
-            TokenKind::Operator => self.operator(token, text),
+            TokenKind::Operator => self.check_operator(token, text),
             TokenKind::Literal | TokenKind::DollarLiteral => {
                 self.check_typed_literal(token, prev, before_prev, text);
             }
-            TokenKind::Punctuation => self.punctuation(token, prev, before_prev, third_last.as_ref(), text),
+            TokenKind::Punctuation => {
+                self.check_punctuation(token, prev, before_prev, third_last.as_ref(), text);
+            }
             _ => {}
         }
         self.recent = [Some(token.clone()), last, second_last];
@@ -227,7 +232,7 @@
         (1..=MAX_NESTING).contains(&self.depth) && self.cast_parentheses >> (self.depth - 1) & 1 == 1
     }
 
-    fn operator(&mut self, token: &Token, text: &[u8]) {
+    fn check_operator(&mut self, token: &Token, text: &[u8]) {
         if token.bytes(text) == b"::" {
             self.expects_type = true;
         } else if !builtin_catalog::contains_exact(builtin_catalog::READ_ONLY_OPERATORS, token.bytes(text)) {
@@ -329,7 +334,7 @@
         }
     }
 
-    fn punctuation(
+    fn check_punctuation(
         &mut self,
         token: &Token,
         prev: Option<&Token>,
@@ -343,9 +348,9 @@
                     self.add_objection(Cause::TooDeeplyNested, &token.span);
                 } else {
                     let bit = 1 << self.depth;
-                    let cast = is_word(prev, text, &["cast"]) && !is_punctuation(before_prev, text, b".");
+                    let is_cast = is_word(prev, text, &["cast"]) && !is_punctuation(before_prev, text, b".");
                     self.cast_parentheses =
-                        if cast { self.cast_parentheses | bit } else { self.cast_parentheses & !bit };
+                        if is_cast { self.cast_parentheses | bit } else { self.cast_parentheses & !bit };
                 }
                 self.depth += 1;
                 if let Some(name) = prev {
@@ -372,17 +377,18 @@
         }
         let qualified = is_punctuation(before_prev, text, b".");
         if !qualified && name.kind == TokenKind::Word {
-            let is_name = |words: &[&str]| is_word(Some(name), text, words);
-            let no_call =
+            let is_any_of = |words: &[&str]| is_word(Some(name), text, words);
+            let is_no_call =
                 builtin_catalog::contains_ignore_case(builtin_catalog::NON_CALL_KEYWORDS, name.bytes(text))
-                    || is_name(&["over", "filter", "repeatable"]) && is_punctuation(before_prev, text, b")")
-                    || is_name(&["by"]) && is_word(before_prev, text, &["group", "order", "partition"])
-                    || is_name(&["cube", "rollup"]) && is_word(before_prev, text, &["by"])
-                    || is_name(&["sets"]) && is_word(before_prev, text, &["grouping"])
-                    || is_name(&["materialized"]) && is_word(before_prev, text, &["as", "not"])
-                    || is_name(&["bernoulli", "system"]) && is_word(before_prev, text, &["tablesample"])
-                    || is_name(&["explain", "copy"]) && name.span == self.leading_keyword_span;
-            if no_call {
+                    || is_any_of(&["over", "filter", "repeatable"])
+                        && is_punctuation(before_prev, text, b")")
+                    || is_any_of(&["by"]) && is_word(before_prev, text, &["group", "order", "partition"])
+                    || is_any_of(&["cube", "rollup"]) && is_word(before_prev, text, &["by"])
+                    || is_any_of(&["sets"]) && is_word(before_prev, text, &["grouping"])
+                    || is_any_of(&["materialized"]) && is_word(before_prev, text, &["as", "not"])
+                    || is_any_of(&["bernoulli", "system"]) && is_word(before_prev, text, &["tablesample"])
+                    || is_any_of(&["explain", "copy"]) && name.span == self.leading_keyword_span;
+            if is_no_call {
                 return;
             }
         }
