--- a/crates/syscall-faults/src/hooks.rs
+++ b/crates/syscall-faults/src/hooks.rs
@@ -1,5 +1,5 @@
-//! The functions of the C library that are replaced. Each asks the schedule first, and otherwise does what the function
-//! behind it does. None of them panics; memory is allocated while the library is loaded only.
+//! The interposed functions of the C library. Each first consults the schedule and, unless a fault is scheduled, calls the
+//! original function. None of them panics, and memory is allocated only while the library is being loaded.
 
 use std::ffi::{CStr, CString};
 use std::mem;
@@ -13,41 +13,42 @@
     socklen_t, ssize_t, timespec,
 };
 
-use crate::schedule::{Call, Fault, Schedule, Target, name_of_call, name_of_fault};
+use crate::schedule::{Call, Fault, Schedule, Target, call_name, fault_name};
 
-/// Descriptors below this number are told apart by how they came about.
-const DESCRIPTORS: usize = 4096;
+/// Descriptors below this number are tracked in [`ACCEPTED`]; others count as opened by the program.
+const TRACKED_DESCRIPTORS: usize = 4096;
 
-/// Whether each descriptor was accepted.
-static ACCEPTED: [AtomicBool; DESCRIPTORS] = [const { AtomicBool::new(false) }; DESCRIPTORS];
+/// Whether each descriptor is a connection that the program accepted, indexed by the descriptor.
+static ACCEPTED: [AtomicBool; TRACKED_DESCRIPTORS] = [const { AtomicBool::new(false) }; TRACKED_DESCRIPTORS];
 static SETTINGS: OnceLock<Settings> = OnceLock::new();
 
 struct Settings {
     schedule: Schedule,
-    armed_by: Option<CString>,
+    /// Path of the file that arms the schedule; without one the schedule is always armed.
+    arming_file: Option<CString>,
 }
 
 extern "C" fn load() {
     let Some(text) = std::env::var_os("SYSCALL_FAULTS") else { return };
-    let armed_by =
+    let arming_file =
         std::env::var_os("SYSCALL_FAULTS_ARMED").and_then(|path| CString::new(path.into_vec()).ok());
     match Schedule::parse(&text.to_string_lossy()) {
-        Ok(schedule) => drop(SETTINGS.set(Settings { schedule, armed_by })),
-        Err(fault) => {
-            // A schedule with an error must not pass for one without faults.
-            eprintln!("SYSCALL_FAULTS: {fault}");
+        Ok(schedule) => drop(SETTINGS.set(Settings { schedule, arming_file })),
+        Err(error) => {
+            // An invalid schedule must not be treated as one without faults.
+            eprintln!("SYSCALL_FAULTS: {error}");
             std::process::exit(2);
         }
     }
 }
 
-/// Run by the dynamic loader, before `main`.
+/// Makes the dynamic loader call [`load`] before `main`.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static LOAD: extern "C" fn() = load;
 
-/// The next function of that name behind this library, as an `Option` of a function pointer.
-macro_rules! real {
+/// Looks up the next definition of a function after this library, as an `Option` of a function pointer.
+macro_rules! next_function {
     ($name:literal, $type:ty) => {{
         static ADDRESS: AtomicPtr<c_void> = AtomicPtr::new(ptr::null_mut());
         let mut address = ADDRESS.load(Ordering::Relaxed);
@@ -62,10 +63,10 @@
     }};
 }
 
-/// Calls the function behind this library; without one the call fails with `ENOSYS`.
-macro_rules! pass {
+/// Calls the next definition of a function after this library; fails with `ENOSYS` if there is none.
+macro_rules! call_next {
     ($name:literal, fn($($argument:ident: $type:ty),* $(,)?) -> $result:ty) => {
-        match real!($name, unsafe extern "C" fn($($type),*) -> $result) {
+        match next_function!($name, unsafe extern "C" fn($($type),*) -> $result) {
             // SAFETY: the arguments are passed on as the caller gave them.
             Some(function) => unsafe { function($($argument),*) },
             None => fail(libc::ENOSYS) as $result,
@@ -73,6 +74,7 @@
     };
 }
 
+/// Sets `errno` and returns -1, as a failed call does.
 fn fail(errno: c_int) -> c_int {
     // SAFETY: the address is that of this thread's own `errno`.
     unsafe { *libc::__errno_location() = errno };
@@ -89,65 +91,67 @@
     flag.is_some_and(|flag| flag.load(Ordering::Relaxed))
 }
 
-fn note_origin(descriptor: c_int, accepted: bool) -> c_int {
+/// Records whether a new descriptor was accepted, and returns the descriptor.
+fn record_origin(descriptor: c_int, accepted: bool) -> c_int {
     if let Some(flag) = usize::try_from(descriptor).ok().and_then(|index| ACCEPTED.get(index)) {
         flag.store(accepted, Ordering::Relaxed);
     }
     descriptor
 }
 
-/// The fault of this call, if the schedule has one and is armed. Leaves `errno` as it was.
-fn fault(call: Call, target: impl FnOnce() -> Target) -> Option<Fault> {
+/// Returns the fault scheduled for this call, if there is one and the schedule is armed. Preserves `errno`.
+fn scheduled_fault(call: Call, target: impl FnOnce() -> Target) -> Option<Fault> {
     let settings = SETTINGS.get()?;
-    let before = errno();
-    let found = match &settings.armed_by {
+    let saved_errno = errno();
+    let found = match &settings.arming_file {
         // SAFETY: the path ends with a zero byte.
         Some(path) if unsafe { libc::access(path.as_ptr(), libc::F_OK) } != 0 => None,
-        armed_by => {
+        arming_file => {
             let target = target();
-            let found = settings.schedule.next(call, target);
-            if let (Some(fault), Some(path)) = (found, armed_by) {
-                record(path, call, target, fault);
+            let found = settings.schedule.next_fault(call, target);
+            if let (Some(fault), Some(path)) = (found, arming_file) {
+                record_fault(path, call, target, fault);
             }
             found
         }
     };
-    fail(before);
+    fail(saved_errno);
     found
 }
 
-/// Appends the fault to the file, so that the test knows of it.
-fn record(path: &CStr, call: Call, target: Target, fault: Fault) {
+/// Appends the fault to the arming file, so that the test can verify that it occurred.
+fn record_fault(path: &CStr, call: Call, target: Target, fault: Fault) {
     let side = if target.accepted { "@client " } else { " " };
-    let pieces = [name_of_call(call), side, name_of_fault(fault), "\n"];
-    let pieces = pieces.map(|text| iovec { iov_base: text.as_ptr() as *mut c_void, iov_len: text.len() });
-    // SAFETY: the path ends with a zero byte, the pieces are static strings, and the descriptor is this function's own.
+    let parts = [call_name(call), side, fault_name(fault), "\n"];
+    let parts = parts.map(|text| iovec { iov_base: text.as_ptr() as *mut c_void, iov_len: text.len() });
+    // SAFETY: the path ends with a zero byte, the parts are static strings, and the descriptor is this function's own.
     unsafe {
         let file = libc::open(path.as_ptr(), libc::O_WRONLY | libc::O_APPEND | libc::O_CLOEXEC);
         if file >= 0 {
-            libc::writev(file, pieces.as_ptr(), pieces.len() as c_int);
+            libc::writev(file, parts.as_ptr(), parts.len() as c_int);
             libc::close(file);
         }
     }
 }
 
-const NOWHERE: Target = Target { accepted: false, peer_port: 0 };
+/// Target of calls that are not made on a connection.
+const NO_TARGET: Target = Target { accepted: false, peer_port: 0 };
 
 fn target_of(descriptor: c_int) -> Target {
     // SAFETY: an all-zero address is valid, and its length is passed along.
-    let (named, address) = unsafe {
+    let (has_peer, address) = unsafe {
         let mut address: libc::sockaddr_storage = mem::zeroed();
         let mut length = mem::size_of_val(&address) as socklen_t;
         (libc_getpeername(descriptor, (&raw mut address).cast(), &mut length) == 0, address)
     };
-    let peer_port = if named { port_of((&raw const address).cast()) } else { 0 };
+    let peer_port = if has_peer { port_of((&raw const address).cast()) } else { 0 };
     Target { accepted: was_accepted(descriptor), peer_port }
 }
 
 /// # Safety
 /// As for `getpeername`.
 unsafe fn libc_getpeername(descriptor: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int {
-    pass!(c"getpeername", fn(descriptor: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int)
+    call_next!(c"getpeername", fn(descriptor: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int)
 }
 
 fn port_of(address: *const sockaddr) -> u16 {
@@ -163,7 +167,7 @@
     let mut length = mem::size_of::<c_int>() as socklen_t;
     let (level, option, value) = (libc::SOL_SOCKET, libc::SO_TYPE, (&raw mut kind).cast::<c_void>());
     let length = &raw mut length;
-    let asked = pass!(
+    let status = call_next!(
         c"getsockopt",
         fn(
             descriptor: c_int,
@@ -173,7 +177,7 @@
             length: *mut socklen_t,
         ) -> c_int
     );
-    asked == 0 && kind == libc::SOCK_DGRAM
+    status == 0 && kind == libc::SOCK_DGRAM
 }
 
 fn is_regular_file(descriptor: c_int) -> bool {
@@ -184,20 +188,21 @@
     }
 }
 
-/// Fails a transfer. A stream that is said to be broken is broken from then on, at both ends.
+/// Fails a transfer. If the error means that a stream is broken, also shuts the stream down in both directions, so that
+/// it stays broken at both ends.
 fn fail_transfer(descriptor: c_int, errno: c_int) -> ssize_t {
     let breaks = [libc::ECONNRESET, libc::EHOSTUNREACH, libc::EPIPE, libc::ETIMEDOUT].contains(&errno);
     if breaks && !is_datagram(descriptor) {
         let how = libc::SHUT_RDWR;
-        pass!(c"shutdown", fn(descriptor: c_int, how: c_int) -> c_int);
+        call_next!(c"shutdown", fn(descriptor: c_int, how: c_int) -> c_int);
     }
     fail(errno) as ssize_t
 }
 
-/// Returns from the hook with the fault, if this call has one that is an error.
+/// Returns from the hook with an error if one is scheduled for this call.
 macro_rules! fail_if_scheduled {
     ($call:expr, $target:expr) => {
-        if let Some(Fault::Errno(errno)) = fault($call, || $target) {
+        if let Some(Fault::Errno(errno)) = scheduled_fault($call, || $target) {
             return fail(errno) as _;
         }
     };
@@ -212,9 +217,9 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    fail_if_scheduled!(Call::Accept, NOWHERE);
-    note_origin(
-        pass!(
+    fail_if_scheduled!(Call::Accept, NO_TARGET);
+    record_origin(
+        call_next!(
             c"accept4",
             fn(listener: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int
         ),
@@ -226,9 +231,9 @@
 /// As for `accept`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept(listener: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int {
-    fail_if_scheduled!(Call::Accept, NOWHERE);
-    note_origin(
-        pass!(c"accept", fn(listener: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int),
+    fail_if_scheduled!(Call::Accept, NO_TARGET);
+    record_origin(
+        call_next!(c"accept", fn(listener: c_int, address: *mut sockaddr, length: *mut socklen_t) -> c_int),
         true,
     )
 }
@@ -237,8 +242,8 @@
 /// As for `socket`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    fail_if_scheduled!(Call::Socket, NOWHERE);
-    note_origin(pass!(c"socket", fn(domain: c_int, kind: c_int, protocol: c_int) -> c_int), false)
+    fail_if_scheduled!(Call::Socket, NO_TARGET);
+    record_origin(call_next!(c"socket", fn(domain: c_int, kind: c_int, protocol: c_int) -> c_int), false)
 }
 
 /// # Safety
@@ -246,16 +251,17 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     let target = || Target { accepted: false, peer_port: port_of(address) };
-    let begin =
-        || pass!(c"connect", fn(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int);
-    match fault(Call::Connect, target) {
+    let start = || {
+        call_next!(c"connect", fn(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int)
+    };
+    match scheduled_fault(Call::Connect, target) {
         Some(Fault::Errno(libc::EINTR)) => {
-            // An interrupted one goes on by itself.
-            begin();
+            // An interrupted connect continues asynchronously.
+            start();
             fail(libc::EINTR)
         }
         Some(Fault::Errno(errno)) => fail(errno),
-        _ => begin(),
+        _ => start(),
     }
 }
 
@@ -264,12 +270,12 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(descriptor: c_int, buffer: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
     let call = if is_datagram(descriptor) { Call::ReceiveDatagram } else { Call::Receive };
-    let size = match fault(call, || target_of(descriptor)) {
+    let size = match scheduled_fault(call, || target_of(descriptor)) {
         Some(Fault::Errno(errno)) => return fail_transfer(descriptor, errno),
         Some(_) => size.min(1),
         None => size,
     };
-    pass!(c"recv", fn(descriptor: c_int, buffer: *mut c_void, size: size_t, flags: c_int) -> ssize_t)
+    call_next!(c"recv", fn(descriptor: c_int, buffer: *mut c_void, size: size_t, flags: c_int) -> ssize_t)
 }
 
 /// # Safety
@@ -281,40 +287,43 @@
     size: size_t,
     flags: c_int,
 ) -> ssize_t {
-    let size = match fault(Call::Send, || target_of(descriptor)) {
+    let size = match scheduled_fault(Call::Send, || target_of(descriptor)) {
         Some(Fault::Errno(errno)) => return fail_transfer(descriptor, errno),
         Some(_) => size.min(1),
         None => size,
     };
-    pass!(c"send", fn(descriptor: c_int, buffer: *const c_void, size: size_t, flags: c_int) -> ssize_t)
+    call_next!(c"send", fn(descriptor: c_int, buffer: *const c_void, size: size_t, flags: c_int) -> ssize_t)
 }
 
 /// # Safety
 /// As for `sendmsg`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
-    let shorter = match fault(Call::Send, || target_of(descriptor)) {
+    let shortened = match scheduled_fault(Call::Send, || target_of(descriptor)) {
         Some(Fault::Errno(errno)) => return fail_transfer(descriptor, errno),
         // SAFETY: the caller's message is valid.
-        Some(_) => unsafe { first_piece(message) },
+        Some(_) => unsafe { copy_first_buffer(message) },
         None => None,
     };
-    if let Some((mut shorter, mut piece)) = shorter {
-        piece.iov_len = piece.iov_len.min(1);
-        shorter.msg_iov = &raw mut piece;
-        shorter.msg_iovlen = 1;
-        let message = &raw const shorter;
-        return pass!(c"sendmsg", fn(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t);
+    if let Some((mut header, mut buffer)) = shortened {
+        buffer.iov_len = buffer.iov_len.min(1);
+        header.msg_iov = &raw mut buffer;
+        header.msg_iovlen = 1;
+        let message = &raw const header;
+        return call_next!(
+            c"sendmsg",
+            fn(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t
+        );
     }
-    pass!(c"sendmsg", fn(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t)
+    call_next!(c"sendmsg", fn(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t)
 }
 
-/// Copies of a message's header and of its first piece, if it has one.
+/// Copies a message's header and its first buffer; `None` if the message has no buffer.
 ///
 /// # Safety
-/// The message is null or as for `sendmsg`.
-unsafe fn first_piece(message: *const msghdr) -> Option<(msghdr, iovec)> {
-    // SAFETY: by this function's own condition the message holds as many pieces as it says.
+/// The message is null or valid for `sendmsg`.
+unsafe fn copy_first_buffer(message: *const msghdr) -> Option<(msghdr, iovec)> {
+    // SAFETY: by this function's own condition the message has as many buffers as `msg_iovlen` says.
     unsafe {
         let header = *message.as_ref()?;
         (header.msg_iovlen > 0).then(|| (header, *header.msg_iov))
@@ -333,7 +342,7 @@
     length: socklen_t,
 ) -> ssize_t {
     fail_if_scheduled!(Call::SendDatagram, Target { accepted: false, peer_port: port_of(address) });
-    pass!(
+    call_next!(
         c"sendto",
         fn(
             descriptor: c_int,
@@ -357,7 +366,7 @@
     length: socklen_t,
 ) -> c_int {
     fail_if_scheduled!(Call::SetOption, target_of(descriptor));
-    pass!(
+    call_next!(
         c"setsockopt",
         fn(descriptor: c_int, level: c_int, option: c_int, value: *const c_void, length: socklen_t) -> c_int
     )
@@ -374,7 +383,7 @@
     length: *mut socklen_t,
 ) -> c_int {
     fail_if_scheduled!(Call::GetOption, target_of(descriptor));
-    pass!(
+    call_next!(
         c"getsockopt",
         fn(
             descriptor: c_int,
@@ -399,7 +408,7 @@
     unsafe { libc_getpeername(descriptor, address, length) }
 }
 
-/// Takes its third argument as a word whatever the command, as the system does.
+/// Takes the third argument as a word whatever the command is, as the kernel does.
 ///
 /// # Safety
 /// As for `fcntl`.
@@ -408,7 +417,7 @@
     if command == libc::F_SETFL {
         fail_if_scheduled!(Call::SetFlags, target_of(descriptor));
     }
-    match real!(c"fcntl", unsafe extern "C" fn(c_int, c_int, ...) -> c_int) {
+    match next_function!(c"fcntl", unsafe extern "C" fn(c_int, c_int, ...) -> c_int) {
         // SAFETY: the arguments are passed on as the caller gave them.
         Some(function) => unsafe { function(descriptor, command, argument) },
         None => fail(libc::ENOSYS),
@@ -420,7 +429,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn shutdown(descriptor: c_int, how: c_int) -> c_int {
     fail_if_scheduled!(Call::Shutdown, target_of(descriptor));
-    pass!(c"shutdown", fn(descriptor: c_int, how: c_int) -> c_int)
+    call_next!(c"shutdown", fn(descriptor: c_int, how: c_int) -> c_int)
 }
 
 /// # Safety
@@ -435,7 +444,7 @@
     if operation == libc::EPOLL_CTL_ADD {
         fail_if_scheduled!(Call::EpollAdd, target_of(descriptor));
     }
-    pass!(
+    call_next!(
         c"epoll_ctl",
         fn(epoll: c_int, operation: c_int, descriptor: c_int, event: *mut epoll_event) -> c_int
     )
@@ -447,11 +456,14 @@
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    fail_if_scheduled!(Call::EpollWait, NOWHERE);
-    pass!(c"epoll_wait", fn(epoll: c_int, events: *mut epoll_event, most: c_int, timeout: c_int) -> c_int)
+    fail_if_scheduled!(Call::EpollWait, NO_TARGET);
+    call_next!(
+        c"epoll_wait",
+        fn(epoll: c_int, events: *mut epoll_event, max_events: c_int, timeout: c_int) -> c_int
+    )
 }
 
 /// # Safety
@@ -460,17 +472,17 @@
 pub unsafe extern "C" fn epoll_pwait2(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: *const timespec,
     mask: *const sigset_t,
 ) -> c_int {
-    fail_if_scheduled!(Call::EpollWait, NOWHERE);
-    pass!(
+    fail_if_scheduled!(Call::EpollWait, NO_TARGET);
+    call_next!(
         c"epoll_pwait2",
         fn(
             epoll: c_int,
             events: *mut epoll_event,
-            most: c_int,
+            max_events: c_int,
             timeout: *const timespec,
             mask: *const sigset_t,
         ) -> c_int
@@ -481,8 +493,8 @@
 /// As for `poll`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn poll(descriptors: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int {
-    fail_if_scheduled!(Call::Poll, NOWHERE);
-    pass!(c"poll", fn(descriptors: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int)
+    fail_if_scheduled!(Call::Poll, NO_TARGET);
+    call_next!(c"poll", fn(descriptors: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int)
 }
 
 /// # Safety
@@ -494,8 +506,8 @@
     timeout: *const timespec,
     mask: *const sigset_t,
 ) -> c_int {
-    fail_if_scheduled!(Call::Poll, NOWHERE);
-    pass!(
+    fail_if_scheduled!(Call::Poll, NO_TARGET);
+    call_next!(
         c"ppoll",
         fn(descriptors: *mut pollfd, count: nfds_t, timeout: *const timespec, mask: *const sigset_t) -> c_int
     )
@@ -505,21 +517,23 @@
 /// As for `write`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, size: size_t) -> ssize_t {
-    let found = match descriptor {
-        libc::STDOUT_FILENO => fault(Call::StandardOutput, || NOWHERE),
-        _ if SETTINGS.get().is_some() && is_regular_file(descriptor) => fault(Call::File, || NOWHERE),
+    let fault = match descriptor {
+        libc::STDOUT_FILENO => scheduled_fault(Call::StandardOutput, || NO_TARGET),
+        _ if SETTINGS.get().is_some() && is_regular_file(descriptor) => {
+            scheduled_fault(Call::File, || NO_TARGET)
+        }
         _ => None,
     };
-    let size = match found {
+    let size = match fault {
         Some(Fault::Errno(errno)) => return fail(errno) as ssize_t,
         Some(Fault::Short) => size.min(1),
         Some(Fault::Kill) => size / 2,
         None => size,
     };
-    let wrote = pass!(c"write", fn(descriptor: c_int, buffer: *const c_void, size: size_t) -> ssize_t);
-    if found == Some(Fault::Kill) {
+    let written = call_next!(c"write", fn(descriptor: c_int, buffer: *const c_void, size: size_t) -> ssize_t);
+    if fault == Some(Fault::Kill) {
         // SAFETY: sends a signal to this process alone.
         unsafe { libc::kill(libc::getpid(), libc::SIGKILL) };
     }
-    wrote
+    written
 }
--- a/crates/syscall-faults/src/schedule.rs
+++ b/crates/syscall-faults/src/schedule.rs
@@ -1,20 +1,21 @@
-//! Which call fails and how.
+//! The fault schedule: which calls fail and how.
 //!
 //! A schedule is a list of rules separated by `;`:
 //!
-//! - `accept4:3:EPROTO`: the third call fails with `EPROTO`. Instead of one number there may be a range, `3-9`, or `3-` for
-//!   all from the third on, or `3-/2` for every second from there. Counting starts when the schedule is armed.
-//! - `connect@5432:1-:ENETUNREACH`: only calls on a connection whose peer has that port. `@client` selects accepted
-//!   connections, `@backend` those that the program opened.
-//! - `recv:1-:SHORT` shortens a transfer to one byte; `file:7:KILL` writes half of what was given and kills the process.
-//! - `seed=7,rate=0.02,calls=accept4+connect`: each of these calls fails with that probability, in one of the ways that are
+//! - `accept4:3:EPROTO`: the third call fails with `EPROTO`. Instead of a single number, a range can be given: `3-9`; `3-`
+//!   for all calls from the third on; or `3-/2` for every second call from the third on. Counting starts when the schedule
+//!   is armed.
+//! - `connect@5432:1-:ENETUNREACH`: applies only to connections whose peer has this port. `@client` selects accepted
+//!   connections, `@backend` connections that the program opened.
+//! - `recv:1-:SHORT` shortens a transfer to one byte; `file:7:KILL` writes half of the buffer and kills the process.
+//! - `seed=7,rate=0.02,calls=accept4+connect`: each of these calls fails with this probability, with one of the faults
 //!   documented for it. The same seed gives the same sequence of faults for each kind of call.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use libc::c_int;
 
-/// The kinds of calls that are told apart.
+/// Kinds of calls that the schedule distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Call {
@@ -38,13 +39,13 @@
     GetOption,
     /// `getpeername`.
     PeerName,
-    /// `fcntl` that sets the status flags, among them `O_NONBLOCK`.
+    /// `fcntl` with `F_SETFL`, which sets the status flags, including `O_NONBLOCK`.
     SetFlags,
     /// `shutdown`.
     Shutdown,
-    /// `epoll_ctl` that adds a descriptor.
+    /// `epoll_ctl` with `EPOLL_CTL_ADD`.
     EpollAdd,
-    /// `epoll_wait` and its relatives.
+    /// `epoll_wait` and `epoll_pwait2`.
     EpollWait,
     /// `poll` and `ppoll`.
     Poll,
@@ -54,21 +55,21 @@
     File,
 }
 
-/// How many kinds of calls there are.
-const CALLS: usize = 17;
+/// Number of variants of [`Call`].
+const CALL_KINDS: usize = 17;
 
-/// Fault of one call.
+/// How a single call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The call fails with this `errno`.
     Errno(c_int),
-    /// One byte is transferred at most.
+    /// At most one byte is transferred.
     Short,
-    /// Half of what was given is written, then the process is killed.
+    /// Half of the buffer is written, then the process is killed.
     Kill,
 }
 
-/// Which connections a rule is about.
+/// The descriptors to which a rule applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// All descriptors.
@@ -81,12 +82,12 @@
     Port(u16),
 }
 
-/// What a call is made on.
+/// The descriptor on which a call is made.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// The descriptor was accepted rather than opened.
+    /// Whether the descriptor is a connection that the program accepted, as opposed to a socket that it opened.
     pub accepted: bool,
-    /// The port of its peer; 0 where there is none.
+    /// Port of the peer; 0 if there is none.
     pub peer_port: u16,
 }
 
@@ -138,8 +139,9 @@
     ("ETIMEDOUT", ETIMEDOUT),
 ];
 
-/// Names of the kinds of calls, with the faults that a seed chooses among: the documented ones, 0 for a short transfer.
-const DOCUMENTED: [(&str, Call, &[c_int]); CALLS] = [
+/// Name of each kind of call, in the order of [`Call`], with the errors documented for it, among which random faults are
+/// chosen. 0 represents a short transfer.
+const DOCUMENTED_FAULTS: [(&str, Call, &[c_int]); CALL_KINDS] = [
     (
         "accept4",
         Call::Accept,
@@ -198,105 +200,109 @@
     ("file", Call::File, &[EINTR, EIO, ENOSPC, EDQUOT, 0]),
 ];
 
-/// One forced fault, or a run of them.
+/// A rule that makes calls with certain numbers fail.
 #[derive(Debug)]
 struct Rule {
     call: Call,
     side: Side,
+    /// Number of the first call that fails, counted from 1.
     first: u64,
+    /// Number of the last call that can fail.
     last: u64,
-    every: u64,
+    /// Distance between two failing calls.
+    step: u64,
     fault: Fault,
-    /// Calls that were of this kind so far.
-    seen: AtomicU64,
+    /// Calls so far that match `call` and `side`.
+    call_count: AtomicU64,
 }
 
-/// Faults at random, from a seed.
+/// RandomFaults faults, determined by a seed.
 #[derive(Debug, Default)]
-struct Random {
+struct RandomFaults {
     seed: u64,
-    /// Of 2^32.
+    /// Probability that a call fails, as a multiple of 2^-32.
     rate: u64,
-    calls: [bool; CALLS],
+    /// Whether each kind of call can fail, indexed by [`Call`].
+    calls: [bool; CALL_KINDS],
 }
 
-/// All rules, with what they have counted.
+/// All rules, with their call counters.
 #[derive(Debug, Default)]
 pub struct Schedule {
     rules: Vec<Rule>,
-    random: Random,
-    /// Calls of each kind so far.
-    seen: [AtomicU64; CALLS],
+    random: RandomFaults,
+    /// Calls so far that were subject to random faults, indexed by [`Call`].
+    call_counts: [AtomicU64; CALL_KINDS],
 }
 
 impl Rule {
-    fn is_about(&self, number: u64) -> bool {
-        (self.first..=self.last).contains(&number) && (number - self.first).checked_rem(self.every) == Some(0)
+    fn includes(&self, number: u64) -> bool {
+        (self.first..=self.last).contains(&number) && (number - self.first).checked_rem(self.step) == Some(0)
     }
 }
 
 impl Schedule {
-    /// Reads a schedule; the error names the rule that is not understood.
+    /// Parses a schedule; the error contains the first rule that is invalid.
     pub fn parse(text: &str) -> Result<Schedule, String> {
         let mut schedule = Schedule::default();
         for rule in text.split(';').map(str::trim).filter(|rule| !rule.is_empty()) {
-            let read = if rule.contains('=') {
-                random(rule).map(|random| schedule.random = random)
+            let parsed = if rule.contains('=') {
+                parse_random_faults(rule).map(|random| schedule.random = random)
             } else {
-                forced(rule).map(|rule| schedule.rules.push(rule))
+                parse_rule(rule).map(|rule| schedule.rules.push(rule))
             };
-            read.ok_or_else(|| format!("not understood: {rule:?}"))?;
+            parsed.ok_or_else(|| format!("invalid rule: {rule:?}"))?;
         }
         Ok(schedule)
     }
 
-    /// The fault of the next call of that kind, if it has one. Neither allocates nor panics.
-    pub fn next(&self, call: Call, target: Target) -> Option<Fault> {
+    /// Counts a call of this kind and returns the fault scheduled for it, if any. Neither allocates nor panics.
+    pub fn next_fault(&self, call: Call, target: Target) -> Option<Fault> {
         let mut found = None;
         for rule in self.rules.iter().filter(|rule| rule.call == call && rule.side.matches(target)) {
-            let number = rule.seen.fetch_add(1, Ordering::Relaxed) + 1;
-            if found.is_none() && rule.is_about(number) {
+            let number = rule.call_count.fetch_add(1, Ordering::Relaxed) + 1;
+            if found.is_none() && rule.includes(number) {
                 found = Some(rule.fault);
             }
         }
-        found.or_else(|| self.by_chance(call))
+        found.or_else(|| self.random_fault(call))
     }
 
-    fn by_chance(&self, call: Call) -> Option<Fault> {
+    fn random_fault(&self, call: Call) -> Option<Fault> {
         let index = call as usize;
         if !self.random.calls.get(index).copied().unwrap_or(false) {
             return None;
         }
-        let number = self.seen.get(index)?.fetch_add(1, Ordering::Relaxed);
-        let drawn = mix(self.random.seed ^ mix(number ^ ((index as u64) << 48)));
+        let number = self.call_counts.get(index)?.fetch_add(1, Ordering::Relaxed);
+        let drawn = splitmix64(self.random.seed ^ splitmix64(number ^ ((index as u64) << 48)));
         if drawn & 0xffff_ffff >= self.random.rate {
             return None;
         }
-        let (_, _, documented) = DOCUMENTED.get(index)?;
+        let (_, _, documented) = DOCUMENTED_FAULTS.get(index)?;
         let chosen = documented.get((drawn >> 32) as usize % documented.len())?;
         Some(if *chosen == 0 { Fault::Short } else { Fault::Errno(*chosen) })
     }
 }
 
-/// SplitMix64, one step.
-fn mix(from: u64) -> u64 {
-    let z = from.wrapping_add(0x9e37_79b9_7f4a_7c15);
+/// One step of SplitMix64.
+fn splitmix64(state: u64) -> u64 {
+    let z = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-fn call_named(name: &str) -> Option<Call> {
-    DOCUMENTED.iter().find(|(known, _, _)| *known == name).map(|(_, call, _)| *call)
+fn call_by_name(name: &str) -> Option<Call> {
+    DOCUMENTED_FAULTS.iter().find(|(known, _, _)| *known == name).map(|(_, call, _)| *call)
 }
 
-/// The name of a kind of call, as in a schedule.
-pub fn name_of_call(call: Call) -> &'static str {
-    DOCUMENTED.get(call as usize).map_or("?", |(name, _, _)| name)
+/// Returns the name of a kind of call, as written in a schedule.
+pub fn call_name(call: Call) -> &'static str {
+    DOCUMENTED_FAULTS.get(call as usize).map_or("?", |(name, _, _)| name)
 }
 
-/// The name of a fault, as in a schedule.
-pub fn name_of_fault(fault: Fault) -> &'static str {
+/// Returns the name of a fault, as written in a schedule.
+pub fn fault_name(fault: Fault) -> &'static str {
     match fault {
         Fault::Errno(errno) => {
             ERRNO_NAMES.iter().find(|(_, known)| *known == errno).map_or("?", |(name, _)| name)
@@ -306,15 +312,16 @@
     }
 }
 
-fn random(rule: &str) -> Option<Random> {
-    let mut random = Random::default();
+/// Parses a rule such as `seed=7,rate=0.02,calls=accept4+connect`.
+fn parse_random_faults(rule: &str) -> Option<RandomFaults> {
+    let mut random = RandomFaults::default();
     for (key, value) in rule.split(',').map(|field| field.split_once('=')).collect::<Option<Vec<_>>>()? {
         match key {
             "seed" => random.seed = value.parse().ok()?,
             "rate" => random.rate = (value.parse::<f64>().ok()? * (1u64 << 32) as f64) as u64,
             "calls" => {
                 for name in value.split('+') {
-                    random.calls[call_named(name)? as usize] = true;
+                    random.calls[call_by_name(name)? as usize] = true;
                 }
             }
             _ => return None,
@@ -323,17 +330,18 @@
     Some(random)
 }
 
-fn forced(rule: &str) -> Option<Rule> {
+/// Parses a rule such as `connect@5432:1-:ENETUNREACH`.
+fn parse_rule(rule: &str) -> Option<Rule> {
     let mut fields = rule.split(':');
-    let (place, range, fault) = (fields.next()?, fields.next()?, fields.next()?);
-    let (name, side) = place.split_once('@').unwrap_or((place, ""));
+    let (selector, range, fault) = (fields.next()?, fields.next()?, fields.next()?);
+    let (name, side) = selector.split_once('@').unwrap_or((selector, ""));
     let side = match side {
         "" => Side::Any,
         "client" => Side::Client,
         "backend" => Side::Backend,
         port => Side::Port(port.parse().ok()?),
     };
-    let (range, every) = range.split_once('/').unwrap_or((range, "1"));
+    let (range, step) = range.split_once('/').unwrap_or((range, "1"));
     let (first, last) = range.split_once('-').unwrap_or((range, range));
     let last = if last.is_empty() { u64::MAX } else { last.parse().ok()? };
     let fault = match fault {
@@ -341,7 +349,7 @@
         "KILL" => Fault::Kill,
         errno => Fault::Errno(ERRNO_NAMES.iter().find(|(known, _)| *known == errno)?.1),
     };
-    let (call, first, every) = (call_named(name)?, first.parse().ok()?, every.parse().ok()?);
-    let rule = Rule { call, side, first, last, every, fault, seen: AtomicU64::new(0) };
+    let (call, first, step) = (call_by_name(name)?, first.parse().ok()?, step.parse().ok()?);
+    let rule = Rule { call, side, first, last, step, fault, call_count: AtomicU64::new(0) };
     fields.next().is_none().then_some(rule)
 }
