--- a/crates/testkit/src/stand_in/acceptor.rs
+++ b/crates/testkit/src/stand_in/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepts connections at any number of listeners in one thread, so that a store of thousands of endpoints needs a
-//! descriptor for each, and no thread.
+//! Accepts connections on any number of listeners in a single thread, so that a store of thousands of endpoints needs one
+//! descriptor per endpoint instead of one thread.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -13,53 +13,54 @@
 
 use crate::sync::lock;
 
-/// Listeners that are looked at after one wait.
+/// Most listeners that are handled after one `epoll_wait`.
 const EVENTS_PER_WAIT: usize = 64;
 
-/// Serves one connection to its end, in a thread of its own. An error concerns that connection only.
-pub(super) type Serve = Arc<dyn Fn(TcpStream) -> io::Result<()> + Send + Sync>;
+/// Serves one connection until it ends, in a thread of its own. An error affects this connection only.
+pub(super) type ConnectionHandler = Arc<dyn Fn(TcpStream) -> io::Result<()> + Send + Sync>;
 
-/// A listener, with what serves its connections.
-struct Service {
+/// A listener with the handler of its connections.
+struct ListenerEntry {
     listener: TcpListener,
-    serve: Serve,
+    handler: ConnectionHandler,
 }
 
-/// The thread that accepts, as those who add listeners hold it. It lives as long as the process.
+/// Handle of the accepting thread, by which listeners are added. The thread runs until the process ends.
 pub(super) struct Acceptor {
     epoll: Arc<OwnedFd>,
-    /// By the number that `epoll` knows the listener by.
-    services: Arc<Mutex<Vec<Service>>>,
+    /// Indexed by the event data under which the listener is registered with `epoll`.
+    listeners: Arc<Mutex<Vec<ListenerEntry>>>,
 }
 
 impl Acceptor {
-    /// Starts the thread.
+    /// Starts the accepting thread.
     pub(super) fn start() -> io::Result<Acceptor> {
         let epoll = Arc::new(epoll::create(CreateFlags::CLOEXEC)?);
-        let services = Arc::default();
-        let acceptor = Acceptor { epoll: Arc::clone(&epoll), services: Arc::clone(&services) };
-        thread::Builder::new().spawn(move || accept_all(&epoll, &services))?;
+        let listeners = Arc::default();
+        let acceptor = Acceptor { epoll: Arc::clone(&epoll), listeners: Arc::clone(&listeners) };
+        thread::Builder::new().spawn(move || accept_all(&epoll, &listeners))?;
         Ok(acceptor)
     }
 
-    /// Accepts at that listener from now on.
-    pub(super) fn add(&self, listener: TcpListener, serve: Serve) -> io::Result<()> {
-        // A connection may be gone again by the time it is accepted.
+    /// Starts accepting connections on `listener`.
+    pub(super) fn add(&self, listener: TcpListener, handler: ConnectionHandler) -> io::Result<()> {
+        // The client may have closed the connection by the time it is accepted; accepting must not block then.
         listener.set_nonblocking(true)?;
-        let mut services = lock(&self.services);
-        let number = EventData::new_u64(services.len() as u64);
-        epoll::add(&self.epoll, &listener, number, EventFlags::IN)?;
-        services.push(Service { listener, serve });
+        let mut listeners = lock(&self.listeners);
+        let key = EventData::new_u64(listeners.len() as u64);
+        epoll::add(&self.epoll, &listener, key, EventFlags::IN)?;
+        listeners.push(ListenerEntry { listener, handler });
         Ok(())
     }
 
-    /// Closes all listeners; connections go on.
+    /// Closes all listeners; accepted connections stay open.
     pub(super) fn close_all(&self) {
-        lock(&self.services).clear();
+        lock(&self.listeners).clear();
     }
 }
 
-fn accept_all(epoll: &OwnedFd, services: &Mutex<Vec<Service>>) {
+/// Accepts connections on all listeners, until waiting for events fails.
+fn accept_all(epoll: &OwnedFd, listeners: &Mutex<Vec<ListenerEntry>>) {
     let mut events = Vec::with_capacity(EVENTS_PER_WAIT);
     loop {
         match epoll::wait(epoll, spare_capacity(&mut events), None) {
@@ -67,22 +68,22 @@
             Err(_) => return,
         }
         for event in events.drain(..) {
-            accept_one(services, service_index(event.data.u64()));
+            accept_one(listeners, listener_index(event.data.u64()));
         }
     }
 }
 
-/// Accepts one connection; where more wait, the listener stays ready.
-fn accept_one(services: &Mutex<Vec<Service>>, number: usize) {
-    let services = lock(services);
-    let Some(Service { listener, serve }) = services.get(number) else { return };
+/// Accepts one connection. If more are pending, the listener stays ready.
+fn accept_one(listeners: &Mutex<Vec<ListenerEntry>>, index: usize) {
+    let listeners = lock(listeners);
+    let Some(ListenerEntry { listener, handler }) = listeners.get(index) else { return };
     let Ok((connection, _)) = listener.accept() else { return };
-    let serve = Arc::clone(serve);
-    // Without a thread for it the connection is closed.
-    let _ = thread::Builder::new().spawn(move || serve(connection));
+    let handler = Arc::clone(handler);
+    // If the thread cannot be started, the connection is closed.
+    let _ = thread::Builder::new().spawn(move || handler(connection));
 }
 
-/// The index that a listener was registered under.
-fn service_index(key: u64) -> usize {
-    usize::try_from(key).expect("each key was an index")
+/// Returns the index under which a listener was registered.
+fn listener_index(key: u64) -> usize {
+    usize::try_from(key).expect("event data is not an index")
 }
--- a/crates/testkit/src/stand_in/behaviour.rs
+++ b/crates/testkit/src/stand_in/behaviour.rs
@@ -1,34 +1,34 @@
-//! How an endpoint of the stand-in store treats what it receives.
+//! Behaviours of an endpoint of the stand-in store, including faulty ones.
 
-/// What an endpoint does with connections and statements.
+/// How an endpoint handles connections and statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs reads and writes.
+    /// Executes reads and writes.
     Primary,
-    /// Runs reads and refuses writes.
+    /// Executes reads and refuses writes.
     Replica,
-    /// Rejects statements without running them.
+    /// Rejects statements as overloaded (SQLSTATE 53300), without executing them.
     Full,
-    /// Answers statements with an error.
+    /// Answers statements with an internal error (SQLSTATE XX000).
     Faulty,
-    /// Receives statements and closes the connection.
+    /// Closes the connection when it has received a statement, without an answer.
     Resets,
     /// Receives statements and never answers them.
     Silent,
-    /// Answers statements with bytes that are no message of the protocol.
+    /// Answers statements with bytes that are not a message of the protocol.
     Babbles,
-    /// Closes the connection right after each answer.
+    /// Closes the connection after each answer.
     Closes,
-    /// Accepts new connections and never sends the greeting.
+    /// Accepts new connections but never completes their startup.
     Mute,
-    /// Answers statements with a row that is shorter than its length field says.
+    /// Answers statements with a row whose column is one byte shorter than its length field says.
     Spoils,
     /// Answers each statement twice.
     Echoes,
 }
 
 impl Behaviour {
-    /// The behaviour of that name, as typed at the command `serve`.
+    /// Returns the behaviour with the given name, as entered at the command `serve`.
     pub fn named(name: &str) -> Option<Behaviour> {
         Some(match name {
             "primary" => Behaviour::Primary,
--- a/crates/testkit/src/stand_in/client.rs
+++ b/crates/testkit/src/stand_in/client.rs
@@ -1,23 +1,23 @@
-//! A client: one session with a router, a message at a time.
+//! A blocking client that exchanges single messages with a router.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use super::pg_messages::{LENGTH_BYTES, length_field, message, read_message};
 
-/// The startup message, without its length: version 3.0, then user and database.
+/// The startup message without its length field: version 3.0, then user and database.
 const STARTUP: &[u8] = b"\0\x03\0\0user\0backend\0database\0store\0\0";
-/// Where the value begins in the body of a DataRow of one column.
+/// Offset of the value in the body of a DataRow message with one column.
 const VALUE_OFFSET: usize = 6;
 
 /// One session with a router.
 pub struct Client {
-    /// The connection; tests write to it what the methods would not.
+    /// The connection, to which tests write bytes that the methods would not send.
     pub socket: TcpStream,
 }
 
 impl Client {
-    /// Connects and sends the startup message; the greeting is left to be read.
+    /// Connects and sends the startup message, without reading the router's response to it.
     pub fn connect(router: SocketAddr) -> io::Result<Client> {
         let mut socket = TcpStream::connect(router)?;
         socket.set_nodelay(true)?;
@@ -26,34 +26,35 @@
         Ok(Client { socket })
     }
 
-    /// Sends a query.
+    /// Sends a Query message.
     pub fn send(&mut self, query: &str) -> io::Result<()> {
         self.socket.write_all(&message(b'Q', format!("{query}\0").as_bytes()))
     }
 
-    /// The next message: its tag and its body.
+    /// Reads the next message and returns its tag and its body.
     pub fn hear(&mut self) -> io::Result<(u8, Vec<u8>)> {
         read_message(&mut self.socket, usize::MAX)
     }
 
-    /// All messages up to ReadyForQuery, in words: a row's value, an error's code, a completion.
+    /// Reads all messages up to ReadyForQuery and returns a text of their contents: the values of rows, the codes and
+    /// details of errors, and command tags, separated by spaces.
     pub fn answer(&mut self) -> io::Result<String> {
-        let mut words = Vec::new();
+        let mut parts = Vec::new();
         loop {
             let (tag, body) = self.hear()?;
             match tag {
-                b'Z' => return Ok(words.join(" ")),
-                b'D' => words.push(format!("row:{}", text_of(&body[VALUE_OFFSET..]))),
-                b'C' => words.push(text_of(&body)),
-                b'I' => words.push("empty".to_string()),
-                b'E' => words.extend(error_fields(&body, b"CD")),
+                b'Z' => return Ok(parts.join(" ")),
+                b'D' => parts.push(format!("row:{}", decode_text(&body[VALUE_OFFSET..]))),
+                b'C' => parts.push(decode_text(&body)),
+                b'I' => parts.push("empty".to_string()),
+                b'E' => parts.extend(error_fields(&body, b"CD")),
                 _ => {}
             }
         }
     }
 
-    /// The row or error code that comes next, past the greeting, whether the session goes on after it or not; else why
-    /// nothing could be read.
+    /// Reads up to the next row or error and returns the row's value or the error's code, whether or not the session
+    /// continues after it. If reading fails, returns the text of the error.
     pub fn last_words(&mut self) -> String {
         loop {
             match self.hear() {
@@ -65,19 +66,20 @@
         }
     }
 
-    /// Sends a query and returns its answer, in words.
+    /// Sends a query and returns its answer in the form of [`answer`](Self::answer).
     pub fn ask(&mut self, query: &str) -> io::Result<String> {
         self.send(query)?;
         self.answer()
     }
 }
 
-fn text_of(bytes: &[u8]) -> String {
+/// Decodes text without the zero bytes that terminate it.
+fn decode_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).trim_end_matches('\0').to_string()
 }
 
-/// The fields of an ErrorResponse whose kind is one of `kinds`, each with its kind in front.
+/// Returns the fields of an ErrorResponse whose type is one of `kinds`, each preceded by its type.
 fn error_fields(body: &[u8], kinds: &[u8]) -> Vec<String> {
     let fields = body.split(|byte| *byte == 0);
-    fields.filter(|field| field.first().is_some_and(|kind| kinds.contains(kind))).map(text_of).collect()
+    fields.filter(|field| field.first().is_some_and(|kind| kinds.contains(kind))).map(decode_text).collect()
 }
--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint of the stand-in store.
+//! Serves one connection to an endpoint of the stand-in store.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -14,18 +14,18 @@
 use super::shared_state::SharedState;
 use super::state::is_statement;
 
-/// What an endpoint that [`Behaviour::Babbles`] sends.
-const NO_MESSAGE: &[u8] = b"?what is this\0";
+/// Answer of an endpoint with [`Behaviour::Babbles`].
+const INVALID_MESSAGE: &[u8] = b"?what is this\0";
 
-/// What becomes of the connection after a message.
+/// What is done on the connection after a Query message.
 enum Reply {
-    /// The bytes are written and the connection goes on.
+    /// Writes the bytes and keeps the connection open.
     Send(Vec<u8>),
-    /// The bytes are written and the connection is closed.
+    /// Writes the bytes and closes the connection.
     SendAndClose(Vec<u8>),
-    /// Nothing is written.
+    /// Writes nothing and keeps the connection open.
     Nothing,
-    /// Nothing is written and the connection is closed.
+    /// Closes the connection without writing.
     Close,
 }
 
@@ -38,7 +38,7 @@
         return wait_for_close(&mut client);
     }
     let mut greeting = authentication_ok();
-    greeting.extend(ready(store, endpoint));
+    greeting.extend(ready_messages(store, endpoint));
     client.write_all(&greeting)?;
     loop {
         let (tag, body) = read_message(&mut client, MAX_BODY_BYTES)?;
@@ -57,64 +57,65 @@
     }
 }
 
-/// Returns once the client closes the connection or sends more.
+/// Returns when the client closes the connection or sends more data.
 fn wait_for_close(client: &mut TcpStream) -> io::Result<()> {
     client.read_exact(&mut [0; 4])
 }
 
-fn ready(store: &SharedState, endpoint: usize) -> Vec<u8> {
+/// Returns the messages that end each answer.
+fn ready_messages(store: &SharedState, endpoint: usize) -> Vec<u8> {
     let state = store.lock();
     let endpoint = &state.endpoints[endpoint];
     ready_for_query(endpoint.is_primary, endpoint.position_ms())
 }
 
-/// Answers a query as the endpoint behaves at the time it is received.
+/// Executes a query according to the endpoint's behaviour at the time when the query is received.
 fn reply(store: &SharedState, endpoint: usize, text: &str) -> Reply {
     let behaviour = store.lock().endpoints[endpoint].behaviour;
     if !is_statement(text) {
         let answer = execute(store, endpoint, text);
-        return send(behaviour, finish(store, endpoint, answer));
+        return reply_with(behaviour, with_ready_messages(store, endpoint, answer));
     }
     store.lock().endpoints[endpoint].received.push(text.to_string());
-    spend_time(store, endpoint, text);
+    simulate_execution(store, endpoint, text);
     let answer = match behaviour {
         Behaviour::Silent => return Reply::Nothing,
         Behaviour::Resets => return Reply::Close,
-        Behaviour::Babbles => NO_MESSAGE.to_vec(),
+        Behaviour::Babbles => INVALID_MESSAGE.to_vec(),
         Behaviour::Full => error_response("53300", "too much to do"),
         Behaviour::Faulty => error_response("XX000", "something broke"),
         Behaviour::Spoils => corrupt_column_length(execute(store, endpoint, text)),
         _ => execute(store, endpoint, text),
     };
-    let mut answer = finish(store, endpoint, answer);
+    let mut answer = with_ready_messages(store, endpoint, answer);
     if behaviour == Behaviour::Echoes {
         answer.extend(answer.clone());
     }
-    send(behaviour, answer)
+    reply_with(behaviour, answer)
 }
 
 fn execute(store: &SharedState, endpoint: usize, text: &str) -> Vec<u8> {
     store.lock().execute(endpoint, text)
 }
 
-/// The answer with what ends it.
-fn finish(store: &SharedState, endpoint: usize, mut answer: Vec<u8>) -> Vec<u8> {
-    answer.extend(ready(store, endpoint));
+/// Appends the messages that end an answer.
+fn with_ready_messages(store: &SharedState, endpoint: usize, mut answer: Vec<u8>) -> Vec<u8> {
+    answer.extend(ready_messages(store, endpoint));
     answer
 }
 
-fn send(behaviour: Behaviour, answer: Vec<u8>) -> Reply {
+fn reply_with(behaviour: Behaviour, answer: Vec<u8>) -> Reply {
     if behaviour == Behaviour::Closes { Reply::SendAndClose(answer) } else { Reply::Send(answer) }
 }
 
-/// Takes the time that a statement takes, and records that it ran.
-fn spend_time(store: &SharedState, endpoint: usize, text: &str) {
-    let began = unix_seconds();
+/// Sleeps for the duration of a statement and records its execution.
+fn simulate_execution(store: &SharedState, endpoint: usize, text: &str) {
+    let started = unix_seconds();
     let duration = {
         let mut state = store.lock();
         state.endpoints[endpoint].begin_execution();
         state.statement_duration
     };
     thread::sleep(duration);
-    store.lock().endpoints[endpoint].end_execution(text, began);
+    store.lock().endpoints[endpoint].end_execution(text, started);
 }
--- a/crates/testkit/src/stand_in/discovery.rs
+++ b/crates/testkit/src/stand_in/discovery.rs
@@ -1,4 +1,4 @@
-//! One connection to the discovery service of the stand-in store: long polls over HTTP/1.1.
+//! Serves one connection to the discovery service of the stand-in store: long polling over HTTP/1.1.
 
 use std::io::{self, BufRead, BufReader, Lines, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,26 +8,27 @@
 use super::shared_state::SharedState;
 use super::state::State;
 
-/// Longest that a call waits for a newer list.
+/// Longest wait of a call for a newer list, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// What a call asks for.
+/// A call's request.
 struct ListRequest {
-    /// The version that the caller has; it waits for a newer one.
+    /// Version of the list that the caller has; the answer waits for a newer one.
     since: Option<u64>,
-    wait: Duration,
+    /// Longest wait for a newer list.
+    max_wait: Duration,
 }
 
 /// Answers calls until either side closes the connection.
 pub(super) fn serve(store: &SharedState, client: TcpStream, proxied: &[SocketAddr]) -> io::Result<()> {
-    let mut out = client.try_clone()?;
+    let mut writer = client.try_clone()?;
     let mut lines = BufReader::new(client).lines();
     while let Some(request) = read_request(&mut lines)? {
         let list = wait_for_list(store, &request, proxied);
         let closes = store.lock().discovery_closes;
-        out.write_all(response(&list, closes).as_bytes())?;
+        writer.write_all(response(&list, closes).as_bytes())?;
         if closes {
-            return out.shutdown(Shutdown::Both);
+            return writer.shutdown(Shutdown::Both);
         }
     }
     Ok(())
@@ -38,24 +39,24 @@
     while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
     let wait_ms = query_number(&request, "timeout_ms=").unwrap_or(0).min(MAX_WAIT_MS);
     let since = query_number(&request, "since=");
-    Ok(Some(ListRequest { since, wait: Duration::from_millis(wait_ms) }))
+    Ok(Some(ListRequest { since, max_wait: Duration::from_millis(wait_ms) }))
 }
 
-/// The number behind a name in the request line's query.
+/// Returns the number that follows `name` in the request line.
 fn query_number(request: &str, name: &str) -> Option<u64> {
-    let from = request.find(name)? + name.len();
-    let digits: String = request[from..].chars().take_while(char::is_ascii_digit).collect();
+    let start = request.find(name)? + name.len();
+    let digits: String = request[start..].chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
 }
 
-/// The list, once there is a newer one or the wait is over.
+/// Returns the list when a newer one exists or the wait has timed out, and not before discovery answers calls.
 fn wait_for_list(store: &SharedState, request: &ListRequest, proxied: &[SocketAddr]) -> String {
-    let waits = |state: &mut State| {
+    let must_wait = |state: &mut State| {
         state.discovery_is_silent || request.since.is_some_and(|since| state.version <= since)
     };
     let mut state = store
         .list_changed()
-        .wait_timeout_while(store.lock(), request.wait, waits)
+        .wait_timeout_while(store.lock(), request.max_wait, must_wait)
         .map_or_else(|poisoned| poisoned.into_inner().0, |waited| waited.0);
     while state.discovery_is_silent {
         state = store.list_changed().wait(state).unwrap_or_else(PoisonError::into_inner);
--- a/crates/testkit/src/stand_in/endpoint_list.rs
+++ b/crates/testkit/src/stand_in/endpoint_list.rs
@@ -1,22 +1,22 @@
-//! The discovery service's answer: the list of endpoints, as JSON.
+//! Encodes the discovery service's answer, the endpoint list, as JSON.
 
 use std::net::SocketAddr;
 
-/// One endpoint as discovery lists it.
+/// An entry of the endpoint list.
 pub(crate) struct ListedEndpoint<'a> {
     pub(crate) name: &'a str,
     pub(crate) address: SocketAddr,
-    /// The number of its replica set.
+    /// Number of the endpoint's replica set.
     pub(crate) group: u64,
     pub(crate) health: &'a str,
-    /// When it started, in Unix milliseconds; zero for long ago.
+    /// Start of the endpoint in Unix milliseconds; zero if it started long ago.
     pub(crate) started_ms: u128,
 }
 
-/// The list of that version; if it is not whole, endpoints that it lacks are as they were.
-pub(crate) fn endpoint_list_json(version: u64, is_whole: bool, endpoints: &[ListedEndpoint]) -> String {
+/// Encodes the list with the given version. If it is not complete, endpoints that it lacks are unchanged.
+pub(crate) fn endpoint_list_json(version: u64, is_complete: bool, endpoints: &[ListedEndpoint]) -> String {
     let entries: Vec<String> = endpoints.iter().map(entry_json).collect();
-    format!("{{\"seq\":{version},\"whole\":{is_whole},\"hosts\":[{}]}}", entries.join(","))
+    format!("{{\"seq\":{version},\"whole\":{is_complete},\"hosts\":[{}]}}", entries.join(","))
 }
 
 fn entry_json(endpoint: &ListedEndpoint) -> String {
--- a/crates/testkit/src/stand_in/membership.rs
+++ b/crates/testkit/src/stand_in/membership.rs
@@ -1,41 +1,42 @@
-//! Endpoints that join and leave the store, as a rolling replacement brings it about.
+//! Endpoints that join and leave the store, as in a rolling replacement.
 
 use crate::clock::unix_ms;
 
 use super::behaviour::Behaviour;
 use super::state::{ACTIVE, State};
 
-/// Which endpoints join and leave in one change of discovery's list; by their indices.
+/// Indices of the endpoints that join and leave in one change of discovery's list.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipChange {
-    /// Have just started, and are listed from now on.
+    /// Endpoints that have just started and become listed.
     pub joining: Vec<usize>,
-    /// Finish what they have. One that is the primary hands that role to another member in service.
+    /// Endpoints that finish their statements in flight. A primary among them hands that role to another active endpoint of
+    /// its replica set.
     pub leaving: Vec<usize>,
-    /// Are out of service.
+    /// Endpoints that are out of service.
     pub left: Vec<usize>,
 }
 
 impl State {
-    /// Makes the change, in the version of the list that is current.
+    /// Applies the change under the current version of the list.
     pub(super) fn change_members(&mut self, change: &MembershipChange) {
         let now_ms = unix_ms();
-        for joining in &change.joining {
-            self.change_endpoint(*joining, |endpoint| {
+        for index in &change.joining {
+            self.change_endpoint(*index, |endpoint| {
                 endpoint.is_listed = true;
                 endpoint.started_ms = now_ms;
             });
         }
-        for leaving in &change.leaving {
-            self.change_endpoint(*leaving, |endpoint| endpoint.health = "leaving");
-            self.hand_over_primary(*leaving);
+        for index in &change.leaving {
+            self.change_endpoint(*index, |endpoint| endpoint.health = "leaving");
+            self.hand_over_primary(*index);
         }
-        for left in &change.left {
-            self.change_endpoint(*left, |endpoint| endpoint.health = "left");
+        for index in &change.left {
+            self.change_endpoint(*index, |endpoint| endpoint.health = "left");
         }
     }
 
-    /// Makes another member in service the primary, if there is one and the role is this endpoint's.
+    /// If endpoint `from` is the primary, makes another active endpoint of its replica set the primary, if there is one.
     fn hand_over_primary(&mut self, from: usize) {
         let group = self.endpoints[from].group;
         let successor = self
--- a/crates/testkit/src/stand_in/mod.rs
+++ b/crates/testkit/src/stand_in/mod.rs
@@ -1,12 +1,12 @@
-//! A stand-in for the replicated store: endpoints that speak as much of PostgreSQL's protocol as ottersill needs, the
-//! discovery service that lists them, and a client. Written from the public specifications. One thread a connection, one
-//! for all listeners; all endpoints share their data.
+//! A stand-in for the replicated store: endpoints that implement the subset of PostgreSQL's protocol that ottersill needs,
+//! the discovery service that lists them, and a client. The implementation follows the public specifications. Each
+//! connection has a thread of its own, and one thread accepts for all listeners; all endpoints share their data.
 //!
-//! - [`StandInStore`]: endpoints and discovery, and how they behave
-//! - [`MembershipChange`]: which endpoints leave and join in one change of discovery's list
-//! - [`Behaviour`]: what an endpoint does with the statements that it receives
-//! - [`Client`]: one session with a router
-//! - [`message`]: how a message is framed
+//! - [`StandInStore`]: the endpoints and discovery, and control of their behaviour
+//! - [`MembershipChange`]: which endpoints join and leave in one change of discovery's list
+//! - [`Behaviour`]: how an endpoint handles the statements that it receives
+//! - [`Client`]: a session with a router
+//! - [`message`]: encodes a message of the protocol
 
 mod acceptor;
 mod behaviour;
--- a/crates/testkit/src/stand_in/shared_state.rs
+++ b/crates/testkit/src/stand_in/shared_state.rs
@@ -1,4 +1,5 @@
-//! The state of the stand-in store as its threads share it: the store's handle, and the connections to endpoints and discovery.
+//! The state of the stand-in store, shared by the threads that hold the store's handle and those that serve connections to
+//! endpoints and discovery.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 
@@ -6,7 +7,7 @@
 
 use super::state::State;
 
-/// State that several threads read and change.
+/// The store's state behind a lock, with a notification of changes of the endpoint list.
 #[derive(Default)]
 pub(super) struct SharedState {
     state: Mutex<State>,
@@ -14,17 +15,17 @@
 }
 
 impl SharedState {
-    /// The state, for this thread alone until the guard is dropped.
+    /// Locks the state until the guard is dropped.
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
 
-    /// Wakes up when discovery's list or its silence changes.
+    /// Notified when discovery's list changes, and when discovery stops or resumes answering.
     pub(super) fn list_changed(&self) -> &Condvar {
         &self.list_changed
     }
 
-    /// Makes a change of the list, and wakes the calls that wait for one.
+    /// Changes the list under a new version, and wakes the calls that wait for one.
     pub(super) fn change_list(&self, change: impl FnOnce(&mut State)) {
         let mut state = self.lock();
         state.version += 1;
--- a/crates/testkit/src/stand_in/state.rs
+++ b/crates/testkit/src/stand_in/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a stand-in store share: the endpoints, the data, and what discovery tells.
+//! State that all connections of a stand-in store share: the endpoints, the data, and discovery's list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,47 +10,48 @@
 use super::endpoint_list::{ListedEndpoint, endpoint_list_json};
 use super::pg_messages::{HEALTH_QUERY, empty_query_response, error_response, health_report, single_row};
 
-/// SQLSTATE of a statement that the store does not understand.
+/// SQLSTATE of a statement that the store cannot parse.
 const SYNTAX_ERROR: &str = "42601";
-/// The health of an endpoint in service, as discovery tells it.
+/// Health of an endpoint in service, as reported by discovery.
 pub(super) const ACTIVE: &str = "active";
-/// SQLSTATE of a write at a replica.
+/// SQLSTATE of a write sent to a replica.
 const READ_ONLY: &str = "25006";
 
-/// One execution of a statement at an endpoint.
+/// An execution of a statement at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// The statement's `id`, as its comment names it.
+    /// The statement's `id` from its comment.
     pub id: String,
-    /// Whether it changed data.
+    /// Whether the statement changed data.
     pub wrote: bool,
-    /// When it began, in Unix seconds.
+    /// Start of the execution in Unix seconds.
     pub began: f64,
-    /// When it ended, in Unix seconds.
+    /// End of the execution in Unix seconds.
     pub ended: f64,
 }
 
-/// One endpoint of the store.
+/// An endpoint of the store.
 pub(super) struct Endpoint {
     pub(super) address: SocketAddr,
-    /// The number of its replica set.
+    /// Number of the endpoint's replica set.
     pub(super) group: u64,
-    /// Whether discovery names it.
+    /// Whether discovery lists the endpoint.
     pub(super) is_listed: bool,
-    /// The version of the list in which it last changed.
-    changed_in: u64,
+    /// Version of the list in which the endpoint last changed.
+    changed_in_version: u64,
     pub(super) behaviour: Behaviour,
-    /// Whether it runs writes; a behaviour that is no role leaves it as it was.
+    /// Whether the endpoint executes writes. Only the behaviours `Primary` and `Replica` change this.
     pub(super) is_primary: bool,
     pub(super) health: &'static str,
-    /// When it started, as discovery tells it; Unix milliseconds, zero for long ago.
+    /// Start of the endpoint as reported by discovery, in Unix milliseconds; zero if it started long ago.
     pub(super) started_ms: u128,
-    /// How far its clock, and with it its position, is off.
-    clock_shift_ms: i64,
-    /// Statements that were received whole.
+    /// Offset of the endpoint's clock, and thereby of its replication position.
+    clock_offset_ms: i64,
+    /// Statements that were received completely.
     pub(super) received: Vec<String>,
-    /// Executions under way, and the most that ever were at once.
-    under_way: usize,
+    /// Number of executions in progress.
+    running_executions: usize,
+    /// Highest number of executions in progress at the same time.
     pub(super) peak_concurrency: usize,
     pub(super) executions: Vec<Execution>,
 }
@@ -61,14 +62,14 @@
             address,
             group,
             is_listed: true,
-            changed_in: 0,
+            changed_in_version: 0,
             behaviour: if is_primary { Behaviour::Primary } else { Behaviour::Replica },
             is_primary,
             health: ACTIVE,
             started_ms: 0,
-            clock_shift_ms: 0,
+            clock_offset_ms: 0,
             received: Vec::new(),
-            under_way: 0,
+            running_executions: 0,
             peak_concurrency: 0,
             executions: Vec::new(),
         }
@@ -83,50 +84,58 @@
         }
     }
 
-    pub(super) fn shift_clock(&mut self, ms: i64) {
-        self.clock_shift_ms = ms;
+    pub(super) fn set_clock_offset(&mut self, offset_ms: i64) {
+        self.clock_offset_ms = offset_ms;
     }
 
-    /// Its position, and the time by its clock; Unix milliseconds.
+    /// Returns the endpoint's replication position, which is the time of its clock in Unix milliseconds.
     pub(super) fn position_ms(&self) -> u128 {
-        unix_ms().saturating_add_signed(i128::from(self.clock_shift_ms))
+        unix_ms().saturating_add_signed(i128::from(self.clock_offset_ms))
     }
 
     pub(super) fn begin_execution(&mut self) {
-        self.under_way += 1;
-        self.peak_concurrency = self.peak_concurrency.max(self.under_way);
+        self.running_executions += 1;
+        self.peak_concurrency = self.peak_concurrency.max(self.running_executions);
     }
 
-    pub(super) fn end_execution(&mut self, text: &str, began: f64) {
-        self.under_way -= 1;
+    /// Records an execution that started at `started`, in Unix seconds, and ends now.
+    pub(super) fn end_execution(&mut self, text: &str, started: f64) {
+        self.running_executions -= 1;
         let wrote = self.is_primary && text.starts_with("INSERT");
-        self.executions.push(Execution { id: statement_id(text), wrote, began, ended: unix_seconds() });
+        self.executions.push(Execution {
+            id: statement_id(text),
+            wrote,
+            began: started,
+            ended: unix_seconds(),
+        });
     }
 }
 
-/// Everything that the threads of a store share.
+/// State that the threads of a store share.
 #[derive(Default)]
 pub(super) struct State {
     pub(super) endpoints: Vec<Endpoint>,
-    /// The version of discovery's list.
+    /// Version of discovery's list.
     pub(super) version: u64,
+    /// Whether discovery accepts calls without answering them.
     pub(super) discovery_is_silent: bool,
+    /// Whether discovery closes the connection after each answer.
     pub(super) discovery_closes: bool,
-    /// Whether calls that name a version are answered with what has changed since.
+    /// Whether calls with a version are answered with the changes since that version only.
     pub(super) sends_changes_only: bool,
-    /// Bytes of lists that discovery has sent.
+    /// Total length of the lists that discovery has sent.
     pub(super) list_bytes_sent: u64,
-    /// Connections that endpoints have accepted.
+    /// Number of connections that endpoints have accepted.
     pub(super) connections_accepted: u64,
-    /// How long a statement takes; nothing at first.
+    /// Duration of each statement; initially zero.
     pub(super) statement_duration: Duration,
     values: HashMap<String, Vec<u8>>,
     /// Views that write when they are read.
-    pub(super) writing_views: Vec<String>,
+    pub(super) views_with_side_effects: Vec<String>,
 }
 
 impl State {
-    /// Adds an endpoint and returns its index; the first of a replica set is the primary.
+    /// Adds an endpoint and returns its index. The first endpoint of a replica set is its primary.
     pub(super) fn add_endpoint(&mut self, address: SocketAddr, group: u64, is_listed: bool) -> usize {
         let index = self.endpoints.len();
         let is_first = self.endpoints.iter().all(|endpoint| endpoint.group != group);
@@ -136,14 +145,14 @@
         index
     }
 
-    /// Changes an endpoint in the version of the list that is current.
+    /// Changes an endpoint under the current version of the list.
     pub(super) fn change_endpoint(&mut self, endpoint: usize, change: impl FnOnce(&mut Endpoint)) {
         let endpoint = &mut self.endpoints[endpoint];
         change(endpoint);
-        endpoint.changed_in = self.version;
+        endpoint.changed_in_version = self.version;
     }
 
-    /// The result of a statement that the endpoint runs.
+    /// Executes a statement at an endpoint and returns the result's messages.
     pub(super) fn execute(&mut self, endpoint: usize, text: &str) -> Vec<u8> {
         if text.trim().is_empty() {
             return empty_query_response();
@@ -156,7 +165,7 @@
         let Some(key) = literals.next() else {
             return error_response(SYNTAX_ERROR, "no statement of this store");
         };
-        if text.starts_with("SELECT") && (is_primary || !self.reads_writing_view(text)) {
+        if text.starts_with("SELECT") && (is_primary || !self.reads_view_with_side_effects(text)) {
             return single_row(self.values.get(key).map_or(b"", |value| value.as_slice()), "SELECT 1");
         }
         if !is_primary {
@@ -167,19 +176,20 @@
         single_row(&value, "INSERT 0 1")
     }
 
-    fn reads_writing_view(&self, text: &str) -> bool {
-        self.writing_views.iter().any(|view| text.contains(view.as_str()))
+    /// Whether a statement reads a view that writes.
+    fn reads_view_with_side_effects(&self, text: &str) -> bool {
+        self.views_with_side_effects.iter().any(|view| text.contains(view.as_str()))
     }
 
-    /// Discovery's list, with the proxied address of each endpoint that has one; only what has changed after the version
-    /// `since`, if discovery tells changes.
+    /// Returns discovery's list, with the proxied address of each endpoint that has one. If discovery sends changes only, the
+    /// list is limited to endpoints that changed after the version `since`.
     pub(super) fn endpoint_list(&self, since: Option<u64>, proxied: &[SocketAddr]) -> String {
         let since = since.filter(|_| self.sends_changes_only);
         let names: Vec<String> = (0..self.endpoints.len()).map(|index| format!("toy-{index}")).collect();
-        let is_wanted = |endpoint: &Endpoint| {
-            endpoint.is_listed && since.is_none_or(|version| endpoint.changed_in > version)
+        let is_included = |endpoint: &Endpoint| {
+            endpoint.is_listed && since.is_none_or(|version| endpoint.changed_in_version > version)
         };
-        let wanted = self.endpoints.iter().enumerate().filter(|(_, endpoint)| is_wanted(endpoint));
+        let included = self.endpoints.iter().enumerate().filter(|(_, endpoint)| is_included(endpoint));
         let entry = |(index, endpoint): (usize, &Endpoint)| ListedEndpoint {
             name: names[index].as_str(),
             address: proxied.get(index).copied().unwrap_or(endpoint.address),
@@ -187,23 +197,23 @@
             health: endpoint.health,
             started_ms: endpoint.started_ms,
         };
-        let entries: Vec<_> = wanted.map(entry).collect();
+        let entries: Vec<_> = included.map(entry).collect();
         endpoint_list_json(self.version, since.is_none(), &entries)
     }
 }
 
-/// Whether a text is a statement of a client: these carry their terms in a comment.
+/// Whether a query is a client's statement; these carry their settings in a comment.
 pub(super) fn is_statement(text: &str) -> bool {
     text.contains("/*")
 }
 
-/// The hexadecimal `id` in a statement's comment; empty if there is none.
+/// Returns the hexadecimal `id` in a statement's comment; empty if there is none.
 fn statement_id(text: &str) -> String {
-    let after = text.split_once("id=").map_or("", |(_, rest)| rest);
-    after.chars().take_while(char::is_ascii_hexdigit).collect()
+    let rest = text.split_once("id=").map_or("", |(_, rest)| rest);
+    rest.chars().take_while(char::is_ascii_hexdigit).collect()
 }
 
-/// The bytes of a literal such as `\x76616c`.
+/// Decodes a literal such as `\x76616c`.
 fn decode_bytea(literal: &str) -> Option<Vec<u8>> {
     let digits = literal.strip_prefix("\\x")?.as_bytes();
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -1,4 +1,5 @@
-//! The store as a test holds it: starts endpoints and discovery, changes how they behave, tells what they received.
+//! The handle of the store for tests: starts endpoints and discovery, controls their behaviour, and returns what they
+//! received.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
@@ -7,39 +8,40 @@
 
 use crate::sync::lock;
 
-use super::acceptor::{Acceptor, Serve};
+use super::acceptor::{Acceptor, ConnectionHandler};
 use super::behaviour::Behaviour;
 use super::membership::MembershipChange;
 use super::shared_state::SharedState;
 use super::state::{Execution, State};
 use super::{database, discovery};
 
-/// The replica set of endpoints that are added without one.
+/// Number of the replica set to which endpoints are added if none is given.
 pub(crate) const DEFAULT_GROUP: u64 = 1;
 
-/// A stand-in store. Clones share their endpoints and data. Its threads live as long as the process.
+/// A stand-in store. Clones share their endpoints and data. Its threads run until the process ends.
 #[derive(Clone, Default)]
 pub struct StandInStore {
     shared: Arc<SharedState>,
-    /// Started with the first listener.
+    /// Started when the first listener is added.
     acceptor: Arc<Mutex<Option<Acceptor>>>,
 }
 
 impl StandInStore {
-    /// Starts an endpoint at that address and returns where it listens; the first is the primary. Fails if the address
-    /// can't be bound.
+    /// Starts an endpoint that listens at `address` and returns the address to which it is bound. The first endpoint is the
+    /// primary. Fails if the address can't be bound.
     pub fn add_endpoint(&self, address: &str) -> io::Result<SocketAddr> {
         let endpoint = self.add_member(address, DEFAULT_GROUP)?;
         Ok(self.endpoint_address(endpoint))
     }
 
-    /// Starts an endpoint of that replica set and returns its index; the first of each is the primary. Fails if the
-    /// address can't be bound.
+    /// Starts an endpoint of the replica set `group` and returns its index. The first endpoint of each replica set is its
+    /// primary. Fails if the address can't be bound.
     pub fn add_member(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
         self.start_endpoint(address, group, true)
     }
 
-    /// The same, but discovery does not list it until it joins by [`change_members`](Self::change_members).
+    /// Starts an endpoint as [`add_member`](Self::add_member) does, but discovery does not list it until it joins by
+    /// [`change_members`](Self::change_members).
     pub fn add_successor(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
         self.start_endpoint(address, group, false)
     }
@@ -52,112 +54,114 @@
         Ok(endpoint)
     }
 
-    /// Closes all listeners, of endpoints and of discovery; connections go on.
+    /// Closes the listeners of all endpoints and of discovery; accepted connections stay open.
     pub fn stop_listening(&self) {
         if let Some(acceptor) = lock(&self.acceptor).as_ref() {
             acceptor.close_all();
         }
     }
 
-    /// Starts a discovery service at that address and returns where it listens. Fails if the address can't be bound.
+    /// Starts a discovery service that listens at `address` and returns the address to which it is bound. Fails if the
+    /// address can't be bound.
     pub fn add_discovery(&self, address: &str) -> io::Result<SocketAddr> {
         self.add_discovery_via(address, Vec::new())
     }
 
-    /// The same, but it lists each endpoint that has an address in `proxied`, by index, under that one.
+    /// Starts a discovery service as [`add_discovery`](Self::add_discovery) does, but lists each endpoint that has an address in
+    /// `proxied`, by index, under that address.
     pub fn add_discovery_via(&self, address: &str, proxied: Vec<SocketAddr>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address)?;
-        let bound_to = listener.local_addr()?;
+        let bound_address = listener.local_addr()?;
         let shared = Arc::clone(&self.shared);
         self.accept(listener, Arc::new(move |client| discovery::serve(&shared, client, &proxied)))?;
-        Ok(bound_to)
+        Ok(bound_address)
     }
 
-    /// Changes what an endpoint does from now on.
+    /// Changes an endpoint's behaviour.
     pub fn set_behaviour(&self, endpoint: usize, behaviour: Behaviour) {
         self.lock().endpoints[endpoint].set_behaviour(behaviour);
     }
 
-    /// Changes an endpoint's health as discovery tells it: `active`, `leaving` or `left`.
+    /// Changes an endpoint's health as reported by discovery: `active`, `leaving` or `left`.
     pub fn set_health(&self, endpoint: usize, health: &'static str) {
         self.shared.change_list(|state| state.change_endpoint(endpoint, |endpoint| endpoint.health = health));
     }
 
-    /// Discovery says from now on that the endpoint has just started, by the endpoint's clock.
+    /// Makes discovery report the present time of the endpoint's clock as the endpoint's start.
     pub fn set_just_started(&self, endpoint: usize) {
         self.shared.change_list(|state| {
             state.change_endpoint(endpoint, |endpoint| endpoint.started_ms = endpoint.position_ms());
         });
     }
 
-    /// The endpoint's clock, and with it its position, is off by so many milliseconds from now on. A replica that is behind
-    /// has a clock that is slow by its lag.
+    /// Sets the offset in milliseconds of the endpoint's clock, and thereby of its replication position. A replica that lags
+    /// is simulated by a clock that is slow by the lag.
     pub fn shift_clock(&self, endpoint: usize, ms: i64) {
-        self.lock().endpoints[endpoint].shift_clock(ms);
+        self.lock().endpoints[endpoint].set_clock_offset(ms);
     }
 
-    /// Endpoints join and leave, all in one change of the list.
+    /// Makes endpoints join and leave, all in one change of discovery's list.
     pub fn change_members(&self, change: &MembershipChange) {
         self.shared.change_list(|state| state.change_members(change));
     }
 
-    /// From now on discovery answers a call that names a version with what has changed since, not with the whole list.
+    /// Makes discovery answer calls with a version with the changes since that version instead of the complete list.
     pub fn send_changes_only(&self) {
         self.lock().sends_changes_only = true;
     }
 
-    /// How many bytes of lists discovery has sent.
+    /// Returns the total length in bytes of the lists that discovery has sent.
     pub fn list_bytes_sent(&self) -> u64 {
         self.lock().list_bytes_sent
     }
 
-    /// How many connections all endpoints have accepted.
+    /// Returns the number of connections that all endpoints have accepted.
     pub fn connections_accepted(&self) -> u64 {
         self.lock().connections_accepted
     }
 
-    /// Whether discovery accepts calls and answers none.
+    /// Sets whether discovery accepts calls without answering them.
     pub fn silence_discovery(&self, silent: bool) {
         self.lock().discovery_is_silent = silent;
         self.shared.list_changed().notify_all();
     }
 
-    /// Discovery closes the connection after each answer from now on.
+    /// Makes discovery close the connection after each answer.
     pub fn close_discovery(&self) {
         self.lock().discovery_closes = true;
     }
 
-    /// From now on a statement that names this view writes, whatever it looks like.
+    /// Makes every statement that names this view a write, even if its text is that of a read.
     pub fn hide_write(&self, view: &str) {
-        self.lock().writing_views.push(view.to_string());
+        self.lock().views_with_side_effects.push(view.to_string());
     }
 
-    /// From now on each statement takes that long.
+    /// Sets the duration of each statement.
     pub fn set_statement_duration(&self, duration: Duration) {
         self.lock().statement_duration = duration;
     }
 
-    /// The statements that an endpoint received whole.
+    /// Returns the statements that an endpoint received completely.
     pub fn received(&self, endpoint: usize) -> Vec<String> {
         self.lock().endpoints[endpoint].received.clone()
     }
 
-    /// The most executions that were under way at an endpoint at once.
+    /// Returns the highest number of executions in progress at an endpoint at the same time.
     pub fn peak_concurrency(&self, endpoint: usize) -> usize {
         self.lock().endpoints[endpoint].peak_concurrency
     }
 
-    /// What an endpoint executed, in the order in which it ended.
+    /// Returns the executions at an endpoint, in the order in which they ended.
     pub fn executions(&self, endpoint: usize) -> Vec<Execution> {
         self.lock().endpoints[endpoint].executions.clone()
     }
 
-    /// Where an endpoint listens.
+    /// Returns the address at which an endpoint listens.
     pub fn endpoint_address(&self, endpoint: usize) -> SocketAddr {
         self.lock().endpoints[endpoint].address
     }
 
-    /// How many endpoints there are.
+    /// Returns the number of endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.lock().endpoints.len()
     }
@@ -166,12 +170,12 @@
         self.shared.lock()
     }
 
-    /// Has each connection of the listener served in a thread of its own.
-    fn accept(&self, listener: TcpListener, serve: Serve) -> io::Result<()> {
+    /// Serves each connection of the listener in a thread of its own.
+    fn accept(&self, listener: TcpListener, handler: ConnectionHandler) -> io::Result<()> {
         let mut acceptor = lock(&self.acceptor);
         if acceptor.is_none() {
             *acceptor = Some(Acceptor::start()?);
         }
-        acceptor.as_ref().map_or(Ok(()), |acceptor| acceptor.add(listener, serve))
+        acceptor.as_ref().map_or(Ok(()), |acceptor| acceptor.add(listener, handler))
     }
 }
