--- a/crates/testkit/src/convert.rs
+++ b/crates/testkit/src/convert.rs
@@ -1,19 +1,19 @@
-//! Conversions of numbers for which the standard library has no `From`; each says what it loses.
+//! Numeric conversions for which the standard library has no `From`. Each documents its loss of precision.
 
-/// A count as a number to reckon with; exact up to 2^53.
-#[expect(clippy::cast_precision_loss, reason = "what is counted here stays far below 2^53")]
+/// Converts a count to `f64`; exact up to 2^53.
+#[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
 pub(crate) fn count_to_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// A size as a number to reckon with; exact up to 2^53.
-#[expect(clippy::cast_precision_loss, reason = "no size here comes near 2^53")]
+/// Converts a size to `f64`; exact up to 2^53.
+#[expect(clippy::cast_precision_loss, reason = "sizes stay far below 2^53")]
 pub(crate) fn size_to_f64(size: usize) -> f64 {
     size as f64
 }
 
-/// The whole number that is nearest; zero for what is negative.
-#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "saturates, as said")]
+/// Rounds to the nearest integer. Negative numbers become zero, numbers out of range become `usize::MAX`.
+#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "saturates")]
 pub(crate) fn round_to_size(number: f64) -> usize {
     number.round() as usize
 }
--- a/crates/testkit/src/fault_proxy/datagram.rs
+++ b/crates/testkit/src/fault_proxy/datagram.rs
@@ -1,6 +1,6 @@
-//! Forwards datagrams one way.
+//! A proxy that forwards datagrams in one direction.
 
-use std::cmp::Ordering as Order;
+use std::cmp::Ordering as CmpOrdering;
 use std::collections::BinaryHeap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -14,30 +14,30 @@
 
 use crate::sync::lock;
 
-/// Longest datagram.
+/// Longest datagram that is forwarded, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// How long a proxy waits for a datagram while it holds none; hundreds of proxies that woke all the time would take the
-/// processor from the processes between which they are.
+/// Longest wait for a datagram while none is in flight. It is long because hundreds of proxies that wake up often would take
+/// CPU time from the processes that they connect.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
-/// How long it waits while it holds some.
+/// Longest wait for a datagram while some are in flight.
 const BUSY_WAIT: Duration = Duration::from_millis(2);
 
-/// What happens to datagrams on one way.
+/// Faults of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Nothing passes, and what comes is lost.
+    /// Datagrams that arrive at the proxy are lost.
     pub cut: bool,
     /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Probability that a datagram is sent twice.
+    /// Probability that a datagram is duplicated.
     pub duplication: f64,
-    /// Each datagram is delayed by up to so many seconds, so that some overtake others.
+    /// Longest delay of a datagram in seconds; delays are random, so that datagrams are reordered.
     pub max_delay: f64,
-    /// Nothing passes; it comes all at once when this ends.
+    /// Datagrams are held back, and those that are due are sent all at once when this ends.
     pub held: bool,
 }
 
-/// Forwards datagrams to one address, one way, until it is dropped.
+/// Forwards datagrams in one direction to one address, until it is dropped.
 pub struct DatagramProxy {
     address: SocketAddr,
     faults: Arc<Mutex<LinkFaults>>,
@@ -45,8 +45,8 @@
 }
 
 impl DatagramProxy {
-    /// Forwards what comes at the proxy's own address to `target`, with faults drawn from `seed`. Fails if no port can be
-    /// bound.
+    /// Starts a proxy that forwards the datagrams received at its own address to `target`. Random faults are derived from
+    /// `seed`. Fails if no port can be bound.
     pub fn start(target: SocketAddr, seed: u64) -> io::Result<DatagramProxy> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let proxy =
@@ -63,7 +63,7 @@
         Ok(proxy)
     }
 
-    /// Where datagrams are to be sent.
+    /// Returns the address at which the proxy receives datagrams.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -73,7 +73,7 @@
         *lock(&self.faults) = faults;
     }
 
-    /// Changes some of the faults.
+    /// Modifies the current faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut lock(&self.faults));
     }
@@ -92,7 +92,7 @@
     faults: Arc<Mutex<LinkFaults>>,
     stopped: Arc<AtomicBool>,
     random: SmallRng,
-    /// The earliest due is on top.
+    /// Datagrams to be sent; the one that is due first is on top.
     in_flight: BinaryHeap<DelayedDatagram>,
 }
 
@@ -106,7 +106,7 @@
             let faults = *lock(&self.faults);
             let now = Instant::now();
             if let Ok(length) = received {
-                self.take_in(&buffer[..length], &faults, now);
+                self.enqueue(&buffer[..length], &faults, now);
             }
             if !faults.held {
                 self.send_due(now);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Draws what becomes of a datagram.
-    fn take_in(&mut self, datagram: &[u8], faults: &LinkFaults, now: Instant) {
+    /// Enqueues a datagram, with random loss, duplication and delay.
+    fn enqueue(&mut self, datagram: &[u8], faults: &LinkFaults, now: Instant) {
         let copies = 1 + usize::from(self.random.random_bool(faults.duplication));
         for _ in 0..copies {
             if !faults.cut && !self.random.random_bool(faults.loss) {
@@ -126,17 +126,18 @@
         }
     }
 
+    /// Sends the datagrams that are due.
     fn send_due(&mut self, now: Instant) {
         while self.in_flight.peek().is_some_and(|datagram| datagram.due <= now) {
             if let Some(datagram) = self.in_flight.pop() {
-                // A process that is not there does not receive it.
+                // Sending may fail if no process listens at the target; the datagram is lost then.
                 let _ = self.socket.send_to(&datagram.bytes, self.target);
             }
         }
     }
 }
 
-/// A datagram under way; of two, the one that is due earlier is the greater.
+/// A datagram in flight. Ordered by descending due time, so that the one due first is the maximum of a heap.
 struct DelayedDatagram {
     due: Instant,
     bytes: Vec<u8>,
@@ -151,13 +152,13 @@
 impl Eq for DelayedDatagram {}
 
 impl PartialOrd for DelayedDatagram {
-    fn partial_cmp(&self, other: &DelayedDatagram) -> Option<Order> {
+    fn partial_cmp(&self, other: &DelayedDatagram) -> Option<CmpOrdering> {
         Some(self.cmp(other))
     }
 }
 
 impl Ord for DelayedDatagram {
-    fn cmp(&self, other: &DelayedDatagram) -> Order {
+    fn cmp(&self, other: &DelayedDatagram) -> CmpOrdering {
         other.due.cmp(&self.due)
     }
 }
--- a/crates/testkit/src/fault_proxy/mod.rs
+++ b/crates/testkit/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies between processes that inject faults into what they forward.
+//! Proxies that inject network faults between processes.
 //!
 //! - [`DatagramProxy`] forwards datagrams one way, with [`LinkFaults`]
 //! - [`StreamProxy`] forwards connections, with [`StreamFaults`]
--- a/crates/testkit/src/fault_proxy/stream.rs
+++ b/crates/testkit/src/fault_proxy/stream.rs
@@ -1,4 +1,4 @@
-//! Forwards connections.
+//! A proxy that forwards TCP connections.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,42 +9,43 @@
 
 use crate::sync::lock;
 
-/// Bytes that are forwarded at once, and where they trickle.
+/// Most bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16_384;
+/// Most bytes that are forwarded at a time while bytes trickle.
 const TRICKLE_BYTES: usize = 7;
-/// Least delay of each chunk where bytes trickle.
+/// Shortest delay of each chunk while bytes trickle.
 const TRICKLE_DELAY_SECONDS: f64 = 0.002;
-/// Between two looks for new connections.
+/// Interval between two checks for new connections.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(15);
 /// Longest wait for the target to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for bytes before it is checked whether the proxy goes on.
+/// Longest wait for data before checking whether the connection is to be closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// Between two checks of whether a cut has ended.
-const CUT_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between two checks of whether a cut has ended.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens to connections on their way.
+/// Faults of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamFaults {
-    /// What clients send is held back; connections stay open.
+    /// Data from clients is held back; connections stay open.
     pub cut_requests: bool,
-    /// What the target sends is held back; connections stay open.
+    /// Data from the target is held back; connections stay open.
     pub cut_responses: bool,
-    /// Each chunk waits for so many seconds.
+    /// Delay of each chunk in seconds.
     pub delay: f64,
-    /// A few bytes are forwarded at a time.
+    /// Only a few bytes are forwarded at a time.
     pub trickle: bool,
-    /// All connections are closed, and new ones as they come.
+    /// All connections are closed, and new ones as soon as they are accepted.
     pub closed: bool,
 }
 
-/// Forwards connections to one address until it is dropped.
+/// Forwards connections to one address, until it is dropped.
 pub struct StreamProxy {
     address: SocketAddr,
     control: Control,
 }
 
-/// What the threads of a proxy share.
+/// State that the threads of a proxy share.
 #[derive(Clone, Default)]
 struct Control {
     faults: Arc<Mutex<StreamFaults>>,
@@ -60,13 +61,15 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    fn is_over(&self) -> bool {
+    /// Whether open connections are to be closed.
+    fn must_close(&self) -> bool {
         self.is_stopped() || self.faults().closed
     }
 }
 
 impl StreamProxy {
-    /// Forwards what connects to the proxy's own address, of IP address `ip`, to `target`. Fails if no port can be bound.
+    /// Starts a proxy that accepts connections on a port of the IP address `ip` and forwards them to `target`. Fails if no
+    /// port can be bound.
     pub fn start(target: SocketAddr, ip: IpAddr) -> io::Result<StreamProxy> {
         let listener = TcpListener::bind((ip, 0))?;
         listener.set_nonblocking(true)?;
@@ -76,12 +79,12 @@
         Ok(proxy)
     }
 
-    /// Where clients connect.
+    /// Returns the address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes some of the faults.
+    /// Modifies the current faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut StreamFaults)) {
         change(&mut lock(&self.control.faults));
     }
@@ -104,22 +107,22 @@
             continue;
         }
         let control = control.clone();
-        // An error on a connection concerns its two ends only.
-        thread::spawn(move || connect(client, target, &control));
+        // An error on a connection affects its two ends only.
+        thread::spawn(move || forward_connection(client, target, &control));
     }
 }
 
-/// Forwards one connection, both ways.
-fn connect(client: TcpStream, target: SocketAddr, control: &Control) -> io::Result<()> {
+/// Forwards one connection in both directions.
+fn forward_connection(client: TcpStream, target: SocketAddr, control: &Control) -> io::Result<()> {
     client.set_nonblocking(false)?;
     let server = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     let (from_client, to_server) = (client.try_clone()?, server.try_clone()?);
-    let of_requests = control.clone();
-    thread::spawn(move || forward(from_client, to_server, &of_requests, |faults| faults.cut_requests));
+    let request_control = control.clone();
+    thread::spawn(move || forward(from_client, to_server, &request_control, |faults| faults.cut_requests));
     forward(server, client, control, |faults| faults.cut_responses)
 }
 
-/// Forwards bytes one way until either end closes, then closes both.
+/// Forwards data in one direction until either end closes, then closes both.
 fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -140,15 +143,15 @@
 ) -> io::Result<()> {
     from.set_read_timeout(Some(READ_TIMEOUT))?;
     let mut buffer = vec![0; CHUNK_BYTES];
-    while !control.is_over() {
-        let most = if control.faults().trickle { TRICKLE_BYTES } else { CHUNK_BYTES };
-        match from.read(&mut buffer[..most]) {
+    while !control.must_close() {
+        let max_bytes = if control.faults().trickle { TRICKLE_BYTES } else { CHUNK_BYTES };
+        match from.read(&mut buffer[..max_bytes]) {
             Ok(0) => return Ok(()),
             Ok(length) => {
                 delay(&control.faults());
-                // What came while the way was cut is held back, and goes on once it is mended.
-                while is_cut(&control.faults()) && !control.is_over() {
-                    thread::sleep(CUT_INTERVAL);
+                // Data received while this direction is cut is held back and forwarded when the cut ends.
+                while is_cut(&control.faults()) && !control.must_close() {
+                    thread::sleep(CUT_CHECK_INTERVAL);
                 }
                 to.write_all(&buffer[..length])?;
             }
--- a/crates/testkit/src/scripted_peer/connection.rs
+++ b/crates/testkit/src/scripted_peer/connection.rs
@@ -1,4 +1,4 @@
-//! The two ways in which a scripted peer ends a connection.
+//! Reset and orderly close of a scripted peer's connections.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
@@ -6,16 +6,16 @@
 
 use rustix::net::sockopt;
 
-/// Ends the connection by a reset, with no orderly close before it.
+/// Resets the connection, without an orderly close before the reset.
 pub(super) fn reset(socket: TcpStream) -> io::Result<()> {
     sockopt::set_socket_linger(&socket, Some(Duration::ZERO))?;
     drop(socket);
     Ok(())
 }
 
-/// Closes the sending side in order, at once. A socket that is only dropped stays open for as long as a program that
-/// another thread is starting still holds a copy of this process's descriptors.
+/// Shuts down the sending side immediately. Dropping the socket is not enough: the connection stays open as long as a child
+/// process that another thread is starting still holds a copy of this process's descriptors.
 pub(super) fn close(socket: &TcpStream) {
-    // It fails where the other side has closed it already.
+    // Fails if the peer has already closed the connection.
     let _ = socket.shutdown(Shutdown::Write);
 }
--- a/crates/testkit/src/scripted_peer/discovery.rs
+++ b/crates/testkit/src/scripted_peer/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service of which each call is answered by hand.
+//! A discovery service whose calls are answered by the test.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,28 +8,28 @@
 
 use crate::stand_in::endpoint_list::{ListedEndpoint, endpoint_list_json};
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use super::connection::{close, reset};
 
-/// A discovery service of which each call is answered by hand.
+/// A discovery service whose calls are answered by the test.
 pub struct ScriptedDiscovery {
-    /// Where it listens.
+    /// The address at which the service listens.
     pub at: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
-/// A call that was received whole, with its connection, on which nothing else happens until it is dealt with.
+/// A completely received call with its connection, on which nothing else happens until the test handles the call.
 pub struct DiscoveryCall {
     /// The request line.
     pub path: String,
-    /// When it was received.
+    /// Time at which the call was received.
     pub came: Instant,
     socket: TcpStream,
     calls: Sender<DiscoveryCall>,
 }
 
 impl ScriptedDiscovery {
-    /// Starts one on a port of its own. Fails if none can be bound.
+    /// Starts a discovery service on an unused port. Fails if no port can be bound.
     pub fn start() -> io::Result<ScriptedDiscovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
@@ -43,28 +43,29 @@
         Ok(ScriptedDiscovery { at, calls })
     }
 
-    /// The next call.
+    /// Waits for the next call.
     ///
     /// # Panics
     ///
-    /// If none comes for longer than anything in a test may take.
+    /// Panics if no call is received within `WAIT_TIMEOUT`.
     pub fn next(&self) -> DiscoveryCall {
-        self.calls.recv_timeout(PATIENCE).expect("a call comes")
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("no discovery call received in time")
     }
 
-    /// Answers calls with that list until the router asks for what is newer, which is the next call then. On a busy machine a call may
-    /// have been given up before it is answered; the one that follows it is answered too.
+    /// Answers calls with `list`, whose version is `version`, until the router requests a newer list. That call becomes the next
+    /// one again. More than one answer can be needed, as on a busy machine the router may abandon a call before it is
+    /// answered.
     ///
     /// # Panics
     ///
-    /// If no further call comes for longer than anything in a test may take.
+    /// Panics if no further call is received within `WAIT_TIMEOUT`.
     pub fn tell(&self, version: u64, list: &str) {
-        let newer = format!("since={version}&");
+        let newer_than = format!("since={version}&");
         loop {
             let call = self.next();
-            if call.path.contains(&newer) {
+            if call.path.contains(&newer_than) {
                 let calls = call.calls.clone();
-                // Its receiver is this one.
+                // Cannot fail, as this service holds the receiver.
                 let _ = calls.send(call);
                 return;
             }
@@ -72,31 +73,31 @@
         }
     }
 
-    /// The next call, if one comes within that time.
-    pub fn next_within(&self, within: Duration) -> Option<DiscoveryCall> {
-        self.calls.recv_timeout(within).ok()
+    /// Waits for the next call for at most the given time; `None` if there is none.
+    pub fn next_within(&self, timeout: Duration) -> Option<DiscoveryCall> {
+        self.calls.recv_timeout(timeout).ok()
     }
 }
 
-/// Waits for one request, which takes the connection with it.
+/// Waits for one request and passes it on together with the connection.
 fn receive(socket: TcpStream, calls: &Sender<DiscoveryCall>) -> io::Result<()> {
     let mut lines = BufReader::new(&socket).lines();
     let Some(path) = lines.next().transpose()? else { return Ok(()) };
     while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
     drop(lines);
-    // A test that is over receives no more.
+    // Fails if the test has ended.
     let _ = calls.send(DiscoveryCall { path, came: Instant::now(), socket, calls: calls.clone() });
     Ok(())
 }
 
 impl DiscoveryCall {
-    /// Writes these bytes and leaves the call open.
+    /// Writes `bytes` and leaves the call open.
     pub fn say(&mut self, bytes: &str) {
-        // Where the router has given the call up, that is what the test is about.
+        // Writing may fail in tests in which the router abandons the call.
         let _ = self.socket.write_all(bytes.as_bytes());
     }
 
-    /// Answers with that list, and serves the connection on.
+    /// Answers with `list` and continues to serve the connection.
     pub fn answer(mut self, list: &str) {
         self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
         let DiscoveryCall { socket, calls, .. } = self;
@@ -108,13 +109,13 @@
         let _ = reset(self.socket);
     }
 
-    /// Closes the connection in order.
+    /// Closes the connection without a reset.
     pub fn end(self) {
         close(&self.socket);
     }
 }
 
-/// Discovery's list of that version, each endpoint by its name, its address and its health.
+/// Encodes a complete endpoint list with the given version; each endpoint is given by its name, address and health.
 pub fn endpoint_list(version: u64, endpoints: &[(&str, SocketAddr, &str)]) -> String {
     let entries: Vec<_> = endpoints
         .iter()
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers health checks by itself, and statements as the test says.
+//! An endpoint that answers health checks by itself and statements under the control of the test.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,58 +14,60 @@
 };
 use crate::sync::lock;
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use super::connection::{close, reset};
 
-/// Between two checks of whether an idle connection is to be closed.
-const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The text of each error that a test orders.
+/// Interval between two checks of whether an idle connection is to be ended, and of a condition that the test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Message text of each error that a test requests.
 const ERROR_TEXT: &str = "as it was told";
 
-/// What becomes of connections that are idle when a test orders it.
+/// A fault injected into the connections that are idle at the time of the request.
 #[derive(Clone, Copy)]
-enum IdleEnd {
-    /// They are reset.
+enum IdleFault {
+    /// The connections are reset.
     Reset,
-    /// They stay open, and nothing that comes on them is answered, as where the network has lost them without a sign.
-    Forgotten,
+    /// The connections stay open but nothing received on them is answered, as if the network had dropped them silently.
+    Blackhole,
 }
 
-/// What the test has ordered, and how many connections are in which phase.
+/// What the test has requested, and the number of connections in each phase.
 struct State {
-    /// Whether connections are greeted; while not, idle ones are closed.
+    /// Whether new connections receive the greeting, which completes their startup. While they do not, idle connections are
+    /// closed.
     greets: bool,
-    /// Orders that concern the connections that were idle then, the oldest first.
-    idle_ends: Vec<IdleEnd>,
+    /// All faults requested so far, oldest first. Each applies to the connections that were idle at its request.
+    idle_faults: Vec<IdleFault>,
     is_primary: bool,
-    /// The replay position, where the test has frozen it.
+    /// Replication position in Unix milliseconds, if the test has frozen it.
     frozen_position_ms: Option<u128>,
-    /// Connections whose startup message was read and that were not greeted.
+    /// Number of connections whose startup message was read and to which the greeting is not yet being written.
     awaiting_greeting: usize,
-    /// Connections to which the greeting is being written.
+    /// Number of connections to which the greeting is being written.
     being_greeted: usize,
-    /// Connections without a statement in hand.
+    /// Number of connections without a statement in flight.
     idle: usize,
 }
 
 impl State {
+    /// Returns the replication position in Unix milliseconds.
     fn position_ms(&self) -> u128 {
         self.frozen_position_ms.unwrap_or_else(unix_ms)
     }
 
-    fn ready(&self) -> Vec<u8> {
+    fn ready_messages(&self) -> Vec<u8> {
         ready_for_query(self.is_primary, self.position_ms())
     }
 
     fn greeting(&self) -> Vec<u8> {
         let mut greeting = authentication_ok();
-        greeting.extend(self.ready());
+        greeting.extend(self.ready_messages());
         greeting
     }
 
     fn health_report(&self) -> Vec<u8> {
         let mut report = health_report(self.is_primary, self.position_ms());
-        report.extend(self.ready());
+        report.extend(self.ready_messages());
         report
     }
 }
@@ -75,19 +77,19 @@
     changed: Condvar,
 }
 
-/// An endpoint that answers health checks by itself, and statements as the test says.
+/// An endpoint that answers health checks by itself and statements under the control of the test.
 pub struct ScriptedEndpoint {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub at: SocketAddr,
     shared: Arc<Shared>,
     statements: Receiver<ReceivedStatement>,
 }
 
-/// A statement that was received whole, with its connection, on which nothing else happens until it is dealt with.
+/// A completely received statement with its connection, on which nothing else happens until the test handles the statement.
 pub struct ReceivedStatement {
-    /// The statement, with its comment.
+    /// The statement's text, including its comment.
     pub text: String,
-    /// When it was received.
+    /// Time at which the statement was received.
     pub came: Instant,
     socket: TcpStream,
     shared: Arc<Shared>,
@@ -95,13 +97,13 @@
 }
 
 impl ScriptedEndpoint {
-    /// Starts one on a port of its own. Fails if none can be bound.
+    /// Starts an endpoint on an unused port. Fails if no port can be bound.
     pub fn start(is_primary: bool) -> io::Result<ScriptedEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let state = State {
             greets: true,
-            idle_ends: Vec::new(),
+            idle_faults: Vec::new(),
             is_primary,
             frozen_position_ms: None,
             awaiting_greeting: 0,
@@ -110,100 +112,103 @@
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let (sender, statements) = channel();
-        let of_listener = Arc::clone(&shared);
+        let listener_shared = Arc::clone(&shared);
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (of_connection, received) = (Arc::clone(&of_listener), sender.clone());
-                // An error on a connection concerns the router only.
-                thread::spawn(move || greet(socket, &of_connection, &received));
+                let (connection_shared, sender) = (Arc::clone(&listener_shared), sender.clone());
+                // An error on a connection affects the router only.
+                thread::spawn(move || serve_new(socket, &connection_shared, &sender));
             }
         });
         Ok(ScriptedEndpoint { at, shared, statements })
     }
 
-    /// Greets connections from now on, and those that wait for it.
+    /// Resumes sending the greeting, also to the connections that wait for it.
     pub fn resume_greeting(&self) {
         lock(&self.shared.state).greets = true;
         self.shared.changed.notify_all();
     }
 
-    /// Greets no connection from now on, and closes all but those with a statement in hand, so that whatever comes next
-    /// needs a new connection. Returns once they are closed.
+    /// Stops sending the greeting and closes all connections without a statement in flight, so that the router needs a new
+    /// connection for whatever it sends next. Returns when the connections are closed.
     pub fn hold_greeting_and_close_idle(&self) {
         lock(&self.shared.state).greets = false;
         self.wait_until("idle connections are closed", |state| state.idle == 0);
     }
 
-    /// Closes all connections but those with a statement in hand, and greets the next ones: whatever comes next has to
-    /// connect anew.
+    /// Closes all connections without a statement in flight and resumes sending the greeting, so that the router has to
+    /// reconnect for whatever it sends next.
     pub fn close_idle_connections(&self) {
         self.hold_greeting_and_close_idle();
         self.resume_greeting();
     }
 
-    /// Resets the connections that are idle. Returns once that is done.
+    /// Resets the idle connections. Returns when they are reset.
     pub fn reset_idle(&self) {
-        self.end_idle(IdleEnd::Reset);
+        self.inject_idle_fault(IdleFault::Reset);
     }
 
-    /// Leaves the connections that are idle open, and answers nothing on them from now on.
+    /// Stops answering on the idle connections, which stay open.
     pub fn forget_idle(&self) {
-        self.end_idle(IdleEnd::Forgotten);
+        self.inject_idle_fault(IdleFault::Blackhole);
     }
 
-    fn end_idle(&self, end: IdleEnd) {
-        lock(&self.shared.state).idle_ends.push(end);
-        self.wait_until("idle connections are ended", |state| state.idle == 0);
+    fn inject_idle_fault(&self, fault: IdleFault) {
+        lock(&self.shared.state).idle_faults.push(fault);
+        self.wait_until("no connection is idle", |state| state.idle == 0);
     }
 
-    /// Reports the same replay position from now on.
+    /// Freezes the reported replication position at its present value.
     pub fn freeze_position(&self) {
         lock(&self.shared.state).frozen_position_ms = Some(unix_ms());
     }
 
-    /// Waits until so many connections are waiting for the greeting.
+    /// Waits until at least the given number of connections wait for the greeting.
     ///
     /// # Panics
     ///
-    /// If that takes longer than anything in a test may.
+    /// Panics if this takes longer than `WAIT_TIMEOUT`.
     pub fn wait_for_connections(&self, connections: usize) {
-        self.wait_until("it is connected to", |state| state.awaiting_greeting >= connections);
+        self.wait_until("connections wait for the greeting", |state| state.awaiting_greeting >= connections);
     }
 
-    /// Waits until no connection is left without a greeting, and each greeting is written.
+    /// Waits until the greeting has been written to all connections.
     ///
     /// # Panics
     ///
-    /// If that takes longer than anything in a test may.
+    /// Panics if this takes longer than `WAIT_TIMEOUT`.
     pub fn wait_until_greeted(&self) {
         self.wait_until("all are greeted", |state| state.awaiting_greeting == 0 && state.being_greeted == 0);
     }
 
-    fn wait_until(&self, what: &str, holds: impl Fn(&State) -> bool) {
+    fn wait_until(&self, description: &str, condition: impl Fn(&State) -> bool) {
         let started = Instant::now();
-        while !holds(&lock(&self.shared.state)) {
-            assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
-            thread::sleep(CHECK_INTERVAL);
+        while !condition(&lock(&self.shared.state)) {
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out after {WAIT_TIMEOUT:?} waiting until {description}"
+            );
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// The next statement.
+    /// Waits for the next statement.
     ///
     /// # Panics
     ///
-    /// If none comes for longer than anything in a test may take.
+    /// Panics if no statement is received within `WAIT_TIMEOUT`.
     pub fn next(&self) -> ReceivedStatement {
-        self.statements.recv_timeout(PATIENCE).expect("a statement comes")
+        self.statements.recv_timeout(WAIT_TIMEOUT).expect("no statement received in time")
     }
 
-    /// The next statement, if one comes within that time.
-    pub fn next_within(&self, within: Duration) -> Option<ReceivedStatement> {
-        self.statements.recv_timeout(within).ok()
+    /// Waits for the next statement for at most the given time; `None` if there is none.
+    pub fn next_within(&self, timeout: Duration) -> Option<ReceivedStatement> {
+        self.statements.recv_timeout(timeout).ok()
     }
 }
 
-/// Takes a new connection up to its first statement.
-fn greet(
+/// Sends the greeting on a new connection and serves the connection up to its first statement.
+fn serve_new(
     mut socket: TcpStream,
     shared: &Arc<Shared>,
     statements: &Sender<ReceivedStatement>,
@@ -211,14 +216,14 @@
     socket.set_nodelay(true)?;
     read_startup(&mut socket)?;
     let greeting = wait_for_greeting(shared);
-    // Where nobody reads it any more, the next read tells.
+    // If the router has closed the connection, the next read fails.
     let _ = socket.write_all(&greeting);
     lock(&shared.state).being_greeted -= 1;
-    serve(socket, shared, statements);
+    serve_idle(socket, shared, statements);
     Ok(())
 }
 
-/// Waits until the endpoint greets; the connection counts as being greeted from then on.
+/// Waits until the endpoint sends greetings and returns the greeting. From then on the connection counts as being greeted.
 fn wait_for_greeting(shared: &Shared) -> Vec<u8> {
     let mut state = lock(&shared.state);
     state.awaiting_greeting += 1;
@@ -230,14 +235,15 @@
     state.greeting()
 }
 
-/// Reads from an idle connection until a statement comes, which takes the connection with it, or until it is to be closed.
-fn serve(mut socket: TcpStream, shared: &Arc<Shared>, statements: &Sender<ReceivedStatement>) {
-    let orders = {
+/// Reads from an idle connection until a statement is received, which is passed on together with the connection, or until the
+/// connection is to be ended.
+fn serve_idle(mut socket: TcpStream, shared: &Arc<Shared>, statements: &Sender<ReceivedStatement>) {
+    let fault_index = {
         let mut state = lock(&shared.state);
         state.idle += 1;
-        state.idle_ends.len()
+        state.idle_faults.len()
     };
-    match next_statement(&mut socket, shared, orders) {
+    match next_statement(&mut socket, shared, fault_index) {
         Some(text) => {
             let statement = ReceivedStatement {
                 text,
@@ -246,17 +252,17 @@
                 shared: Arc::clone(shared),
                 statements: statements.clone(),
             };
-            // A test that is over receives no more.
+            // Fails if the test has ended.
             let _ = statements.send(statement);
         }
         None => {
-            let ordered = lock(&shared.state).idle_ends.get(orders).copied();
-            match ordered {
+            let fault = lock(&shared.state).idle_faults.get(fault_index).copied();
+            match fault {
                 None => close(&socket),
-                Some(IdleEnd::Reset) => {
+                Some(IdleFault::Reset) => {
                     let _ = reset(socket);
                 }
-                Some(IdleEnd::Forgotten) => {
+                Some(IdleFault::Blackhole) => {
                     thread::spawn(move || io::copy(&mut socket, &mut io::sink()));
                 }
             }
@@ -265,11 +271,11 @@
     lock(&shared.state).idle -= 1;
 }
 
-/// The next statement, once the health checks before it are answered; none if the connection is over, or a test has ordered its
-/// end after the first so many orders.
-fn next_statement(socket: &mut TcpStream, shared: &Shared, orders: usize) -> Option<String> {
+/// Answers health checks until a statement is received, and returns the statement. Returns `None` if the connection has ended,
+/// or is to be ended because connections are not greeted or the fault with the index `fault_index` has been requested.
+fn next_statement(socket: &mut TcpStream, shared: &Shared, fault_index: usize) -> Option<String> {
     loop {
-        let (tag, body) = read_while_idle(socket, shared, orders).ok()?;
+        let (tag, body) = read_while_idle(socket, shared, fault_index).ok()?;
         if tag != b'Q' {
             return None;
         }
@@ -278,14 +284,14 @@
             return Some(text);
         }
         let report = lock(&shared.state).health_report();
-        // Where nobody reads it any more, the next read tells.
+        // If the router has closed the connection, the next read fails.
         let _ = socket.write_all(&report);
     }
 }
 
-/// Reads a message; an error once the connection is to be ended and no message has begun.
-fn read_while_idle(socket: &mut TcpStream, shared: &Shared, orders: usize) -> io::Result<(u8, Vec<u8>)> {
-    socket.set_read_timeout(Some(CHECK_INTERVAL))?;
+/// Reads a message. Fails if the connection is to be ended before a message has begun.
+fn read_while_idle(socket: &mut TcpStream, shared: &Shared, fault_index: usize) -> io::Result<(u8, Vec<u8>)> {
+    socket.set_read_timeout(Some(POLL_INTERVAL))?;
     let mut tag = [0; 1];
     loop {
         match socket.read(&mut tag) {
@@ -293,7 +299,7 @@
             Ok(_) => break,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 let state = lock(&shared.state);
-                if !state.greets || state.idle_ends.len() > orders {
+                if !state.greets || state.idle_faults.len() > fault_index {
                     return Err(ErrorKind::ConnectionAborted.into());
                 }
             }
@@ -305,37 +311,37 @@
 }
 
 impl ReceivedStatement {
-    /// Answers with one row, and serves the connection on.
+    /// Answers with one row and continues to serve the connection.
     pub fn answer(self, value: &str) {
         let tag = if self.text.starts_with("SELECT") { "SELECT 1" } else { "INSERT 0 1" };
-        self.finish(single_row(value.as_bytes(), tag));
+        self.send_answer(single_row(value.as_bytes(), tag));
     }
 
-    /// Answers with an error of that SQLSTATE, and serves the connection on.
+    /// Answers with an error with the given SQLSTATE and continues to serve the connection.
     pub fn fail(self, code: &str) {
-        self.finish(error_response(code, ERROR_TEXT));
+        self.send_answer(error_response(code, ERROR_TEXT));
     }
 
-    /// Answers with an error of that SQLSTATE, and closes the connection.
+    /// Answers with an error with the given SQLSTATE and closes the connection.
     pub fn fail_and_close(mut self, code: &str) {
         let mut answer = error_response(code, ERROR_TEXT);
-        answer.extend(lock(&self.shared.state).ready());
+        answer.extend(lock(&self.shared.state).ready_messages());
         let _ = self.socket.write_all(&answer);
         close(&self.socket);
     }
 
-    /// Sends the first `bytes` of an answer, and then a reset.
+    /// Sends the first `bytes` bytes of an answer with one row and resets the connection.
     pub fn answer_partly_and_reset(mut self, value: &str, bytes: usize) {
-        let whole = single_row(value.as_bytes(), "SELECT 1");
-        let _ = self.socket.write_all(&whole[..bytes.min(whole.len())]);
+        let answer = single_row(value.as_bytes(), "SELECT 1");
+        let _ = self.socket.write_all(&answer[..bytes.min(answer.len())]);
         let _ = reset(self.socket);
     }
 
-    fn finish(mut self, mut answer: Vec<u8>) {
-        answer.extend(lock(&self.shared.state).ready());
-        // Where nobody reads it any more, the next read tells.
+    fn send_answer(mut self, mut answer: Vec<u8>) {
+        answer.extend(lock(&self.shared.state).ready_messages());
+        // If the router has closed the connection, the next read fails.
         let _ = self.socket.write_all(&answer);
         let ReceivedStatement { socket, shared, statements, .. } = self;
-        thread::spawn(move || serve(socket, &shared, &statements));
+        thread::spawn(move || serve_idle(socket, &shared, &statements));
     }
 }
--- a/crates/testkit/src/scripted_peer/mod.rs
+++ b/crates/testkit/src/scripted_peer/mod.rs
@@ -1,8 +1,8 @@
-//! Peers that do only what a test tells them, when it tells them: an endpoint and a discovery service whose answers are
-//! given by hand, so that an order of events is forced rather than hoped for.
+//! Peers that a test controls step by step: an endpoint and a discovery service to which the test gives each answer, so
+//! that it determines the order of events instead of depending on timing.
 //!
-//! - [`ScriptedEndpoint`] and the [`ReceivedStatement`]s that it hands to the test
-//! - [`ScriptedDiscovery`] and the [`DiscoveryCall`]s that it hands to the test
+//! - [`ScriptedEndpoint`] and the [`ReceivedStatement`]s that it passes to the test
+//! - [`ScriptedDiscovery`] and the [`DiscoveryCall`]s that it passes to the test
 
 mod connection;
 mod discovery;
@@ -13,5 +13,5 @@
 pub use discovery::{DiscoveryCall, ScriptedDiscovery, endpoint_list};
 pub use endpoint::{ReceivedStatement, ScriptedEndpoint};
 
-/// Longer than anything that a test waits for may take on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an event that a test expects, long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
