--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -110,12 +110,12 @@
 
 /// Sleeps for the duration of a statement and records its execution.
 fn simulate_execution(store: &SharedState, endpoint: usize, text: &str) {
-    let started = unix_seconds();
+    let began = unix_seconds();
     let duration = {
         let mut state = store.lock();
         state.endpoints[endpoint].begin_execution();
         state.statement_duration
     };
     thread::sleep(duration);
-    store.lock().endpoints[endpoint].end_execution(text, started);
+    store.lock().endpoints[endpoint].end_execution(text, began);
 }
--- a/crates/testkit/src/stand_in/state.rs
+++ b/crates/testkit/src/stand_in/state.rs
@@ -98,16 +98,11 @@
         self.peak_concurrency = self.peak_concurrency.max(self.running_executions);
     }
 
-    /// Records an execution that started at `started`, in Unix seconds, and ends now.
-    pub(super) fn end_execution(&mut self, text: &str, started: f64) {
+    /// Records an execution that began at `began`, in Unix seconds, and ends now.
+    pub(super) fn end_execution(&mut self, text: &str, began: f64) {
         self.running_executions -= 1;
         let wrote = self.is_primary && text.starts_with("INSERT");
-        self.executions.push(Execution {
-            id: statement_id(text),
-            wrote,
-            began: started,
-            ended: unix_seconds(),
-        });
+        self.executions.push(Execution { id: statement_id(text), wrote, began, ended: unix_seconds() });
     }
 }
 
@@ -123,7 +118,7 @@
     pub(super) discovery_closes: bool,
     /// Whether calls with a version are answered with the changes since that version only.
     pub(super) sends_changes_only: bool,
-    /// Total length of the lists that discovery has sent.
+    /// Total length in bytes of the lists that discovery has sent.
     pub(super) list_bytes_sent: u64,
     /// Number of connections that endpoints have accepted.
     pub(super) connections_accepted: u64,
