--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -1,5 +1,6 @@
-//! Adds up, over all processes that ever ran, the dead and the sleeping too, what each said it may spend, has in hand and
-//! has spent. Times are the machine's clock, which all of them read.
+//! Checks the audit files of all router processes, including killed and suspended ones, against the budgets: adds up the
+//! quota that each process had, what it had in flight and what it spent. Times are in seconds of the machine's clock, which
+//! all processes read.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,38 +12,39 @@
 /// A line of a router's audit file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Entry {
-    /// When it was written, in Unix seconds.
+    /// Time at which the line was written, in Unix seconds.
     pub at: f64,
-    /// The router's name.
+    /// Name of the router.
     pub process: String,
-    /// Which process of that name; a later one has a larger number.
+    /// Distinguishes the processes of one name; a later process has a larger number.
     pub incarnation: u64,
-    /// `right`, `take`, `put` or `put unproved`.
+    /// Kind of the entry: `right` (new quota), `take` (acquired), `put` (released) or `put unproved` (released without
+    /// proof that the work at the endpoint has ended).
     pub what: String,
-    /// The budget's name.
+    /// Name of the budget.
     pub budget: String,
-    /// Whose budget it is, where there is one for each endpoint.
+    /// Endpoint to which the budget applies, if there is one budget for each endpoint.
     pub subject: u64,
-    /// Of a `right`: units, and until when each part of them lasts, in Unix seconds.
+    /// Only in a `right`: the units of the lease and of the floor, each with its expiry in Unix seconds.
     #[serde(default)]
     pub until: Option<[(u64, f64); 2]>,
 }
 
-/// What is known of a budget to whoever audits.
+/// The limit of a budget, against which the entries are checked.
 #[derive(Clone, Copy, Debug)]
 pub enum Whole {
-    /// So many come back each `every` seconds, and as many may be saved up.
+    /// A token bucket: `units` tokens are added every `every` seconds, and at most `units` tokens accumulate.
     Rate {
         /// Units of all routers together.
         units: u64,
-        /// Seconds.
+        /// Period in seconds.
         every: f64,
     },
-    /// So many may be in hand at once.
+    /// A limit on the units that are in flight at the same time.
     InHand {
         /// Units of all routers together.
         units: u64,
-        /// Seconds within which each thing in hand ends.
+        /// Seconds after which an acquired unit is no longer in flight, even if it was not released.
         hold: f64,
     },
 }
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Seconds within which a thing in hand ends.
-    fn hold(self) -> f64 {
+    /// Seconds after which an acquired unit is no longer in flight.
+    fn hold_seconds(self) -> f64 {
         match self {
             Whole::InHand { hold, .. } => hold,
             Whole::Rate { .. } => 0.0,
@@ -63,156 +65,162 @@
     }
 }
 
-/// What an audit found.
+/// The result of an audit.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// What was broken, each in one line.
+    /// Invariant violations, each described in one line.
     pub faults: Vec<String>,
-    /// By budget, the highest sum that was ever granted, as a part of the whole.
+    /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
     pub highest: BTreeMap<String, f64>,
-    /// Units that were spent.
+    /// Number of units that were acquired.
     pub spent: u64,
-    /// Rights that were granted.
+    /// Number of `right` entries.
     pub grants: u64,
-    /// Processes that wrote anything.
+    /// Number of processes that wrote entries.
     pub processes: usize,
-    /// Lines that were passed over as they are torn.
+    /// Number of torn lines, which are skipped.
     pub torn: usize,
 }
 
-/// What an audit file holds.
+/// The contents of an audit file.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// The lines that are whole, in the order of the file.
+    /// The complete lines, in the order of the file.
     pub entries: Vec<Entry>,
-    /// Lines that end too early: the process was killed as it wrote them, or the disk was full. They are passed over.
+    /// Number of truncated lines, which are skipped. A line is truncated if the process was killed while it wrote the line,
+    /// or if the disk was full.
     pub torn: usize,
 }
 
-/// Reads an audit file. A line that ends before its object does is torn, and so is a last one without its end; any other line
-/// that is no entry is an error.
+/// Parses an audit file. A line that ends within its JSON object is counted as torn, and so is a last line without a
+/// newline; any other line that is not an entry is an error.
 pub fn read(text: &str) -> Result<Records, String> {
     let mut records = Records::default();
-    let (whole, last) = text.rsplit_once('\n').unwrap_or(("", text));
+    let (complete, last) = text.rsplit_once('\n').unwrap_or(("", text));
     records.torn += usize::from(!last.is_empty());
-    for line in whole.lines() {
+    for line in complete.lines() {
         match serde_json::from_str(line) {
             Ok(entry) => records.entries.push(entry),
-            Err(fault) if fault.is_eof() => records.torn += 1,
-            Err(fault) => return Err(format!("{fault}: {line}")),
+            Err(error) if error.is_eof() => records.torn += 1,
+            Err(error) => return Err(format!("{error}: {line}")),
         }
     }
     Ok(records)
 }
 
-/// What one process has of a budget.
+/// The quota of one process in a budget, and its use.
 #[derive(Clone, Debug, Default)]
 struct Holder {
-    rights: [(u64, f64); 2],
-    /// When each thing in hand was begun; it has ended within the hold, whatever becomes of its router.
-    in_hand: VecDeque<f64>,
-    /// Given up, and counted until then.
-    lingering: Vec<f64>,
+    /// Units of the lease and of the floor, each with its expiry in Unix seconds.
+    quota: [(u64, f64); 2],
+    /// Times at which the units in flight were acquired. Each has ended after the hold time, whatever happens to the router.
+    in_flight_since: VecDeque<f64>,
+    /// Units released without proof that the work has ended, as the times until which they count as in use.
+    unconfirmed_until: Vec<f64>,
 }
 
 impl Holder {
-    fn right(&self, at: f64) -> u64 {
-        self.rights.iter().filter(|(_, until)| at < *until).map(|(units, _)| units).sum()
+    fn quota_at(&self, at: f64) -> u64 {
+        self.quota.iter().filter(|(_, until)| at < *until).map(|(units, _)| units).sum()
     }
 
-    fn in_use(&self, at: f64, hold: f64) -> u64 {
-        let in_hand = self.in_hand.iter().filter(|began| at < **began + hold).count();
-        (in_hand + self.lingering.iter().filter(|until| at < **until).count()) as u64
+    fn in_use_at(&self, at: f64, hold_seconds: f64) -> u64 {
+        let in_flight = self.in_flight_since.iter().filter(|since| at < **since + hold_seconds).count();
+        (in_flight + self.unconfirmed_until.iter().filter(|until| at < **until).count()) as u64
     }
 }
 
-/// Whose budget it is: its name, and the endpoint where there is one for each.
+/// Identifies a budget: its name, and the endpoint if there is one budget for each.
 type BudgetKey = (String, u64);
 
-/// A process: its name and incarnation.
+/// Identifies a process: its name and incarnation.
 type ProcessKey = (String, u64);
 
-/// What is known while the entries are gone through by time.
+/// State of the audit while it processes the entries in the order of their times.
 #[derive(Default)]
 struct Audit {
     verdict: Verdict,
     processes: BTreeSet<ProcessKey>,
     holders: BTreeMap<BudgetKey, BTreeMap<ProcessKey, Holder>>,
-    /// When units of rates were spent.
-    spends: BTreeMap<BudgetKey, Vec<f64>>,
+    /// Times at which units of rate budgets were spent.
+    spend_times: BTreeMap<BudgetKey, Vec<f64>>,
 }
 
 impl Audit {
-    /// Takes an entry in, and checks what its process and all together then have of that budget.
-    fn record(&mut self, entry: &Entry, wholes: &BTreeMap<String, Whole>) {
+    /// Applies an entry, then checks its process against the quota and the sum of all processes against the budget.
+    fn record(&mut self, entry: &Entry, limits: &BTreeMap<String, Whole>) {
         self.processes.insert((entry.process.clone(), entry.incarnation));
-        let Some(whole) = wholes.get(&entry.budget).copied() else {
-            self.verdict.faults.push(format!("a budget that nobody set: {}", entry.budget));
+        let Some(limit) = limits.get(&entry.budget).copied() else {
+            self.verdict.faults.push(format!("unknown budget: {}", entry.budget));
             return;
         };
-        self.apply(entry, whole);
-        self.check_sum(entry, whole);
+        self.apply(entry, limit);
+        self.check_total(entry, limit);
     }
 
-    fn apply(&mut self, entry: &Entry, whole: Whole) {
+    fn apply(&mut self, entry: &Entry, limit: Whole) {
         let budget = (entry.budget.clone(), entry.subject);
         let name = (entry.process.clone(), entry.incarnation);
         let holder = self.holders.entry(budget.clone()).or_default().entry(name.clone()).or_default();
         match entry.what.as_str() {
             "right" => {
                 self.verdict.grants += 1;
-                holder.rights = entry.until.unwrap_or_default();
+                holder.quota = entry.until.unwrap_or_default();
             }
             "take" => {
                 self.verdict.spent += 1;
-                let fault = match whole {
+                let violation = match limit {
                     Whole::InHand { hold, .. } => {
-                        holder.in_hand.push_back(entry.at);
-                        let is_beyond = holder.in_use(entry.at, hold) > holder.right(entry.at);
-                        is_beyond.then_some("takes beyond its right")
+                        holder.in_flight_since.push_back(entry.at);
+                        let exceeds_quota = holder.in_use_at(entry.at, hold) > holder.quota_at(entry.at);
+                        exceeds_quota.then_some("acquires more than its quota")
                     }
                     Whole::Rate { .. } => {
-                        self.spends.entry(budget).or_default().push(entry.at);
-                        (holder.right(entry.at) == 0).then_some("spends without a right")
+                        self.spend_times.entry(budget).or_default().push(entry.at);
+                        (holder.quota_at(entry.at) == 0).then_some("spends a unit without a quota")
                     }
                 };
-                if let Some(fault) = fault {
-                    self.verdict.faults.push(format!("{:.4}: {name:?} {fault}: {entry:?}", entry.at));
+                if let Some(violation) = violation {
+                    self.verdict.faults.push(format!("{:.4}: {name:?} {violation}: {entry:?}", entry.at));
                 }
             }
-            "put" => drop(holder.in_hand.pop_front()),
+            "put" => drop(holder.in_flight_since.pop_front()),
             "put unproved" => {
-                holder.in_hand.pop_front();
-                holder.lingering.push(entry.at + whole.hold());
+                holder.in_flight_since.pop_front();
+                holder.unconfirmed_until.push(entry.at + limit.hold_seconds());
             }
-            other => self.verdict.faults.push(format!("an entry of no kind: {other}")),
+            other => self.verdict.faults.push(format!("unknown kind of entry: {other}")),
         }
     }
 
-    /// All that have some of a budget must not have more than the whole of it.
-    fn check_sum(&mut self, entry: &Entry, whole: Whole) {
+    /// Checks that all holders of a budget together do not have more than its total.
+    fn check_total(&mut self, entry: &Entry, limit: Whole) {
         let holders = self.holders.entry((entry.budget.clone(), entry.subject)).or_default();
-        let has = |holder: &Holder| holder.right(entry.at).max(holder.in_use(entry.at, whole.hold()));
-        let sum: u64 = holders.values().map(has).sum();
-        let part = count_to_f64(sum) / count_to_f64(whole.units());
+        let held =
+            |holder: &Holder| holder.quota_at(entry.at).max(holder.in_use_at(entry.at, limit.hold_seconds()));
+        let sum: u64 = holders.values().map(held).sum();
+        let fraction = count_to_f64(sum) / count_to_f64(limit.units());
         let highest = self.verdict.highest.entry(entry.budget.clone()).or_default();
-        *highest = highest.max(part);
-        if sum > whole.units() {
-            let fault = format!("{:.4}: {} has {sum} of {}", entry.at, entry.budget, whole.units());
-            self.verdict.faults.push(fault);
+        *highest = highest.max(fraction);
+        if sum > limit.units() {
+            let violation =
+                format!("{:.4}: {}: {sum} units held of {} in total", entry.at, entry.budget, limit.units());
+            self.verdict.faults.push(violation);
         }
     }
 
-    /// In any span no more may be spent of a rate than was saved up and came back in it.
-    fn check_rates(&mut self, wholes: &BTreeMap<String, Whole>) {
-        for ((budget, _), times) in &self.spends {
-            let Some(Whole::Rate { units, every }) = wholes.get(budget) else { continue };
+    /// Checks that in each span no more of a rate budget was spent than had accumulated before and was added during it.
+    fn check_rates(&mut self, limits: &BTreeMap<String, Whole>) {
+        for ((budget, _), times) in &self.spend_times {
+            let Some(Whole::Rate { units, every }) = limits.get(budget) else { continue };
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first).step_by(1 + times.len() / 400) {
-                    let may = count_to_f64(*units) * (1.0 + (to - from) / every);
+                    let allowed = count_to_f64(*units) * (1.0 + (to - from) / every);
                     let spent = last - first + 1;
-                    if count_to_f64(spent as u64) > may + 0.5 {
-                        self.verdict.faults.push(format!("{budget}: {spent} in {:.3} s", to - from));
+                    if count_to_f64(spent as u64) > allowed + 0.5 {
+                        self.verdict
+                            .faults
+                            .push(format!("{budget}: {spent} units spent within {:.3} s", to - from));
                     }
                 }
             }
@@ -220,20 +228,20 @@
     }
 }
 
-/// Holds what was written down against the wholes.
-pub fn audit(entries: &[Entry], wholes: &BTreeMap<String, Whole>) -> Verdict {
+/// Checks audit entries of any number of processes against the limits of the budgets, by budget name.
+pub fn audit(entries: &[Entry], limits: &BTreeMap<String, Whole>) -> Verdict {
     let mut by_time: Vec<&Entry> = entries.iter().collect();
     by_time.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut audit = Audit::default();
     for entry in by_time {
-        audit.record(entry, wholes);
+        audit.record(entry, limits);
     }
-    audit.check_rates(wholes);
+    audit.check_rates(limits);
     audit.verdict.processes = audit.processes.len();
     audit.verdict
 }
 
-/// No statement that may take effect once did so twice, by what the hosts wrote down.
+/// Checks, by what the endpoints recorded, that no write took effect more than once; returns a line for each that did.
 pub fn effects(executed: &[Execution]) -> Vec<String> {
     let mut writes = BTreeMap::<&str, usize>::new();
     for execution in executed.iter().filter(|execution| execution.wrote) {
@@ -242,6 +250,6 @@
     writes
         .into_iter()
         .filter(|(_, count)| *count > 1)
-        .map(|(id, count)| format!("{id} ran {count} times"))
+        .map(|(id, count)| format!("write {id} ran {count} times"))
         .collect()
 }
--- a/crates/testkit/src/cluster/fault_schedule/script.rs
+++ b/crates/testkit/src/cluster/fault_schedule/script.rs
@@ -1,45 +1,45 @@
-//! Reads a script of faults.
+//! Parses fault scripts.
 
 use crate::fault_proxy::LinkFaults;
 
 use super::{Fault, Step};
 
-/// Why a script can't be read.
+/// Reason why a script cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct ScriptError {
-    /// Counted from one.
+    /// Number of the line, counted from one.
     pub line: usize,
-    /// What is wrong with it.
+    /// Reason why the line is rejected.
     pub source: StepError,
 }
 
-/// What is wrong with a line of a script.
+/// Reason why a line of a script is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepError {
-    /// The line does not begin with a time of zero or more seconds.
-    #[error("a step begins with its time in seconds")]
+    /// The line does not start with a time of zero or more seconds.
+    #[error("a step starts with its time in seconds")]
     NoTime,
-    /// A router is not of the form `r2`, or there are not so many.
-    #[error("no router is called {0:?}")]
+    /// A router name does not have the form `r2`, or its index is not below the number of routers.
+    #[error("unknown router {0:?}")]
     UnknownRouter(String),
-    /// Not a step, or not the words that belong to it.
-    #[error("no step is written {0:?}")]
+    /// The step is unknown, or its arguments are missing or superfluous.
+    #[error("unknown step {0:?}")]
     UnknownStep(String),
-    /// Not a fault of a link.
-    #[error("no link fault is called {0:?}")]
+    /// The name of a link fault is unknown.
+    #[error("unknown link fault {0:?}")]
     UnknownLinkFault(String),
     /// The value of a link fault is out of range.
     #[error("{0:?}: expected a number from 0 to 1")]
     BadLinkFault(String),
-    /// A number of clients is none.
+    /// A number of clients is not a valid integer.
     #[error("load: {0}")]
     BadLoad(#[from] std::num::ParseIntError),
 }
 
-/// Reads a script: a line a step, `1.5 kill r2`, `2 stop leader`, `2 part r0,r1 r2,r3`, `3 cut r0 r1`, `3 links lost=0.1
-/// twice=0.1 delay=0.02`, `4 heal`, `5 start r2`, `5 term r1`, `6 load 4,0,40`. What is behind `#` is a comment. Steps are
-/// returned in the order of their times. The error names the line.
+/// Parses a script with one step on each line: `1.5 kill r2`, `2 stop leader`, `2 part r0,r1 r2,r3`, `3 cut r0 r1`, `3 links lost=0.1
+/// twice=0.1 delay=0.02`, `4 heal`, `5 start r2`, `5 term r1`, `6 load 4,0,40`. A `#` starts a comment. Returns the steps in
+/// the order of their times. The error contains the number of the line.
 pub fn parse_script(text: &str, routers: usize) -> Result<Vec<Step>, ScriptError> {
     let parser = StepParser { routers };
     let mut steps = Vec::new();
@@ -52,12 +52,12 @@
 }
 
 struct StepParser {
-    /// How many routers there are.
+    /// Number of routers.
     routers: usize,
 }
 
 impl StepParser {
-    /// The step on a line; none if it is empty or a comment.
+    /// Returns the step on a line, or `None` if the line is empty or a comment.
     fn step(&self, line: &str) -> Result<Option<Step>, StepError> {
         let line = line.split('#').next().unwrap_or("");
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -70,7 +70,7 @@
         Ok(match words {
             ["start", router] => Fault::Start(self.router(router)?),
             ["kill", router] => Fault::Kill(self.router(router)?),
-            // "keeper" and "weather" are what "leader" and "links" were called.
+            // "keeper" and "weather" are the former names of "leader" and "links".
             ["stop", "leader" | "keeper"] => Fault::Pause(None),
             ["stop", router] => Fault::Pause(Some(self.router(router)?)),
             ["continue", router] => Fault::Resume(self.router(router)?),
--- a/crates/testkit/tests/scale_growth.rs
+++ b/crates/testkit/tests/scale_growth.rs
@@ -1,9 +1,9 @@
-//! How far a large deployment may grow, and the verdicts of the table.
+//! The bounds on what a large deployment needs, and the verdicts of the comparison table.
 
 use ottersill_testkit::scale::{Comparison, Measurement, Quantity};
 
-const SMALL_HOSTS: usize = 200;
-const LARGE_HOSTS: usize = 3200;
+const SMALL_ENDPOINTS: usize = 200;
+const LARGE_ENDPOINTS: usize = 3200;
 
 fn small() -> Measurement {
     Measurement {
@@ -23,12 +23,12 @@
 }
 
 fn compare(small: Vec<Measurement>, large: Vec<Measurement>) -> Comparison {
-    Comparison::new((SMALL_HOSTS, small), (LARGE_HOSTS, large))
+    Comparison::new((SMALL_ENDPOINTS, small), (LARGE_ENDPOINTS, large))
 }
 
-/// The bounds of the operators' page, counted by hand for one small deployment.
+/// Compares the bounds with those of the operators' page, calculated by hand for one small deployment.
 #[test]
-fn each_bound_is_the_one_of_the_page() {
+fn each_bound_is_that_of_the_operators_page() {
     let comparison = compare(vec![small()], vec![small()]);
     let bounds: Vec<f64> = comparison.rows.iter().map(|row| row.bound).collect();
     let by_hand = [0.34, 31.3, 144.0, 1245.0, 1728.0, 807.5, 0.85];
@@ -40,23 +40,23 @@
 }
 
 #[test]
-fn a_value_at_its_bound_is_within_and_one_beyond_is_not() {
+fn a_value_at_its_bound_is_within_and_one_beyond_it_is_not() {
     let at_bound = Measurement { backend_connections: 1245, completed: 340, ..small() };
     assert_eq!(compare(vec![small()], vec![at_bound]).exceeded(), 0);
     let beyond = Measurement { backend_connections: 1246, completed: 339, ..small() };
     let comparison = compare(vec![small()], vec![beyond]);
-    let failed: Vec<Quantity> =
+    let exceeded: Vec<Quantity> =
         comparison.rows.iter().filter(|row| !row.is_within).map(|row| row.quantity).collect();
-    assert_eq!(failed, [Quantity::Connections, Quantity::Served]);
+    assert_eq!(exceeded, [Quantity::Connections, Quantity::Served]);
     assert_eq!(comparison.exceeded(), 2);
 }
 
-/// Guards against one run that is out of line deciding a row, and against bounds that go by anything but the median.
+/// Guards against a single outlier that decides a row, and against bounds that are not calculated from the median.
 #[test]
 fn medians_of_the_runs_are_compared() {
     let runs =
         |checks: [u64; 3]| checks.map(|health_checks| Measurement { health_checks, ..small() }).to_vec();
     let comparison = compare(runs([900, 100, 200]), runs([501, 9_000, 400]));
-    let row = comparison.row(Quantity::HealthChecks).expect("a row for each quantity");
+    let row = comparison.row(Quantity::HealthChecks).expect("no row for the quantity");
     assert_eq!((row.small, row.large, row.bound, row.is_within), (200.0, 501.0, 500.0, false));
 }
