--- a/crates/testkit/src/cluster/control_client.rs
+++ b/crates/testkit/src/cluster/control_client.rs
@@ -1,4 +1,4 @@
-//! Asks a router at its control address, as `ottersill fleet` does.
+//! Queries a router at its control address, as `ottersill fleet` does.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,30 +6,30 @@
 
 use serde_json::Value;
 
-/// Longest wait for a connection, and for each line.
+/// Timeout for the connection, and for each line of the answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a router answers at its control address, each line an object; nothing if it does not answer.
+/// Returns the answer of a router at its control address, with a JSON object for each line; empty if it does not answer.
 pub fn query(control: SocketAddr, question: &str) -> Vec<Value> {
     let lines = read_answer(control, question).unwrap_or_default();
     lines.iter().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
 fn read_answer(control: SocketAddr, question: &str) -> io::Result<Vec<String>> {
-    let mut router = TcpStream::connect_timeout(&control, TIMEOUT)?;
-    router.set_read_timeout(Some(TIMEOUT))?;
-    router.write_all(format!("{question}\n").as_bytes())?;
-    BufReader::new(router).lines().collect()
+    let mut stream = TcpStream::connect_timeout(&control, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.write_all(format!("{question}\n").as_bytes())?;
+    BufReader::new(stream).lines().collect()
 }
 
-/// Units that a router holds of its budgets of that name, by its answer to `budgets`.
+/// Returns the units that a router holds in its budgets with that name, according to its answer to `budgets`.
 pub(super) fn held_units(budgets: &[Value], budget: &str) -> u64 {
     let units = |line: &Value, field: &str| line[field].as_u64().unwrap_or(0);
     let named = budgets.iter().filter(|line| line["budget"] == budget);
     named.map(|line| units(line, "leased") + units(line, "floor")).sum()
 }
 
-/// Whether the answer to `ledger` is a leader's: the others name the leader in a fault.
+/// Returns whether the answer to `ledger` is from a leader; other members answer with a fault that names the leader.
 pub(super) fn is_leader(ledger: &[Value]) -> bool {
     !ledger.is_empty() && ledger.iter().all(|line| line.get("fault").is_none())
 }
--- a/crates/testkit/src/cluster/error.rs
+++ b/crates/testkit/src/cluster/error.rs
@@ -1,45 +1,45 @@
-//! What can go wrong with a cluster, beside the faults that it brings about.
+//! Errors of the cluster harness, other than the faults that it injects.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a cluster can't be set up, or can't go on.
+/// Reason why a cluster cannot be set up or cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The stand-in store or its discovery could not listen.
-    #[error("the stand-in store can't listen: {0}")]
+    #[error("the stand-in store cannot listen: {0}")]
     Store(#[source] io::Error),
     /// A proxy could not listen.
-    #[error("a proxy can't listen: {0}")]
+    #[error("a proxy cannot listen: {0}")]
     Proxy(#[source] io::Error),
     /// A file of the cluster could not be read or written.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A router could not be started.
     #[error("{program}: {source}", program = program.display())]
     Start {
-        /// The built router.
+        /// The router executable.
         program: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A line of an audit file could not be read.
+    /// A line of an audit file could not be parsed.
     #[error("{path}: {reason}", path = path.display())]
     AuditFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong, with the line.
+        /// Parse error and the text of the line.
         reason: String,
     },
 }
 
 impl ClusterError {
-    /// For `map_err` on what a file is read or written with.
+    /// Returns a closure for `map_err` on the result of reading or writing a file.
     pub(crate) fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> ClusterError {
         let path = path.into();
         |source| ClusterError::File { path, source }
--- a/crates/testkit/src/cluster/fault_schedule/mod.rs
+++ b/crates/testkit/src/cluster/fault_schedule/mod.rs
@@ -1,8 +1,8 @@
-//! Schedules of faults: read from a script, or drawn from a seed.
+//! Schedules of faults, parsed from a script or drawn from a seed.
 //!
-//! - [`Step`], [`Fault`]: what happens when
-//! - [`parse_script`]: reads a script
-//! - [`Cluster::play`](super::Cluster::play), [`Cluster::run_random_faults`](super::Cluster::run_random_faults)
+//! - [`Step`], [`Fault`]: a fault and its time
+//! - [`parse_script`]: parses a script
+//! - [`Cluster::play`](super::Cluster::play), [`Cluster::run_random_faults`](super::Cluster::run_random_faults): run a schedule
 
 mod play;
 mod random;
@@ -12,41 +12,41 @@
 
 pub use script::{ScriptError, StepError, parse_script};
 
-/// One clients' statement in so many is a write, where a script starts load.
+/// One statement in this many is a write, in load that a script starts.
 const WRITE_EVERY: u64 = 8;
 
 /// One step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When, in seconds from the start of the script.
+    /// Time of the step, in seconds from the start of the script.
     pub at: f64,
-    /// What happens.
+    /// Fault that the step injects.
     pub fault: Fault,
 }
 
-/// What a step does. Routers are named by their index.
+/// The action of a step. Routers are identified by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Starts a router, unless it runs.
+    /// Starts a router, unless it is running.
     Start(usize),
-    /// SIGKILL.
+    /// Kills a router with SIGKILL.
     Kill(usize),
-    /// SIGSTOP; without a router, to the leader.
+    /// Suspends a router with SIGSTOP; `None` selects the leader.
     Pause(Option<usize>),
-    /// SIGCONT.
+    /// Resumes a router with SIGCONT.
     Resume(usize),
-    /// SIGTERM, and wait for the end.
+    /// Terminates a router with SIGTERM and waits for its exit.
     Terminate(usize),
-    /// SIGHUP.
+    /// Has a router reload its files, with SIGHUP.
     Reload(usize),
-    /// Nothing passes between the sides; a router that is in none is one of its own.
+    /// Cuts all links between different sides; a router that is on no side is a side of its own.
     Partition(Vec<Vec<usize>>),
-    /// Nothing passes from the one to the other.
+    /// Cuts the link from the first router to the second.
     Cut(usize, usize),
-    /// What happens on all ways between routers.
+    /// Sets the faults of all links between routers.
     Links(LinkFaults),
-    /// All ways between routers are mended.
+    /// Removes the faults of all links between routers.
     Heal,
-    /// Numbers of clients of each router.
+    /// Restarts the load with these numbers of clients, one for each router.
     Load(Vec<usize>),
 }
--- a/crates/testkit/src/cluster/fault_schedule/play.rs
+++ b/crates/testkit/src/cluster/fault_schedule/play.rs
@@ -1,4 +1,4 @@
-//! Plays a schedule of faults on a cluster.
+//! Runs a schedule of faults on a cluster.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,17 +9,17 @@
 use super::{Fault, Step, WRITE_EVERY};
 
 impl Cluster {
-    /// Plays a schedule to its end, each step at its time.
+    /// Runs a schedule to its end, with each step at its time.
     pub fn play(&mut self, steps: &[Step]) -> Result<(), ClusterError> {
         let since = Instant::now();
         for Step { at, fault } in steps {
             thread::sleep(Duration::from_secs_f64(*at).saturating_sub(since.elapsed()));
-            self.bring_about(fault)?;
+            self.inject(fault)?;
         }
         Ok(())
     }
 
-    fn bring_about(&mut self, fault: &Fault) -> Result<(), ClusterError> {
+    fn inject(&mut self, fault: &Fault) -> Result<(), ClusterError> {
         match fault {
             Fault::Start(router) => self.start(*router)?,
             Fault::Kill(router) => self.kill(*router),
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Pauses the leader, if there is one.
+    /// Suspends the leader, if there is one.
     pub(super) fn pause_leader(&mut self) {
         if let Some(leader) = self.leader() {
             self.pause(leader);
@@ -45,8 +45,8 @@
     }
 }
 
-/// The number of the side that a router is on; one of its own if it is in none.
+/// Returns the index of the side of a router; a router that is on no side gets an index of its own.
 fn side_of(sides: &[Vec<usize>], router: usize) -> usize {
-    let named = sides.iter().position(|side| side.contains(&router));
-    named.unwrap_or(sides.len() + router)
+    let listed = sides.iter().position(|side| side.contains(&router));
+    listed.unwrap_or(sides.len() + router)
 }
--- a/crates/testkit/src/cluster/files.rs
+++ b/crates/testkit/src/cluster/files.rs
@@ -1,4 +1,4 @@
-//! The files of a cluster: the key, and each router's settings and file of the fleet.
+//! The files of a cluster: the key, and the configuration and fleet file of each router.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -11,20 +11,20 @@
 use super::plan::ClusterPlan;
 use super::router_process::RouterProcess;
 
-/// The key that the members share.
+/// Key shared by the members.
 const KEY: &[u8] = b"known to the members of this cluster only";
-/// How far clocks may run apart, as a part.
-const DRIFT: f64 = 0.01;
+/// Largest relative drift between the clocks of two members.
+const CLOCK_DRIFT: f64 = 0.01;
 
-/// Writes the key, for its owner only.
+/// Writes the key file, readable by its owner only.
 pub(super) fn write_key(folder: &Path) -> Result<(), ClusterError> {
     let path = folder.join("fleet.key");
     let file = OpenOptions::new().create(true).truncate(true).write(true).mode(0o600).open(&path);
     file.and_then(|mut file| file.write_all(KEY)).map_err(ClusterError::file(path))
 }
 
-/// Writes a router's settings: `example`, the text of `example/router.json`, with this cluster's values in place of its
-/// own.
+/// Writes the configuration of a router: `example`, the text of `example/router.json`, with the values of this cluster
+/// substituted.
 pub(super) fn write_config(
     plan: &ClusterPlan,
     index: usize,
@@ -32,32 +32,37 @@
     discovery: SocketAddr,
     example: &str,
 ) -> Result<(), ClusterError> {
-    // Short, so that what outlives a router is over soon.
+    // A short timeout makes statements that outlive their router end soon.
     let example = example.replace("\"deadline_ms\": 2000", &format!("\"deadline_ms\": {}", plan.deadline_ms));
     router.write_config(&example, discovery, plan.seed * 1000 + index as u64)
 }
 
-/// Writes a router's file of the fleet, with `executions` units at each endpoint.
-pub(super) fn write_fleet(
+/// Writes the fleet file of a router, with a budget of `attempts` concurrent attempts at each endpoint.
+pub(super) fn write_fleet_file(
     plan: &ClusterPlan,
     folder: &Path,
     routers: &[RouterProcess],
     network: &Network,
     index: usize,
-    executions: u64,
+    attempts: u64,
 ) -> Result<(), ClusterError> {
     let router = &routers[index];
-    let mut text = members(plan, routers, network, index);
-    text += &own_fields(plan, folder, router);
-    text += &leases(plan);
-    text += &budgets(plan, executions);
+    let mut text = peers_and_voters(plan, routers, network, index);
+    text += &router_fields(plan, folder, router);
+    text += &lease_fields(plan);
+    text += &budget_fields(plan, attempts);
     fs::write(&router.fleet, text).map_err(ClusterError::file(&router.fleet))
 }
 
-/// The peers, each at the proxy on the way to it, and the voters.
-fn members(plan: &ClusterPlan, routers: &[RouterProcess], network: &Network, index: usize) -> String {
+/// Formats the peers, each with the address of the proxy in front of it, and the voters.
+fn peers_and_voters(
+    plan: &ClusterPlan,
+    routers: &[RouterProcess],
+    network: &Network,
+    index: usize,
+) -> String {
     let peer = |(to, router): (usize, &RouterProcess)| {
-        let address = network.address_of_peer(index, to).unwrap_or(router.datagrams);
+        let address = network.peer_address(index, to).unwrap_or(router.datagrams);
         format!("peer {{ name: \"{}\" at: \"{address}\" }}\n", router.name)
     };
     let peers: String = routers.iter().enumerate().map(peer).collect();
@@ -65,7 +70,7 @@
     peers + &voters
 }
 
-fn own_fields(plan: &ClusterPlan, folder: &Path, router: &RouterProcess) -> String {
+fn router_fields(plan: &ClusterPlan, folder: &Path, router: &RouterProcess) -> String {
     let RouterProcess { name, control, datagrams, .. } = router;
     let folder = folder.display();
     let mut text =
@@ -76,21 +81,21 @@
     text
 }
 
-fn leases(plan: &ClusterPlan) -> String {
+fn lease_fields(plan: &ClusterPlan) -> String {
     let ClusterPlan { leader_lease, lease, floor_lease, .. } = plan;
     let members_at_most = plan.routers * 2;
     format!(
         "keeper_lease_s: {leader_lease}\nlease_s: {lease}\nfloor_lease_s: {floor_lease}\n\
-         drift: {DRIFT}\nmembers_at_most: {members_at_most}\n"
+         drift: {CLOCK_DRIFT}\nmembers_at_most: {members_at_most}\n"
     )
 }
 
-fn budgets(plan: &ClusterPlan, executions: u64) -> String {
-    let ClusterPlan { floor, hold, probes, retries, cold_executions, .. } = plan;
+fn budget_fields(plan: &ClusterPlan, attempts: u64) -> String {
+    let ClusterPlan { floor, hold, health_checks_per_second, retries_per_second, cold_executions, .. } = plan;
     format!(
-        "budget {{ of: EXECUTIONS_AT_EACH_HOST whole: {executions} floor: {floor} hold_s: {hold} }}\n\
-         budget {{ of: PROBES whole: {probes} every_s: 1 }}\n\
-         budget {{ of: SECOND_TRIES whole: {retries} every_s: 1 }}\n\
+        "budget {{ of: EXECUTIONS_AT_EACH_HOST whole: {attempts} floor: {floor} hold_s: {hold} }}\n\
+         budget {{ of: PROBES whole: {health_checks_per_second} every_s: 1 }}\n\
+         budget {{ of: SECOND_TRIES whole: {retries_per_second} every_s: 1 }}\n\
          budget {{ of: EXECUTIONS_AT_EACH_COLD_HOST whole: {cold_executions} every_s: 1 }}\n"
     )
 }
--- a/crates/testkit/src/cluster/harness.rs
+++ b/crates/testkit/src/cluster/harness.rs
@@ -1,4 +1,4 @@
-//! The cluster as a test holds it: starts routers, brings about faults, sends load.
+//! The cluster as tests use it: starts routers, injects faults and sends load.
 
 use std::fs;
 use std::net::{IpAddr, SocketAddr};
@@ -14,21 +14,21 @@
 use super::network::Network;
 use super::plan::ClusterPlan;
 use super::router_process::{DuplicateRouter, Launcher, RouterAddresses, RouterProcess};
-use super::{ClusterError, PATIENCE, files};
+use super::{ClusterError, WAIT_TIMEOUT, files};
 
-/// Between two checks of a condition that is waited for.
+/// Interval between two checks of an awaited condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Many router processes with proxies between them, and a stand-in store behind. When it is dropped, load and routers are
-/// stopped, and their files removed unless the thread panics.
+/// Many router processes with proxies between them, in front of a stand-in store. Dropping it stops the load and the
+/// routers, and removes their files unless the thread is panicking.
 pub struct Cluster {
-    /// What it is made of.
+    /// Parameters of the cluster.
     pub plan: ClusterPlan,
-    /// The store behind the routers.
+    /// Stand-in store behind the routers.
     pub store: StandInStore,
-    /// The routers, running or not.
+    /// All routers, running or not.
     pub routers: Vec<RouterProcess>,
-    /// Where their files are.
+    /// Folder of the routers' files.
     pub folder: PathBuf,
     network: Network,
     launcher: Launcher,
@@ -36,8 +36,8 @@
 }
 
 impl Cluster {
-    /// Writes the files of all routers and starts the proxies; no router runs yet. `program` is the built router,
-    /// `example` the text of `example/router.json`, whose addresses are replaced.
+    /// Writes the files of all routers and starts the proxies, but no router. `program` is the router executable, `example`
+    /// the text of `example/router.json`, in which the addresses are replaced.
     pub fn new(plan: ClusterPlan, program: &Path, example: &str) -> Result<Cluster, ClusterError> {
         let ip = unused_ip();
         let store = start_store(&plan)?;
@@ -63,120 +63,122 @@
         Ok(cluster)
     }
 
-    /// Writes a router's settings, with a discovery of its own that names the proxies on its way to the endpoints.
+    /// Writes the configuration of a router and starts a discovery for it that lists the addresses of its proxies to the
+    /// endpoints.
     fn write_config(&self, index: usize, ip: IpAddr, example: &str) -> Result<(), ClusterError> {
-        let proxied = self.network.addresses_of_endpoints(index);
+        let proxied = self.network.endpoint_addresses(index);
         let discovery =
             self.store.add_discovery_via(&format!("{ip}:0"), proxied).map_err(ClusterError::Store)?;
         files::write_config(&self.plan, index, &self.routers[index], discovery, example)
     }
 
-    /// Writes a router's file of the fleet, with another budget of executions at each endpoint.
+    /// Writes the fleet file of a router, with a budget of `executions` concurrent attempts at each endpoint.
     pub fn write_fleet(&self, index: usize, executions: u64) -> Result<(), ClusterError> {
-        files::write_fleet(&self.plan, &self.folder, &self.routers, &self.network, index, executions)
+        files::write_fleet_file(&self.plan, &self.folder, &self.routers, &self.network, index, executions)
     }
 
-    /// Starts a second process under a router's name and files, but for where it listens to clients and operators.
+    /// Starts a second process with the name and files of a router, which listens at other addresses for clients and
+    /// operators.
     pub fn start_duplicate(&self, index: usize) -> Result<DuplicateRouter, ClusterError> {
         let original = &self.routers[index];
         let addresses = RouterAddresses::new(original.listen.ip(), self.routers.len() + index);
         DuplicateRouter::start(&self.launcher, original, addresses)
     }
 
-    /// Starts a router, or starts it again with nothing in memory, unless it runs.
+    /// Starts or restarts a router, unless it is running.
     pub fn start(&mut self, index: usize) -> Result<(), ClusterError> {
         self.routers[index].start(&self.launcher)
     }
 
-    /// Starts all routers that do not run.
+    /// Starts all routers that are not running.
     pub fn start_all(&mut self) -> Result<(), ClusterError> {
         (0..self.routers.len()).try_for_each(|index| self.start(index))
     }
 
-    /// Kills a router, with SIGKILL.
+    /// Kills a router with SIGKILL.
     pub fn kill(&mut self, index: usize) {
         self.routers[index].kill();
     }
 
-    /// Pauses a router, with SIGSTOP.
+    /// Suspends a router with SIGSTOP.
     pub fn pause(&mut self, index: usize) {
         self.routers[index].pause();
     }
 
-    /// Lets a paused router go on, with SIGCONT.
+    /// Resumes a suspended router with SIGCONT.
     pub fn resume(&mut self, index: usize) {
         self.routers[index].resume();
     }
 
-    /// Lets a router read its files again, with SIGHUP.
+    /// Has a router reload its files, with SIGHUP.
     pub fn reload(&self, index: usize) {
         self.routers[index].reload();
     }
 
-    /// Ends a router, with SIGTERM, and waits for that; its exit status, or none if it had to be killed.
+    /// Terminates a router with SIGTERM and waits for its exit. Returns its exit code, or `None` if it had to be killed.
     pub fn terminate(&mut self, index: usize) -> Option<i32> {
         self.routers[index].terminate()
     }
 
-    /// Waits until a router has ended by itself; its exit status, or none if it had to be killed.
+    /// Waits until a router has exited by itself. Returns its exit code, or `None` if it had to be killed.
     pub fn wait_for_exit(&mut self, index: usize) -> Option<i32> {
         self.routers[index].wait()
     }
 
-    /// Changes what happens on one way between two routers.
+    /// Changes the faults of the link from one router to another.
     pub fn change_link(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
         self.network.change_link(from, to, change);
     }
 
-    /// Replaces what happens on all ways between routers.
+    /// Replaces the faults of all links between routers.
     pub fn set_all_links(&self, faults: LinkFaults) {
         self.network.set_all_links(faults);
     }
 
-    /// Changes what happens between a router and an endpoint.
+    /// Changes the faults of the connections between a router and an endpoint.
     pub fn change_stream(&self, router: usize, endpoint: usize, change: impl FnOnce(&mut StreamFaults)) {
         self.network.change_stream(router, endpoint, change);
     }
 
-    /// Replaces what happens between routers and endpoints.
+    /// Replaces the faults of all connections between routers and endpoints.
     pub fn set_all_streams(&self, faults: StreamFaults) {
         self.network.set_all_streams(faults);
     }
 
-    /// Cuts every link between routers of different sides, and mends all others; `one_way` cuts only those from a lower
-    /// side to a higher one.
+    /// Cuts the links between routers of different sides and restores all others; with `one_way`, only the links from a
+    /// lower side to a higher one are cut.
     pub fn partition(&self, side: impl Fn(usize) -> usize, one_way: bool) {
         self.network.partition(side, one_way);
     }
 
-    /// Starts `clients` clients of each router, in place of those that run; one statement in `write_every` is a write,
-    /// none if that is zero.
+    /// Starts `clients` clients of each router, after stopping those that are running. One statement in `write_every` is a
+    /// write; with zero, none is.
     pub fn start_load(&mut self, clients: usize, write_every: u64) {
         self.start_load_at(&vec![clients; self.routers.len()], write_every);
     }
 
-    /// The same, with a number of clients for each router.
+    /// Like [`start_load`](Cluster::start_load), with a separate number of clients for each router.
     pub fn start_load_at(&mut self, clients: &[usize], write_every: u64) {
         self.stop_load();
         let routers: Vec<SocketAddr> = self.routers.iter().map(|router| router.listen).collect();
         self.load = Some(LoadGenerator::start(&routers, clients, write_every));
     }
 
-    /// What the clients of each router were answered until now; empty if none run.
+    /// Returns the counts of the answers to clients so far, by router; empty if no load is running.
     pub fn answers(&self) -> Vec<Answers> {
         self.load.as_ref().map_or(Vec::new(), LoadGenerator::answers)
     }
 
-    /// Stops the clients and returns what those of each router were answered; empty if none ran.
+    /// Stops the clients and returns the counts of their answers, by router; empty if no load was running.
     pub fn stop_load(&mut self) -> Vec<Answers> {
         self.load.take().map_or(Vec::new(), LoadGenerator::stop)
     }
 
-    /// Waits until it holds; false if it does not for longer than anything may take.
-    pub fn wait_until(&self, holds: impl Fn(&Cluster) -> bool) -> bool {
-        let since = Instant::now();
-        while since.elapsed() < PATIENCE {
-            if holds(self) {
+    /// Waits until the condition holds; returns false if it does not hold within the timeout.
+    pub fn wait_until(&self, condition: impl Fn(&Cluster) -> bool) -> bool {
+        let started = Instant::now();
+        while started.elapsed() < WAIT_TIMEOUT {
+            if condition(self) {
                 return true;
             }
             thread::sleep(CHECK_INTERVAL);
@@ -184,7 +186,7 @@
         false
     }
 
-    /// Waits until all routers answer clients; false if they do not for longer than anything may take.
+    /// Waits until all routers answer clients; returns false if they do not within the timeout.
     pub fn wait_until_ready(&self) -> bool {
         self.wait_until(|cluster| (0..cluster.routers.len()).all(|index| cluster.is_ready(index)))
     }
@@ -193,7 +195,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         self.stop_load();
-        // Before their files go.
+        // The routers must stop before their files are removed.
         self.routers.clear();
         if !thread::panicking() {
             let _ = fs::remove_dir_all(&self.folder);
@@ -201,12 +203,12 @@
     }
 }
 
-/// An address for this cluster alone: connections that other tests open take ports of 127.0.0.1, which may be the very
-/// one at which a router is about to listen.
+/// Returns an IP address that only this cluster uses. On 127.0.0.1, a connection that another test opens could take the
+/// port at which a router is about to listen.
 pub(crate) fn unused_ip() -> IpAddr {
     static CLUSTERS: AtomicU64 = AtomicU64::new(0);
     let [low, high, ..] = std::process::id().to_le_bytes();
-    // Wraps around like the address: 1 to 250.
+    // Wraps around, as the last byte of the address does: it is between 1 and 250.
     let number = CLUSTERS.fetch_add(1, Ordering::Relaxed) % 250;
     IpAddr::from([127, 64 + high % 128, low, 1 + u8::try_from(number).unwrap_or_default()])
 }
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send one statement after the other.
+//! Closed-loop load: clients that each send one statement after the other.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,44 +11,44 @@
 use crate::stand_in::{Client, DEFAULT_GROUP};
 use crate::sync::lock;
 
-/// How long a client rests before it connects again.
-const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a client rests after its statement was rejected.
-const REJECTED_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest that a client waits for an answer; beyond its statements' own time.
+/// Delay before a client reconnects.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Delay after a rejected statement.
+const REJECTION_DELAY: Duration = Duration::from_millis(10);
+/// Timeout of a client for an answer; longer than the statement timeout.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// The bits of the time that go into a statement's id.
+/// Selects the bits of the Unix time in milliseconds that become part of a statement's id.
 const ID_TIME_MASK: u128 = 0xff_ffff;
 
-/// What clients were answered.
+/// Counts of the answers to clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    /// Statements that were answered with a row.
+    /// Statements answered with a row.
     pub completed: u64,
-    /// Statements that were rejected: nothing ran.
+    /// Statements rejected without an attempt.
     pub rejected: u64,
-    /// Statements that were answered with another error.
+    /// Statements answered with another error.
     pub aborted: u64,
-    /// Connections that ended, or went silent, before an answer.
+    /// Connections that were closed or timed out before an answer.
     pub broken: u64,
-    /// Answers that are none.
+    /// Malformed answers: neither a row nor an error.
     pub wrong: u64,
 }
 
 impl Answers {
-    /// Counts an answer, in [`Client::answer`]'s words; none if the connection broke or went silent.
+    /// Counts an answer, in the format of [`Client::answer`]; `None` if the connection was closed or timed out.
     pub(crate) fn count(&mut self, answer: Option<&str>) {
         let counter = match answer {
-            Some(words) if words.starts_with("row:") => &mut self.completed,
-            Some(words) if words.starts_with("C53300") => &mut self.rejected,
-            Some(words) if words.starts_with('C') => &mut self.aborted,
+            Some(text) if text.starts_with("row:") => &mut self.completed,
+            Some(text) if text.starts_with("C53300") => &mut self.rejected,
+            Some(text) if text.starts_with('C') => &mut self.aborted,
             Some(_) => &mut self.wrong,
             None => &mut self.broken,
         };
         *counter += 1;
     }
 
-    /// Adds what other clients were answered.
+    /// Adds the counts of other clients.
     pub fn add(&mut self, other: &Answers) {
         self.completed += other.completed;
         self.rejected += other.rejected;
@@ -58,17 +58,17 @@
     }
 }
 
-/// Clients that run until they are stopped.
+/// Runs clients until it is stopped.
 pub(super) struct LoadGenerator {
     stopped: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
-    /// By router.
+    /// Counts by router.
     answers: Arc<Mutex<Vec<Answers>>>,
 }
 
 impl LoadGenerator {
-    /// Starts `clients[i]` clients of the router at `routers[i]`; one statement in `write_every` is a write, none if that
-    /// is zero.
+    /// Starts `clients[i]` clients of the router at `routers[i]`. One statement in `write_every` is a write; with zero, none
+    /// is.
     pub(super) fn start(routers: &[SocketAddr], clients: &[usize], write_every: u64) -> LoadGenerator {
         let stopped = Arc::new(AtomicBool::new(false));
         let answers = Arc::new(Mutex::new(vec![Answers::default(); routers.len()]));
@@ -88,12 +88,12 @@
         LoadGenerator { stopped, clients: threads, answers }
     }
 
-    /// What clients of each router were answered until now.
+    /// Returns the counts of the answers so far, by router.
     pub(super) fn answers(&self) -> Vec<Answers> {
         lock(&self.answers).clone()
     }
 
-    /// Stops the clients and returns what those of each router were answered.
+    /// Stops the clients and returns the counts of their answers, by router.
     pub(super) fn stop(self) -> Vec<Answers> {
         self.stopped.store(true, Ordering::Relaxed);
         for client in self.clients {
@@ -104,10 +104,10 @@
     }
 }
 
-/// One client: one connection after the other.
+/// One client, which uses one connection at a time.
 struct LoadClient {
     router: SocketAddr,
-    /// The router's place in `answers`.
+    /// Index of the router in `answers`.
     index: usize,
     write_every: u64,
     stopped: Arc<AtomicBool>,
@@ -118,22 +118,22 @@
     fn run(&self) {
         while !self.is_stopped() {
             if self.run_session().is_err() {
-                thread::sleep(RECONNECT_INTERVAL);
+                thread::sleep(RECONNECT_DELAY);
             }
         }
     }
 
-    /// One connection's statements, until it breaks.
+    /// Sends statements on one connection until it fails or the load is stopped.
     fn run_session(&self) -> io::Result<()> {
         let mut client = Client::connect(self.router)?;
         client.socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         client.answer()?;
         while !self.is_stopped() {
             let answer = client.ask(&next_statement(self.write_every));
-            // A paused router goes silent.
+            // A suspended router does not answer, which counts as a broken connection.
             lock(&self.answers)[self.index].count(answer.as_deref().ok());
             if answer?.starts_with("C53300") {
-                thread::sleep(REJECTED_INTERVAL);
+                thread::sleep(REJECTION_DELAY);
             }
         }
         Ok(())
@@ -144,14 +144,14 @@
     }
 }
 
-/// A statement of the default replica set that no other client of this process sends.
+/// Returns a statement to the default replica set that no other client of this process sends.
 fn next_statement(write_every: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     statement_text(number, write_every > 0 && number % write_every == 0, DEFAULT_GROUP)
 }
 
-/// A statement to that replica set; its id is made of the time and its number.
+/// Returns a statement to replica set `group`, whose id consists of the time and `number`.
 pub(crate) fn statement_text(number: u64, is_write: bool, group: u64) -> String {
     let id = format!("{:x}{number:x}", unix_ms() & ID_TIME_MASK);
     if is_write {
--- a/crates/testkit/src/cluster/mod.rs
+++ b/crates/testkit/src/cluster/mod.rs
@@ -1,13 +1,13 @@
-//! Many routers of the built program on one machine: each with its own files, a proxy on every way between two of them and
-//! on every way to an endpoint, clients that send all the time, and faults: killed, paused, terminated, started again,
-//! cut off.
+//! The cluster harness: many router processes of the built program on one machine. Each router has its own files. Proxies
+//! connect the routers with each other and with the endpoints, and clients send statements without pause. Faults kill,
+//! suspend, terminate, restart and cut off routers.
 //!
-//! - [`ClusterPlan`]: how many routers, endpoints and budget units there are
-//! - [`Cluster`]: starts the routers, brings about faults, tells what they hold
-//! - [`RouterProcess`]: one router, its files and its process
-//! - [`fault_schedule`]: schedules of faults, from a script or from a seed
-//! - [`query`]: asks a router at its control address
-//! - [`Answers`]: what clients were answered
+//! - [`ClusterPlan`]: the number of routers and endpoints, the budgets and other parameters
+//! - [`Cluster`]: starts the routers, injects faults, and observes the routers
+//! - [`RouterProcess`]: the files and the process of one router
+//! - [`fault_schedule`]: fault schedules from a script or from a seed
+//! - [`query`]: queries a router at its control address
+//! - [`Answers`]: counts of the answers to clients
 
 mod control_client;
 mod error;
@@ -32,5 +32,5 @@
 pub use router_process::{DuplicateRouter, RouterProcess};
 pub(crate) use router_process::{Launcher, RouterAddresses};
 
-/// Longer than anything that a cluster is waited for may take.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of all waits for a cluster or one of its routers; longer than any awaited event may take.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/cluster/network.rs
+++ b/crates/testkit/src/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The proxies of a cluster: one on each way between two routers, and one between each router and each endpoint.
+//! The proxies of a cluster: one for each direction between two routers, and one between each router and each endpoint.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -7,16 +7,16 @@
 
 use super::ClusterError;
 
-/// The proxies of a cluster.
+/// All proxies of a cluster.
 pub(super) struct Network {
-    /// By the router that sends and the one that is sent to; none from a router to itself.
+    /// Links by sending and receiving router; `None` from a router to itself.
     links: Vec<Vec<Option<DatagramProxy>>>,
-    /// By router and endpoint.
+    /// Connection proxies by router and endpoint.
     streams: Vec<Vec<StreamProxy>>,
 }
 
 impl Network {
-    /// Starts the proxies, with faults drawn from `seed`.
+    /// Starts the proxies, which draw their random faults from `seed`.
     pub(super) fn start(
         routers: &[SocketAddr],
         endpoints: &[SocketAddr],
@@ -32,29 +32,29 @@
         })
     }
 
-    /// Where one router reaches another; none for itself.
-    pub(super) fn address_of_peer(&self, from: usize, to: usize) -> Option<SocketAddr> {
+    /// Returns the address at which one router reaches another, or `None` for itself.
+    pub(super) fn peer_address(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.links[from][to].as_ref().map(DatagramProxy::address)
     }
 
-    /// Where a router reaches the endpoints.
-    pub(super) fn addresses_of_endpoints(&self, router: usize) -> Vec<SocketAddr> {
+    /// Returns the addresses at which a router reaches the endpoints.
+    pub(super) fn endpoint_addresses(&self, router: usize) -> Vec<SocketAddr> {
         self.streams[router].iter().map(StreamProxy::address).collect()
     }
 
-    /// Changes what happens on one way between two routers.
+    /// Changes the faults of the link from one router to another.
     pub(super) fn change_link(&self, from: usize, to: usize, change: impl FnOnce(&mut LinkFaults)) {
         if let Some(link) = &self.links[from][to] {
             link.change_faults(change);
         }
     }
 
-    /// Replaces what happens on all ways between routers.
+    /// Replaces the faults of all links between routers.
     pub(super) fn set_all_links(&self, faults: LinkFaults) {
         self.links.iter().flatten().flatten().for_each(|link| link.set_faults(faults));
     }
 
-    /// Changes what happens between a router and an endpoint.
+    /// Changes the faults of the connections between a router and an endpoint.
     pub(super) fn change_stream(
         &self,
         router: usize,
@@ -64,13 +64,13 @@
         self.streams[router][endpoint].change_faults(change);
     }
 
-    /// Replaces what happens between routers and endpoints.
+    /// Replaces the faults of all connections between routers and endpoints.
     pub(super) fn set_all_streams(&self, faults: StreamFaults) {
         self.streams.iter().flatten().for_each(|stream| stream.change_faults(|old| *old = faults));
     }
 
-    /// Cuts every link between routers of different sides, and mends all others; `one_way` cuts only those from a lower
-    /// side to a higher one.
+    /// Cuts the links between routers of different sides and restores all others; with `one_way`, only the links from a
+    /// lower side to a higher one are cut.
     pub(super) fn partition(&self, side: impl Fn(usize) -> usize, one_way: bool) {
         for from in 0..self.links.len() {
             for to in 0..self.links.len() {
@@ -81,12 +81,12 @@
     }
 }
 
-/// A proxy to each endpoint.
+/// Starts a proxy to each endpoint.
 fn start_streams(endpoints: &[SocketAddr], ip: IpAddr) -> io::Result<Vec<StreamProxy>> {
     endpoints.iter().map(|endpoint| StreamProxy::start(*endpoint, ip)).collect()
 }
 
-/// A proxy from one router to each of the others.
+/// Starts a proxy from one router to each of the others.
 fn start_links(from: usize, routers: &[SocketAddr], seed: u64) -> io::Result<Vec<Option<DatagramProxy>>> {
     let link = |(to, address): (usize, &SocketAddr)| {
         let seed = seed << 16 | (from << 8 | to) as u64;
--- a/crates/testkit/src/cluster/plan.rs
+++ b/crates/testkit/src/cluster/plan.rs
@@ -1,43 +1,43 @@
-//! What a cluster is made of.
+//! Parameters of a cluster.
 
-/// What a cluster is made of. Times are in seconds where nothing else is said.
+/// Parameters of a cluster. Times are in seconds unless noted otherwise.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// How many of these elect the leader.
+    /// Number of routers that are voters; these are the first ones.
     pub voters: usize,
-    /// How many endpoints the store has.
+    /// Number of endpoints of the stand-in store.
     pub endpoints: usize,
-    /// Seed of the routers, the proxies and the schedule of faults.
+    /// Seed of the routers, the proxies and the fault schedule.
     pub seed: u64,
-    /// Budget of executions at each endpoint at once.
+    /// Budget of concurrent attempts at each endpoint.
     pub executions: u64,
-    /// Budget of health checks a second.
-    pub probes: u64,
-    /// Budget of retries a second.
-    pub retries: u64,
-    /// Budget of executions a second at each endpoint in slow start.
+    /// Budget of health checks per second.
+    pub health_checks_per_second: u64,
+    /// Budget of retries per second.
+    pub retries_per_second: u64,
+    /// Budget of attempts per second at each endpoint in slow start.
     pub cold_executions: u64,
-    /// Units of executions that each router keeps without the leader.
+    /// Floor of each router in the budget of concurrent attempts, which it keeps without the leader.
     pub floor: u64,
-    /// How long a leader leads after it was last elected.
+    /// Duration of a leader's lease after its last election.
     pub leader_lease: f64,
-    /// How long what the leader grants lasts.
+    /// Duration of a lease that the leader grants.
     pub lease: f64,
-    /// How long a router keeps its floor.
+    /// Duration for which a router keeps its floor.
     pub floor_lease: f64,
-    /// How long an execution may outlive the grant under which it began.
+    /// Longest time by which an attempt may outlive the grant under which it started.
     pub hold: f64,
-    /// The longest statement timeout, in milliseconds.
+    /// Longest statement timeout, in milliseconds.
     pub deadline_ms: u64,
-    /// How long a statement takes.
+    /// Duration of a statement at an endpoint.
     pub statement_seconds: f64,
-    /// Whether routers talk to each other.
+    /// Whether the routers form a fleet and exchange datagrams.
     pub fleet_enabled: bool,
     /// Whether routers write audit files.
     pub audit: bool,
-    /// Further arguments of each router.
+    /// Additional command-line arguments of each router.
     pub arguments: Vec<String>,
 }
 
@@ -49,8 +49,8 @@
             endpoints: 3,
             seed: 1,
             executions: 12,
-            probes: 200,
-            retries: 20,
+            health_checks_per_second: 200,
+            retries_per_second: 20,
             cold_executions: 20,
             floor: 1,
             leader_lease: 0.6,
--- a/crates/testkit/src/cluster/router_process.rs
+++ b/crates/testkit/src/cluster/router_process.rs
@@ -1,4 +1,4 @@
-//! One router: its files, its addresses and its process.
+//! One router of a cluster: its files, its addresses and its process.
 
 use std::fs::{self, OpenOptions};
 use std::net::{IpAddr, SocketAddr};
@@ -9,52 +9,52 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::{ClusterError, PATIENCE};
+use super::{ClusterError, WAIT_TIMEOUT};
 
-/// The first port of a cluster. Below the ports that connections are opened from: one of these might take a router's port
-/// just before the router does.
+/// First port of a cluster. It is below the range of ephemeral ports: an outgoing connection could otherwise take the port
+/// of a router just before the router binds it.
 const FIRST_PORT: u16 = 10_000;
-/// Ports of each router.
-const PORTS_EACH: u16 = 3;
-/// Between two checks of whether a process has ended.
-const EXIT_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of ports that each router uses.
+const PORTS_PER_ROUTER: u16 = 3;
+/// Interval between two checks of whether a process has exited.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Where a router listens.
+/// Listen addresses of a router.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RouterAddresses {
-    /// To clients.
+    /// For clients.
     pub(super) listen: SocketAddr,
-    /// To operators.
+    /// For operators (the control address).
     pub(super) control: SocketAddr,
-    /// To datagrams of other routers.
+    /// For datagrams of other routers.
     pub(super) datagrams: SocketAddr,
 }
 
 impl RouterAddresses {
-    /// Those of the router of that number in the cluster at that IP address.
+    /// Returns the addresses of the router with that index in the cluster at that IP address.
     ///
     /// # Panics
     ///
-    /// If there are more routers than ports.
+    /// Panics if there are more routers than ports.
     pub(crate) fn new(ip: IpAddr, number: usize) -> RouterAddresses {
-        let first = FIRST_PORT + PORTS_EACH * u16::try_from(number).expect("a port for each router");
+        let first = FIRST_PORT + PORTS_PER_ROUTER * u16::try_from(number).expect("more routers than ports");
         let address = |offset| SocketAddr::from((ip, first + offset));
         RouterAddresses { listen: address(0), control: address(1), datagrams: address(2) }
     }
 }
 
-/// How routers of a cluster are started.
+/// Starts the router processes of a cluster.
 pub(crate) struct Launcher {
     pub(crate) program: PathBuf,
-    /// Where logs are written.
+    /// Folder to which the logs are written.
     pub(crate) folder: PathBuf,
     pub(crate) arguments: Vec<String>,
     pub(crate) fleet_enabled: bool,
 }
 
 impl Launcher {
-    /// Starts a router with these files; its log is appended to the one of that name.
+    /// Starts a router with these files; its output is appended to the log with that name.
     fn launch(&self, config: &Path, fleet: &Path, name: &str) -> Result<Child, ClusterError> {
         let start_error = |source| ClusterError::Start { program: self.program.clone(), source };
         let path = self.folder.join(format!("{name}.log"));
@@ -65,31 +65,31 @@
         if self.fleet_enabled {
             command.arg("--fleet").arg(fleet);
         }
-        let errors = log.try_clone().map_err(start_error)?;
-        command.stdin(Stdio::null()).stdout(log).stderr(errors).spawn().map_err(start_error)
+        let stderr = log.try_clone().map_err(start_error)?;
+        command.stdin(Stdio::null()).stdout(log).stderr(stderr).spawn().map_err(start_error)
     }
 }
 
-/// One router of a cluster. Its process, if it has one, is killed when this is dropped.
+/// One router of a cluster. Dropping it kills its process, if there is one.
 pub struct RouterProcess {
-    /// The name in its settings.
+    /// Name in its configuration.
     pub name: String,
-    /// Its settings, as `NODE_CONFIG` names them.
+    /// Path of its configuration, the value of `NODE_CONFIG`.
     pub config: PathBuf,
-    /// Its file of the fleet.
+    /// Path of its fleet file.
     pub fleet: PathBuf,
-    /// Where it listens to clients.
+    /// Address at which it listens for clients.
     pub listen: SocketAddr,
-    /// Where it listens to operators.
+    /// Address at which it listens for operators (the control address).
     pub control: SocketAddr,
-    /// Where it listens to datagrams of other routers.
+    /// Address at which it listens for datagrams of other routers.
     pub datagrams: SocketAddr,
     process: Option<Child>,
     is_paused: bool,
 }
 
 impl RouterProcess {
-    /// One that does not run yet.
+    /// Creates a router whose process is not started yet.
     pub(crate) fn new(name: String, folder: &Path, addresses: RouterAddresses) -> RouterProcess {
         RouterProcess {
             config: folder.join(format!("{name}.json")),
@@ -103,17 +103,18 @@
         }
     }
 
-    /// Whether it was started, and not killed or terminated since; it may have ended by itself.
+    /// Returns whether the process was started and was neither killed nor terminated since. It may have exited by itself.
     pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Whether it was paused, and not resumed since.
+    /// Returns whether the process was suspended and not resumed since.
     pub fn is_paused(&self) -> bool {
         self.is_paused
     }
 
-    /// Writes its settings: `example`, the text of `example/router.json`, with its own name, addresses and seed.
+    /// Writes the configuration: `example`, the text of `example/router.json`, with the name, addresses and seed of this
+    /// router substituted.
     pub(crate) fn write_config(
         &self,
         example: &str,
@@ -128,7 +129,7 @@
         fs::write(&self.config, text).map_err(ClusterError::file(&self.config))
     }
 
-    /// Starts it with nothing in memory, unless it runs.
+    /// Starts a new process, unless one is running.
     pub(crate) fn start(&mut self, launcher: &Launcher) -> Result<(), ClusterError> {
         if self.process.is_none() {
             self.process = Some(launcher.launch(&self.config, &self.fleet, &self.name)?);
@@ -137,62 +138,63 @@
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub(crate) fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             kill_and_wait(&mut process);
         }
     }
 
-    /// SIGSTOP.
+    /// Suspends the process with SIGSTOP.
     pub(super) fn pause(&mut self) {
         self.signal(Signal::STOP);
         self.is_paused = true;
     }
 
-    /// SIGCONT.
+    /// Resumes the process with SIGCONT.
     pub(super) fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.is_paused = false;
     }
 
-    /// SIGHUP.
+    /// Has the process reload its files, with SIGHUP.
     pub(super) fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// SIGUSR1: it writes its counters to its log.
+    /// Has the process write its counters to its log, with SIGUSR1.
     pub(crate) fn print_counters(&self) {
         self.signal(Signal::USR1);
     }
 
-    /// Its process, if it runs.
+    /// Returns the id of the process, if it is running.
     pub(crate) fn process_id(&self) -> Option<u32> {
         self.process.as_ref().map(Child::id)
     }
 
-    /// SIGTERM, until it has ended; its exit status, or none if it had to be killed.
+    /// Resumes and terminates the process with SIGTERM and waits for its exit. Returns its exit code, or `None` if it had to
+    /// be killed.
     pub(super) fn terminate(&mut self) -> Option<i32> {
         self.resume();
         self.signal(Signal::TERM);
         self.wait()
     }
 
-    /// Waits until it has ended by itself; its exit status, or none if it had to be killed.
+    /// Waits until the process has exited. Returns its exit code, or `None` if it had to be killed.
     pub(super) fn wait(&mut self) -> Option<i32> {
         let mut process = self.process.take()?;
         let since = Instant::now();
-        while since.elapsed() < PATIENCE {
+        while since.elapsed() < WAIT_TIMEOUT {
             if let Ok(Some(status)) = process.try_wait() {
                 return status.code();
             }
-            thread::sleep(EXIT_INTERVAL);
+            thread::sleep(EXIT_CHECK_INTERVAL);
         }
         kill_and_wait(&mut process);
         None
     }
 
-    /// Seconds of processor time that it has used, as the kernel counts them for it; zero if it does not run.
+    /// Returns the CPU time that the process has used according to the kernel, in seconds; zero if it is not running.
     pub(crate) fn cpu_seconds(&self) -> f64 {
         let Some(process) = &self.process else { return 0.0 };
         let text = fs::read_to_string(format!("/proc/{}/schedstat", process.id())).unwrap_or_default();
@@ -202,7 +204,7 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.process.as_ref().and_then(|process| Pid::from_raw(process.id() as i32)) {
-            // One that has ended by itself shows when it is waited for.
+            // A process that has already exited is detected when it is waited for.
             let _ = kill_process(pid, signal);
         }
     }
@@ -215,13 +217,13 @@
     }
 }
 
-/// A second process under a router's name and files, but for where it listens to clients and operators; killed when this is
-/// dropped.
+/// A second process with the name and files of a router, except that it listens at other addresses for clients and
+/// operators. Dropping it kills the process.
 pub struct DuplicateRouter {
     process: Child,
-    /// Where it listens to clients.
+    /// Address at which it listens for clients.
     pub listen: SocketAddr,
-    /// Where it listens to operators.
+    /// Address at which it listens for operators (the control address).
     pub control: SocketAddr,
 }
 
@@ -247,14 +249,14 @@
     }
 }
 
-/// Copies a file with another address in place of one.
+/// Copies a file and replaces one address in it.
 fn copy_replacing(from: &Path, to: &Path, old: SocketAddr, new: SocketAddr) -> Result<(), ClusterError> {
     let text = fs::read_to_string(from).map_err(ClusterError::file(from))?;
     fs::write(to, text.replace(&old.to_string(), &new.to_string())).map_err(ClusterError::file(to))
 }
 
 fn kill_and_wait(process: &mut Child) {
-    // Both fail where it has ended already.
+    // Both calls fail if the process has already exited.
     let _ = process.kill();
     let _ = process.wait();
 }
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -101,7 +101,7 @@
         // Odd, as an even number is refused.
         voters: arguments.routers.min(3) | 1,
         executions: 64,
-        probes: 1000,
+        health_checks_per_second: 1000,
         statement_seconds: 0.0,
         fleet_enabled,
         audit: arguments.audit,
--- a/crates/testkit/src/scale/router.rs
+++ b/crates/testkit/src/scale/router.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::cluster::{ClusterError, Launcher, PATIENCE, RouterAddresses, RouterProcess, unused_ip};
+use crate::cluster::{ClusterError, Launcher, RouterAddresses, RouterProcess, WAIT_TIMEOUT, unused_ip};
 use crate::stand_in::Client;
 
 use super::hosts::Hosts;
@@ -122,7 +122,7 @@
 /// What `check` finds, once it finds something; none if that takes longer than anything may.
 fn wait_for<T>(check: impl Fn() -> Option<T>) -> Option<T> {
     let since = Instant::now();
-    while since.elapsed() < PATIENCE {
+    while since.elapsed() < WAIT_TIMEOUT {
         if let Some(found) = check() {
             return Some(found);
         }
