--- a/crates/testkit/src/command/ask.rs
+++ b/crates/testkit/src/command/ask.rs
@@ -1,4 +1,4 @@
-//! `ask`: sends one statement to the router of the example.
+//! `ask`: sends one statement to the router of `example/router.json`.
 
 use std::net::SocketAddr;
 
@@ -14,20 +14,20 @@
 pub(super) enum Statement {
     /// Reads a value.
     Get {
-        /// Its name.
+        /// Name of the value.
         key: String,
     },
     /// Writes a value.
     Put {
-        /// Its name.
+        /// Name of the value.
         key: String,
-        /// What it becomes.
+        /// New content of the value.
         value: String,
     },
 }
 
 impl Statement {
-    /// The SQL text, and the workload that it belongs to.
+    /// Returns the SQL text and the workload of the statement.
     fn text(&self) -> (String, &'static str) {
         match self {
             Statement::Get { key } => (format!("SELECT content FROM kv WHERE name = '{key}'"), "get"),
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -1,4 +1,4 @@
-//! `cost`: what talk between routers costs a statement and a router.
+//! `cost`: measures what the exchange of datagrams in a fleet costs in statement latency and in CPU time of a router.
 
 use std::path::PathBuf;
 use std::thread;
@@ -11,55 +11,55 @@
 
 use super::{CommandError, RouterFiles};
 
-/// The router that is measured; clients send to another.
+/// Index of the router whose CPU time and datagrams are measured; clients send to another router.
 const MEASURED: usize = 1;
-/// Until routers have settled.
+/// Time after the start in which the routers reach a steady state.
 const SETTLING_SECONDS: f64 = 4.0;
 
 /// Arguments of `cost`.
 #[derive(Args)]
 pub(super) struct CostArguments {
-    /// Rounds; each measures both.
+    /// Rounds; each measures a cluster with a fleet and one without.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Routers of each cluster.
+    /// Number of routers in each cluster.
     #[arg(long, default_value_t = 3)]
     routers: usize,
-    /// Seconds of each measurement.
+    /// Seconds that each measurement takes.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
-    /// Routers write audit files.
+    /// Have the routers write audit files.
     #[arg(long)]
     audit: bool,
-    /// The built router; else the one beside this program.
+    /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The settings that each router's are made of.
+    /// The configuration from which that of each router is made.
     #[arg(long, alias = "charter", default_value = "example/router.json")]
     config: PathBuf,
 }
 
-/// What one measurement gave.
+/// Result of one measurement.
 struct Sample {
-    /// Microseconds a statement of one client.
+    /// Mean time of a statement of one client, in microseconds.
     statement_us: f64,
-    /// Milliseconds of processor time a second, without load.
+    /// CPU time without load, in milliseconds per second.
     idle_cpu_ms: f64,
     datagrams_per_second: f64,
     bytes_per_second: f64,
 }
 
-/// Measures routers that talk to each other and routers that do not, in turn, and prints both.
+/// Measures clusters with a fleet and clusters without one, in turn, and prints both results.
 pub(super) fn run(arguments: &CostArguments) -> Result<(), CommandError> {
     let files = RouterFiles::find(arguments.program.as_deref(), &arguments.config)?;
-    let (mut with_talk, mut without) = (Vec::new(), Vec::new());
+    let (mut with_fleet, mut without_fleet) = (Vec::new(), Vec::new());
     for round in 0..arguments.rounds {
         let seed = round as u64 + 1;
-        with_talk.push(measure(arguments, &files, seed, true)?);
-        without.push(measure(arguments, &files, seed, false)?);
+        with_fleet.push(measure(arguments, &files, seed, true)?);
+        without_fleet.push(measure(arguments, &files, seed, false)?);
     }
-    print("with talk", &with_talk);
-    print("without", &without);
+    print("with fleet", &with_fleet);
+    print("without fleet", &without_fleet);
     Ok(())
 }
 
@@ -84,21 +84,21 @@
     cluster.start_load_at(&clients, 0);
     sleep(seconds);
     let completed = cluster.stop_load()[0].completed;
-    let counts = cluster.query(MEASURED, "counters");
-    let count = |name: &str| counts.first().and_then(|line| line[name].as_f64()).unwrap_or(0.0);
-    let ran_for = SETTLING_SECONDS + 2.0 * seconds;
+    let counters = cluster.query(MEASURED, "counters");
+    let counter = |name: &str| counters.first().and_then(|line| line[name].as_f64()).unwrap_or(0.0);
+    let run_seconds = SETTLING_SECONDS + 2.0 * seconds;
     Ok(Sample {
         statement_us: seconds * 1e6 / count_to_f64(completed.max(1)),
         idle_cpu_ms: idle_cpu * 1000.0,
-        datagrams_per_second: count("sent") / ran_for,
-        bytes_per_second: count("sent_bytes") / ran_for,
+        datagrams_per_second: counter("sent") / run_seconds,
+        bytes_per_second: counter("sent_bytes") / run_seconds,
     })
 }
 
 fn plan(arguments: &CostArguments, seed: u64, fleet_enabled: bool) -> ClusterPlan {
     ClusterPlan {
         routers: arguments.routers,
-        // Odd, as an even number is refused.
+        // Odd, because the router rejects an even number of voters.
         voters: arguments.routers.min(3) | 1,
         executions: 64,
         health_checks_per_second: 1000,
@@ -120,14 +120,14 @@
     let sent = median_and_spread(samples, |sample| sample.datagrams_per_second);
     let bytes = median_and_spread(samples, |sample| sample.bytes_per_second);
     println!(
-        "{name}: {statement} us a statement; idle {idle} ms CPU a second; sends {sent} datagrams, {bytes} bytes a second"
+        "{name}: {statement} us per statement; idle {idle} ms CPU per second; sends {sent} datagrams, {bytes} bytes per second"
     );
 }
 
-/// The median, with the least and the greatest; `-` of no samples.
+/// Formats the median with the minimum and the maximum; `-` if there are no samples.
 fn median_and_spread(samples: &[Sample], value: impl Fn(&Sample) -> f64) -> String {
     let mut values: Vec<f64> = samples.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
-    let (Some(least), Some(greatest)) = (values.first(), values.last()) else { return "-".to_string() };
-    format!("{:.1} ({least:.1} to {greatest:.1})", values[values.len() / 2])
+    let (Some(min), Some(max)) = (values.first(), values.last()) else { return "-".to_string() };
+    format!("{:.1} ({min:.1} to {max:.1})", values[values.len() / 2])
 }
--- a/crates/testkit/src/command/error.rs
+++ b/crates/testkit/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Why a command ends with an error.
+//! Errors of the commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,47 +7,47 @@
 use crate::cluster::fault_schedule::ScriptError;
 use crate::scale::ScaleError;
 
-/// Why a command ends with an error.
+/// Reason why a command fails.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A file named on the command line could not be read.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The script of faults could not be read.
+    /// The fault script could not be parsed.
     #[error("{path}: {source}", path = path.display())]
     Script {
-        /// The script.
+        /// Path of the script.
         path: PathBuf,
-        /// What is wrong, with the line.
+        /// Parse error with the number of the line.
         source: ScriptError,
     },
     /// Input, output or a connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A cluster could not be set up, or could not go on.
+    /// A cluster could not be set up or could not continue.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
     /// Routers did not answer clients in time.
-    #[error("not all routers came up")]
+    #[error("not all routers answered clients within the timeout")]
     NotReady,
-    /// A thread that played schedules panicked.
-    #[error("a schedule's thread panicked")]
+    /// A thread that ran schedules panicked.
+    #[error("a thread that ran schedules panicked")]
     Panicked,
-    /// In every schedule routers did not come up.
-    #[error("no schedule was played")]
-    NothingPlayed,
-    /// The audit found rules broken.
-    #[error("{0} faults")]
-    RulesBroken(usize),
-    /// A run of a deployment has no result.
+    /// No schedule was run: each was skipped because routers did not answer clients in time.
+    #[error("no schedule was run")]
+    NoScheduleRun,
+    /// The audit found invariant violations.
+    #[error("{0} invariant violations")]
+    InvariantViolations(usize),
+    /// A measurement of a deployment failed.
     #[error(transparent)]
     Scale(#[from] ScaleError),
-    /// The router needs more in the large deployment than it may.
+    /// The measurements of the large deployment exceed their bounds.
     #[error("{0} rows are not within their bounds")]
     BoundsExceeded(usize),
 }
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: plays schedules of faults on clusters of routers that share budgets, and audits them.
+//! `fleet`: runs fault schedules on clusters of routers that share budgets, and audits the routers.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -16,103 +16,111 @@
 
 use super::{CommandError, RouterFiles, read_file};
 
-/// Until what an earlier leader might have granted is over.
-const GRANTS_OVER: Duration = Duration::from_millis(3500);
-/// Between the last fault and the end of the load.
-const SETTLING: Duration = Duration::from_secs(1);
-/// One clients' statement in so many is a write.
+/// Wait after the start of the load until all grants of an earlier leader have expired.
+const GRANT_EXPIRY: Duration = Duration::from_millis(3500);
+/// Time between the last fault and the end of the load.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// One statement of the clients in this many is a write.
 const WRITE_EVERY: u64 = 8;
-/// Most clusters at a time.
+/// Maximum number of clusters at a time.
 const MAX_PARALLEL: u64 = 64;
-/// Most broken rules that are printed.
-const MAX_PRINTED: usize = 20;
+/// Maximum number of invariant violations that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// Arguments of `fleet`.
 #[derive(Args)]
 pub(super) struct FleetArguments {
-    /// A script in place of a schedule from a seed; docs/operators-fleet.md has its steps.
+    /// A script to run instead of schedules drawn from seeds; docs/operators-fleet.md describes its steps.
     script: Option<PathBuf>,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many schedules are played.
+    /// Number of schedules to run; each takes the next seed.
     #[arg(long, default_value_t = 1)]
     schedules: u64,
-    /// Clusters that run at a time.
+    /// Number of clusters that run at a time.
     #[arg(long, alias = "beside", default_value_t = 1)]
     parallel: u64,
-    /// Routers of each cluster.
+    /// Number of routers in each cluster.
     #[arg(long, default_value_t = 5)]
     routers: usize,
-    /// Clients of each router.
+    /// Number of clients of each router.
     #[arg(long, default_value_t = 3)]
     clients: usize,
-    /// How long a schedule's faults go on.
+    /// Duration of the faults of a schedule, in seconds.
     #[arg(long, default_value_t = 6.0)]
     seconds: f64,
-    /// The built router; else the one beside this program.
+    /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The settings that each router's are made of.
+    /// The configuration from which that of each router is made.
     #[arg(long, alias = "charter", default_value = "example/router.json")]
     config: PathBuf,
 }
 
-/// What all schedules together came to.
+/// Results of all schedules together.
 #[derive(Default)]
 struct Totals {
-    faults: Vec<String>,
-    /// By budget, the highest sum that was ever granted, as a part of the whole.
+    violations: Vec<String>,
+    /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
     highest: BTreeMap<String, f64>,
     grants: u64,
     spent: u64,
     processes: usize,
-    /// Torn lines of audit files.
+    /// Number of torn lines in audit files.
     torn: usize,
     answers: Answers,
-    /// Schedules that were not played, as a router did not come up in time.
-    not_played: u64,
+    /// Number of schedules that were skipped because a router did not answer clients in time.
+    skipped: u64,
 }
 
 impl Totals {
     fn add(&mut self, seed: u64, verdict: Verdict, answers: &[Answers]) {
-        self.faults.extend(verdict.faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+        self.violations
+            .extend(verdict.faults.into_iter().map(|violation| format!("seed {seed}: {violation}")));
         for (budget, highest) in verdict.highest {
-            let so_far = self.highest.entry(budget).or_default();
-            *so_far = so_far.max(highest);
+            let highest_so_far = self.highest.entry(budget).or_default();
+            *highest_so_far = highest_so_far.max(highest);
         }
         self.grants += verdict.grants;
         self.spent += verdict.spent;
         self.processes += verdict.processes;
         self.torn += verdict.torn;
-        answers.iter().for_each(|one| self.answers.add(one));
+        answers.iter().for_each(|counts| self.answers.add(counts));
     }
 
     fn print(&self, schedules: u64) {
-        let played = schedules - self.not_played;
-        println!("{played} schedules of {schedules}, {} processes of the program", self.processes);
+        let run = schedules - self.skipped;
+        println!("{run} of {schedules} schedules run, {} router processes", self.processes);
         println!("{} grants, {} units spent, answers {:?}", self.grants, self.spent, self.answers);
-        println!("{} torn lines of audit files passed over", self.torn);
+        println!("{} torn lines of audit files skipped", self.torn);
         for (budget, highest) in &self.highest {
-            println!("{budget}: highest sum {highest:.3} of the whole");
+            println!("{budget}: highest sum {highest:.3} of the total");
         }
-        self.faults.iter().take(MAX_PRINTED).for_each(|fault| println!("BROKEN {fault}"));
+        self.violations
+            .iter()
+            .take(MAX_PRINTED_VIOLATIONS)
+            .for_each(|violation| println!("BROKEN {violation}"));
     }
 }
 
-/// Plays the schedules, prints what they came to, and fails if a rule was broken or none was played.
+/// Runs the schedules and prints the results. Fails if an invariant was violated or no schedule was run.
 pub(super) fn run(arguments: &FleetArguments) -> Result<(), CommandError> {
     let files = RouterFiles::find(arguments.program.as_deref(), &arguments.config)?;
     let script = arguments.script.as_deref().map(|path| read_script(path, arguments.routers)).transpose()?;
     let runner =
         Runner { arguments, files, script, next: AtomicU64::new(0), totals: Mutex::new(Totals::default()) };
-    runner.play_all()?;
+    runner.run_all()?;
     let totals = lock(&runner.totals);
     totals.print(arguments.schedules);
-    if totals.not_played == arguments.schedules {
-        return Err(CommandError::NothingPlayed);
+    if totals.skipped == arguments.schedules {
+        return Err(CommandError::NoScheduleRun);
+    }
+    if totals.violations.is_empty() {
+        Ok(())
+    } else {
+        Err(CommandError::InvariantViolations(totals.violations.len()))
     }
-    if totals.faults.is_empty() { Ok(()) } else { Err(CommandError::RulesBroken(totals.faults.len())) }
 }
 
 fn read_script(path: &Path, routers: usize) -> Result<Vec<Step>, CommandError> {
@@ -120,38 +128,37 @@
     parse_script(&text, routers).map_err(|source| CommandError::Script { path: path.to_path_buf(), source })
 }
 
-/// What the threads that play schedules share.
+/// State shared by the threads that run schedules.
 struct Runner<'a> {
     arguments: &'a FleetArguments,
     files: RouterFiles,
     script: Option<Vec<Step>>,
-    /// The schedule that is to be played next.
+    /// Number of the next schedule to run.
     next: AtomicU64,
     totals: Mutex<Totals>,
 }
 
 impl Runner<'_> {
-    fn play_all(&self) -> Result<(), CommandError> {
+    fn run_all(&self) -> Result<(), CommandError> {
         let workers = self.arguments.parallel.clamp(1, MAX_PARALLEL);
         thread::scope(|scope| {
-            let workers: Vec<_> =
-                (0..workers).map(|_| scope.spawn(|| self.play_until_none_is_left())).collect();
+            let workers: Vec<_> = (0..workers).map(|_| scope.spawn(|| self.run_remaining())).collect();
             workers.into_iter().try_for_each(|worker| worker.join().map_err(|_| CommandError::Panicked)?)
         })
     }
 
-    fn play_until_none_is_left(&self) -> Result<(), CommandError> {
+    fn run_remaining(&self) -> Result<(), CommandError> {
         loop {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
             if number >= self.arguments.schedules {
                 return Ok(());
             }
-            self.play(self.arguments.seed + number)?;
+            self.run_schedule(self.arguments.seed + number)?;
         }
     }
 
-    /// Plays one schedule on a cluster of its own.
-    fn play(&self, seed: u64) -> Result<(), CommandError> {
+    /// Runs one schedule on a new cluster.
+    fn run_schedule(&self, seed: u64) -> Result<(), CommandError> {
         let plan =
             ClusterPlan { routers: self.arguments.routers, seed, floor: seed % 2, ..ClusterPlan::default() };
         let mut cluster = Cluster::new(plan, &self.files.program, &self.files.example)?;
@@ -161,23 +168,24 @@
             return Ok(());
         }
         cluster.start_load(self.arguments.clients, WRITE_EVERY);
-        thread::sleep(GRANTS_OVER);
+        thread::sleep(GRANT_EXPIRY);
         match &self.script {
             Some(steps) => cluster.play(steps)?,
             None => cluster.run_random_faults(self.arguments.seconds)?,
         }
-        thread::sleep(SETTLING);
+        thread::sleep(SETTLE_TIME);
         let answers = cluster.stop_load();
         let verdict = cluster.audit()?;
         lock(&self.totals).add(seed, verdict, &answers);
         Ok(())
     }
 
-    /// Counts a schedule that can't be played, and shows why; the others go on.
+    /// Counts a schedule that cannot be run and prints the logs of the routers that are not ready; the other schedules
+    /// continue.
     fn skip(&self, seed: u64, cluster: &Cluster) {
-        let late = (0..cluster.routers.len()).filter(|index| !cluster.is_ready(*index));
-        let logs: String = late.map(|index| format!("r{index}: {}", cluster.log(index))).collect();
-        lock(&self.totals).not_played += 1;
-        eprintln!("seed {seed}: not all routers came up\n{logs}");
+        let not_ready = (0..cluster.routers.len()).filter(|index| !cluster.is_ready(*index));
+        let logs: String = not_ready.map(|index| format!("r{index}: {}", cluster.log(index))).collect();
+        lock(&self.totals).skipped += 1;
+        eprintln!("seed {seed}: not all routers answered clients within the timeout\n{logs}");
     }
 }
--- a/crates/testkit/src/command/mod.rs
+++ b/crates/testkit/src/command/mod.rs
@@ -14,11 +14,11 @@
 
 pub use error::CommandError;
 
-/// Where the router of `example/router.json` listens.
+/// Address at which the router of `example/router.json` listens.
 const ROUTER: &str = "127.0.0.1:7400";
-/// Where that router looks for discovery.
+/// Address at which that router expects discovery.
 const DISCOVERY: &str = "127.0.0.1:7500";
-/// Where the endpoints of the command `serve` listen.
+/// Addresses at which the endpoints of the command `serve` listen.
 const ENDPOINTS: [&str; 3] = ["127.0.0.1:7601", "127.0.0.1:7602", "127.0.0.1:7603"];
 
 /// The testkit of ottersill, on loopback: a stand-in store, clusters of router processes under faults, and large deployments.
@@ -31,20 +31,20 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts a stand-in store of three endpoints and its discovery; lines on standard input change them.
+    /// Starts a stand-in store of three endpoints and its discovery, which lines on standard input change.
     Serve,
-    /// Sends one statement to the router of the example.
+    /// Sends one statement to the router of example/router.json.
     #[command(subcommand)]
     Ask(ask::Statement),
-    /// Plays schedules of faults on routers that share budgets, and audits them.
+    /// Runs fault schedules on routers that share budgets, and audits the routers.
     Fleet(fleet::FleetArguments),
-    /// Times statements through a router that talks to others and through one that does not, in turn.
+    /// Measures statement latency and CPU time of routers with and without a fleet, in turn.
     Cost(cost::CostArguments),
-    /// Compares what a router needs in a small and in a large deployment, and fails where it grows beyond its bounds.
+    /// Compares what a router needs in a small and in a large deployment, and fails if a bound is exceeded.
     Scale(scale::ScaleArguments),
 }
 
-/// Runs a command to its end.
+/// Runs a command to completion.
 pub fn run(arguments: &Arguments) -> Result<(), CommandError> {
     match &arguments.command {
         Command::Serve => serve::run(),
@@ -55,14 +55,14 @@
     }
 }
 
-/// The built router and the text of the settings that each router's are made of.
+/// The router executable, and the text of the configuration from which that of each router is made.
 struct RouterFiles {
     program: PathBuf,
     example: String,
 }
 
 impl RouterFiles {
-    /// Without `program` the router beside this program is taken.
+    /// Uses the router next to this program if `program` is `None`.
     fn find(program: Option<&Path>, example: &Path) -> Result<RouterFiles, CommandError> {
         let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("ottersill"));
         let program = program.map_or_else(beside, |program| Ok(program.to_path_buf()))?;
--- a/crates/testkit/src/command/scale.rs
+++ b/crates/testkit/src/command/scale.rs
@@ -14,43 +14,43 @@
 /// Arguments of `scale`.
 #[derive(Args)]
 pub(super) struct ScaleArguments {
-    /// Hosts of the small deployment.
+    /// Number of endpoints in the small deployment.
     #[arg(long, default_value_t = 200)]
     small: usize,
-    /// Hosts of the large deployment.
+    /// Number of endpoints in the large deployment.
     #[arg(long, default_value_t = 3200)]
     large: usize,
-    /// Routers that the settings tell of in the small deployment.
+    /// Number of routers that the configuration states in the small deployment.
     #[arg(long, default_value_t = 300)]
     small_routers: usize,
-    /// Routers that the settings tell of in the large deployment.
+    /// Number of routers that the configuration states in the large deployment.
     #[arg(long, default_value_t = 900)]
     large_routers: usize,
-    /// After how many milliseconds idle connections to hosts are closed; else as the settings say.
+    /// Milliseconds after which idle connections to endpoints are closed; by default, the value in the configuration.
     #[arg(long)]
     keepalive_ms: Option<u64>,
-    /// Requests a second; a fifth are writes.
+    /// Requests per second, of which a fifth are writes.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// How long each run sends requests.
+    /// Duration of the load of each run, in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// The part of the hosts that is replaced during a run.
+    /// Fraction of the endpoints that is replaced during a run.
     #[arg(long, default_value_t = 0.1)]
     replaced: f64,
-    /// The first seed; each further run takes the next.
+    /// Seed of the first run; each further run takes the next.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Runs of each deployment, in turn; medians are compared.
+    /// Number of runs of each deployment, in turn; the medians are compared.
     #[arg(long, default_value_t = 1)]
     runs: u64,
-    /// Writes the table and all runs to this file, as JSON.
+    /// File to which the table and all runs are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The built router; else the one beside this program.
+    /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The settings that the router's are made of.
+    /// The configuration from which that of the router is made.
     #[arg(long, default_value = "example/router.json")]
     config: PathBuf,
 }
@@ -61,16 +61,16 @@
             hosts,
             routers,
             keepalive: self.keepalive_ms.map(Duration::from_millis),
-            rate: self.rate,
+            requests_per_second: self.rate,
             duration: Duration::from_secs_f64(self.seconds),
-            replaced: self.replaced,
+            replaced_fraction: self.replaced,
             seed,
             ..ScalePlan::default()
         }
     }
 }
 
-/// Measures both deployments in turn, prints the table, and fails if a row is not within its bound.
+/// Measures both deployments in turn and prints the table. Fails if a row is not within its bound.
 pub(super) fn run(arguments: &ScaleArguments) -> Result<(), CommandError> {
     let files = RouterFiles::find(arguments.program.as_deref(), &arguments.config)?;
     let (mut small, mut large) = (Vec::new(), Vec::new());
--- a/crates/testkit/src/command/serve.rs
+++ b/crates/testkit/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: a stand-in store, changed by lines on standard input.
+//! `serve`: runs a stand-in store that lines on standard input change.
 
 use std::io::{self, BufRead};
 
@@ -6,10 +6,10 @@
 
 use super::{CommandError, DISCOVERY, ENDPOINTS};
 
-/// What discovery can say of an endpoint.
-const HEALTHS: [&str; 3] = ["active", "leaving", "left"];
+/// Health states that discovery can report for an endpoint.
+const HEALTH_STATES: [&str; 3] = ["active", "leaving", "left"];
 
-/// Serves until the end of input; each line gives an endpoint another behaviour or health: `0 silent`, `2 leaving`.
+/// Serves until the end of input. Each line sets the behaviour or the health of an endpoint: `0 silent`, `2 leaving`.
 pub(super) fn run() -> Result<(), CommandError> {
     let store = StandInStore::default();
     for address in ENDPOINTS {
@@ -18,21 +18,21 @@
     println!("discovery at {}", store.add_discovery(DISCOVERY)?);
     for line in io::stdin().lock().lines() {
         let line = line?;
-        if !change(&store, &line) {
+        if !apply_line(&store, &line) {
             println!("expected a host's number and a behaviour or a health, found {line:?}");
         }
     }
     Ok(())
 }
 
-/// Does what a line says; false if it says nothing that can be done.
-fn change(store: &StandInStore, line: &str) -> bool {
+/// Applies a line of input; returns false if the line is invalid.
+fn apply_line(store: &StandInStore, line: &str) -> bool {
     let (number, word) = line.trim().split_once(' ').unwrap_or_default();
     let endpoint = number.parse().ok().filter(|endpoint| *endpoint < store.endpoint_count());
     let Some(endpoint) = endpoint else { return false };
     if let Some(behaviour) = Behaviour::named(word) {
         store.set_behaviour(endpoint, behaviour);
-    } else if let Some(health) = HEALTHS.into_iter().find(|health| *health == word) {
+    } else if let Some(health) = HEALTH_STATES.into_iter().find(|health| *health == word) {
         store.set_health(endpoint, health);
     } else {
         return false;
--- a/crates/testkit/src/scale/discovery.rs
+++ b/crates/testkit/src/scale/discovery.rs
@@ -1,4 +1,4 @@
-//! Plays the changes of discovery's list, one each second.
+//! Applies the changes of discovery's endpoint list, one per second.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -7,12 +7,12 @@
 
 use super::plan::CHANGE_INTERVAL;
 
-/// Until the first change.
-const FIRST_CHANGE: Duration = Duration::from_millis(500);
+/// Delay of the first change.
+const FIRST_CHANGE_DELAY: Duration = Duration::from_millis(500);
 
-/// Makes all changes; returns after the last.
-pub(super) fn play_changes(store: &StandInStore, changes: &[MembershipChange]) {
-    let mut due = Instant::now() + FIRST_CHANGE;
+/// Applies all changes, and returns after the last one.
+pub(super) fn apply_changes(store: &StandInStore, changes: &[MembershipChange]) {
+    let mut due = Instant::now() + FIRST_CHANGE_DELAY;
     for change in changes {
         thread::sleep(due.saturating_duration_since(Instant::now()));
         store.change_members(change);
--- a/crates/testkit/src/scale/growth.rs
+++ b/crates/testkit/src/scale/growth.rs
@@ -1,4 +1,4 @@
-//! What is compared between a small and a large deployment, and how far each may grow.
+//! The quantities that are compared between a small and a large deployment, and their bounds.
 
 use std::fmt;
 
@@ -10,60 +10,60 @@
 
 const BYTES_PER_MB: f64 = 1e6;
 const BYTES_PER_KB: f64 = 1e3;
-const HOSTS_PER_THOUSAND: f64 = 1e3;
+const THOUSAND: f64 = 1e3;
 
-/// What is compared.
+/// A quantity that is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Processor time of the router, in seconds.
+    /// CPU time of the router, in seconds.
     Cpu,
-    /// The router's peak of resident memory, in megabytes.
+    /// Peak resident memory of the router, in megabytes.
     PeakMemory,
-    /// The most descriptors that the router had open.
+    /// Highest number of descriptors that the router had open.
     Descriptors,
-    /// Connections made to endpoints.
+    /// Number of connections made to endpoints.
     Connections,
-    /// Lists from discovery, in kilobytes.
+    /// Size of the endpoint lists sent by discovery, in kilobytes.
     Lists,
-    /// Health checks begun.
+    /// Number of health checks started.
     HealthChecks,
-    /// The part of the requests that was answered with a result.
+    /// Fraction of the requests answered with a row.
     Served,
 }
 
-/// How far a quantity of a large deployment may be from that of a small one.
+/// How the bound on a quantity of a large deployment depends on that of a small one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Growth {
-    /// At most `factor` times the small one's, and `constant`, and `per_thousand` for each thousand endpoints of the large
-    /// one.
+    /// At most `factor` times the value of the small deployment, plus `constant`, plus `per_thousand` for each thousand
+    /// endpoints of the large deployment.
     AtMost {
-        /// Of what the small one needs.
+        /// Multiplier of the value of the small deployment.
         factor: f64,
-        /// Whatever the sizes are.
+        /// Allowance that does not depend on the sizes.
         constant: f64,
-        /// For each thousand endpoints.
+        /// Allowance for each thousand endpoints.
         per_thousand: f64,
     },
-    /// At least `factor` times the small one's.
+    /// At least `factor` times the value of the small deployment.
     AtLeast {
-        /// Of what the small one has.
+        /// Multiplier of the value of the small deployment.
         factor: f64,
     },
 }
 
 impl Growth {
-    /// The bound of a deployment of `hosts` endpoints, where the small one has `small`.
-    pub fn bound(self, small: f64, hosts: usize) -> f64 {
+    /// Returns the bound for a large deployment with this number of endpoints, if the value of the small one is `small`.
+    pub fn bound(self, small: f64, endpoints: usize) -> f64 {
         match self {
             Growth::AtMost { factor, constant, per_thousand } => {
-                factor * small + constant + per_thousand * size_to_f64(hosts) / HOSTS_PER_THOUSAND
+                factor * small + constant + per_thousand * size_to_f64(endpoints) / THOUSAND
             }
             Growth::AtLeast { factor } => factor * small,
         }
     }
 
-    /// Whether `value` is within that bound.
+    /// Returns whether `value` is within the bound.
     pub fn allows(self, value: f64, bound: f64) -> bool {
         match self {
             Growth::AtMost { .. } => value <= bound,
@@ -73,7 +73,7 @@
 }
 
 impl Quantity {
-    /// All, in the order of the table.
+    /// All quantities, in the order of the table.
     pub const ALL: [Quantity; 7] = [
         Quantity::Cpu,
         Quantity::PeakMemory,
@@ -84,7 +84,7 @@
         Quantity::Served,
     ];
 
-    /// How far it may grow.
+    /// Returns the bound of the quantity relative to a small deployment.
     pub fn growth(self) -> Growth {
         let at_most = |factor, constant, per_thousand| Growth::AtMost { factor, constant, per_thousand };
         match self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// What one run came to.
+    /// Returns the value of the quantity in one run.
     pub fn of(self, measurement: &Measurement) -> f64 {
         match self {
             Quantity::Cpu => measurement.cpu_seconds,
@@ -107,11 +107,11 @@
             Quantity::Connections => count_to_f64(measurement.backend_connections),
             Quantity::Lists => count_to_f64(measurement.list_bytes) / BYTES_PER_KB,
             Quantity::HealthChecks => count_to_f64(measurement.health_checks),
-            Quantity::Served => measurement.served(),
+            Quantity::Served => measurement.served_fraction(),
         }
     }
 
-    /// Digits after the point that say something.
+    /// Number of decimals that are printed.
     pub(super) fn decimals(self) -> usize {
         match self {
             Quantity::Cpu | Quantity::Served => 3,
--- a/crates/testkit/src/scale/load.rs
+++ b/crates/testkit/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! Clients in an open loop: each request is sent when it is due, whether earlier ones are answered or not.
+//! Open-loop load: each request is sent when it is due, whether or not earlier requests have been answered.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 
 use super::plan::ScalePlan;
 
-/// A session that has been idle for so long is not used again: the router ends idle ones after two seconds.
+/// Sessions that have been idle for longer are not reused, as the router closes idle ones after two seconds.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// One request.
+/// One request of the load.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
-    /// When it is due, from the start of the load.
+    /// Time from the start of the load at which the request is due.
     at: Duration,
     number: u64,
     is_write: bool,
     group: u64,
 }
 
-/// The requests of a plan: a Poisson process, each request to a replica set drawn evenly.
+/// Draws the requests of a plan: their times from a Poisson process, the replica set of each from a uniform distribution.
 fn arrivals(plan: &ScalePlan) -> Vec<Arrival> {
     let mut random = SmallRng::seed_from_u64(plan.seed);
     let mut times: Vec<Duration> =
@@ -43,7 +43,7 @@
     times.into_iter().enumerate().map(arrival).collect()
 }
 
-/// Sends all requests of the plan, and returns once the last is answered, with what they were answered.
+/// Sends all requests of the plan, waits for the last answer, and returns the counts of the answers.
 pub(super) fn run(plan: &ScalePlan, router: SocketAddr) -> Answers {
     let sessions = Sessions { router, idle: Mutex::new(Vec::new()) };
     let answers = Mutex::new(Answers::default());
@@ -62,24 +62,24 @@
     answers.into_inner().unwrap_or_default()
 }
 
-/// Sessions with the router; there are as many as there were ever requests at a time.
+/// Sessions with the router. A new one is opened if all others are in use.
 struct Sessions {
     router: SocketAddr,
-    /// With the time from which each has been idle, the longest first.
+    /// Idle sessions with the time at which each became idle, the longest idle first.
     idle: Mutex<Vec<(Instant, Client)>>,
 }
 
 impl Sessions {
     fn ask(&self, arrival: Arrival) -> io::Result<String> {
         let Arrival { number, is_write, group, .. } = arrival;
-        let mut session = self.take()?;
+        let mut session = self.acquire()?;
         let answer = session.ask(&statement_text(number, is_write, group))?;
         lock(&self.idle).push((Instant::now(), session));
         Ok(answer)
     }
 
-    /// The session that was used last, or a new one.
-    fn take(&self) -> io::Result<Client> {
+    /// Returns the session that was used last, or a new one if none is idle.
+    fn acquire(&self) -> io::Result<Client> {
         let mut idle = lock(&self.idle);
         idle.retain(|(since, _)| since.elapsed() < MAX_IDLE);
         if let Some((_, session)) = idle.pop() {
--- a/crates/testkit/src/scale/measurement.rs
+++ b/crates/testkit/src/scale/measurement.rs
@@ -1,4 +1,4 @@
-//! One run: starts the endpoints and a router, sends the load, and reads what the router has used.
+//! One run: starts the endpoints and a router, sends the load, and reads the resource usage of the router.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,63 +9,63 @@
 use crate::cluster::Answers;
 use crate::convert::{count_to_f64, size_to_f64};
 
-use super::discovery::play_changes;
-use super::hosts::Hosts;
+use super::discovery::apply_changes;
+use super::endpoints::Endpoints;
 use super::router::MeasuredRouter;
 use super::{ScaleError, ScalePlan, load};
 
-/// What one run came to, from the start of the router's process to the last answer.
+/// Results of one run, from the start of the router's process to the last answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// Processor time of the router, in seconds.
+    /// CPU time of the router, in seconds.
     pub cpu_seconds: f64,
-    /// The router's peak of resident memory, in bytes.
+    /// Peak resident memory of the router, in bytes.
     pub peak_memory_bytes: u64,
-    /// The most descriptors that the router was seen to have open.
+    /// Highest sampled number of descriptors that the router had open.
     pub peak_descriptors: usize,
-    /// Connections that the endpoints accepted.
+    /// Number of connections that the endpoints accepted.
     pub backend_connections: u64,
-    /// Connections to endpoints that the router says it opened.
+    /// Number of connections to endpoints that the router opened, according to its counters.
     pub backend_connections_opened: u64,
-    /// Bytes of lists that discovery sent.
+    /// Size of the endpoint lists that discovery sent, in bytes.
     pub list_bytes: u64,
-    /// Health checks that the router says it began.
+    /// Number of health checks that the router started, according to its counters.
     pub health_checks: u64,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requests: usize,
-    /// Requests that were answered with a row, in their time.
+    /// Requests answered with a row before their deadline.
     pub completed: u64,
-    /// Requests that were rejected: nothing ran.
+    /// Requests rejected without an attempt.
     pub rejected: u64,
-    /// Requests that were answered with another error.
+    /// Requests answered with another error.
     pub aborted: u64,
-    /// Requests whose connection ended, or that were not answered.
+    /// Requests without a valid answer, or whose connection was closed or timed out.
     pub unanswered: u64,
 }
 
 impl Measurement {
-    /// Plays the plan on one router. `program` is the built router, `example` the text of `example/router.json`, whose
-    /// addresses, number of routers and idle time of connections are replaced.
+    /// Measures one router under the plan. `program` is the router executable, `example` the text of `example/router.json`,
+    /// in which the addresses, the number of routers and the idle timeout of connections are replaced.
     pub fn run(plan: &ScalePlan, program: &Path, example: &str) -> Result<Measurement, ScaleError> {
-        let hosts = Hosts::start(plan)?;
-        let router = MeasuredRouter::start(plan, &hosts, program, example)?;
+        let endpoints = Endpoints::start(plan)?;
+        let router = MeasuredRouter::start(plan, &endpoints, program, example)?;
         let usage = router.usage()?;
         let stopped = AtomicBool::new(false);
         let (answers, peak_descriptors) = thread::scope(|scope| {
             let peak_descriptors = scope.spawn(|| usage.peak_descriptors(&stopped));
-            scope.spawn(|| play_changes(&hosts.store, &hosts.changes));
+            scope.spawn(|| apply_changes(&endpoints.store, &endpoints.changes));
             let answers = load::run(plan, router.listen());
             stopped.store(true, Ordering::Relaxed);
             (answers, peak_descriptors.join())
         });
         let peak_descriptors = peak_descriptors.unwrap_or(Ok(0)).map_err(ScaleError::Process)?;
-        Measurement::read(plan, &hosts, &router, answers, peak_descriptors)
+        Measurement::collect(plan, &endpoints, &router, answers, peak_descriptors)
     }
 
-    /// Reads what the router has used until now.
-    fn read(
+    /// Collects the results at the end of the run.
+    fn collect(
         plan: &ScalePlan,
-        hosts: &Hosts,
+        endpoints: &Endpoints,
         router: &MeasuredRouter,
         answers: Answers,
         peak_descriptors: usize,
@@ -75,9 +75,9 @@
             cpu_seconds: router.cpu_seconds(),
             peak_memory_bytes: router.usage()?.peak_memory().map_err(ScaleError::Process)?,
             peak_descriptors,
-            backend_connections: hosts.store.connections_accepted(),
+            backend_connections: endpoints.store.connections_accepted(),
             backend_connections_opened: counters.value("backend_connections_opened")?,
-            list_bytes: hosts.store.list_bytes_sent(),
+            list_bytes: endpoints.store.list_bytes_sent(),
             health_checks: counters.value("health_checks")?,
             requests: plan.requests(),
             completed: answers.completed,
@@ -87,8 +87,8 @@
         })
     }
 
-    /// The part of the requests that was answered with a row, in their time.
-    pub fn served(&self) -> f64 {
+    /// Returns the fraction of the requests that were answered with a row before their deadline.
+    pub fn served_fraction(&self) -> f64 {
         count_to_f64(self.completed) / size_to_f64(self.requests.max(1))
     }
 }
--- a/crates/testkit/src/scale/mod.rs
+++ b/crates/testkit/src/scale/mod.rs
@@ -1,16 +1,16 @@
-//! What one router of the built program needs in a large deployment, compared with a small one under the same traffic: a
-//! stand-in store of thousands of endpoints, each at a loopback address of its own, a change of discovery's list each
-//! second, and clients in an open loop.
+//! Compares the resource usage of one router in a large deployment with that in a small one under the same load. A
+//! deployment is a stand-in store with up to thousands of endpoints, each at its own loopback address, a change of
+//! discovery's endpoint list every second, and open-loop clients.
 //!
-//! - [`ScalePlan`]: how many endpoints there are, and what is done to the router
-//! - [`Measurement`]: what one run came to
-//! - [`Quantity`]: what is compared, and how far it may grow
-//! - [`Comparison`]: the table, with a bound and a verdict for each row
+//! - [`ScalePlan`]: the number of endpoints, the load and the changes of one run
+//! - [`Measurement`]: the results of one run
+//! - [`Quantity`]: a quantity that is compared, and its bound
+//! - [`Comparison`]: the table with a bound and a verdict in each row
 
 mod discovery;
+mod endpoints;
 mod error;
 mod growth;
-mod hosts;
 mod load;
 mod measurement;
 mod plan;
--- a/crates/testkit/src/scale/plan.rs
+++ b/crates/testkit/src/scale/plan.rs
@@ -1,55 +1,55 @@
-//! What one run is made of.
+//! Parameters of one run.
 
 use std::time::Duration;
 
 use crate::convert::{round_to_size, size_to_f64};
 
-/// Members of each replica set.
+/// Number of endpoints in each replica set.
 pub(super) const GROUP_SIZE: usize = 5;
-/// Between two changes of discovery's list.
+/// Interval between two changes of discovery's endpoint list.
 pub(super) const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one run is made of.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct ScalePlan {
-    /// Endpoints that are in service at a time.
+    /// Number of endpoints in service at a time.
     pub hosts: usize,
-    /// How many routers the settings tell of; one of them is started.
+    /// Number of routers that the configuration states; only one is started.
     pub routers: usize,
-    /// After how long an idle connection to an endpoint is closed, in place of what the example's settings say.
+    /// Time after which an idle connection to an endpoint is closed; `None` keeps the value of the example configuration.
     pub keepalive: Option<Duration>,
-    /// Requests a second.
-    pub rate: f64,
-    /// One request in so many is a write; none if that is zero.
+    /// Requests per second.
+    pub requests_per_second: f64,
+    /// One request in this many is a write; with zero, none is.
     pub write_every: usize,
-    /// How long clients send.
+    /// Duration of the load.
     pub duration: Duration,
-    /// The part of the endpoints that is replaced, spread over the run. Each change of the list replaces at least one.
-    pub replaced: f64,
-    /// Seed of the router, of the clients, and of which endpoints are replaced.
+    /// Fraction of the endpoints that is replaced during the run. Each change of the list replaces at least one endpoint.
+    pub replaced_fraction: f64,
+    /// Seed of the router, of the load, and of the choice of the endpoints that are replaced.
     pub seed: u64,
 }
 
 impl ScalePlan {
-    /// How many replica sets there are; the last may have fewer members.
+    /// Returns the number of replica sets, the last of which may have fewer endpoints.
     pub(super) fn groups(&self) -> usize {
         self.hosts.div_ceil(GROUP_SIZE)
     }
 
-    /// How many changes of the list there are.
+    /// Returns the number of changes of the endpoint list.
     pub(super) fn changes(&self) -> usize {
         round_to_size(self.duration.div_duration_f64(CHANGE_INTERVAL).floor())
     }
 
-    /// How many endpoints are replaced.
+    /// Returns the number of endpoints that are replaced.
     pub(super) fn replacements(&self) -> usize {
-        let part = round_to_size(size_to_f64(self.hosts) * self.replaced);
-        part.max(self.changes()).min(self.hosts)
+        let replaced = round_to_size(size_to_f64(self.hosts) * self.replaced_fraction);
+        replaced.max(self.changes()).min(self.hosts)
     }
 
-    /// How many requests clients send.
+    /// Returns the number of requests that clients send.
     pub(super) fn requests(&self) -> usize {
-        round_to_size(self.rate * self.duration.as_secs_f64())
+        round_to_size(self.requests_per_second * self.duration.as_secs_f64())
     }
 }
 
@@ -59,10 +59,10 @@
             hosts: 200,
             routers: 300,
             keepalive: None,
-            rate: 20.0,
+            requests_per_second: 20.0,
             write_every: 5,
             duration: Duration::from_secs(20),
-            replaced: 0.1,
+            replaced_fraction: 0.1,
             seed: 1,
         }
     }
--- a/crates/testkit/src/scale/process_usage.rs
+++ b/crates/testkit/src/scale/process_usage.rs
@@ -1,4 +1,4 @@
-//! What a process uses, as the kernel tells it under `/proc`.
+//! Resource usage of a process, as the kernel reports it in `/proc`.
 
 use std::fs;
 use std::io;
@@ -7,32 +7,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between two counts of descriptors.
+/// Interval between two counts of the open descriptors.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// The line of `status` that has the peak of the resident memory.
-const PEAK_MEMORY: &str = "VmHWM:";
+/// Prefix of the line in `status` that contains the peak resident memory.
+const PEAK_MEMORY_PREFIX: &str = "VmHWM:";
 const BYTES_PER_KB: u64 = 1024;
 
-/// One process, by its folder under `/proc`.
+/// Reads the resource usage of one process from its folder in `/proc`.
 pub(super) struct ProcessUsage {
     folder: PathBuf,
 }
 
 impl ProcessUsage {
-    /// That of the process with this id.
+    /// Returns a reader for the process with this id.
     pub(super) fn of(process: u32) -> ProcessUsage {
         ProcessUsage { folder: PathBuf::from(format!("/proc/{process}")) }
     }
 
-    /// The most resident memory that it ever had, in bytes.
+    /// Returns the peak resident memory, in bytes.
     pub(super) fn peak_memory(&self) -> io::Result<u64> {
         let status = fs::read_to_string(self.folder.join("status"))?;
-        let line = status.lines().find_map(|line| line.strip_prefix(PEAK_MEMORY));
+        let line = status.lines().find_map(|line| line.strip_prefix(PEAK_MEMORY_PREFIX));
         let kilobytes = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok());
         kilobytes.map(|kilobytes| kilobytes * BYTES_PER_KB).ok_or(io::ErrorKind::InvalidData.into())
     }
 
-    /// Counts its open descriptors again and again until `stopped`, and returns the highest count.
+    /// Samples the number of open descriptors until `stopped` is set, and returns the highest.
     pub(super) fn peak_descriptors(&self, stopped: &AtomicBool) -> io::Result<usize> {
         let mut peak = 0;
         while !stopped.load(Ordering::Relaxed) {
--- a/crates/testkit/src/scale/report.rs
+++ b/crates/testkit/src/scale/report.rs
@@ -6,38 +6,38 @@
 
 use super::{Growth, Measurement, Quantity};
 
-/// One quantity of both deployments: medians of all runs.
+/// One quantity in both deployments, as medians of all runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// What is compared.
+    /// The quantity that is compared.
     pub quantity: Quantity,
-    /// The small deployment's.
+    /// Value in the small deployment.
     pub small: f64,
-    /// The large deployment's.
+    /// Value in the large deployment.
     pub large: f64,
-    /// How far the large deployment's may go.
+    /// Bound on the value in the large deployment.
     pub bound: f64,
-    /// Whether it is within that.
+    /// Whether the value in the large deployment is within the bound.
     pub is_within: bool,
 }
 
-/// A small and a large deployment beside each other.
+/// Comparison of a small and a large deployment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// Endpoints of the small one.
+    /// Number of endpoints in the small deployment.
     pub small_hosts: usize,
-    /// Endpoints of the large one.
+    /// Number of endpoints in the large deployment.
     pub large_hosts: usize,
-    /// One for each quantity.
+    /// One row for each quantity.
     pub rows: Vec<Row>,
-    /// All runs of the small one.
+    /// All runs of the small deployment.
     pub small: Vec<Measurement>,
-    /// All runs of the large one.
+    /// All runs of the large deployment.
     pub large: Vec<Measurement>,
 }
 
 impl Comparison {
-    /// Compares the medians of these runs.
+    /// Compares the medians of the runs. Each argument is the number of endpoints of a deployment and its runs.
     pub fn new(
         (small_hosts, small): (usize, Vec<Measurement>),
         (large_hosts, large): (usize, Vec<Measurement>),
@@ -52,18 +52,18 @@
         Comparison { small_hosts, large_hosts, rows, small, large }
     }
 
-    /// The row of a quantity.
+    /// Returns the row of a quantity.
     pub fn row(&self, quantity: Quantity) -> Option<&Row> {
         self.rows.iter().find(|row| row.quantity == quantity)
     }
 
-    /// How many rows are not within their bound.
+    /// Returns the number of rows that are not within their bound.
     pub fn exceeded(&self) -> usize {
         self.rows.iter().filter(|row| !row.is_within).count()
     }
 }
 
-/// The median of a quantity; of an even number of runs, the higher of the two in the middle.
+/// Returns the median of a quantity; for an even number of runs, the higher of the two middle values.
 fn median(quantity: Quantity, runs: &[Measurement]) -> f64 {
     let mut values: Vec<f64> = runs.iter().map(|run| quantity.of(run)).collect();
     values.sort_by(f64::total_cmp);
