--- a/crates/testkit/src/cluster/fault_schedule/random.rs
+++ b/crates/testkit/src/cluster/fault_schedule/random.rs
@@ -10,8 +10,8 @@
 use crate::cluster::{Cluster, ClusterError};
 use crate::fault_proxy::{LinkFaults, StreamFaults};
 
-/// Ranges from which the constant faults of the links between routers are drawn: the probabilities of loss and of
-/// duplication, and the longest delay.
+/// Ranges from which the faults are drawn that the links between routers have throughout a schedule: the probabilities of
+/// loss and of duplication, and the longest delay.
 const LOSS_PROBABILITY: Range<f64> = 0.0..0.15;
 const DUPLICATION_PROBABILITY: Range<f64> = 0.0..0.15;
 const MAX_DELAY_SECONDS: Range<f64> = 0.0..0.03;
--- a/crates/testkit/src/cluster/fault_schedule/script.rs
+++ b/crates/testkit/src/cluster/fault_schedule/script.rs
@@ -37,9 +37,9 @@
     BadLoad(#[from] std::num::ParseIntError),
 }
 
-/// Parses a script with one step on each line: `1.5 kill r2`, `2 stop leader`, `2 part r0,r1 r2,r3`, `3 cut r0 r1`, `3 links lost=0.1
-/// twice=0.1 delay=0.02`, `4 heal`, `5 start r2`, `5 term r1`, `6 load 4,0,40`. A `#` starts a comment. Returns the steps in
-/// the order of their times. The error contains the number of the line.
+/// Parses a script with one step on each line: `1.5 kill r2`, `2 stop leader`, `2 part r0,r1 r2,r3`, `3 cut r0 r1`,
+/// `3 links lost=0.1 twice=0.1 delay=0.02`, `4 heal`, `5 start r2`, `5 term r1`, `6 load 4,0,40`. A `#` starts a comment.
+/// Returns the steps in the order of their times. The error contains the number of the line.
 pub fn parse_script(text: &str, routers: usize) -> Result<Vec<Step>, ScriptError> {
     let parser = StepParser { routers };
     let mut steps = Vec::new();
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -25,7 +25,7 @@
 pub struct Answers {
     /// Statements answered with a row.
     pub completed: u64,
-    /// Statements rejected without an attempt.
+    /// Statements that were rejected; none of them was executed.
     pub rejected: u64,
     /// Statements answered with another error.
     pub aborted: u64,
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -16,7 +16,8 @@
 
 use super::{CommandError, RouterFiles, read_file};
 
-/// Wait after the start of the load until all grants of an earlier leader have expired.
+/// Time between the start of the load and the first fault, after which all grants that an earlier leader might have issued
+/// have expired.
 const GRANT_EXPIRY: Duration = Duration::from_millis(3500);
 /// Time between the last fault and the end of the load.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
--- a/crates/testkit/src/scale/measurement.rs
+++ b/crates/testkit/src/scale/measurement.rs
@@ -35,7 +35,7 @@
     pub requests: usize,
     /// Requests answered with a row before their deadline.
     pub completed: u64,
-    /// Requests rejected without an attempt.
+    /// Requests that were rejected; none of them was executed.
     pub rejected: u64,
     /// Requests answered with another error.
     pub aborted: u64,
