--- a/crates/testkit/src/cluster/fault_schedule/script.rs
+++ b/crates/testkit/src/cluster/fault_schedule/script.rs
@@ -18,16 +18,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepError {
     /// The line does not start with a time of zero or more seconds.
-    #[error("a step starts with its time in seconds")]
+    #[error("a step begins with its time in seconds")]
     NoTime,
     /// A router name does not have the form `r2`, or its index is not below the number of routers.
-    #[error("unknown router {0:?}")]
+    #[error("no router is called {0:?}")]
     UnknownRouter(String),
     /// The step is unknown, or its arguments are missing or superfluous.
     #[error("unknown step {0:?}")]
     UnknownStep(String),
     /// The name of a link fault is unknown.
-    #[error("unknown link fault {0:?}")]
+    #[error("no link fault is called {0:?}")]
     UnknownLinkFault(String),
     /// The value of a link fault is out of range.
     #[error("{0:?}: expected a number from 0 to 1")]
--- a/crates/testkit/src/command/error.rs
+++ b/crates/testkit/src/command/error.rs
@@ -36,7 +36,7 @@
     #[error("not all routers answered clients within the timeout")]
     NotReady,
     /// A thread that ran schedules panicked.
-    #[error("a thread that ran schedules panicked")]
+    #[error("a schedule's thread panicked")]
     Panicked,
     /// No schedule was run: each was skipped because routers did not answer clients in time.
     #[error("no schedule was run")]
--- a/crates/testkit/tests/fault_script.rs
+++ b/crates/testkit/tests/fault_script.rs
@@ -49,14 +49,14 @@
 }
 
 #[rstest]
-#[case::no_time("heal", StepError::NoTime, "a step starts with its time in seconds")]
-#[case::negative_time("-1 heal", StepError::NoTime, "a step starts with its time in seconds")]
-#[case::unknown_router("1 kill r4", StepError::UnknownRouter("r4".into()), "unknown router \"r4\"")]
+#[case::no_time("heal", StepError::NoTime, "a step begins with its time in seconds")]
+#[case::negative_time("-1 heal", StepError::NoTime, "a step begins with its time in seconds")]
+#[case::unknown_router("1 kill r4", StepError::UnknownRouter("r4".into()), "no router is called \"r4\"")]
 #[case::unknown_step("1 kill", StepError::UnknownStep("kill".into()), "unknown step \"kill\"")]
 #[case::unknown_link_fault(
     "1 links rain=1",
     StepError::UnknownLinkFault("rain".into()),
-    "unknown link fault \"rain\""
+    "no link fault is called \"rain\""
 )]
 #[case::out_of_range(
     "1 links lost=2",
