--- a/crates/ottersill/tests/connection_close.rs
+++ b/crates/ottersill/tests/connection_close.rs
@@ -50,14 +50,14 @@
     match why {
         Why::Idle => {
             client.send(&read(7, 2000)).expect("a query");
-            fixture.replica.next().answer("first");
-            assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
+            fixture.replica.next_statement().answer("first");
+            assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
         }
         Why::NeverUsed => {}
         Why::Drain => fixture.router.signal("-TERM"),
         Why::Fatal => {
             client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense");
-            assert_eq!(client.last_words(), "C08P01");
+            assert_eq!(client.next_row_or_error(), "C08P01");
         }
     }
     until_shut(&client);
@@ -67,7 +67,7 @@
     until_unread_at_router(fixture.router.at, at);
     // With the client's end the connection is done with, in order.
     client.socket.shutdown(Shutdown::Write).expect("an end");
-    assert_eq!(client.hear().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(client.receive_message().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
     until_closed(fixture.router.at, at);
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none(), "it was sent on");
 }
@@ -78,7 +78,7 @@
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
     client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense");
-    assert_eq!(client.last_words(), "C08P01");
+    assert_eq!(client.next_row_or_error(), "C08P01");
     until_shut(&client);
     client.send(&read(8, 2000)).expect("a query that crosses");
     let began = Instant::now();
@@ -98,11 +98,11 @@
     let half = &query(&read(8, 8000))[..30];
     let began = Instant::now();
     client.socket.write_all(&[&query(&read(7, 8000)), half].concat()).expect("one query and a half");
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(answered_after_ms));
     first.answer("first");
-    assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
-    assert_eq!(client.last_words(), "C08P01");
+    assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
+    assert_eq!(client.next_row_or_error(), "C08P01");
     // Three seconds less what a router may be held up.
     let took = own_time_since(began);
     assert!(took < Duration::from_millis(2850), "{took:?}");
@@ -119,8 +119,8 @@
     until_shut(&idle);
     thread::sleep(Duration::from_millis(100));
     slow.socket.write_all(&whole[30..]).expect("the rest");
-    fixture.replica.next().answer("whole");
-    assert_eq!(slow.answer().expect("an answer"), "row:whole SELECT 1");
+    fixture.replica.next_statement().answer("whole");
+    assert_eq!(slow.read_answer().expect("an answer"), "row:whole SELECT 1");
 }
 
 /// No place is left for a client that has sent two queries at once: the first was rejected with the end of the connection, and
@@ -138,9 +138,9 @@
     let mut client = Client::connect(fixture.router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     client.socket.write_all(&[query(&read(7, 2000)), query(&read(8, 2000))].concat()).expect("two queries");
-    assert_eq!(client.answer().expect("a greeting"), "");
-    assert_eq!(client.answer().expect("an answer to the first"), "C53300");
-    assert_eq!(client.last_words(), "C53300");
-    assert_eq!(client.hear().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(client.read_answer().expect("a greeting"), "");
+    assert_eq!(client.read_answer().expect("an answer to the first"), "C53300");
+    assert_eq!(client.next_row_or_error(), "C53300");
+    assert_eq!(client.receive_message().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
     drop(busy);
 }
--- a/crates/ottersill/tests/crossings.rs
+++ b/crates/ottersill/tests/crossings.rs
@@ -59,7 +59,7 @@
     let left = go(client, how);
     until_the_end_is_there(fixture.router.at, gone);
     fixture.replica.resume_greeting();
-    until_unread_from(fixture.replica.at);
+    until_unread_from(fixture.replica.address);
     fixture.router.signal("-CONT");
     fixture.next_read_is_the_first_to_come();
     drop(left);
@@ -74,20 +74,20 @@
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     fixture.router.signal("-STOP");
     first.fail(code);
-    until_unread_from(fixture.replica.at);
+    until_unread_from(fixture.replica.address);
     let gone = client.socket.local_addr().expect("an address");
     drop(client);
     until_the_end_is_there(fixture.router.at, gone);
     fixture.router.signal("-CONT");
     let mut next = fixture.router.client();
     next.send(&write(8, 8000)).expect("a query");
-    let arrival = fixture.primary.next();
+    let arrival = fixture.primary.next_statement();
     assert!(arrival.text.contains("id=b8"), "{}", arrival.text);
     arrival.answer("next");
-    assert_eq!(next.answer().expect("an answer"), "row:next INSERT 0 1");
+    assert_eq!(next.read_answer().expect("an answer"), "row:next INSERT 0 1");
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
 }
 
@@ -136,7 +136,7 @@
     let fixture = Fixture::start(&[LONG, LATE, ("\"memory_mb\": 192", &memory)]);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     let long = |number| write(number, 8000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
     let mut ahead = client.socket.try_clone().expect("the same connection");
     let sender = thread::spawn(move || {
@@ -147,18 +147,18 @@
     });
     // All that is read ahead has been read once another client, of a later turn, is served.
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(fixture.router.client().ask("").expect("an answer"), "empty");
+    assert_eq!(fixture.router.client().query("").expect("an answer"), "empty");
     first.answer("late");
-    assert_eq!(client.answer().expect("an answer"), "row:late SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
     for number in 0..long_ones {
-        let arrival = fixture.primary.next();
+        let arrival = fixture.primary.next_statement();
         assert!(arrival.text.contains(&format!("id=b{:x},", 0x100 + number)), "in its order");
         arrival.answer("late");
-        assert_eq!(client.answer().expect("an answer"), "row:late INSERT 0 1");
+        assert_eq!(client.read_answer().expect("an answer"), "row:late INSERT 0 1");
     }
     client.send(&read(8, 8000)).expect("a query");
-    fixture.replica.next().answer("late");
-    assert_eq!(client.answer().expect("an answer"), "row:late SELECT 1");
+    fixture.replica.next_statement().answer("late");
+    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
     drop(client);
     sender.join().expect("all is sent");
 }
@@ -176,15 +176,15 @@
 fn a_statement_sent_ahead_has_what_is_left_of_its_time() {
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = both(&fixture, &read(7, 3000), &read(8, 3000));
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(800));
     first.answer("first");
-    assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
-    let second = fixture.replica.next();
+    assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
+    let second = fixture.replica.next_statement();
     let left = second.text.split(",d=").nth(1).and_then(|d| d.split(',').next()?.parse::<u32>().ok());
     assert!(left.is_some_and(|left| left <= 2200), "{}", second.text);
     second.answer("second");
-    assert_eq!(client.answer().expect("an answer"), "row:second SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:second SELECT 1");
 }
 
 /// The first waited for its own time, eight seconds, with the second behind it, which waits for one: both were due by then, as
@@ -196,7 +196,7 @@
     let fixture = Fixture::start(&[LONG, LATE]);
     let began = Instant::now();
     let mut client = both(&fixture, first, &read(8, 1000));
-    let answers = [client.answer().expect("an answer"), client.answer().expect("an answer")];
+    let answers = [client.read_answer().expect("an answer"), client.read_answer().expect("an answer")];
     let took = own_time_since(began);
     assert!(answers.iter().all(|answer| answer.starts_with('C')), "{answers:?}");
     // Half a second late an answer earns nothing, later it is none.
@@ -210,14 +210,14 @@
 fn nothing_goes_out_to_a_host_that_drains_by_now(#[case] health: &str) {
     let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let mut client = fixture.read_on_its_way(7, 8000);
-    fixture.discovery.tell(2, &fixture.endpoint_list(2, "active", health));
+    fixture.discovery.serve_list(2, &fixture.endpoint_list(2, "active", health));
     // It has taken the list in when it asks again; a read without a replica falls to the primary.
-    let asked_again = fixture.discovery.next();
-    let at_primary = fixture.primary.next();
+    let asked_again = fixture.discovery.next_call();
+    let at_primary = fixture.primary.next_statement();
     fixture.replica.resume_greeting();
     assert!(fixture.replica.next_within(Duration::from_millis(200)).is_none());
     at_primary.answer("elsewhere");
-    assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:elsewhere SELECT 1");
     drop(asked_again);
 }
 
@@ -232,15 +232,15 @@
     let fixture = Fixture::start(&[PATIENT, LONG, marked]);
     let mut client = fixture.router.client();
     client.send(&write(7, 8000)).expect("a query");
-    let first = fixture.primary.next();
-    let began = first.came;
-    fixture.primary.hold_greeting_and_close_idle();
+    let first = fixture.primary.next_statement();
+    let began = first.received_at;
+    fixture.primary.pause_greeting_and_close_idle();
     first.fail_and_close("XX000");
     fixture.primary.wait_for_connections(1);
     thread::sleep(Duration::from_millis(400).saturating_sub(began.elapsed()));
     fixture.primary.resume_greeting();
     assert!(fixture.primary.next_within(Duration::from_millis(300)).is_none(), "after {:?}", began.elapsed());
-    assert_eq!(client.answer().expect("an answer"), "C40003");
+    assert_eq!(client.read_answer().expect("an answer"), "C40003");
 }
 
 /// Data may be a second old when it is sent. The replica was that fresh when it was chosen, and its connection came up
@@ -260,10 +260,10 @@
     thread::sleep(Duration::from_millis(1300).saturating_sub(stood_at.elapsed()));
     fixture.replica.resume_greeting();
     // The primary stands at the present.
-    let arrival = fixture.primary.next();
+    let arrival = fixture.primary.next_statement();
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
     arrival.answer("fresh");
-    assert_eq!(client.answer().expect("an answer"), "row:fresh SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:fresh SELECT 1");
 }
 
 /// A client that takes in little at a time, so that most of a long answer stays on the router's side until it reads.
@@ -274,7 +274,7 @@
     let mut client = Client { socket: socket.into() };
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     client.socket.write_all(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0").expect("a startup");
-    client.answer().expect("a greeting");
+    client.read_answer().expect("a greeting");
     client
 }
 
@@ -294,7 +294,7 @@
     let mut client = narrow_client(fixture.router.at);
     client.send(&read(7, 2000)).expect("a query");
     let value = "kept".repeat(16_000);
-    fixture.replica.next().answer(&value);
+    fixture.replica.next_statement().answer(&value);
     if retires {
         fixture.router.signal("-TERM");
     }
@@ -306,8 +306,8 @@
         client.socket.shutdown(std::net::Shutdown::Write).expect("an end");
     }
     thread::sleep(Duration::from_millis(reads_after_ms));
-    assert_eq!(client.answer().expect("the whole answer"), format!("row:{value} SELECT 1"));
-    let end = client.hear().expect_err("and then the end");
+    assert_eq!(client.read_answer().expect("the whole answer"), format!("row:{value} SELECT 1"));
+    let end = client.receive_message().expect_err("and then the end");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof, "{end}");
     assert!(
         fixture.replica.next_within(Duration::from_millis(50)).is_none(),
@@ -321,13 +321,13 @@
     let mut fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
     client.send(&read(7, 2000)).expect("a query");
-    let arrival = fixture.replica.next();
+    let arrival = fixture.replica.next_statement();
     for name in ["-TERM", "-HUP", "-TERM"] {
         fixture.router.signal(name);
-        assert_eq!(fixture.router.client().ask("").expect("an answer"), "empty");
+        assert_eq!(fixture.router.client().query("").expect("an answer"), "empty");
     }
     arrival.answer("taken");
-    assert_eq!(client.answer().expect("an answer"), "row:taken SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:taken SELECT 1");
     let started = Instant::now();
     while fixture.router.process.try_wait().expect("a state").is_none() {
         assert!(started.elapsed() < PATIENCE, "it ends");
@@ -341,14 +341,14 @@
 fn who_waits_at_the_door_is_let_in_once_a_descriptor_is_free() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let host = ScriptedEndpoint::start(true).expect("a host");
-    let router = Router::spawn(&config_text(discovery.at, &[]), Some(24));
-    discovery.tell(1, &endpoint_list(1, &[("one", host.at, "active")]));
+    let router = Router::spawn(&config_text(discovery.address, &[]), Some(24));
+    discovery.serve_list(1, &endpoint_list(1, &[("one", host.address, "active")]));
     let router = router.until_ready();
     let mut crowd: Vec<Client> = Vec::new();
     let full = loop {
         let mut client = Client::connect(router.at).expect("a connection");
         client.socket.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
-        match client.answer() {
+        match client.read_answer() {
             Ok(_) => crowd.push(client),
             Err(_) => break client,
         }
@@ -357,7 +357,7 @@
     let mut waits = full;
     waits.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     crowd.clear();
-    waits.answer().expect("a greeting");
+    waits.read_answer().expect("a greeting");
 }
 
 /// A customer whose connections may take four seconds: what the page gives a silent client went by that, and each client was
@@ -368,8 +368,8 @@
     let mut client = fixture.router.client();
     thread::sleep(Duration::from_millis(500));
     client.send(&read(7, 2000)).expect("a query");
-    fixture.replica.next().answer("served");
-    assert_eq!(client.answer().expect("an answer"), "row:served SELECT 1");
+    fixture.replica.next_statement().answer("served");
+    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
     let mut silent = TcpStream::connect(fixture.router.at).expect("a connection");
     silent.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let started = Instant::now();
@@ -380,8 +380,8 @@
     fixture.router.signal("-TERM");
     let mut last = fixture.router.client();
     last.send(&read(8, 2000)).expect("a query");
-    fixture.replica.next().answer("served still");
-    assert_eq!(last.answer().expect("an answer"), "row:served still SELECT 1");
+    fixture.replica.next_statement().answer("served still");
+    assert_eq!(last.read_answer().expect("an answer"), "row:served still SELECT 1");
 }
 
 /// Half an answer and a reset is no answer, and a write that may have run is not sent again.
@@ -393,7 +393,7 @@
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
     client.send(&write(7, 2000)).expect("a query");
-    fixture.primary.next().answer_partly_and_reset("half", bytes);
-    assert_eq!(client.answer().expect("an answer"), "C40003");
+    fixture.primary.next_statement().answer_partly_and_reset("half", bytes);
+    assert_eq!(client.read_answer().expect("an answer"), "C40003");
     assert!(fixture.primary.next_within(Duration::from_millis(100)).is_none());
 }
--- a/crates/ottersill/tests/deadlines.rs
+++ b/crates/ottersill/tests/deadlines.rs
@@ -27,7 +27,7 @@
 
 /// By how much this exceeds what the client, which sent it at that time, had left as it came.
 fn excess(arrival: &ReceivedStatement, sent: Instant, had_ms: u64) -> Duration {
-    let waited = arrival.came.saturating_duration_since(sent);
+    let waited = arrival.received_at.saturating_duration_since(sent);
     (told(arrival) + waited).saturating_sub(Duration::from_millis(had_ms))
 }
 
@@ -83,15 +83,15 @@
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let (primary, replica) =
         (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
-    let path = NarrowPath::start(primary.at);
-    let router = Router::spawn(&config_text(discovery.at, &[LONG, LATE]), None);
-    let hosts = [("one", path.at, "active"), ("two", replica.at, "active")];
-    discovery.tell(1, &endpoint_list(1, &hosts));
+    let path = NarrowPath::start(primary.address);
+    let router = Router::spawn(&config_text(discovery.address, &[LONG, LATE]), None);
+    let hosts = [("one", path.at, "active"), ("two", replica.address, "active")];
+    discovery.serve_list(1, &endpoint_list(1, &hosts));
     let fixture = Fixture { primary, replica, discovery, router: router.until_ready() };
     let mut client = fixture.router.client();
     client.send(&write(1, 9000)).expect("a query");
-    fixture.primary.next().answer("first");
-    assert_eq!(client.answer().expect("an answer"), "row:first INSERT 0 1");
+    fixture.primary.next_statement().answer("first");
+    assert_eq!(client.read_answer().expect("an answer"), "row:first INSERT 0 1");
     path.blocked.store(true, Ordering::Relaxed);
     let long = write(7, 3000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
     let sent = Instant::now();
@@ -105,11 +105,11 @@
     let (fixture, path, mut client, sent) = half_written();
     thread::sleep(Duration::from_millis(700));
     path.blocked.store(false, Ordering::Relaxed);
-    let arrival = fixture.primary.next();
+    let arrival = fixture.primary.next_statement();
     let excess = excess(&arrival, sent, 3000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("whole");
-    assert_eq!(client.answer().expect("an answer"), "row:whole INSERT 0 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:whole INSERT 0 1");
 }
 
 /// Its client closes while a part of it is written: the rest is not, so that it never begins.
@@ -134,11 +134,11 @@
     client.send(&read(7, 2000)).expect("a query");
     thread::sleep(SLACK);
     fixture.router.signal("-CONT");
-    let arrival = fixture.replica.next();
+    let arrival = fixture.replica.next_statement();
     let excess = (told(&arrival) + SLACK).saturating_sub(Duration::from_millis(2000));
     assert!(excess + WAY <= SLACK, "{excess:?}");
     arrival.answer("served");
-    assert_eq!(client.answer().expect("an answer"), "row:served SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
 }
 
 /// The connection comes up late: the time that this took is subtracted. Right already.
@@ -149,7 +149,7 @@
     let client = fixture.read_on_its_way(7, 8000);
     thread::sleep(Duration::from_millis(500));
     fixture.replica.resume_greeting();
-    let arrival = fixture.replica.next();
+    let arrival = fixture.replica.next_statement();
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
     drop(client);
@@ -162,12 +162,12 @@
     let mut client = fixture.router.client();
     let sent = Instant::now();
     client.send(&read(7, 8000)).expect("a query");
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(500));
     first.fail("53300");
-    let arrival = fixture.primary.next();
+    let arrival = fixture.primary.next_statement();
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("served");
-    assert_eq!(client.answer().expect("an answer"), "row:served SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
 }
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -295,7 +295,7 @@
     cluster.partition(|index| index % 2, false);
     sleep(1.5);
     let after = |cluster: &Cluster| {
-        cluster.store.executions(1).iter().filter(|execution| execution.began > told).count()
+        cluster.store.executions(1).iter().filter(|execution| execution.started_at > told).count()
     };
     assert_eq!(after(&cluster), 0);
     cluster.set_all_links(LinkFaults::default());
@@ -327,7 +327,7 @@
     cluster.stop_load();
     let all = cluster.store.executions(2);
     let mut began: Vec<f64> =
-        all.iter().map(|execution| execution.began).filter(|began| *began > since).collect();
+        all.iter().map(|execution| execution.started_at).filter(|began| *began > since).collect();
     began.sort_by(f64::total_cmp);
     let most = (0..began.len())
         .map(|at| began[at..].iter().take_while(|later| **later < began[at] + 1.0).count())
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -45,7 +45,8 @@
         let handle = events.handle();
         let mut event_loop =
             EventLoop::new(routing_config, names, timeouts, limits, config.discovery, log, handle);
-        let hosts = endpoint_list(1, &[("one", primary.at, "active"), ("two", replica.at, "active")]);
+        let hosts =
+            endpoint_list(1, &[("one", primary.address, "active"), ("two", replica.address, "active")]);
         event_loop.apply_endpoint_list(&serde_json::from_str(&hosts).expect("a list"));
         let at = event_loop.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("a listener");
         let mut fixture = Fixture { events, event_loop, at, primary, replica };
@@ -102,7 +103,7 @@
     let mut client = fixture.client();
     client.send(&read(7, 8000)).expect("a query");
     fixture.arrival(|fixture| &fixture.replica).fail("53300");
-    until_unread_from(fixture.replica.at);
+    until_unread_from(fixture.replica.address);
     let event_loop = &mut fixture.event_loop;
     let busy =
         event_loop.clients().iter().find(|(_, client)| matches!(client.phase, ConnectionPhase::Busy(_)));
@@ -142,7 +143,7 @@
     let arrival = fixture.arrival(|fixture| &fixture.replica);
     let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse().ok());
     let told = Duration::from_millis(told.expect("a time left"));
-    let waited = arrival.came.saturating_duration_since(sent);
+    let waited = arrival.received_at.saturating_duration_since(sent);
     // Two thirds of the slack are left to a busy machine.
     assert!(told + waited <= Duration::from_millis(2100), "{told:?} {waited:?}");
 }
--- a/crates/ottersill/tests/large_lists.rs
+++ b/crates/ottersill/tests/large_lists.rs
@@ -49,8 +49,8 @@
     };
     let other = |number: usize| entry(&format!("host-{number}"), "127.0.0.1:1", 2 + number / 5, health);
     let mut entries: Vec<String> = (first..first + OTHERS).map(other).collect();
-    entries.push(entry("one", &fixture.primary.at.to_string(), 1, "active"));
-    entries.push(entry("two", &fixture.replica.at.to_string(), 1, "active"));
+    entries.push(entry("one", &fixture.primary.address.to_string(), 1, "active"));
+    entries.push(entry("two", &fixture.replica.address.to_string(), 1, "active"));
     if fault == Fault::Repeats {
         entries.push(entry("host-7", "127.0.0.1:2", 3, "leaving"));
     }
@@ -59,12 +59,12 @@
 
 fn answer(mut call: DiscoveryCall, fault: Fault, list: &str) {
     if fault == Fault::IsCut {
-        call.say(&format!(
+        call.write(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
             list.len(),
             &list[..list.len() / 2]
         ));
-        call.end();
+        call.close();
     } else {
         call.answer(list);
     }
@@ -106,10 +106,10 @@
     let mut client = fixture.router.client();
     let mut resident_before = 0;
     for number in 0..LISTS {
-        answer(fixture.discovery.next(), fault, &list(&fixture, fault, number));
+        answer(fixture.discovery.next_call(), fault, &list(&fixture, fault, number));
         client.send(&read(10 + number as u32, TIME_LEFT_MS)).expect("a query");
         next_at_either(&fixture).answer("in time");
-        assert_eq!(client.answer().expect("an answer"), "row:in time SELECT 1", "beside list {number}");
+        assert_eq!(client.read_answer().expect("an answer"), "row:in time SELECT 1", "beside list {number}");
         if number == FIRST_LISTS {
             resident_before = resident_kb(&fixture.router);
         }
--- a/crates/ottersill/tests/long_quiet.rs
+++ b/crates/ottersill/tests/long_quiet.rs
@@ -15,12 +15,12 @@
 /// may have run. A host that keeps a connection for so long may forget it from then on; the router has to have closed it before,
 /// also where it was stopped meanwhile and finds the request and the time to close at once.
 #[rstest]
-#[case::closed(&[], ScriptedEndpoint::hold_greeting_and_close_idle, Duration::ZERO, false)]
-#[case::closed_meanwhile(&[], ScriptedEndpoint::hold_greeting_and_close_idle, Duration::ZERO, true)]
+#[case::closed(&[], ScriptedEndpoint::pause_greeting_and_close_idle, Duration::ZERO, false)]
+#[case::closed_meanwhile(&[], ScriptedEndpoint::pause_greeting_and_close_idle, Duration::ZERO, true)]
 #[case::reset(&[], ScriptedEndpoint::reset_idle, Duration::ZERO, false)]
 #[case::reset_meanwhile(&[], ScriptedEndpoint::reset_idle, Duration::ZERO, true)]
-#[case::forgotten(&[SHORT_KEEPALIVE], ScriptedEndpoint::forget_idle, Duration::from_millis(1100), false)]
-#[case::forgotten_meanwhile(&[SHORT_KEEPALIVE], ScriptedEndpoint::forget_idle, Duration::from_millis(1100), true)]
+#[case::forgotten(&[SHORT_KEEPALIVE], ScriptedEndpoint::blackhole_idle, Duration::from_millis(1100), false)]
+#[case::forgotten_meanwhile(&[SHORT_KEEPALIVE], ScriptedEndpoint::blackhole_idle, Duration::from_millis(1100), true)]
 fn the_first_requests_after_a_quiet_go_out_on_new_connections(
     #[case] settings: &[(&str, &str)],
     #[case] end_idle: fn(&ScriptedEndpoint),
@@ -45,6 +45,6 @@
     let hosts = [&fixture.replica, &fixture.primary].into_iter().cycle().take(1000);
     let arrivals = hosts.filter_map(|host| host.next_within(Duration::from_millis(10)));
     arrivals.take(2).for_each(|arrival| arrival.answer("served"));
-    assert_eq!(reader.answer().expect("an answer"), "row:served SELECT 1");
-    assert_eq!(writer.answer().expect("an answer"), "row:served INSERT 0 1");
+    assert_eq!(reader.read_answer().expect("an answer"), "row:served SELECT 1");
+    assert_eq!(writer.read_answer().expect("an answer"), "row:served INSERT 0 1");
 }
--- a/crates/ottersill/tests/reload_in_succession.rs
+++ b/crates/ottersill/tests/reload_in_succession.rs
@@ -27,8 +27,8 @@
     let text = std::fs::read_to_string(&fixture.router.config).expect("a configuration");
     let before = descriptors(&fixture.router);
     for round in 0..10 {
-        let at = discoveries[round % 2].at.to_string();
-        std::fs::write(&fixture.router.config, text.replace(&fixture.discovery.at.to_string(), &at))
+        let at = discoveries[round % 2].address.to_string();
+        std::fs::write(&fixture.router.config, text.replace(&fixture.discovery.address.to_string(), &at))
             .expect("a configuration");
         fixture.router.signal("-HUP");
         thread::sleep(Duration::from_millis(100));
@@ -46,7 +46,7 @@
     // All of them: those given up are closed.
     calls.into_iter().for_each(|call| call.answer(&fixture.endpoint_list(1, "active", "leaving")));
     let next = last.next_within(TOLD).expect("it asks for what is newer");
-    assert!(next.path.contains("since=1"), "{}", next.path);
+    assert!(next.request_line.contains("since=1"), "{}", next.request_line);
     let took = own_time_since(asked);
     assert!(took < TOLD, "{took:?}");
     fixture.read_avoids_the_draining_replica();
--- a/crates/ottersill/tests/reused_index.rs
+++ b/crates/ottersill/tests/reused_index.rs
@@ -39,16 +39,19 @@
 
 /// Lists of which the second lacks the replica, `two`, and [`OTHER`], so that two have left and one is listed.
 fn let_replica_leave(fixture: &Fixture) {
-    let (one, two) = (("one", fixture.primary.at), ("two", fixture.replica.at));
+    let (one, two) = (("one", fixture.primary.address), ("two", fixture.replica.address));
     let other = (OTHER, SocketAddr::from(([127, 0, 0, 1], 1)));
-    fixture.discovery.next().answer(&list(2, &[one, two, other]));
-    fixture.discovery.next().answer(&list(3, &[one]));
+    fixture.discovery.next_call().answer(&list(2, &[one, two, other]));
+    fixture.discovery.next_call().answer(&list(3, &[one]));
 }
 
 /// Lists another replica, which gets a free index.
 fn list_another(fixture: &Fixture, version: u64) -> ScriptedEndpoint {
     let another = ScriptedEndpoint::start(false).expect("an endpoint");
-    fixture.discovery.next().answer(&list(version, &[("one", fixture.primary.at), ("three", another.at)]));
+    fixture
+        .discovery
+        .next_call()
+        .answer(&list(version, &[("one", fixture.primary.address), ("three", another.address)]));
     another
 }
 
@@ -62,7 +65,7 @@
             Some(statement) => statement.answer("there"),
             None => assert!(fixture.replica.next_within(ARRIVAL).is_none(), "it has left"),
         }
-        assert_eq!(client.answer().expect("an answer"), "row:there SELECT 1");
+        assert_eq!(client.read_answer().expect("an answer"), "row:there SELECT 1");
         if is_at_another {
             return;
         }
@@ -76,8 +79,8 @@
     let on_its_way = matches!(open, Open::Ungreeted).then(|| fixture.read_on_its_way(7, 2000));
     let_replica_leave(&fixture);
     if let Some(mut client) = on_its_way {
-        fixture.primary.next().answer("elsewhere");
-        assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+        fixture.primary.next_statement().answer("elsewhere");
+        assert_eq!(client.read_answer().expect("an answer"), "row:elsewhere SELECT 1");
     }
     let another = list_another(&fixture, 4);
     fixture.replica.resume_greeting();
@@ -91,12 +94,12 @@
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
     client.send(&read(7, 9000)).expect("a query");
-    let in_flight = fixture.replica.next();
+    let in_flight = fixture.replica.next_statement();
     let_replica_leave(&fixture);
     let another = list_another(&fixture, 4);
     read_until_sent_to(&fixture, &another, &mut fixture.router.client());
     in_flight.answer("late");
-    assert_eq!(client.answer().expect("an answer"), "row:late SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
     let third = list_another(&fixture, 5);
     read_until_sent_to(&fixture, &third, &mut fixture.router.client());
     assert!(fixture.replica.next_within(ARRIVAL).is_none(), "it has left");
--- a/crates/ottersill/tests/service/classification.rs
+++ b/crates/ottersill/tests/service/classification.rs
@@ -28,12 +28,12 @@
     let mut client = service.client();
     let before = taken_each(&service);
     for number in 0..5 {
-        client.ask(&read_of(text, number)).expect("an answer");
+        client.query(&read_of(text, number)).expect("an answer");
     }
     let after = taken_each(&service);
     assert_eq!([0, 1, 2].map(|host| after[host] - before[host]), [5, 0, 0]);
-    service.all(Behaviour::Resets);
-    assert_eq!(client.ask(&read_of(text, 9)).expect("an answer"), "C40003");
+    service.all(Behaviour::ResetsConnection);
+    assert_eq!(client.query(&read_of(text, 9)).expect("an answer"), "C40003");
     assert_eq!(taken_each(&service)[0], after[0] + 1, "what may have run is not sent again");
 }
 
@@ -46,34 +46,35 @@
     let service = service(1024);
     let mut client = service.client();
     let before = service.taken();
-    assert_eq!(client.ask(&read_of(text, 1)).expect("an answer"), "C0A000");
+    assert_eq!(client.query(&read_of(text, 1)).expect("an answer"), "C0A000");
     assert_eq!(service.taken(), before);
-    assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
 }
 
 /// A view may hide a write from any reading: the replica says so, and stays good for everybody's reads.
 #[test]
 fn a_replica_that_refuses_a_hidden_write_keeps_its_reads() {
     let service = service(1024);
-    service.store.hide_write("sly_view");
+    service.store.add_view_with_side_effects("sly_view");
     let mut client = service.client();
     // One that answered slowly at first, on a busy machine, gets few reads for a while.
     poll("replicas share the reads", || {
         let before = taken_each(&service);
-        (0..40).for_each(|n| assert!(client.ask(&read_as(n, 2000)).expect("an answer").starts_with("row:")));
+        (0..40)
+            .for_each(|n| assert!(client.query(&read_as(n, 2000)).expect("an answer").starts_with("row:")));
         let after = taken_each(&service);
         (1..3).all(|host| after[host] - before[host] > 5)
     });
     for number in 0..8 {
         let query = read_of("SELECT * FROM sly_view WHERE name = '1f'", number);
-        assert!(client.ask(&query).expect("an answer").starts_with("row:"), "the primary takes it");
+        assert!(client.query(&query).expect("an answer").starts_with("row:"), "the primary takes it");
     }
     let before = taken_each(&service);
-    (0..40).for_each(|n| assert!(client.ask(&read_as(n, 2000)).expect("an answer").starts_with("row:")));
+    (0..40).for_each(|n| assert!(client.query(&read_as(n, 2000)).expect("an answer").starts_with("row:")));
     let after = taken_each(&service);
     assert!((1..3).all(|host| after[host] - before[host] > 5), "{before:?} {after:?}");
     // By now the shape is known for what it does, and no replica is asked.
-    client.ask(&read_of("SELECT * FROM sly_view WHERE name = '2f'", 99)).expect("an answer");
+    client.query(&read_of("SELECT * FROM sly_view WHERE name = '2f'", 99)).expect("an answer");
     assert_eq!(taken_each(&service)[1..], after[1..]);
 }
 
@@ -91,7 +92,7 @@
         let mut sent = 0;
         while started.elapsed() < Duration::from_secs(2) {
             let text = format!("SELECT a{sent}, lower(b) FROM c_{sent} WHERE d = '1f'");
-            client.ask(&read_of(&text, 1000 + sent)).expect("an answer");
+            client.query(&read_of(&text, 1000 + sent)).expect("an answer");
             sent += 1;
         }
         sent
@@ -99,7 +100,7 @@
     let mut slowest = Duration::ZERO;
     while !flood.is_finished() {
         let started = Instant::now();
-        assert!(usual.ask(&read(2000)).expect("an answer").starts_with("row:"));
+        assert!(usual.query(&read(2000)).expect("an answer").starts_with("row:"));
         let took = started.elapsed();
         slowest = slowest.max(if took < SLOWEST { took } else { own_time_since(started) });
     }
--- a/crates/ottersill/tests/service/client_protocol.rs
+++ b/crates/ottersill/tests/service/client_protocol.rs
@@ -19,7 +19,7 @@
             client.socket.write_all(&[byte]).expect("a byte");
         }
     }
-    let answers: Vec<String> = (0..5).map(|_| client.answer().expect("an answer")).collect();
+    let answers: Vec<String> = (0..5).map(|_| client.read_answer().expect("an answer")).collect();
     assert_eq!(answers, ["", "row:value INSERT 0 1", "empty", "row:value SELECT 1", "C08P01"]);
 }
 
@@ -30,10 +30,10 @@
     let service = service(1024);
     let (mut strange, mut other) = (service.client(), service.client());
     strange.socket.write_all(bytes).expect("bytes");
-    let (tag, body) = strange.hear().expect("an error");
+    let (tag, body) = strange.receive_message().expect("an error");
     assert!(tag == b'E' && String::from_utf8_lossy(&body).contains(code));
-    assert!(strange.hear().is_err(), "the connection ends");
-    assert!(other.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert!(strange.receive_message().is_err(), "the connection ends");
+    assert!(other.query(&read(2000)).expect("an answer").starts_with("row:"));
 }
 
 /// A client that sends on after it was dismissed must still be able to read why.
@@ -46,7 +46,7 @@
         client.socket.write_all(&[b'x'; 4096]).expect("bytes");
         thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(client.last_words(), "C08P01");
+    assert_eq!(client.next_row_or_error(), "C08P01");
 }
 
 #[rstest]
@@ -56,8 +56,8 @@
 fn a_strange_query_is_told_and_the_session_goes_on(#[case] query: &str, #[case] expected: &str) {
     let service = service(1024);
     let mut client = service.client();
-    assert_eq!(client.ask(query).expect("an answer"), expected);
-    assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert_eq!(client.query(query).expect("an answer"), expected);
+    assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
 }
 
 /// Sent on, it would be a second copy of what is out.
@@ -65,15 +65,15 @@
 fn the_id_of_an_open_statement_is_refused() {
     let service = service(1024);
     let (mut first, mut second) = (service.client(), service.client());
-    service.store.set_behaviour(0, Behaviour::Silent);
+    service.store.set_behaviour(0, Behaviour::NeverAnswers);
     first.send(&write("bf", 700)).expect("a query");
     poll("taken", || {
         !service.store.received(0).is_empty() && service.store.received(0).concat().contains("'bf'")
     });
     let before = service.taken();
-    assert_eq!(second.ask(&write("cf", 700)).expect("an answer"), "C08P01");
+    assert_eq!(second.query(&write("cf", 700)).expect("an answer"), "C08P01");
     assert_eq!(service.taken(), before);
-    assert_eq!(first.answer().expect("an answer"), "C40003");
+    assert_eq!(first.read_answer().expect("an answer"), "C40003");
     service.store.set_behaviour(0, Behaviour::Primary);
-    assert_eq!(second.ask(&write("cf", 2000)).expect("an answer"), "row:value INSERT 0 1");
+    assert_eq!(second.query(&write("cf", 2000)).expect("an answer"), "row:value INSERT 0 1");
 }
--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -15,7 +15,7 @@
 #[test]
 fn running_out_of_descriptors_ends_in_answers() {
     let service = service(26);
-    service.all(Behaviour::Silent);
+    service.all(Behaviour::NeverAnswers);
     let ask = |number| {
         let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -23,18 +23,20 @@
         client
     };
     let mut clients: Vec<Client> = (0..30).map(ask).collect();
-    let answers: Vec<String> = clients.iter_mut().map(Client::last_words).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::next_row_or_error).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     drop(clients);
     service.all(Behaviour::Replica);
-    poll("served again", || service.client().ask(&read(2000)).is_ok_and(|answer| answer.starts_with("row:")));
+    poll("served again", || {
+        service.client().query(&read(2000)).is_ok_and(|answer| answer.starts_with("row:"))
+    });
 }
 
 /// Long statements that no host answers, and more of them sent ahead: what is stored has a bound.
 #[test]
 fn memory_is_bounded_under_long_statements() {
     let service = service_within(1024, 32);
-    service.all(Behaviour::Silent);
+    service.all(Behaviour::NeverAnswers);
     let long = write("9f", 9000).replace("76616c7565", &"61".repeat(65536));
     let ask = |number| {
         let mut client = service.client();
@@ -47,7 +49,9 @@
     thread::sleep(Duration::from_millis(300));
     drop(clients);
     service.all(Behaviour::Replica);
-    poll("served again", || service.client().ask(&read(2000)).is_ok_and(|answer| answer.starts_with("row:")));
+    poll("served again", || {
+        service.client().query(&read(2000)).is_ok_and(|answer| answer.starts_with("row:"))
+    });
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", service.router.process.id())).expect("a status");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
@@ -65,7 +69,7 @@
         let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         client.send(&read(2000)).expect("a query");
-        client.last_words().starts_with("row:")
+        client.next_row_or_error().starts_with("row:")
     });
     drop(silent);
 }
@@ -82,7 +86,7 @@
     let mut client = Client { socket: TcpStream::connect(service.router.at).expect("a connection") };
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     client.socket.write_all(bytes).expect("bytes");
-    let words = client.last_words();
+    let words = client.next_row_or_error();
     let took = own_time_since(started);
     assert!(took < Duration::from_secs(3), "{took:?}");
     assert!(if expected.is_empty() { !words.starts_with('C') } else { words == expected }, "{words}");
@@ -94,17 +98,17 @@
     let service = service(1024);
     let (mut idle, mut slow, mut busy) = (service.client(), service.client(), service.client());
     for client in [&mut idle, &mut slow, &mut busy] {
-        assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
     }
-    service.store.set_behaviour(0, Behaviour::Silent);
+    service.store.set_behaviour(0, Behaviour::NeverAnswers);
     busy.send(&write("af", 2000)).expect("a query");
     let whole = message(b'Q', format!("{}\0", read(2000)).as_bytes());
     thread::sleep(Duration::from_millis(1500));
     slow.socket.write_all(&whole[..9]).expect("a part");
-    assert!(idle.hear().is_err(), "it ends");
+    assert!(idle.receive_message().is_err(), "it ends");
     slow.socket.write_all(&whole[9..]).expect("the rest");
-    assert_eq!(slow.answer().expect("an answer"), "row:value SELECT 1");
-    assert_eq!(busy.answer().expect("an answer"), "C40003");
+    assert_eq!(slow.read_answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(busy.read_answer().expect("an answer"), "C40003");
 }
 
 /// Found on a recorded day: clients that ask once and stay held all the connections that clients may hold.
@@ -114,15 +118,16 @@
     let mut stays = Vec::new();
     for _ in 0..30 {
         let mut client = service.client();
-        assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
         stays.push(client);
     }
     // Before the others are looked at: that may take longer than it may idle.
     let last = stays.last_mut().expect("a client");
-    assert!(last.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert!(last.query(&read(2000)).expect("an answer").starts_with("row:"));
     let patience = Some(Duration::from_millis(500));
     stays.iter().for_each(|client| client.socket.set_read_timeout(patience).expect("a time-out"));
-    let is_closed = |client: &mut Client| client.hear().is_err_and(|e| e.kind() == ErrorKind::UnexpectedEof);
+    let is_closed =
+        |client: &mut Client| client.receive_message().is_err_and(|e| e.kind() == ErrorKind::UnexpectedEof);
     let closed: Vec<bool> = stays.iter_mut().take(8).map(is_closed).collect();
     assert!(closed.iter().all(|closed| *closed), "the longest idle go first: {closed:?}");
 }
@@ -132,13 +137,13 @@
 fn silent_clients_go_before_those_that_have_asked() {
     let service = service(80);
     let mut asked = service.client();
-    assert!(asked.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert!(asked.query(&read(2000)).expect("an answer").starts_with("row:"));
     let connect = |_| {
         thread::sleep(Duration::from_millis(10));
         TcpStream::connect(service.router.at).expect("a connection")
     };
     let crowd: Vec<TcpStream> = (0..80).map(connect).collect();
-    assert!(asked.ask(&read(2000)).expect("its connection is kept").starts_with("row:"));
+    assert!(asked.query(&read(2000)).expect("its connection is kept").starts_with("row:"));
     drop(crowd);
 }
 
@@ -154,7 +159,7 @@
 ) {
     let service = service(80);
     let mut asked = service.client();
-    assert!(asked.ask(&read(2000)).expect("an answer").starts_with("row:"));
+    assert!(asked.query(&read(2000)).expect("an answer").starts_with("row:"));
     let connect = |number| {
         if number == stopped_before {
             service.router.signal("-STOP");
@@ -169,7 +174,7 @@
     service.router.signal("-CONT");
     // A request that was there when the crowd is accepted would be read first.
     thread::sleep(Duration::from_millis(200));
-    assert!(asked.ask(&read(2000)).expect("its connection is kept").starts_with("row:"));
+    assert!(asked.query(&read(2000)).expect("its connection is kept").starts_with("row:"));
     drop(crowd);
 }
 
@@ -185,6 +190,6 @@
         (0..80).map(|_| TcpStream::connect(service.router.at).expect("a connection")).collect();
     client.send(&read(2000)).expect("a query");
     service.router.signal("-CONT");
-    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
     drop(crowd);
 }
--- a/crates/ottersill/tests/service/fixture.rs
+++ b/crates/ottersill/tests/service/fixture.rs
@@ -65,7 +65,7 @@
     let (started, mut served) = (Instant::now(), 0);
     while served < 31 {
         let query = if served < 30 { read(2000) } else { write("1f", 2000) };
-        let answer = client.ask(&query).expect("an answer");
+        let answer = client.query(&query).expect("an answer");
         service.asked += 1;
         match answer.as_str() {
             "row: SELECT 1" | "row:value INSERT 0 1" => served += 1,
@@ -83,7 +83,7 @@
     pub fn client(&self) -> Client {
         let mut client = Client::connect(self.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.answer().expect("a greeting");
+        client.read_answer().expect("a greeting");
         client
     }
 
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -14,13 +14,13 @@
 fn sigterm_answers_what_was_sent_ahead() {
     let mut service = service(1024);
     let mut client = service.client();
-    service.store.set_behaviour(0, Behaviour::Silent);
+    service.store.set_behaviour(0, Behaviour::NeverAnswers);
     client.send(&write("6f", 900)).expect("a query");
     client.send(&read(2000)).expect("a query");
     service.signal("-TERM");
-    assert_eq!(client.answer().expect("an answer"), "C40003");
-    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
-    assert!(client.hear().is_err(), "the connection ends");
+    assert_eq!(client.read_answer().expect("an answer"), "C40003");
+    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
+    assert!(client.receive_message().is_err(), "the connection ends");
     assert_eq!(service.exit().0, Some(0));
 }
 
@@ -28,7 +28,7 @@
 #[test]
 fn sigterm_answers_a_crowd_at_the_door() {
     let mut service = service(26);
-    service.all(Behaviour::Silent);
+    service.all(Behaviour::NeverAnswers);
     let ask = |number| {
         let mut client = Client::connect(service.router.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -37,7 +37,7 @@
     };
     let mut clients: Vec<Client> = (0..36).map(ask).collect();
     service.signal("-TERM");
-    let answers: Vec<String> = clients.iter_mut().map(Client::last_words).collect();
+    let answers: Vec<String> = clients.iter_mut().map(Client::next_row_or_error).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     assert_eq!(service.exit().0, Some(0));
 }
@@ -47,14 +47,14 @@
 fn sigterm_answers_what_was_taken_and_exits() {
     let mut service = service(1024);
     let (mut waiting, mut idle) = (service.client(), service.client());
-    service.all(Behaviour::Silent);
+    service.all(Behaviour::NeverAnswers);
     waiting.send(&read(1200)).expect("a query");
     service.signal("-TERM");
     let mut late = service.client();
-    let answer = late.ask(&read_as(1, 100)).expect("an answer");
+    let answer = late.query(&read_as(1, 100)).expect("an answer");
     assert!(answer.starts_with("C53300"), "{answer}");
-    assert!(idle.hear().is_err(), "what idles is closed");
-    assert!(waiting.answer().expect("an answer").starts_with("C53300"));
+    assert!(idle.receive_message().is_err(), "what idles is closed");
+    assert!(waiting.read_answer().expect("an answer").starts_with("C53300"));
     let (code, log) = service.exit();
     assert_eq!(code, Some(0));
     assert!(
@@ -84,7 +84,7 @@
     client.send(&read(2000)).expect("a query");
     thread::sleep(Duration::from_millis(300));
     service.signal("-CONT");
-    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
 }
 
 #[rstest]
@@ -109,7 +109,7 @@
 fn sighup_moves_to_the_discovery_that_the_file_names(#[case] before: &[&str]) {
     let mut service = service(1024);
     let mut waiting = service.client();
-    service.store.set_behaviour(0, Behaviour::Silent);
+    service.store.set_behaviour(0, Behaviour::NeverAnswers);
     waiting.send(&write("6f", 1500)).expect("a query");
     let (other, discovery) = store();
     for text in before {
@@ -124,7 +124,7 @@
     }
     let mut client = service.client();
     poll("moved", || {
-        assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:"));
+        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
         (0..3).any(|host| !other.received(host).is_empty())
     });
     // What the old one says counts no more.
@@ -132,10 +132,10 @@
     other.set_health(2, "left");
     poll("told", || {
         let before = other.received(2).len();
-        (0..20).for_each(|_| assert!(client.ask(&read(2000)).expect("an answer").starts_with("row:")));
+        (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("an answer").starts_with("row:")));
         other.received(2).len() == before
     });
-    assert_eq!(waiting.answer().expect("an answer"), "C40003");
+    assert_eq!(waiting.read_answer().expect("an answer"), "C40003");
     service.signal("-TERM");
     let (code, log) = service.exit();
     assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{log}");
@@ -150,10 +150,10 @@
     let started = Instant::now();
     service.signal("-TERM");
     while started.elapsed() < Duration::from_millis(900) {
-        assert_eq!(client.ask(&read(2000)).expect("an answer"), "row:value SELECT 1");
-        assert_eq!(service.client().ask(&read(2000)).expect("an answer"), "row:value SELECT 1");
+        assert_eq!(client.query(&read(2000)).expect("an answer"), "row:value SELECT 1");
+        assert_eq!(service.client().query(&read(2000)).expect("an answer"), "row:value SELECT 1");
         thread::sleep(Duration::from_millis(20));
     }
-    while client.ask(&read(2000)).is_ok() {}
+    while client.query(&read(2000)).is_ok() {}
     assert_eq!(service.exit().0, Some(0));
 }
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -34,12 +34,12 @@
         thread::spawn(move || {
             let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("a connection");
             client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-            client.answer().expect("a greeting");
+            client.read_answer().expect("a greeting");
             thread::sleep(Duration::from_millis(u64::from(number) * 60));
             let mut asked = Vec::new();
             for round in 0.. {
                 let sent = Instant::now();
-                let answer = client.ask(&read(number * 0x1000 + round, 2000));
+                let answer = client.query(&read(number * 0x1000 + round, 2000));
                 asked.push((sent, Instant::now(), answer.is_ok()));
                 if answer.is_err() {
                     break;
@@ -71,7 +71,7 @@
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
     let began = Instant::now();
-    let answer = client.ask(&read(7, left_ms)).expect("an answer");
+    let answer = client.query(&read(7, left_ms)).expect("an answer");
     assert!(answer.starts_with('C'), "{answer}");
     let took = own_time_since(began);
     assert!(took < Duration::from_millis(u64::from(left_ms) + 500), "{took:?}");
@@ -80,7 +80,7 @@
         let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse::<u32>().ok());
         assert!(told.is_some_and(|told| told <= left_ms), "{}", arrival.text);
     }
-    let end = client.hear().expect_err("the connection goes on until it is idle");
+    let end = client.receive_message().expect_err("the connection goes on until it is idle");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
 }
 
--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -110,7 +110,7 @@
 /// Sends a statement, without which no member asks for a share, and tells whether this member has one.
 fn has_a_share(member: usize, router: &Router) -> bool {
     // It is rejected while there is no share.
-    router.client().ask(&read(1, 500)).expect("an answer");
+    router.client().query(&read(1, 500)).expect("an answer");
     query(control(member), "budgets").iter().any(|line| line["leased"].as_u64() > Some(0))
 }
 
--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -113,7 +113,7 @@
     pub fn client(&self) -> Client {
         let mut client = Client::connect(self.at).expect("a connection");
         client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.answer().expect("a greeting");
+        client.read_answer().expect("a greeting");
         client
     }
 }
@@ -142,51 +142,51 @@
         let discovery = ScriptedDiscovery::start().expect("discovery");
         let (primary, replica) =
             (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
-        let router = spawn(&config_text(discovery.at, replaced), &primary, &replica);
+        let router = spawn(&config_text(discovery.address, replaced), &primary, &replica);
         let fixture = Fixture { primary, replica, discovery, router };
-        fixture.discovery.tell(1, &fixture.endpoint_list(1, "active", "active"));
+        fixture.discovery.serve_list(1, &fixture.endpoint_list(1, "active", "active"));
         let fixture = Fixture { router: fixture.router.until_ready(), ..fixture };
         // With the first answers it knows who is who.
         let mut client = fixture.router.client();
         client.send(&read(0, 9000)).expect("a query");
-        fixture.replica.next().answer("first");
-        assert_eq!(client.answer().expect("an answer"), "row:first SELECT 1");
+        fixture.replica.next_statement().answer("first");
+        assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
         client.send(&write(1, 9000)).expect("a query");
-        let second = fixture.primary.next();
+        let second = fixture.primary.next_statement();
         // Writes that take most of the work leave the primary no part of the reads: these go to the replica, always.
         thread::sleep(Duration::from_millis(300));
         second.answer("second");
-        assert_eq!(client.answer().expect("an answer"), "row:second INSERT 0 1");
+        assert_eq!(client.read_answer().expect("an answer"), "row:second INSERT 0 1");
         fixture
     }
 
     pub fn endpoint_list(&self, seq: u64, primary: &str, replica: &str) -> String {
-        endpoint_list(seq, &[("one", self.primary.at, primary), ("two", self.replica.at, replica)])
+        endpoint_list(seq, &[("one", self.primary.address, primary), ("two", self.replica.address, replica)])
     }
 
     /// Another client's read is the first thing that comes to the replica from here on.
     pub fn next_read_is_the_first_to_come(&self) {
         let mut next = self.router.client();
         next.send(&read(8, 8000)).expect("a query");
-        let arrival = self.replica.next();
+        let arrival = self.replica.next_statement();
         assert!(arrival.text.contains("id=a8"), "{}", arrival.text);
         arrival.answer("next");
-        assert_eq!(next.answer().expect("an answer"), "row:next SELECT 1");
+        assert_eq!(next.read_answer().expect("an answer"), "row:next SELECT 1");
     }
 
     /// A new client's read goes to the primary, as the replica drains and gets nothing.
     pub fn read_avoids_the_draining_replica(&self) {
         let mut client = self.router.client();
         client.send(&read(7, 2000)).expect("a query");
-        let arrival = self.primary.next();
+        let arrival = self.primary.next_statement();
         assert!(arrival.text.contains("id=a7"), "the host that drains gets nothing");
         arrival.answer("elsewhere");
-        assert_eq!(client.answer().expect("an answer"), "row:elsewhere SELECT 1");
+        assert_eq!(client.read_answer().expect("an answer"), "row:elsewhere SELECT 1");
     }
 
     /// A client whose read waits on a connection to the replica that is not up yet.
     pub fn read_on_its_way(&self, number: u32, left_ms: u32) -> Client {
-        self.replica.hold_greeting_and_close_idle();
+        self.replica.pause_greeting_and_close_idle();
         let mut client = self.router.client();
         client.send(&read(number, left_ms)).expect("a query");
         self.replica.wait_for_connections(1);
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -17,7 +17,7 @@
 fn faulty_fixture(schedule: &str) -> (Fixture, Faults) {
     let mut faults = Faults::new(schedule.to_string());
     let spawn = |text: &str, primary: &ScriptedEndpoint, replica: &ScriptedEndpoint| {
-        let port = |host: &ScriptedEndpoint| host.at.port().to_string();
+        let port = |host: &ScriptedEndpoint| host.address.port().to_string();
         faults.schedule = schedule.replace("PRIMARY", &port(primary)).replace("REPLICA", &port(replica));
         Router::spawn_in(text, None, &faults.environment())
     };
@@ -66,16 +66,16 @@
     client.send(&read(number, 8000)).expect("a query");
     // A read before it may have come on a connection that was on its way as faults began, and lies there unanswered.
     let mine = format!("id=a{number:x},");
-    let mut arrivals = iter::repeat_with(|| fixture.replica.next());
+    let mut arrivals = iter::repeat_with(|| fixture.replica.next_statement());
     arrivals.find(|arrival| arrival.text.contains(&mine)).expect("it comes").answer("value");
-    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
 }
 
 /// Sends reads that wait for so long at most, one after the other; each is rejected as one that had no effect.
 fn reads_are_rejected(fixture: &Fixture, numbers: std::ops::Range<u32>, left_ms: u32) {
     let mut client = fixture.router.client();
     for number in numbers {
-        let answer = client.ask(&read(number, left_ms)).expect("an answer");
+        let answer = client.query(&read(number, left_ms)).expect("an answer");
         assert!(answer.starts_with("C53300"), "{answer}");
     }
 }
@@ -143,7 +143,7 @@
     let started = Instant::now();
     let mut client = Client::connect(fixture.router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    assert!(client.answer().is_err());
+    assert!(client.read_answer().is_err());
     let (took, own) = (started.elapsed(), own_time_since(started));
     assert!(took > Duration::from_secs(2) && own < Duration::from_millis(3500), "{took:?}, {own:?}");
     faults.disarm();
@@ -194,7 +194,7 @@
         if let Some(arrival) = fixture.primary.next_within(Duration::from_millis(100)) {
             arrival.answer("other");
         }
-        client.answer().expect("an answer");
+        client.read_answer().expect("an answer");
         number += 1;
     }
     assert!(!faults.disarm().is_empty());
@@ -261,10 +261,10 @@
     for number in 7..12 {
         read_from_the_replica(&fixture, &mut client, number);
         client.send(&write(number, 8000)).expect("a query");
-        fixture.primary.next().answer("value");
-        assert_eq!(client.answer().expect("an answer"), "row:value INSERT 0 1");
+        fixture.primary.next_statement().answer("value");
+        assert_eq!(client.read_answer().expect("an answer"), "row:value INSERT 0 1");
     }
-    assert_eq!(client.ask("").expect("an answer"), "empty");
+    assert_eq!(client.query("").expect("an answer"), "empty");
     assert!(faults.occurred().len() > 50);
     let log = end(fixture);
     assert_eq!((counter(&log, "attempts"), counter(&log, "attempts_completed")), (12, 12));
@@ -280,15 +280,15 @@
     let (fixture, faults) = faulty_fixture(rule);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("a query");
-    let first = fixture.replica.next();
+    let first = fixture.replica.next_statement();
     faults.arm();
     first.answer("lost");
     // Tried again at either.
     let again = [&fixture.replica, &fixture.primary].into_iter().cycle();
     let again = again.take(400).find_map(|host| host.next_within(Duration::from_millis(10)));
     again.expect("a further try").answer("value");
-    assert_eq!(client.answer().expect("an answer"), "row:value SELECT 1");
-    assert_eq!(client.ask("").expect("an answer"), "empty");
+    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(client.query("").expect("an answer"), "empty");
     assert_eq!(faults.disarm().len(), 1);
 }
 
@@ -302,14 +302,14 @@
         faults.arm();
     }
     client.send(&write(7, 3000)).expect("a query");
-    let first = fixture.primary.next();
+    let first = fixture.primary.next_statement();
     if again {
         first.answer("value");
-        assert_eq!(client.answer().expect("an answer"), "row:value INSERT 0 1");
+        assert_eq!(client.read_answer().expect("an answer"), "row:value INSERT 0 1");
     } else {
         faults.arm();
         first.answer("lost");
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert!(answer.starts_with('C') && !answer.starts_with("C53300"), "{answer}");
         assert!(fixture.primary.next_within(Duration::from_millis(100)).is_none());
     }
@@ -324,7 +324,7 @@
     faults.arm();
     fixture.router.signal("-TERM");
     let started = Instant::now();
-    assert!(client.answer().is_err());
+    assert!(client.read_answer().is_err());
     assert!(own_time_since(started) < Duration::from_secs(9));
     assert!(!faults.disarm().is_empty());
     end(fixture);
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -41,7 +41,7 @@
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut client = Client::connect(router)?;
     client.socket.set_read_timeout(Some(Duration::from_millis(DEADLINE_MS) + 4 * SLACK))?;
-    client.answer()?;
+    client.read_answer()?;
     while Instant::now() < until {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let told = format!("/* id=e{number:x},c=CLASS,d={DEADLINE_MS},cluster=1 */");
@@ -54,7 +54,7 @@
             format!("SELECT content FROM kv WHERE name = 'k' {}", told.replace("CLASS", "get"))
         };
         let sent = Instant::now();
-        let answer = client.ask(&text)?;
+        let answer = client.query(&text)?;
         let bound = Duration::from_millis(DEADLINE_MS) + SLACK;
         let mut took = sent.elapsed();
         if took > bound {
@@ -70,7 +70,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     // A second answer would be read in place of this one.
-    let last = client.ask("")?;
+    let last = client.query("")?;
     if last != "empty" {
         tally.lock().expect("a tally").faults.push(format!("a second answer: {last}"));
     }
--- a/crates/ottersill/tests/trouble.rs
+++ b/crates/ottersill/tests/trouble.rs
@@ -42,12 +42,17 @@
 /// told to stop meanwhile, and before it may be killed. Right already.
 #[rstest]
 #[case::flood(1024, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], Others::Flood)]
-#[case::spoilt_answers(1024, 6, [Behaviour::Spoils; 3], Others::Nothing)]
-#[case::babble(1024, 6, [Behaviour::Babbles; 3], Others::Nothing)]
-#[case::resets(1024, 6, [Behaviour::Resets; 3], Others::Nothing)]
+#[case::spoilt_answers(1024, 6, [Behaviour::CorruptsRow; 3], Others::Nothing)]
+#[case::babble(1024, 6, [Behaviour::SendsInvalidMessage; 3], Others::Nothing)]
+#[case::resets(1024, 6, [Behaviour::ResetsConnection; 3], Others::Nothing)]
 #[case::silent_crowd(FEW, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], Others::Crowd)]
-#[case::more_clients_than_descriptors(FEW, 40, [Behaviour::Silent; 3], Others::Nothing)]
-#[case::all_at_once(FEW, 40, [Behaviour::Spoils, Behaviour::Resets, Behaviour::Silent], Others::FloodAndCrowd)]
+#[case::more_clients_than_descriptors(FEW, 40, [Behaviour::NeverAnswers; 3], Others::Nothing)]
+#[case::all_at_once(
+    FEW,
+    40,
+    [Behaviour::CorruptsRow, Behaviour::ResetsConnection, Behaviour::NeverAnswers],
+    Others::FloodAndCrowd
+)]
 fn each_request_is_answered_through(
     #[case] descriptors: usize,
     #[case] clients: u32,
@@ -172,7 +177,7 @@
     let mut answers = 0;
     let mut greeted = false;
     loop {
-        match client.hear() {
+        match client.receive_message() {
             // The greeting of a new connection ends in this too.
             Ok((b'R', _)) => greeted = true,
             Ok((b'Z', _)) if greeted && answers == 0 => greeted = false,
--- a/crates/ottersill/tests/watch.rs
+++ b/crates/ottersill/tests/watch.rs
@@ -51,13 +51,13 @@
     let started = Instant::now();
     let mut silent = Vec::new();
     for then in course {
-        let mut call = fixture.discovery.next();
+        let mut call = fixture.discovery.next_call();
         match then {
             Then::Silent => silent.push(call),
             Then::Resets => call.reset(),
-            Then::Ends => call.end(),
+            Then::Ends => call.close(),
             Then::Refuses => {
-                call.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+                call.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 silent.push(call);
             }
             Then::Cut(header, reset) => {
@@ -65,18 +65,18 @@
                 let whole = drains.replace("active", "leaving");
                 // All of one host, and half of the next.
                 let part = &whole[..whole.len() - 40];
-                call.say(&format!("HTTP/1.1 200 OK\r\n{header}\r\n{chunk}{part}"));
+                call.write(&format!("HTTP/1.1 200 OK\r\n{header}\r\n{chunk}{part}"));
                 // Both in the buffer before the end comes, or the reset would take it along.
                 thread::sleep(Duration::from_millis(20));
-                if *reset { call.reset() } else { call.end() }
+                if *reset { call.reset() } else { call.close() }
             }
         }
     }
     let mut call = fixture.discovery.next_within(TOLD).expect("it asks again");
     // Nothing of what was cut has moved the version on.
-    assert!(!call.path.contains("since=2"), "{}", call.path);
+    assert!(!call.request_line.contains("since=2"), "{}", call.request_line);
     // A call may be given up before it is answered: the next one is answered too. Once one was read, it asks for what is newer.
-    while !call.path.contains("since=2") {
+    while !call.request_line.contains("since=2") {
         let drains = drains.clone();
         thread::spawn(move || {
             thread::sleep(answered_after);
@@ -84,7 +84,7 @@
         });
         call = fixture.discovery.next_within(TOLD).expect("it asks again");
     }
-    let told_after = own_time(started, call.came);
+    let told_after = own_time(started, call.received_at);
     assert!(told_after < TOLD, "{told_after:?}");
     fixture.read_avoids_the_draining_replica();
 }
@@ -93,11 +93,11 @@
 #[test]
 fn a_whole_list_without_length_counts() {
     let fixture = Fixture::start(&[]);
-    let mut call = fixture.discovery.next();
-    call.say(&format!("HTTP/1.1 200 OK\r\n\r\n{}", fixture.endpoint_list(2, "active", "leaving")));
-    call.end();
-    let next = fixture.discovery.next();
-    assert!(next.path.contains("since=2"), "{}", next.path);
+    let mut call = fixture.discovery.next_call();
+    call.write(&format!("HTTP/1.1 200 OK\r\n\r\n{}", fixture.endpoint_list(2, "active", "leaving")));
+    call.close();
+    let next = fixture.discovery.next_call();
+    assert!(next.request_line.contains("since=2"), "{}", next.request_line);
 }
 
 /// Seen on a herd day with 300 routers: discovery was down for some seconds and answered no call that had come meanwhile, and
@@ -105,10 +105,10 @@
 #[test]
 fn silent_calls_follow_each_other_within_the_grace_of_drains() {
     let fixture = Fixture::start(&[]);
-    let mut silent = vec![fixture.discovery.next(), fixture.discovery.next()];
+    let mut silent = vec![fixture.discovery.next_call(), fixture.discovery.next_call()];
     for _ in 0..10 {
-        let next = fixture.discovery.next();
-        let gap = own_time(silent.last().expect("the one before").came, next.came);
+        let next = fixture.discovery.next_call();
+        let gap = own_time(silent.last().expect("the one before").received_at, next.received_at);
         // Half of the grace, on a machine that may be busy.
         assert!(gap < Duration::from_millis(250), "{gap:?}");
         silent.push(next);
@@ -119,11 +119,11 @@
 #[test]
 fn a_call_that_is_answered_late_is_heard() {
     let fixture = Fixture::start(&[]);
-    let watch = fixture.discovery.next();
-    let next = fixture.discovery.next();
+    let watch = fixture.discovery.next_call();
+    let next = fixture.discovery.next_call();
     watch.answer(&fixture.endpoint_list(2, "active", "leaving"));
-    let after = fixture.discovery.next();
-    assert!(after.path.contains("since=2"), "{}", after.path);
+    let after = fixture.discovery.next_call();
+    assert!(after.request_line.contains("since=2"), "{}", after.request_line);
     drop(next);
 }
 
@@ -133,15 +133,15 @@
     let fixture = Fixture::start(&[]);
     let other = ScriptedDiscovery::start().expect("discovery");
     let text = std::fs::read_to_string(&fixture.router.config).expect("a configuration");
-    let text = text.replace(&fixture.discovery.at.to_string(), &other.at.to_string());
+    let text = text.replace(&fixture.discovery.address.to_string(), &other.address.to_string());
     std::fs::write(&fixture.router.config, text).expect("a configuration");
     let started = Instant::now();
     fixture.router.signal("-HUP");
-    let silent = [other.next(), other.next()];
-    other.tell(1, &fixture.endpoint_list(1, "active", "leaving"));
+    let silent = [other.next_call(), other.next_call()];
+    other.serve_list(1, &fixture.endpoint_list(1, "active", "leaving"));
     let took = own_time_since(started);
     assert!(took < Duration::from_secs(4), "{took:?}");
-    assert!(other.next().path.contains("since=1"));
+    assert!(other.next_call().request_line.contains("since=1"));
     drop(silent);
 }
 
@@ -151,7 +151,7 @@
     let fixture = Fixture::start(&[]);
     let list = fixture.endpoint_list(1, "active", "active");
     let started = Instant::now();
-    (0..5).for_each(|_| fixture.discovery.next().answer(&list));
+    (0..5).for_each(|_| fixture.discovery.next_call().answer(&list));
     assert!(started.elapsed() > Duration::from_millis(300), "{:?}", started.elapsed());
 }
 
@@ -161,27 +161,27 @@
 fn idle_clients_do_not_keep_discovery_out() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let host = ScriptedEndpoint::start(true).expect("a host");
-    let text = config_text(discovery.at, &[("\"sockets\": 1024", "\"sockets\": 40")]);
+    let text = config_text(discovery.address, &[("\"sockets\": 1024", "\"sockets\": 40")]);
     let router = Router::spawn(&text, Some(40));
-    let hosts = [("one", host.at, "active")];
-    discovery.tell(1, &endpoint_list(1, &hosts));
+    let hosts = [("one", host.address, "active")];
+    discovery.serve_list(1, &endpoint_list(1, &hosts));
     let router = router.until_ready();
     let crowd: Vec<TcpStream> =
         (0..60).map(|_| TcpStream::connect(router.at).expect("a connection")).collect();
     for _ in 0..3 {
-        discovery.next().reset();
+        discovery.next_call().reset();
     }
-    let silent = [discovery.next(), discovery.next(), discovery.next()];
+    let silent = [discovery.next_call(), discovery.next_call(), discovery.next_call()];
     let held =
         std::fs::read_dir(format!("/proc/{}/fd", router.process.id())).expect("its descriptors").count();
     assert!(held <= 40, "{held}");
-    discovery.tell(2, &endpoint_list(2, &hosts));
-    assert!(discovery.next().path.contains("since=2"));
+    discovery.serve_list(2, &endpoint_list(2, &hosts));
+    assert!(discovery.next_call().request_line.contains("since=2"));
     let mut client = Client::connect(router.at).expect("a connection");
     client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     client.send(&write(7, 2000)).expect("a query");
-    host.next().answer("served");
-    assert_eq!(client.last_words(), "row:served");
+    host.next_statement().answer("served");
+    assert_eq!(client.next_row_or_error(), "row:served");
     drop((crowd, silent));
 }
 
@@ -191,10 +191,10 @@
 fn a_router_without_a_list_is_ready_and_turns_away() {
     let discovery = ScriptedDiscovery::start().expect("discovery");
     let started = Instant::now();
-    let router = Router::spawn(&config_text(discovery.at, &[]), None).until_ready();
+    let router = Router::spawn(&config_text(discovery.address, &[]), None).until_ready();
     let took = own_time_since(started);
     assert!(took < Duration::from_secs(10), "{took:?}");
     let mut client = router.client();
-    assert_eq!(client.ask(&read(7, 2000)).expect("an answer"), "C53300 D500");
-    assert_eq!(client.ask("").expect("an answer"), "empty");
+    assert_eq!(client.query(&read(7, 2000)).expect("an answer"), "C53300 D500");
+    assert_eq!(client.query("").expect("an answer"), "empty");
 }
--- a/crates/ottersill/tests/wrong_clock.rs
+++ b/crates/ottersill/tests/wrong_clock.rs
@@ -35,7 +35,7 @@
     for endpoint in 0..ENDPOINTS {
         store.add_endpoint("127.0.0.1:0").expect("an endpoint");
         let lag_ms = if endpoint == LAGGING { LAG_MS } else { 0 };
-        store.shift_clock(endpoint, shift_ms - lag_ms);
+        store.set_clock_offset(endpoint, shift_ms - lag_ms);
     }
     store
 }
@@ -50,7 +50,7 @@
     );
     let router = Router::spawn(&settings, None).until_ready();
     let mut client = router.client();
-    let mut ask = |query: &str| usize::from(client.ask(query).expect("an answer").starts_with("row:"));
+    let mut ask = |query: &str| usize::from(client.query(query).expect("an answer").starts_with("row:"));
     let mut answered = ask(&support::write(0, 1000));
     for number in 0..60 {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time");
@@ -124,7 +124,7 @@
     #[case] at_replicas: usize,
 ) {
     let store = store(0);
-    store.shift_clock(wrong, shift_ms);
+    store.set_clock_offset(wrong, shift_ms);
     let outcome = play(&store, "bounded", 0);
     assert_eq!((outcome.answered, outcome.at_lagging), (62, 0), "{outcome:?}");
     assert!(outcome.at_replicas >= at_replicas && outcome.health_checks <= 30, "{outcome:?}");
--- a/crates/testkit/src/cluster/fault_schedule/random.rs
+++ b/crates/testkit/src/cluster/fault_schedule/random.rs
@@ -37,7 +37,7 @@
         let links = LinkFaults {
             loss: random.random_range(LOSS_PROBABILITY),
             duplication: random.random_range(DUPLICATION_PROBABILITY),
-            max_delay: random.random_range(MAX_DELAY_SECONDS),
+            max_delay_seconds: random.random_range(MAX_DELAY_SECONDS),
             ..LinkFaults::default()
         };
         self.set_all_links(links);
@@ -90,7 +90,7 @@
         self.change_stream(router, endpoint, |faults| match kind {
             0 => faults.cut_requests = true,
             1 => faults.cut_responses = true,
-            2 => faults.delay = STREAM_DELAY_SECONDS,
+            2 => faults.delay_seconds = STREAM_DELAY_SECONDS,
             3 => faults.trickle = true,
             _ => faults.closed = true,
         });
--- a/crates/testkit/src/cluster/fault_schedule/script.rs
+++ b/crates/testkit/src/cluster/fault_schedule/script.rs
@@ -114,7 +114,7 @@
         match name {
             "lost" => faults.loss = value,
             "twice" => faults.duplication = value,
-            "delay" => faults.max_delay = value,
+            "delay" => faults.max_delay_seconds = value,
             "held" => faults.held = value > 0.0,
             _ => return Err(StepError::UnknownLinkFault(name.to_string())),
         }
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -36,7 +36,7 @@
 }
 
 impl Answers {
-    /// Counts an answer, in the format of [`Client::answer`]; `None` if the connection was closed or timed out.
+    /// Counts an answer, in the format of [`Client::read_answer`]; `None` if the connection was closed or timed out.
     pub(crate) fn count(&mut self, answer: Option<&str>) {
         let counter = match answer {
             Some(text) if text.starts_with("row:") => &mut self.completed,
@@ -127,9 +127,9 @@
     fn run_session(&self) -> io::Result<()> {
         let mut client = Client::connect(self.router)?;
         client.socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-        client.answer()?;
+        client.read_answer()?;
         while !self.is_stopped() {
-            let answer = client.ask(&next_statement(self.write_every));
+            let answer = client.query(&next_statement(self.write_every));
             // A suspended router does not answer, which counts as a broken connection.
             lock(&self.answers)[self.index].count(answer.as_deref().ok());
             if answer?.starts_with("C53300") {
--- a/crates/testkit/src/cluster/observation.rs
+++ b/crates/testkit/src/cluster/observation.rs
@@ -23,7 +23,7 @@
     /// Returns whether a router answers clients.
     pub fn is_ready(&self, index: usize) -> bool {
         Client::connect(self.routers[index].listen).is_ok_and(|mut client| {
-            client.socket.set_read_timeout(Some(GREETING_TIMEOUT)).is_ok() && client.answer().is_ok()
+            client.socket.set_read_timeout(Some(GREETING_TIMEOUT)).is_ok() && client.read_answer().is_ok()
         })
     }
 
--- a/crates/testkit/src/command/ask.rs
+++ b/crates/testkit/src/command/ask.rs
@@ -45,9 +45,9 @@
 pub(super) fn run(statement: &Statement) -> Result<(), CommandError> {
     let router: SocketAddr = ROUTER.parse().map_err(std::io::Error::other)?;
     let mut client = Client::connect(router)?;
-    client.answer()?;
+    client.read_answer()?;
     let (text, workload) = statement.text();
     let id = unix_ms();
-    println!("{}", client.ask(&format!("{text} /* id={id:x},c={workload},d=2000,cluster=1 */"))?);
+    println!("{}", client.query(&format!("{text} /* id={id:x},c={workload},d=2000,cluster=1 */"))?);
     Ok(())
 }
--- a/crates/testkit/src/command/serve.rs
+++ b/crates/testkit/src/command/serve.rs
@@ -30,7 +30,7 @@
     let (number, word) = line.trim().split_once(' ').unwrap_or_default();
     let endpoint = number.parse().ok().filter(|endpoint| *endpoint < store.endpoint_count());
     let Some(endpoint) = endpoint else { return false };
-    if let Some(behaviour) = Behaviour::named(word) {
+    if let Some(behaviour) = Behaviour::from_name(word) {
         store.set_behaviour(endpoint, behaviour);
     } else if let Some(health) = HEALTH_STATES.into_iter().find(|health| *health == word) {
         store.set_health(endpoint, health);
--- a/crates/testkit/src/fault_proxy/datagram.rs
+++ b/crates/testkit/src/fault_proxy/datagram.rs
@@ -32,7 +32,7 @@
     /// Probability that a datagram is duplicated.
     pub duplication: f64,
     /// Longest delay of a datagram in seconds; delays are random, so that datagrams are reordered.
-    pub max_delay: f64,
+    pub max_delay_seconds: f64,
     /// Datagrams are held back, and those that are due are sent all at once when this ends.
     pub held: bool,
 }
@@ -119,7 +119,7 @@
         let copies = 1 + usize::from(self.random.random_bool(faults.duplication));
         for _ in 0..copies {
             if !faults.cut && !self.random.random_bool(faults.loss) {
-                let delay = faults.max_delay * self.random.random_range(0.0..1.0);
+                let delay = faults.max_delay_seconds * self.random.random_range(0.0..1.0);
                 let due = now + Duration::from_secs_f64(delay);
                 self.in_flight.push(DelayedDatagram { due, bytes: datagram.to_vec() });
             }
--- a/crates/testkit/src/fault_proxy/stream.rs
+++ b/crates/testkit/src/fault_proxy/stream.rs
@@ -32,7 +32,7 @@
     /// Data from the target is held back; connections stay open.
     pub cut_responses: bool,
     /// Delay of each chunk in seconds.
-    pub delay: f64,
+    pub delay_seconds: f64,
     /// Only a few bytes are forwarded at a time.
     pub trickle: bool,
     /// All connections are closed, and new ones as soon as they are accepted.
@@ -163,6 +163,7 @@
 }
 
 fn delay(faults: &StreamFaults) {
-    let seconds = if faults.trickle { faults.delay.max(TRICKLE_DELAY_SECONDS) } else { faults.delay };
+    let seconds =
+        if faults.trickle { faults.delay_seconds.max(TRICKLE_DELAY_SECONDS) } else { faults.delay_seconds };
     thread::sleep(Duration::from_secs_f64(seconds));
 }
--- a/crates/testkit/src/scale/endpoints.rs
+++ b/crates/testkit/src/scale/endpoints.rs
@@ -57,10 +57,10 @@
 fn start_endpoints(store: &StandInStore, plan: &ScalePlan, replaced: &[usize]) -> io::Result<()> {
     let network = unused_network();
     for endpoint in 0..plan.hosts {
-        store.add_member(address(network, endpoint), group_of(endpoint))?;
+        store.add_endpoint_to_group(address(network, endpoint), group_of(endpoint))?;
     }
     for (number, endpoint) in replaced.iter().enumerate() {
-        store.add_successor(address(network, plan.hosts + number), group_of(*endpoint))?;
+        store.add_unlisted_endpoint(address(network, plan.hosts + number), group_of(*endpoint))?;
     }
     Ok(())
 }
--- a/crates/testkit/src/scale/load.rs
+++ b/crates/testkit/src/scale/load.rs
@@ -73,7 +73,7 @@
     fn ask(&self, arrival: Arrival) -> io::Result<String> {
         let Arrival { number, is_write, group, .. } = arrival;
         let mut session = self.acquire()?;
-        let answer = session.ask(&statement_text(number, is_write, group))?;
+        let answer = session.query(&statement_text(number, is_write, group))?;
         lock(&self.idle).push((Instant::now(), session));
         Ok(answer)
     }
@@ -88,7 +88,7 @@
         drop(idle);
         let mut session = Client::connect(self.router)?;
         session.socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-        session.answer()?;
+        session.read_answer()?;
         Ok(session)
     }
 }
--- a/crates/testkit/src/scale/router.rs
+++ b/crates/testkit/src/scale/router.rs
@@ -116,7 +116,7 @@
 }
 
 fn is_ready(router: SocketAddr) -> bool {
-    Client::connect(router).and_then(|mut client| client.answer()).is_ok()
+    Client::connect(router).and_then(|mut client| client.read_answer()).is_ok()
 }
 
 /// Calls `check` until it returns a value, and returns that; `None` if it does not within the timeout.
--- a/crates/testkit/src/scripted_peer/discovery.rs
+++ b/crates/testkit/src/scripted_peer/discovery.rs
@@ -14,16 +14,16 @@
 /// A discovery service whose calls are answered by the test.
 pub struct ScriptedDiscovery {
     /// The address at which the service listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
 /// A completely received call with its connection, on which nothing else happens until the test handles the call.
 pub struct DiscoveryCall {
     /// The request line.
-    pub path: String,
+    pub request_line: String,
     /// Time at which the call was received.
-    pub came: Instant,
+    pub received_at: Instant,
     socket: TcpStream,
     calls: Sender<DiscoveryCall>,
 }
@@ -32,7 +32,7 @@
     /// Starts a discovery service on an unused port. Fails if no port can be bound.
     pub fn start() -> io::Result<ScriptedDiscovery> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let (sender, calls) = channel();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
@@ -40,7 +40,7 @@
                 thread::spawn(move || receive(socket, &sender));
             }
         });
-        Ok(ScriptedDiscovery { at, calls })
+        Ok(ScriptedDiscovery { address, calls })
     }
 
     /// Waits for the next call.
@@ -48,7 +48,7 @@
     /// # Panics
     ///
     /// Panics if no call is received within `WAIT_TIMEOUT`.
-    pub fn next(&self) -> DiscoveryCall {
+    pub fn next_call(&self) -> DiscoveryCall {
         self.calls.recv_timeout(WAIT_TIMEOUT).expect("no discovery call received in time")
     }
 
@@ -59,11 +59,11 @@
     /// # Panics
     ///
     /// Panics if no further call is received within `WAIT_TIMEOUT`.
-    pub fn tell(&self, version: u64, list: &str) {
+    pub fn serve_list(&self, version: u64, list: &str) {
         let newer_than = format!("since={version}&");
         loop {
-            let call = self.next();
-            if call.path.contains(&newer_than) {
+            let call = self.next_call();
+            if call.request_line.contains(&newer_than) {
                 let calls = call.calls.clone();
                 // Cannot fail, as this service holds the receiver.
                 let _ = calls.send(call);
@@ -82,24 +82,25 @@
 /// Waits for one request and passes it on together with the connection.
 fn receive(socket: TcpStream, calls: &Sender<DiscoveryCall>) -> io::Result<()> {
     let mut lines = BufReader::new(&socket).lines();
-    let Some(path) = lines.next().transpose()? else { return Ok(()) };
+    let Some(request_line) = lines.next().transpose()? else { return Ok(()) };
     while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
     drop(lines);
     // Fails if the test has ended.
-    let _ = calls.send(DiscoveryCall { path, came: Instant::now(), socket, calls: calls.clone() });
+    let _ =
+        calls.send(DiscoveryCall { request_line, received_at: Instant::now(), socket, calls: calls.clone() });
     Ok(())
 }
 
 impl DiscoveryCall {
     /// Writes `bytes` and leaves the call open.
-    pub fn say(&mut self, bytes: &str) {
+    pub fn write(&mut self, bytes: &str) {
         // Writing may fail in tests in which the router abandons the call.
         let _ = self.socket.write_all(bytes.as_bytes());
     }
 
     /// Answers with `list` and continues to serve the connection.
     pub fn answer(mut self, list: &str) {
-        self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+        self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
         let DiscoveryCall { socket, calls, .. } = self;
         thread::spawn(move || receive(socket, &calls));
     }
@@ -110,7 +111,7 @@
     }
 
     /// Closes the connection without a reset.
-    pub fn end(self) {
+    pub fn close(self) {
         close(&self.socket);
     }
 }
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -80,7 +80,7 @@
 /// An endpoint that answers health checks by itself and statements under the control of the test.
 pub struct ScriptedEndpoint {
     /// The address at which the endpoint listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<Shared>,
     statements: Receiver<ReceivedStatement>,
 }
@@ -90,7 +90,7 @@
     /// The statement's text, including its comment.
     pub text: String,
     /// Time at which the statement was received.
-    pub came: Instant,
+    pub received_at: Instant,
     socket: TcpStream,
     shared: Arc<Shared>,
     statements: Sender<ReceivedStatement>,
@@ -100,7 +100,7 @@
     /// Starts an endpoint on an unused port. Fails if no port can be bound.
     pub fn start(is_primary: bool) -> io::Result<ScriptedEndpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let state = State {
             greets: true,
             idle_faults: Vec::new(),
@@ -120,7 +120,7 @@
                 thread::spawn(move || serve_new(socket, &connection_shared, &sender));
             }
         });
-        Ok(ScriptedEndpoint { at, shared, statements })
+        Ok(ScriptedEndpoint { address, shared, statements })
     }
 
     /// Resumes sending the greeting, also to the connections that wait for it.
@@ -131,7 +131,7 @@
 
     /// Stops sending the greeting and closes all connections without a statement in flight, so that the router needs a new
     /// connection for whatever it sends next. Returns when the connections are closed.
-    pub fn hold_greeting_and_close_idle(&self) {
+    pub fn pause_greeting_and_close_idle(&self) {
         lock(&self.shared.state).greets = false;
         self.wait_until("idle connections are closed", |state| state.idle == 0);
     }
@@ -139,7 +139,7 @@
     /// Closes all connections without a statement in flight and resumes sending the greeting, so that the router has to
     /// reconnect for whatever it sends next.
     pub fn close_idle_connections(&self) {
-        self.hold_greeting_and_close_idle();
+        self.pause_greeting_and_close_idle();
         self.resume_greeting();
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Stops answering on the idle connections, which stay open.
-    pub fn forget_idle(&self) {
+    pub fn blackhole_idle(&self) {
         self.inject_idle_fault(IdleFault::Blackhole);
     }
 
@@ -197,7 +197,7 @@
     /// # Panics
     ///
     /// Panics if no statement is received within `WAIT_TIMEOUT`.
-    pub fn next(&self) -> ReceivedStatement {
+    pub fn next_statement(&self) -> ReceivedStatement {
         self.statements.recv_timeout(WAIT_TIMEOUT).expect("no statement received in time")
     }
 
@@ -247,7 +247,7 @@
         Some(text) => {
             let statement = ReceivedStatement {
                 text,
-                came: Instant::now(),
+                received_at: Instant::now(),
                 socket,
                 shared: Arc::clone(shared),
                 statements: statements.clone(),
--- a/crates/testkit/src/stand_in/behaviour.rs
+++ b/crates/testkit/src/stand_in/behaviour.rs
@@ -8,40 +8,40 @@
     /// Executes reads and refuses writes.
     Replica,
     /// Rejects statements as overloaded (SQLSTATE 53300), without executing them.
-    Full,
+    Overloaded,
     /// Answers statements with an internal error (SQLSTATE XX000).
-    Faulty,
+    FailsStatements,
     /// Closes the connection when it has received a statement, without an answer.
-    Resets,
+    ResetsConnection,
     /// Receives statements and never answers them.
-    Silent,
+    NeverAnswers,
     /// Answers statements with bytes that are not a message of the protocol.
-    Babbles,
+    SendsInvalidMessage,
     /// Closes the connection after each answer.
-    Closes,
+    ClosesAfterAnswer,
     /// Accepts new connections but never completes their startup.
-    Mute,
+    NeverCompletesStartup,
     /// Answers statements with a row whose column is one byte shorter than its length field says.
-    Spoils,
+    CorruptsRow,
     /// Answers each statement twice.
-    Echoes,
+    AnswersTwice,
 }
 
 impl Behaviour {
     /// Returns the behaviour with the given name, as entered at the command `serve`.
-    pub fn named(name: &str) -> Option<Behaviour> {
+    pub fn from_name(name: &str) -> Option<Behaviour> {
         Some(match name {
             "primary" => Behaviour::Primary,
             "replica" => Behaviour::Replica,
-            "full" => Behaviour::Full,
-            "faulty" => Behaviour::Faulty,
-            "resets" => Behaviour::Resets,
-            "silent" => Behaviour::Silent,
-            "babbles" => Behaviour::Babbles,
-            "closes" => Behaviour::Closes,
-            "mute" => Behaviour::Mute,
-            "spoils" => Behaviour::Spoils,
-            "echoes" => Behaviour::Echoes,
+            "full" => Behaviour::Overloaded,
+            "faulty" => Behaviour::FailsStatements,
+            "resets" => Behaviour::ResetsConnection,
+            "silent" => Behaviour::NeverAnswers,
+            "babbles" => Behaviour::SendsInvalidMessage,
+            "closes" => Behaviour::ClosesAfterAnswer,
+            "mute" => Behaviour::NeverCompletesStartup,
+            "spoils" => Behaviour::CorruptsRow,
+            "echoes" => Behaviour::AnswersTwice,
             _ => return None,
         })
     }
--- a/crates/testkit/src/stand_in/client.rs
+++ b/crates/testkit/src/stand_in/client.rs
@@ -32,16 +32,16 @@
     }
 
     /// Reads the next message and returns its tag and its body.
-    pub fn hear(&mut self) -> io::Result<(u8, Vec<u8>)> {
+    pub fn receive_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         read_message(&mut self.socket, usize::MAX)
     }
 
     /// Reads all messages up to ReadyForQuery and returns a text of their contents: the values of rows, the codes and
     /// details of errors, and command tags, separated by spaces.
-    pub fn answer(&mut self) -> io::Result<String> {
+    pub fn read_answer(&mut self) -> io::Result<String> {
         let mut parts = Vec::new();
         loop {
-            let (tag, body) = self.hear()?;
+            let (tag, body) = self.receive_message()?;
             match tag {
                 b'Z' => return Ok(parts.join(" ")),
                 b'D' => parts.push(format!("row:{}", decode_text(&body[VALUE_OFFSET..]))),
@@ -55,9 +55,9 @@
 
     /// Reads up to the next row or error and returns the row's value or the error's code, whether or not the session
     /// continues after it. If reading fails, returns the text of the error.
-    pub fn last_words(&mut self) -> String {
+    pub fn next_row_or_error(&mut self) -> String {
         loop {
-            match self.hear() {
+            match self.receive_message() {
                 Ok((b'D', body)) => return format!("row:{}", String::from_utf8_lossy(&body[VALUE_OFFSET..])),
                 Ok((b'E', body)) => return error_fields(&body, b"C").concat(),
                 Ok(_) => {}
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Sends a query and returns its answer in the form of [`answer`](Self::answer).
-    pub fn ask(&mut self, query: &str) -> io::Result<String> {
+    /// Sends a query and returns its answer in the form of [`read_answer`](Self::read_answer).
+    pub fn query(&mut self, query: &str) -> io::Result<String> {
         self.send(query)?;
-        self.answer()
+        self.read_answer()
     }
 }
 
--- a/crates/testkit/src/stand_in/database.rs
+++ b/crates/testkit/src/stand_in/database.rs
@@ -14,7 +14,7 @@
 use super::shared_state::SharedState;
 use super::state::is_statement;
 
-/// Answer of an endpoint with [`Behaviour::Babbles`].
+/// Answer of an endpoint with [`Behaviour::SendsInvalidMessage`].
 const INVALID_MESSAGE: &[u8] = b"?what is this\0";
 
 /// What is done on the connection after a Query message.
@@ -34,7 +34,7 @@
     store.lock().connections_accepted += 1;
     client.set_nodelay(true)?;
     read_startup(&mut client)?;
-    if store.lock().endpoints[endpoint].behaviour == Behaviour::Mute {
+    if store.lock().endpoints[endpoint].behaviour == Behaviour::NeverCompletesStartup {
         return wait_for_close(&mut client);
     }
     let mut greeting = authentication_ok();
@@ -79,16 +79,16 @@
     store.lock().endpoints[endpoint].received.push(text.to_string());
     simulate_execution(store, endpoint, text);
     let answer = match behaviour {
-        Behaviour::Silent => return Reply::Nothing,
-        Behaviour::Resets => return Reply::Close,
-        Behaviour::Babbles => INVALID_MESSAGE.to_vec(),
-        Behaviour::Full => error_response("53300", "too much to do"),
-        Behaviour::Faulty => error_response("XX000", "something broke"),
-        Behaviour::Spoils => corrupt_column_length(execute(store, endpoint, text)),
+        Behaviour::NeverAnswers => return Reply::Nothing,
+        Behaviour::ResetsConnection => return Reply::Close,
+        Behaviour::SendsInvalidMessage => INVALID_MESSAGE.to_vec(),
+        Behaviour::Overloaded => error_response("53300", "too much to do"),
+        Behaviour::FailsStatements => error_response("XX000", "something broke"),
+        Behaviour::CorruptsRow => corrupt_column_length(execute(store, endpoint, text)),
         _ => execute(store, endpoint, text),
     };
     let mut answer = with_ready_messages(store, endpoint, answer);
-    if behaviour == Behaviour::Echoes {
+    if behaviour == Behaviour::AnswersTwice {
         answer.extend(answer.clone());
     }
     reply_with(behaviour, answer)
@@ -105,17 +105,17 @@
 }
 
 fn reply_with(behaviour: Behaviour, answer: Vec<u8>) -> Reply {
-    if behaviour == Behaviour::Closes { Reply::SendAndClose(answer) } else { Reply::Send(answer) }
+    if behaviour == Behaviour::ClosesAfterAnswer { Reply::SendAndClose(answer) } else { Reply::Send(answer) }
 }
 
 /// Sleeps for the duration of a statement and records its execution.
 fn simulate_execution(store: &SharedState, endpoint: usize, text: &str) {
-    let began = unix_seconds();
+    let started_at = unix_seconds();
     let duration = {
         let mut state = store.lock();
         state.endpoints[endpoint].begin_execution();
         state.statement_duration
     };
     thread::sleep(duration);
-    store.lock().endpoints[endpoint].end_execution(text, began);
+    store.lock().endpoints[endpoint].end_execution(text, started_at);
 }
--- a/crates/testkit/src/stand_in/state.rs
+++ b/crates/testkit/src/stand_in/state.rs
@@ -25,9 +25,9 @@
     /// Whether the statement changed data.
     pub wrote: bool,
     /// Start of the execution in Unix seconds.
-    pub began: f64,
+    pub started_at: f64,
     /// End of the execution in Unix seconds.
-    pub ended: f64,
+    pub ended_at: f64,
 }
 
 /// An endpoint of the store.
@@ -98,11 +98,16 @@
         self.peak_concurrency = self.peak_concurrency.max(self.running_executions);
     }
 
-    /// Records an execution that began at `began`, in Unix seconds, and ends now.
-    pub(super) fn end_execution(&mut self, text: &str, began: f64) {
+    /// Records an execution that started at `started_at`, in Unix seconds, and ends now.
+    pub(super) fn end_execution(&mut self, text: &str, started_at: f64) {
         self.running_executions -= 1;
         let wrote = self.is_primary && text.starts_with("INSERT");
-        self.executions.push(Execution { id: statement_id(text), wrote, began, ended: unix_seconds() });
+        self.executions.push(Execution {
+            id: statement_id(text),
+            wrote,
+            started_at,
+            ended_at: unix_seconds(),
+        });
     }
 }
 
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -30,19 +30,19 @@
     /// Starts an endpoint that listens at `address` and returns the address to which it is bound. The first endpoint is the
     /// primary. Fails if the address can't be bound.
     pub fn add_endpoint(&self, address: &str) -> io::Result<SocketAddr> {
-        let endpoint = self.add_member(address, DEFAULT_GROUP)?;
+        let endpoint = self.add_endpoint_to_group(address, DEFAULT_GROUP)?;
         Ok(self.endpoint_address(endpoint))
     }
 
     /// Starts an endpoint of the replica set `group` and returns its index. The first endpoint of each replica set is its
     /// primary. Fails if the address can't be bound.
-    pub fn add_member(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
+    pub fn add_endpoint_to_group(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
         self.start_endpoint(address, group, true)
     }
 
-    /// Starts an endpoint as [`add_member`](Self::add_member) does, but discovery does not list it until it joins by
-    /// [`change_members`](Self::change_members).
-    pub fn add_successor(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
+    /// Starts an endpoint as [`add_endpoint_to_group`](Self::add_endpoint_to_group) does, but discovery does not
+    /// list it until it joins by [`change_members`](Self::change_members).
+    pub fn add_unlisted_endpoint(&self, address: impl ToSocketAddrs, group: u64) -> io::Result<usize> {
         self.start_endpoint(address, group, false)
     }
 
@@ -96,7 +96,7 @@
 
     /// Sets the offset in milliseconds of the endpoint's clock, and thereby of its replication position. A replica that lags
     /// is simulated by a clock that is slow by the lag.
-    pub fn shift_clock(&self, endpoint: usize, ms: i64) {
+    pub fn set_clock_offset(&self, endpoint: usize, ms: i64) {
         self.lock().endpoints[endpoint].set_clock_offset(ms);
     }
 
@@ -121,18 +121,18 @@
     }
 
     /// Sets whether discovery accepts calls without answering them.
-    pub fn silence_discovery(&self, silent: bool) {
+    pub fn set_discovery_silent(&self, silent: bool) {
         self.lock().discovery_is_silent = silent;
         self.shared.list_changed().notify_all();
     }
 
     /// Makes discovery close the connection after each answer.
-    pub fn close_discovery(&self) {
+    pub fn close_discovery_connections(&self) {
         self.lock().discovery_closes = true;
     }
 
     /// Makes every statement that names this view a write, even if its text is that of a read.
-    pub fn hide_write(&self, view: &str) {
+    pub fn add_view_with_side_effects(&self, view: &str) {
         self.lock().views_with_side_effects.push(view.to_string());
     }
 
--- a/crates/testkit/tests/fault_script.rs
+++ b/crates/testkit/tests/fault_script.rs
@@ -35,7 +35,7 @@
 #[case::current_name("links")]
 #[case::former_name("weather")]
 fn link_faults_are_parsed_under_both_names(#[case] word: &str) {
-    let faults = LinkFaults { cut: false, loss: 0.1, duplication: 0.2, max_delay: 0.05, held: true };
+    let faults = LinkFaults { cut: false, loss: 0.1, duplication: 0.2, max_delay_seconds: 0.05, held: true };
     assert_eq!(
         parse_single_fault(&format!("{word} lost=0.1 twice=0.2 delay=0.05 held=1")),
         Fault::Links(faults)
