--- a/crates/ottersill/tests/audit_file.rs
+++ b/crates/ottersill/tests/audit_file.rs
@@ -52,7 +52,7 @@
         assert!(cluster.wait_until(is_written), "{line} is not among\n{}", text());
     }
     cluster.stop_load();
-    assert!(!audit::read(&text()).expect("lines").entries.is_empty());
+    assert!(!audit::parse_audit_file(&text()).expect("lines").entries.is_empty());
 }
 
 /// Lines of an earlier release, as they were written.
@@ -64,7 +64,7 @@
         r#"{"at":1764672000.5,"process":"r0","incarnation":1764671999123456,"what":"take","budget":"probes","subject":0}"#,
         "\n",
     );
-    let entries = audit::read(text).expect("entries").entries;
+    let entries = audit::parse_audit_file(text).expect("entries").entries;
     assert_eq!(entries.len(), 2);
     assert_eq!(entries[0].until, Some([(11, 1_764_672_001.25), (1, 1_764_672_003.5)]));
     assert_eq!((entries[1].what.as_str(), entries[1].incarnation), ("take", 1_764_671_999_123_456));
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::audit::{Whole, audit};
+use ottersill_testkit::audit::{BudgetLimit, audit};
 use ottersill_testkit::cluster::{Cluster, ClusterPlan, query};
 use ottersill_testkit::fault_proxy::{LinkFaults, StreamFaults};
 use rstest::rstest;
@@ -32,20 +32,24 @@
 
 fn clean(cluster: &Cluster) {
     let verdict = cluster.audit().expect("audit files");
-    assert!(verdict.faults.is_empty(), "{:?}", &verdict.faults[..verdict.faults.len().min(5)]);
+    assert!(verdict.violations.is_empty(), "{:?}", &verdict.violations[..verdict.violations.len().min(5)]);
     assert!(verdict.grants > 0);
 }
 
 #[test]
 fn routers_divide_what_may_be_out_at_a_host() {
-    let mut cluster =
-        start_cluster(ClusterPlan { routers: 3, executions: 9, floor: 0, ..ClusterPlan::default() });
+    let mut cluster = start_cluster(ClusterPlan {
+        routers: 3,
+        attempts_per_endpoint: 9,
+        floor: 0,
+        ..ClusterPlan::default()
+    });
     cluster.start_load(12, 0);
     sleep(4.5);
     let answers = cluster.stop_load();
     for (index, answered) in answers.iter().enumerate() {
         assert!(answered.completed > 100, "router {index}: {answered:?}\n{}", cluster.log(index));
-        assert_eq!((answered.wrong, answered.broken), (0, 0), "{answered:?}");
+        assert_eq!((answered.malformed, answered.connections_broken), (0, 0), "{answered:?}");
     }
     let most: Vec<usize> = (0..3).map(|host| cluster.store.peak_concurrency(host)).collect();
     assert!(most.iter().all(|most| *most <= 9) && most.iter().any(|most| *most >= 5), "{most:?}");
@@ -76,9 +80,9 @@
 fn what_the_dead_held_is_in_use_again_within_a_lease_and_a_second() {
     let plan = ClusterPlan {
         routers: 6,
-        executions: 24,
+        attempts_per_endpoint: 24,
         floor: 0,
-        hold: 2.0,
+        hold_seconds: 2.0,
         statement_seconds: 0.2,
         ..ClusterPlan::default()
     };
@@ -89,7 +93,7 @@
     assert!(before >= 60, "{before} of 72");
     // One third, and no voters: a new keeper would have to wait for what the old one granted.
     [4, 5].into_iter().for_each(|index| cluster.kill(index));
-    let (since, again) = (Instant::now(), cluster.plan.lease + cluster.plan.hold + 1.0);
+    let (since, again) = (Instant::now(), cluster.plan.lease_seconds + cluster.plan.hold_seconds + 1.0);
     let back = cluster.wait_until(|cluster| held(cluster, EXECUTIONS) >= 66);
     assert!(
         back && since.elapsed().as_secs_f64() <= again,
@@ -105,7 +109,7 @@
 fn parts_follow_the_traffic() {
     let mut cluster = start_cluster(ClusterPlan {
         routers: 4,
-        executions: 40,
+        attempts_per_endpoint: 40,
         floor: 1,
         statement_seconds: 0.1,
         ..ClusterPlan::default()
@@ -131,7 +135,7 @@
 fn a_whole_that_shrinks_in_one_file_is_in_force_everywhere_within_a_lease() {
     let mut cluster = start_cluster(ClusterPlan {
         routers: 3,
-        executions: 30,
+        attempts_per_endpoint: 30,
         floor: 0,
         statement_seconds: 0.1,
         ..ClusterPlan::default()
@@ -140,9 +144,9 @@
     sleep(4.0);
     let leader = cluster.leader().expect("a leader");
     let other = (0..3).find(|index| *index != leader).expect("another");
-    cluster.write_fleet(other, 6).expect("a file");
+    cluster.write_fleet_file(other, 6).expect("a file");
     cluster.reload(other);
-    sleep(cluster.plan.lease + 0.4);
+    sleep(cluster.plan.lease_seconds + 0.4);
     assert!(held(&cluster, EXECUTIONS) <= 18, "{}", held(&cluster, EXECUTIONS));
     assert!(cluster.log(other).contains("fleet file reloaded"));
     // A file that can't be taken changes nothing.
@@ -222,7 +226,8 @@
 
 #[test]
 fn halves_that_do_not_hear_each_other_stay_below_the_whole_together() {
-    let mut cluster = start_cluster(ClusterPlan { routers: 5, floor_lease: 2.0, ..ClusterPlan::default() });
+    let mut cluster =
+        start_cluster(ClusterPlan { routers: 5, floor_lease_seconds: 2.0, ..ClusterPlan::default() });
     cluster.start_load(8, 10);
     sleep(4.5);
     // A and B on one side, two of the three voters among them; the rest go on within their floors, then not at all.
@@ -271,14 +276,14 @@
         sleep(0.5);
         let verdict = cluster.audit().expect("audit files");
         assert!(
-            verdict.faults.is_empty(),
+            verdict.violations.is_empty(),
             "seed {seed}: {:?}",
-            &verdict.faults[..verdict.faults.len().min(5)]
+            &verdict.violations[..verdict.violations.len().min(5)]
         );
         let answers = cluster.stop_load();
-        assert_eq!(answers.iter().map(|one| one.wrong).sum::<u64>(), 0, "seed {seed}");
-        highest = verdict.highest.values().copied().fold(highest, f64::max);
-        (grants, spent) = (grants + verdict.grants, spent + verdict.spent);
+        assert_eq!(answers.iter().map(|one| one.malformed).sum::<u64>(), 0, "seed {seed}");
+        highest = verdict.highest_fraction.values().copied().fold(highest, f64::max);
+        (grants, spent) = (grants + verdict.grants, spent + verdict.units_acquired);
     }
     println!("{count} schedules: highest sum {highest:.3} of the whole, {grants} grants, {spent} spent");
     assert!(highest > 0.5 && highest <= 1.0, "{highest}");
@@ -286,7 +291,8 @@
 
 #[test]
 fn a_host_that_drains_gets_nothing_new_from_any_router() {
-    let mut cluster = start_cluster(ClusterPlan { routers: 4, executions: 20, ..ClusterPlan::default() });
+    let mut cluster =
+        start_cluster(ClusterPlan { routers: 4, attempts_per_endpoint: 20, ..ClusterPlan::default() });
     cluster.start_load(4, 10);
     sleep(3.0);
     cluster.store.set_health(1, "leaving");
@@ -313,9 +319,9 @@
 fn a_cold_host_is_opened_by_all_routers_within_one_budget() {
     let mut cluster = start_cluster(ClusterPlan {
         routers: 4,
-        executions: 40,
+        attempts_per_endpoint: 40,
         floor: 0,
-        cold_executions: 15,
+        attempts_per_second_in_slow_start: 15,
         ..ClusterPlan::default()
     });
     cluster.start_load(6, 0);
@@ -339,8 +345,12 @@
 
 #[test]
 fn what_is_held_back_on_the_way_to_a_host_stays_counted() {
-    let mut cluster =
-        start_cluster(ClusterPlan { routers: 3, executions: 6, floor: 0, ..ClusterPlan::default() });
+    let mut cluster = start_cluster(ClusterPlan {
+        routers: 3,
+        attempts_per_endpoint: 6,
+        floor: 0,
+        ..ClusterPlan::default()
+    });
     cluster.start_load(8, 0);
     sleep(4.0);
     // The first router's executions get to the hosts, and no answer comes back before they are given up.
@@ -355,7 +365,7 @@
     cluster.change_stream(1, 0, |faults| faults.trickle = true);
     cluster.change_stream(1, 1, |faults| faults.closed = true);
     sleep(1.5);
-    assert!(cluster.stop_load().iter().all(|answered| answered.wrong == 0));
+    assert!(cluster.stop_load().iter().all(|answered| answered.malformed == 0));
     clean(&cluster);
 }
 
@@ -380,7 +390,7 @@
     sleep(1.5);
     cluster.play(&steps.expect("a script")).expect("played");
     assert!(cluster.wait_until(|cluster| (0..4).all(|index| cluster.held_units(index, EXECUTIONS) > 0)));
-    assert!(cluster.stop_load().iter().all(|answered| answered.wrong == 0));
+    assert!(cluster.stop_load().iter().all(|answered| answered.malformed == 0));
     clean(&cluster);
 }
 
@@ -389,7 +399,7 @@
 fn a_lease_that_is_not_waited_out_is_found_by_the_audit() {
     let mut cluster = start_cluster(ClusterPlan {
         routers: 4,
-        executions: 12,
+        attempts_per_endpoint: 12,
         floor: 0,
         statement_seconds: 0.1,
         ..ClusterPlan::default()
@@ -399,20 +409,24 @@
     let leader = cluster.leader().expect("a leader");
     let dead = (0..4).find(|index| *index != leader).expect("another");
     cluster.kill(dead);
-    sleep(cluster.plan.lease + cluster.plan.hold + 1.0);
+    sleep(cluster.plan.lease_seconds + cluster.plan.hold_seconds + 1.0);
     cluster.stop_load();
     clean(&cluster);
     let mut entries = cluster.audit_records().expect("audit files").entries;
     for entry in entries.iter_mut().filter(|entry| entry.process == format!("r{dead}")) {
         entry.until = entry.until.map(|until| until.map(|(units, until)| (units, until + 5.0)));
     }
-    assert!(!audit(&entries, &cluster.budgets()).faults.is_empty());
+    assert!(!audit(&entries, &cluster.budgets()).violations.is_empty());
     let halved = cluster.budgets().into_iter().map(|(name, whole)| match whole {
-        Whole::InHand { units, hold } => (name, Whole::InHand { units: units / 2, hold }),
+        BudgetLimit::Concurrent { units, hold_seconds } => {
+            (name, BudgetLimit::Concurrent { units: units / 2, hold_seconds })
+        }
         rate => (name, rate),
     });
     assert!(
-        !audit(&cluster.audit_records().expect("audit files").entries, &halved.collect()).faults.is_empty()
+        !audit(&cluster.audit_records().expect("audit files").entries, &halved.collect())
+            .violations
+            .is_empty()
     );
 }
 
--- a/crates/ottersill/tests/fleet_faults.rs
+++ b/crates/ottersill/tests/fleet_faults.rs
@@ -54,11 +54,14 @@
     assert!(cluster.answers()[1].completed > before.completed, "{before:?}");
     assert_eq!(unwritten(&cluster), 39);
     let answers = cluster.stop_load();
-    assert!(answers.iter().all(|answered| answered.wrong == 0 && answered.broken == 0), "{answers:?}");
+    assert!(
+        answers.iter().all(|answered| answered.malformed == 0 && answered.connections_broken == 0),
+        "{answers:?}"
+    );
     // What was done meanwhile is in no line; that no more was done than may be is seen at the hosts.
     assert!(
         (0..cluster.store.endpoint_count())
-            .all(|host| cluster.store.peak_concurrency(host) as u64 <= cluster.plan.executions)
+            .all(|host| cluster.store.peak_concurrency(host) as u64 <= cluster.plan.attempts_per_endpoint)
     );
     let records = cluster.audit_records().expect("audit files");
     assert_eq!(records.torn, 1);
@@ -82,7 +85,7 @@
     cluster.stop_load();
     let verdict = cluster.audit().expect("audit files");
     assert_eq!(verdict.torn, 1);
-    assert!(verdict.faults.is_empty(), "{:?}", &verdict.faults[..verdict.faults.len().min(5)]);
+    assert!(verdict.violations.is_empty(), "{:?}", &verdict.violations[..verdict.violations.len().min(5)]);
     let _ = std::fs::remove_file(program);
 }
 
@@ -104,9 +107,12 @@
     assert!(cluster.answers()[1].completed > before.completed, "{before:?}");
     assert!(faults.disarm().len() > 50);
     let answers = cluster.stop_load();
-    assert!(answers.iter().all(|answered| answered.wrong == 0 && answered.broken == 0), "{answers:?}");
+    assert!(
+        answers.iter().all(|answered| answered.malformed == 0 && answered.connections_broken == 0),
+        "{answers:?}"
+    );
     let verdict = cluster.audit().expect("audit files");
-    assert!(verdict.faults.is_empty(), "{:?}", &verdict.faults[..verdict.faults.len().min(5)]);
+    assert!(verdict.violations.is_empty(), "{:?}", &verdict.violations[..verdict.violations.len().min(5)]);
     let _ = std::fs::remove_file(program);
 }
 
@@ -116,8 +122,8 @@
     let whole =
         "{\"at\":1.5,\"process\":\"r\",\"incarnation\":1,\"what\":\"take\",\"budget\":\"b\",\"subject\":0}";
     let cut = &whole[..40];
-    let records = audit::read(&format!("{whole}\n{cut}\n{whole}\n{cut}")).expect("records");
+    let records = audit::parse_audit_file(&format!("{whole}\n{cut}\n{whole}\n{cut}")).expect("records");
     assert_eq!((records.entries.len(), records.torn), (2, 2));
-    assert!(audit::read(&format!("{cut}{whole}\n")).is_err());
-    assert!(audit::read("no entry\n").is_err());
+    assert!(audit::parse_audit_file(&format!("{cut}{whole}\n")).is_err());
+    assert!(audit::parse_audit_file("no entry\n").is_err());
 }
--- a/crates/ottersill/tests/scale.rs
+++ b/crates/ottersill/tests/scale.rs
@@ -21,7 +21,7 @@
 });
 
 fn measure(hosts: usize) -> Vec<Measurement> {
-    let plan = ScalePlan { hosts, duration: DURATION, ..ScalePlan::default() };
+    let plan = ScalePlan { endpoints: hosts, duration: DURATION, ..ScalePlan::default() };
     let example = include_str!("../../../example/router.json");
     vec![Measurement::run(&plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), example).expect("a run")]
 }
--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -132,6 +132,6 @@
         let text = read_text(&members.audit_file(name));
         assert!(text.starts_with(STORED_AUDIT), "what was there stays\n{text}");
         let whole_lines = &text[..=text.rfind('\n').expect("a line")];
-        assert!(audit::read(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
+        assert!(audit::parse_audit_file(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
     }
 }
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ottersill_testkit::audit::effects;
+use ottersill_testkit::audit::duplicate_writes;
 use ottersill_testkit::stand_in::{Client, StandInStore};
 use support::faults::Faults;
 use support::machine::own_time_since;
@@ -113,7 +113,7 @@
         tally.faults.push(format!("{} connections ended, {breaks} calls said so", tally.broken));
     }
     let executed: Vec<_> = (0..store.endpoint_count()).flat_map(|host| store.executions(host)).collect();
-    tally.faults.extend(effects(&executed));
+    tally.faults.extend(duplicate_writes(&executed));
     let after = Mutex::new(Tally::default());
     let recovered = (0..50).any(|_| {
         thread::sleep(Duration::from_millis(100));
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -32,35 +32,35 @@
 
 /// The limit of a budget, against which the entries are checked.
 #[derive(Clone, Copy, Debug)]
-pub enum Whole {
-    /// A token bucket: `units` tokens are added every `every` seconds, and at most `units` tokens accumulate.
+pub enum BudgetLimit {
+    /// A token bucket: `units` tokens are added every `period_seconds` seconds, and at most `units` tokens accumulate.
     Rate {
         /// Units of all routers together.
         units: u64,
         /// Period in seconds.
-        every: f64,
+        period_seconds: f64,
     },
     /// A limit on the units that are in flight at the same time.
-    InHand {
+    Concurrent {
         /// Units of all routers together.
         units: u64,
         /// Seconds after which an acquired unit is no longer in flight, even if it was not released.
-        hold: f64,
+        hold_seconds: f64,
     },
 }
 
-impl Whole {
+impl BudgetLimit {
     fn units(self) -> u64 {
         match self {
-            Whole::Rate { units, .. } | Whole::InHand { units, .. } => units,
+            BudgetLimit::Rate { units, .. } | BudgetLimit::Concurrent { units, .. } => units,
         }
     }
 
     /// Seconds after which an acquired unit is no longer in flight.
     fn hold_seconds(self) -> f64 {
         match self {
-            Whole::InHand { hold, .. } => hold,
-            Whole::Rate { .. } => 0.0,
+            BudgetLimit::Concurrent { hold_seconds, .. } => hold_seconds,
+            BudgetLimit::Rate { .. } => 0.0,
         }
     }
 }
@@ -69,11 +69,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// Invariant violations, each described in one line.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
-    pub highest: BTreeMap<String, f64>,
+    pub highest_fraction: BTreeMap<String, f64>,
     /// Number of units that were acquired.
-    pub spent: u64,
+    pub units_acquired: u64,
     /// Number of `right` entries.
     pub grants: u64,
     /// Number of processes that wrote entries.
@@ -94,7 +94,7 @@
 
 /// Parses an audit file. A line that ends within its JSON object is counted as torn, and so is a last line without a
 /// newline; any other line that is not an entry is an error.
-pub fn read(text: &str) -> Result<Records, String> {
+pub fn parse_audit_file(text: &str) -> Result<Records, String> {
     let mut records = Records::default();
     let (complete, last) = text.rsplit_once('\n').unwrap_or(("", text));
     records.torn += usize::from(!last.is_empty());
@@ -148,17 +148,17 @@
 
 impl Audit {
     /// Applies an entry, then checks its process against the quota and the sum of all processes against the budget.
-    fn record(&mut self, entry: &Entry, limits: &BTreeMap<String, Whole>) {
+    fn record(&mut self, entry: &Entry, limits: &BTreeMap<String, BudgetLimit>) {
         self.processes.insert((entry.process.clone(), entry.incarnation));
         let Some(limit) = limits.get(&entry.budget).copied() else {
-            self.verdict.faults.push(format!("unknown budget: {}", entry.budget));
+            self.verdict.violations.push(format!("unknown budget: {}", entry.budget));
             return;
         };
         self.apply(entry, limit);
         self.check_total(entry, limit);
     }
 
-    fn apply(&mut self, entry: &Entry, limit: Whole) {
+    fn apply(&mut self, entry: &Entry, limit: BudgetLimit) {
         let budget = (entry.budget.clone(), entry.subject);
         let name = (entry.process.clone(), entry.incarnation);
         let holder = self.holders.entry(budget.clone()).or_default().entry(name.clone()).or_default();
@@ -168,20 +168,21 @@
                 holder.quota = entry.until.unwrap_or_default();
             }
             "take" => {
-                self.verdict.spent += 1;
+                self.verdict.units_acquired += 1;
                 let violation = match limit {
-                    Whole::InHand { hold, .. } => {
+                    BudgetLimit::Concurrent { hold_seconds, .. } => {
                         holder.in_flight_since.push_back(entry.at);
-                        let exceeds_quota = holder.in_use_at(entry.at, hold) > holder.quota_at(entry.at);
+                        let exceeds_quota =
+                            holder.in_use_at(entry.at, hold_seconds) > holder.quota_at(entry.at);
                         exceeds_quota.then_some("acquires more than its quota")
                     }
-                    Whole::Rate { .. } => {
+                    BudgetLimit::Rate { .. } => {
                         self.spend_times.entry(budget).or_default().push(entry.at);
                         (holder.quota_at(entry.at) == 0).then_some("spends a unit without a quota")
                     }
                 };
                 if let Some(violation) = violation {
-                    self.verdict.faults.push(format!("{:.4}: {name:?} {violation}: {entry:?}", entry.at));
+                    self.verdict.violations.push(format!("{:.4}: {name:?} {violation}: {entry:?}", entry.at));
                 }
             }
             "put" => drop(holder.in_flight_since.pop_front()),
@@ -189,37 +190,37 @@
                 holder.in_flight_since.pop_front();
                 holder.unconfirmed_until.push(entry.at + limit.hold_seconds());
             }
-            other => self.verdict.faults.push(format!("unknown kind of entry: {other}")),
+            other => self.verdict.violations.push(format!("unknown kind of entry: {other}")),
         }
     }
 
     /// Checks that all holders of a budget together do not have more than its total.
-    fn check_total(&mut self, entry: &Entry, limit: Whole) {
+    fn check_total(&mut self, entry: &Entry, limit: BudgetLimit) {
         let holders = self.holders.entry((entry.budget.clone(), entry.subject)).or_default();
         let held =
             |holder: &Holder| holder.quota_at(entry.at).max(holder.in_use_at(entry.at, limit.hold_seconds()));
         let sum: u64 = holders.values().map(held).sum();
         let fraction = count_to_f64(sum) / count_to_f64(limit.units());
-        let highest = self.verdict.highest.entry(entry.budget.clone()).or_default();
+        let highest = self.verdict.highest_fraction.entry(entry.budget.clone()).or_default();
         *highest = highest.max(fraction);
         if sum > limit.units() {
             let violation =
                 format!("{:.4}: {}: {sum} units held of {} in total", entry.at, entry.budget, limit.units());
-            self.verdict.faults.push(violation);
+            self.verdict.violations.push(violation);
         }
     }
 
     /// Checks that in each span no more of a rate budget was spent than had accumulated before and was added during it.
-    fn check_rates(&mut self, limits: &BTreeMap<String, Whole>) {
+    fn check_rates(&mut self, limits: &BTreeMap<String, BudgetLimit>) {
         for ((budget, _), times) in &self.spend_times {
-            let Some(Whole::Rate { units, every }) = limits.get(budget) else { continue };
+            let Some(BudgetLimit::Rate { units, period_seconds }) = limits.get(budget) else { continue };
             for (first, from) in times.iter().enumerate() {
                 for (last, to) in times.iter().enumerate().skip(first).step_by(1 + times.len() / 400) {
-                    let allowed = count_to_f64(*units) * (1.0 + (to - from) / every);
+                    let allowed = count_to_f64(*units) * (1.0 + (to - from) / period_seconds);
                     let spent = last - first + 1;
                     if count_to_f64(spent as u64) > allowed + 0.5 {
                         self.verdict
-                            .faults
+                            .violations
                             .push(format!("{budget}: {spent} units spent within {:.3} s", to - from));
                     }
                 }
@@ -229,7 +230,7 @@
 }
 
 /// Checks audit entries of any number of processes against the limits of the budgets, by budget name.
-pub fn audit(entries: &[Entry], limits: &BTreeMap<String, Whole>) -> Verdict {
+pub fn audit(entries: &[Entry], limits: &BTreeMap<String, BudgetLimit>) -> Verdict {
     let mut by_time: Vec<&Entry> = entries.iter().collect();
     by_time.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut audit = Audit::default();
@@ -242,7 +243,7 @@
 }
 
 /// Checks, by what the endpoints recorded, that no write took effect more than once; returns a line for each that did.
-pub fn effects(executed: &[Execution]) -> Vec<String> {
+pub fn duplicate_writes(executed: &[Execution]) -> Vec<String> {
     let mut writes = BTreeMap::<&str, usize>::new();
     for execution in executed.iter().filter(|execution| execution.wrote) {
         *writes.entry(&execution.id).or_default() += 1;
--- a/crates/testkit/src/cluster/files.rs
+++ b/crates/testkit/src/cluster/files.rs
@@ -82,20 +82,27 @@
 }
 
 fn lease_fields(plan: &ClusterPlan) -> String {
-    let ClusterPlan { leader_lease, lease, floor_lease, .. } = plan;
+    let ClusterPlan { leader_lease_seconds, lease_seconds, floor_lease_seconds, .. } = plan;
     let members_at_most = plan.routers * 2;
     format!(
-        "keeper_lease_s: {leader_lease}\nlease_s: {lease}\nfloor_lease_s: {floor_lease}\n\
+        "keeper_lease_s: {leader_lease_seconds}\nlease_s: {lease_seconds}\nfloor_lease_s: {floor_lease_seconds}\n\
          drift: {CLOCK_DRIFT}\nmembers_at_most: {members_at_most}\n"
     )
 }
 
 fn budget_fields(plan: &ClusterPlan, attempts: u64) -> String {
-    let ClusterPlan { floor, hold, health_checks_per_second, retries_per_second, cold_executions, .. } = plan;
+    let ClusterPlan {
+        floor,
+        hold_seconds,
+        health_checks_per_second,
+        retries_per_second,
+        attempts_per_second_in_slow_start,
+        ..
+    } = plan;
     format!(
-        "budget {{ of: EXECUTIONS_AT_EACH_HOST whole: {attempts} floor: {floor} hold_s: {hold} }}\n\
+        "budget {{ of: EXECUTIONS_AT_EACH_HOST whole: {attempts} floor: {floor} hold_s: {hold_seconds} }}\n\
          budget {{ of: PROBES whole: {health_checks_per_second} every_s: 1 }}\n\
          budget {{ of: SECOND_TRIES whole: {retries_per_second} every_s: 1 }}\n\
-         budget {{ of: EXECUTIONS_AT_EACH_COLD_HOST whole: {cold_executions} every_s: 1 }}\n"
+         budget {{ of: EXECUTIONS_AT_EACH_COLD_HOST whole: {attempts_per_second_in_slow_start} every_s: 1 }}\n"
     )
 }
--- a/crates/testkit/src/cluster/harness.rs
+++ b/crates/testkit/src/cluster/harness.rs
@@ -58,7 +58,7 @@
         let cluster = Cluster { plan, store, routers, folder, network, launcher, load: None };
         for index in 0..cluster.routers.len() {
             cluster.write_config(index, ip, example)?;
-            cluster.write_fleet(index, cluster.plan.executions)?;
+            cluster.write_fleet_file(index, cluster.plan.attempts_per_endpoint)?;
         }
         Ok(cluster)
     }
@@ -72,9 +72,9 @@
         files::write_config(&self.plan, index, &self.routers[index], discovery, example)
     }
 
-    /// Writes the fleet file of a router, with a budget of `executions` concurrent attempts at each endpoint.
-    pub fn write_fleet(&self, index: usize, executions: u64) -> Result<(), ClusterError> {
-        files::write_fleet_file(&self.plan, &self.folder, &self.routers, &self.network, index, executions)
+    /// Writes the fleet file of a router, with a budget of `attempts` concurrent attempts at each endpoint.
+    pub fn write_fleet_file(&self, index: usize, attempts: u64) -> Result<(), ClusterError> {
+        files::write_fleet_file(&self.plan, &self.folder, &self.routers, &self.network, index, attempts)
     }
 
     /// Starts a second process with the name and files of a router, which listens at other addresses for clients and
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -30,9 +30,9 @@
     /// Statements answered with another error.
     pub aborted: u64,
     /// Connections that were closed or timed out before an answer.
-    pub broken: u64,
+    pub connections_broken: u64,
     /// Malformed answers: neither a row nor an error.
-    pub wrong: u64,
+    pub malformed: u64,
 }
 
 impl Answers {
@@ -42,8 +42,8 @@
             Some(text) if text.starts_with("row:") => &mut self.completed,
             Some(text) if text.starts_with("C53300") => &mut self.rejected,
             Some(text) if text.starts_with('C') => &mut self.aborted,
-            Some(_) => &mut self.wrong,
-            None => &mut self.broken,
+            Some(_) => &mut self.malformed,
+            None => &mut self.connections_broken,
         };
         *counter += 1;
     }
@@ -53,8 +53,8 @@
         self.completed += other.completed;
         self.rejected += other.rejected;
         self.aborted += other.aborted;
-        self.broken += other.broken;
-        self.wrong += other.wrong;
+        self.connections_broken += other.connections_broken;
+        self.malformed += other.malformed;
     }
 }
 
--- a/crates/testkit/src/cluster/observation.rs
+++ b/crates/testkit/src/cluster/observation.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::audit::{self, Records, Verdict, Whole};
+use crate::audit::{self, BudgetLimit, Records, Verdict};
 use crate::clock::unix_seconds;
 use crate::stand_in::Client;
 
@@ -62,7 +62,7 @@
             let path = self.folder.join(format!("{}.audit", router.name));
             // A torn line may end within a multi-byte character.
             let bytes = fs::read(&path).unwrap_or_default();
-            let read = audit::read(&String::from_utf8_lossy(&bytes));
+            let read = audit::parse_audit_file(&String::from_utf8_lossy(&bytes));
             let records = read.map_err(|reason| ClusterError::AuditFile { path, reason })?;
             all.entries.extend(records.entries);
             all.torn += records.torn;
@@ -71,15 +71,16 @@
     }
 
     /// Returns the limits of the budgets in the routers' fleet files, by budget name.
-    pub fn budgets(&self) -> BTreeMap<String, Whole> {
+    pub fn budgets(&self) -> BTreeMap<String, BudgetLimit> {
         let plan = &self.plan;
-        let attempts = Whole::InHand { units: plan.executions, hold: plan.hold };
-        let rate = |units| Whole::Rate { units, every: 1.0 };
+        let attempts =
+            BudgetLimit::Concurrent { units: plan.attempts_per_endpoint, hold_seconds: plan.hold_seconds };
+        let rate = |units| BudgetLimit::Rate { units, period_seconds: 1.0 };
         BTreeMap::from([
             ("executions at each host".to_string(), attempts),
             ("probes".to_string(), rate(plan.health_checks_per_second)),
             ("second tries".to_string(), rate(plan.retries_per_second)),
-            ("executions at each cold host".to_string(), rate(plan.cold_executions)),
+            ("executions at each cold host".to_string(), rate(plan.attempts_per_second_in_slow_start)),
         ])
     }
 
@@ -93,14 +94,14 @@
         verdict.torn = torn;
         let endpoints = 0..self.store.endpoint_count();
         let executions: Vec<_> = endpoints.clone().flat_map(|at| self.store.executions(at)).collect();
-        verdict.faults.extend(audit::effects(&executions));
-        verdict.faults.extend(endpoints.filter_map(|endpoint| self.concurrency_violation(endpoint)));
+        verdict.violations.extend(audit::duplicate_writes(&executions));
+        verdict.violations.extend(endpoints.filter_map(|endpoint| self.concurrency_violation(endpoint)));
         Ok(verdict)
     }
 
     /// Returns a description of the violation if an endpoint had more concurrent attempts than the budget allows.
     fn concurrency_violation(&self, endpoint: usize) -> Option<String> {
-        let (peak, budget) = (self.store.peak_concurrency(endpoint) as u64, self.plan.executions);
+        let (peak, budget) = (self.store.peak_concurrency(endpoint) as u64, self.plan.attempts_per_endpoint);
         (peak > budget)
             .then(|| format!("endpoint {endpoint}: {peak} concurrent attempts, the budget is {budget}"))
     }
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -100,7 +100,7 @@
         routers: arguments.routers,
         // Odd, because the router rejects an even number of voters.
         voters: arguments.routers.min(3) | 1,
-        executions: 64,
+        attempts_per_endpoint: 64,
         health_checks_per_second: 1000,
         statement_seconds: 0.0,
         fleet_enabled,
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -78,13 +78,13 @@
 impl Totals {
     fn add(&mut self, seed: u64, verdict: Verdict, answers: &[Answers]) {
         self.violations
-            .extend(verdict.faults.into_iter().map(|violation| format!("seed {seed}: {violation}")));
-        for (budget, highest) in verdict.highest {
+            .extend(verdict.violations.into_iter().map(|violation| format!("seed {seed}: {violation}")));
+        for (budget, highest) in verdict.highest_fraction {
             let highest_so_far = self.highest.entry(budget).or_default();
             *highest_so_far = highest_so_far.max(highest);
         }
         self.grants += verdict.grants;
-        self.spent += verdict.spent;
+        self.spent += verdict.units_acquired;
         self.processes += verdict.processes;
         self.torn += verdict.torn;
         answers.iter().for_each(|counts| self.answers.add(counts));
@@ -93,7 +93,12 @@
     fn print(&self, schedules: u64) {
         let run = schedules - self.skipped;
         println!("{run} of {schedules} schedules run, {} router processes", self.processes);
-        println!("{} grants, {} units spent, answers {:?}", self.grants, self.spent, self.answers);
+        let Answers { completed, rejected, aborted, connections_broken, malformed } = self.answers;
+        println!(
+            "{} grants, {} units spent, answers Answers {{ completed: {completed}, rejected: {rejected}, \
+             aborted: {aborted}, broken: {connections_broken}, wrong: {malformed} }}",
+            self.grants, self.spent
+        );
         println!("{} torn lines of audit files skipped", self.torn);
         for (budget, highest) in &self.highest {
             println!("{budget}: highest sum {highest:.3} of the total");
--- a/crates/testkit/src/command/scale.rs
+++ b/crates/testkit/src/command/scale.rs
@@ -56,9 +56,9 @@
 }
 
 impl ScaleArguments {
-    fn plan(&self, hosts: usize, routers: usize, seed: u64) -> ScalePlan {
+    fn plan(&self, endpoints: usize, routers: usize, seed: u64) -> ScalePlan {
         ScalePlan {
-            hosts,
+            endpoints,
             routers,
             keepalive: self.keepalive_ms.map(Duration::from_millis),
             requests_per_second: self.rate,
@@ -95,7 +95,7 @@
     eprintln!(
         "{} hosts, seed {}: {requests} requests, {completed} completed, {rejected} rejected, {aborted} aborted, \
          {unanswered} unanswered",
-        plan.hosts, plan.seed
+        plan.endpoints, plan.seed
     );
     Ok(measurement)
 }
--- a/crates/testkit/src/scale/endpoints.rs
+++ b/crates/testkit/src/scale/endpoints.rs
@@ -48,7 +48,7 @@
 
 /// Returns the endpoints that are replaced, in the order of their replacement.
 fn replaced_endpoints(plan: &ScalePlan) -> Vec<usize> {
-    let mut endpoints: Vec<usize> = (0..plan.hosts).collect();
+    let mut endpoints: Vec<usize> = (0..plan.endpoints).collect();
     endpoints.shuffle(&mut SmallRng::seed_from_u64(plan.seed));
     endpoints.truncate(plan.replacements());
     endpoints
@@ -56,11 +56,11 @@
 
 fn start_endpoints(store: &StandInStore, plan: &ScalePlan, replaced: &[usize]) -> io::Result<()> {
     let network = unused_network();
-    for endpoint in 0..plan.hosts {
+    for endpoint in 0..plan.endpoints {
         store.add_endpoint_to_group(address(network, endpoint), group_of(endpoint))?;
     }
     for (number, endpoint) in replaced.iter().enumerate() {
-        store.add_unlisted_endpoint(address(network, plan.hosts + number), group_of(*endpoint))?;
+        store.add_unlisted_endpoint(address(network, plan.endpoints + number), group_of(*endpoint))?;
     }
     Ok(())
 }
@@ -74,7 +74,7 @@
     let mut change = |number: usize| {
         let numbers = first_of(number)..first_of(number + 1);
         let leaving = replaced[numbers.clone()].to_vec();
-        let joining = numbers.map(|successor| plan.hosts + successor).collect();
+        let joining = numbers.map(|successor| plan.endpoints + successor).collect();
         let left = std::mem::replace(&mut draining, leaving.clone());
         MembershipChange { joining, leaving, left }
     };
--- a/crates/testkit/src/scale/measurement.rs
+++ b/crates/testkit/src/scale/measurement.rs
@@ -83,7 +83,7 @@
             completed: answers.completed,
             rejected: answers.rejected,
             aborted: answers.aborted,
-            unanswered: answers.broken + answers.wrong,
+            unanswered: answers.connections_broken + answers.malformed,
         })
     }
 
--- a/crates/testkit/src/scale/plan.rs
+++ b/crates/testkit/src/scale/plan.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct ScalePlan {
     /// Number of endpoints in service at a time.
-    pub hosts: usize,
+    pub endpoints: usize,
     /// Number of routers that the configuration states; only one is started.
     pub routers: usize,
     /// Time after which an idle connection to an endpoint is closed; `None` keeps the value of the example configuration.
@@ -33,7 +33,7 @@
 impl ScalePlan {
     /// Returns the number of replica sets, the last of which may have fewer endpoints.
     pub(super) fn groups(&self) -> usize {
-        self.hosts.div_ceil(GROUP_SIZE)
+        self.endpoints.div_ceil(GROUP_SIZE)
     }
 
     /// Returns the number of changes of the endpoint list.
@@ -43,8 +43,8 @@
 
     /// Returns the number of endpoints that are replaced.
     pub(super) fn replacements(&self) -> usize {
-        let replaced = round_to_size(size_to_f64(self.hosts) * self.replaced_fraction);
-        replaced.max(self.changes()).min(self.hosts)
+        let replaced = round_to_size(size_to_f64(self.endpoints) * self.replaced_fraction);
+        replaced.max(self.changes()).min(self.endpoints)
     }
 
     /// Returns the number of requests that clients send.
@@ -56,7 +56,7 @@
 impl Default for ScalePlan {
     fn default() -> ScalePlan {
         ScalePlan {
-            hosts: 200,
+            endpoints: 200,
             routers: 300,
             keepalive: None,
             requests_per_second: 20.0,
--- a/crates/testkit/tests/stored_audit.rs
+++ b/crates/testkit/tests/stored_audit.rs
@@ -7,21 +7,21 @@
 
 use std::collections::BTreeMap;
 
-use ottersill_testkit::audit::{Entry, Whole, audit, read};
+use ottersill_testkit::audit::{BudgetLimit, Entry, audit, parse_audit_file};
 
 const STORED: &str = include_str!("data/audit-0.1.0.jsonl");
 const EXECUTIONS: &str = "executions at each host";
 const PROBES: &str = "probes";
 
-fn budgets(executions: u64, probes: u64) -> BTreeMap<String, Whole> {
+fn budgets(executions: u64, probes: u64) -> BTreeMap<String, BudgetLimit> {
     BTreeMap::from([
-        (EXECUTIONS.to_string(), Whole::InHand { units: executions, hold: 3.0 }),
-        (PROBES.to_string(), Whole::Rate { units: probes, every: 1.0 }),
+        (EXECUTIONS.to_string(), BudgetLimit::Concurrent { units: executions, hold_seconds: 3.0 }),
+        (PROBES.to_string(), BudgetLimit::Rate { units: probes, period_seconds: 1.0 }),
     ])
 }
 
 fn stored_entries() -> Vec<Entry> {
-    read(STORED).expect("stored audit file is rejected").entries
+    parse_audit_file(STORED).expect("stored audit file is rejected").entries
 }
 
 #[test]
@@ -46,14 +46,14 @@
 #[test]
 fn an_old_audit_file_has_the_same_verdict() {
     let verdict = audit(&stored_entries(), &budgets(48, 60));
-    assert!(verdict.faults.is_empty(), "{:?}", verdict.faults);
-    assert_eq!((verdict.grants, verdict.spent, verdict.processes), (58, 26, 1));
-    assert_eq!((verdict.highest[EXECUTIONS], verdict.highest[PROBES]), (0.75, 1.0));
+    assert!(verdict.violations.is_empty(), "{:?}", verdict.violations);
+    assert_eq!((verdict.grants, verdict.units_acquired, verdict.processes), (58, 26, 1));
+    assert_eq!((verdict.highest_fraction[EXECUTIONS], verdict.highest_fraction[PROBES]), (0.75, 1.0));
 }
 
 /// Guards against an audit that parses the lines but does not add them up.
 #[test]
 fn smaller_budgets_than_those_of_the_old_file_are_violated() {
-    assert!(!audit(&stored_entries(), &budgets(35, 60)).faults.is_empty());
-    assert!(!audit(&stored_entries(), &budgets(48, 59)).faults.is_empty());
+    assert!(!audit(&stored_entries(), &budgets(35, 60)).violations.is_empty());
+    assert!(!audit(&stored_entries(), &budgets(48, 59)).violations.is_empty());
 }
