--- a/crates/fleet/src/node/quota_server.rs
+++ b/crates/fleet/src/node/quota_server.rs
@@ -48,7 +48,7 @@
         self.ledger = None;
     }
 
-    pub(super) fn lines(&self, now: f64) -> Vec<LedgerEntry> {
-        self.ledger.as_ref().map_or_else(Vec::new, |ledger| ledger.lines(now))
+    pub(super) fn entries(&self, now: f64) -> Vec<LedgerEntry> {
+        self.ledger.as_ref().map_or_else(Vec::new, |ledger| ledger.entries(now))
     }
 }
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -39,7 +39,7 @@
 
     /// Returns every holder's account of every budget; empty unless this process is leader.
     pub fn ledger_entries(&self, now: f64) -> Vec<LedgerEntry> {
-        if self.is_leader(now) { self.quota_server.lines(now) } else { Vec::new() }
+        if self.is_leader(now) { self.quota_server.entries(now) } else { Vec::new() }
     }
 
     /// Returns the event counts since the start.
--- a/crates/fleet/src/quota_ledger.rs
+++ b/crates/fleet/src/quota_ledger.rs
@@ -347,10 +347,10 @@
     }
 
     /// Returns every holder's account of every budget.
-    pub fn lines(&self, now: f64) -> Vec<LedgerEntry> {
-        let mut lines = Vec::with_capacity(self.account_count);
+    pub fn entries(&self, now: f64) -> Vec<LedgerEntry> {
+        let mut entries = Vec::with_capacity(self.account_count);
         for (key, accounts) in &self.accounts {
-            lines.extend(accounts.iter().map(|(holder, account)| LedgerEntry {
+            entries.extend(accounts.iter().map(|(holder, account)| LedgerEntry {
                 key: *key,
                 holder: holder.clone(),
                 outstanding: account.outstanding(now),
@@ -358,7 +358,7 @@
                 demand: account.demand,
             }));
         }
-        lines
+        entries
     }
 }
 
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -69,7 +69,7 @@
             tables: &classification.tables,
             functions: &classification.functions,
             refused: classification.refusal(),
-            why: &classification.why,
+            why: &classification.reason,
         }
     }
 
--- a/crates/ottersill/src/discovery/registry.rs
+++ b/crates/ottersill/src/discovery/registry.rs
@@ -17,7 +17,7 @@
     /// Name of the endpoint in endpoint lists.
     pub name: String,
     /// Hash of the name, by which the members of a fleet refer to the endpoint.
-    pub label: u64,
+    pub name_hash: u64,
     /// Address to connect to; absent until a list has provided one.
     pub address: Option<SocketAddr>,
     /// State according to the last list that named the endpoint.
@@ -43,10 +43,10 @@
 
 impl Endpoint {
     fn new(name: &str, listed: EndpointUpdate) -> Endpoint {
-        let label = ottersill_fleet::settings::name_hash(name);
+        let name_hash = ottersill_fleet::settings::name_hash(name);
         Endpoint {
             name: name.to_string(),
-            label,
+            name_hash,
             address: None,
             listed,
             failures_since_log: 0,
@@ -124,9 +124,9 @@
         self.groups.get(&number).copied()
     }
 
-    /// Returns the endpoint with this label, if a list has named it.
-    pub fn by_label(&self, label: u64) -> Option<&Endpoint> {
-        self.iter().map(|(_, endpoint)| endpoint).find(|endpoint| endpoint.label == label)
+    /// Returns the endpoint whose name has this hash, if a list has named it.
+    pub fn by_name_hash(&self, name_hash: u64) -> Option<&Endpoint> {
+        self.iter().map(|(_, endpoint)| endpoint).find(|endpoint| endpoint.name_hash == name_hash)
     }
 
     /// Records that a connection to the endpoint was started at `now`, in Unix seconds.
--- a/crates/ottersill/src/event_loop/fleet.rs
+++ b/crates/ottersill/src/event_loop/fleet.rs
@@ -10,7 +10,7 @@
 use crate::control::server::ControlServer;
 use crate::event_loop::EventLoop;
 use crate::fleet_link::FleetLink;
-use crate::fleet_link::demand::{AttemptQuota, FleetDemand};
+use crate::fleet_link::demand::{AttemptQuotaRequest, FleetDemand};
 use crate::fleet_link::error::FleetLinkError;
 use crate::reactor::Context;
 
@@ -90,7 +90,7 @@
     /// Acquires quota for an attempt at that endpoint; false if the fleet's budgets have none left now.
     pub(super) fn acquire_attempt_quota(&mut self, request_id: usize, endpoint: usize) -> bool {
         let Some(link) = &mut self.fleet_link else { return true };
-        let attempt = AttemptQuota {
+        let attempt = AttemptQuotaRequest {
             endpoint: &self.endpoints[endpoint].name,
             is_retry: self.requests.get(request_id).is_some_and(|request| request.may_have_run),
             is_warming: self.facade.is_warming(self.context.now(), endpoint),
--- a/crates/ottersill/src/fleet_link/demand.rs
+++ b/crates/ottersill/src/fleet_link/demand.rs
@@ -16,7 +16,7 @@
 
 /// An attempt for which quota is requested.
 #[derive(Clone, Copy)]
-pub struct AttemptQuota<'a> {
+pub struct AttemptQuotaRequest<'a> {
     /// The endpoint's name.
     pub endpoint: &'a str,
     /// Whether an earlier attempt of the request may have run.
--- a/crates/ottersill/src/fleet_link/names.rs
+++ b/crates/ottersill/src/fleet_link/names.rs
@@ -4,7 +4,7 @@
 
 use crate::discovery::registry::EndpointRegistry;
 
-/// Looks up names of budgets by their identifiers, and names of endpoints by their labels.
+/// Looks up names of budgets by their identifiers, and names of endpoints by the hashes of their names.
 #[derive(Clone, Copy)]
 pub struct BudgetNames<'a> {
     config: &'a FleetConfig,
@@ -23,13 +23,13 @@
         budget.map_or_else(|| format!("{id:x}"), |budget| budget.name.clone())
     }
 
-    /// The name of the endpoint that a budget applies to, or its label in hexadecimal if the endpoint is unknown; empty if the
-    /// budget applies to all endpoints.
-    pub fn subject(&self, label: u64) -> String {
-        if label == 0 {
+    /// The name of the endpoint that a budget applies to, or the hash of its name in hexadecimal if the endpoint is unknown;
+    /// empty if the budget applies to all endpoints.
+    pub fn subject(&self, name_hash: u64) -> String {
+        if name_hash == 0 {
             return String::new();
         }
-        let endpoint = self.endpoints.by_label(label);
-        endpoint.map_or_else(|| format!("{label:x}"), |endpoint| endpoint.name.clone())
+        let endpoint = self.endpoints.by_name_hash(name_hash);
+        endpoint.map_or_else(|| format!("{name_hash:x}"), |endpoint| endpoint.name.clone())
     }
 }
--- a/crates/ottersill/src/fleet_link/quota.rs
+++ b/crates/ottersill/src/fleet_link/quota.rs
@@ -8,7 +8,7 @@
 use ottersill_routing::interface::{EndpointQuota, FleetQuota};
 
 use crate::discovery::registry::Endpoint;
-use crate::fleet_link::demand::{AttemptQuota, FleetDemand};
+use crate::fleet_link::demand::{AttemptQuotaRequest, FleetDemand};
 use crate::fleet_link::{FleetLink, MembershipState};
 use crate::reactor::Context;
 
@@ -73,7 +73,7 @@
     /// Acquires the quota that an attempt needs, and returns whether it was available. `now` has to be read from the clock for
     /// this call.
     #[must_use]
-    pub fn acquire_attempt(&mut self, now: f64, attempt: AttemptQuota) -> bool {
+    pub fn acquire_attempt(&mut self, now: f64, attempt: AttemptQuotaRequest) -> bool {
         if attempt.is_retry && !self.acquire(now, BudgetKind::Retries, "") {
             return false;
         }
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -147,11 +147,11 @@
         scan: &Scan,
     ) -> Result<(StatementText, StatementComment<'a>), StatementTextError> {
         let text = std::str::from_utf8(query).map_err(|_| StatementTextError::NotUtf8)?;
-        if scan.unfinished {
+        if scan.has_invalid_input {
             return Err(StatementTextError::Unfinished);
         }
         let comment = scan.comment.as_ref().ok_or(StatementTextError::NoComment)?;
-        if scan.behind {
+        if scan.text_follows_comment {
             return Err(StatementTextError::TextBehindComment);
         }
         let fields = CommentFields::read(text, comment.start + 2..comment.end - 2)?;
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -93,9 +93,9 @@
             is_flagged_retry: self.comment.is_flagged_retry,
             may_write: self.info.kind != StatementKind::Read,
             work: self.info.estimate.map(|e| WorkEstimate {
-                fingerprint_seconds: e.work,
-                workload_seconds: e.typical,
-                log_standard_error: e.spread,
+                fingerprint_seconds: e.work_seconds,
+                workload_seconds: e.typical_work_seconds,
+                log_standard_error: e.log_standard_error,
             }),
         }
     }
@@ -183,8 +183,9 @@
     /// Writes the counters of the fingerprint cache to the log.
     pub fn log_counters(&self, log: &Logger) {
         let (cache, found) = (&self.fingerprints, self.fingerprints.counts);
-        info!(log, "fingerprint cache"; "hits" => found.known, "parsed" => found.parsed,
-            "prescanned" => found.prescanned, "replica_refusals" => found.denied, "pages" => cache.entries(), "bytes" => cache.bytes());
+        info!(log, "fingerprint cache"; "hits" => found.hits, "parsed" => found.parsed,
+            "prescanned" => found.prescanned, "replica_refusals" => found.read_only_rejections,
+            "pages" => cache.entries(), "bytes" => cache.bytes());
     }
 
     /// Logs why a statement of a read workload is sent to the primary.
@@ -204,7 +205,7 @@
             classification.unwrap_or_else(|| classify::classify_by_prescan(text, &classify::prescan(text)));
         // A text that classifies as a read is treated as a write only because replicas have rejected it.
         let is_read = classification.kind == StatementKind::Read;
-        let reason = if is_read { "replicas reject it" } else { &classification.why };
+        let reason = if is_read { "replicas reject it" } else { &classification.reason };
         info!(context.log, "statement may write"; "reason" => reason, "kind" => info.kind.name(),
             "workload" => self.catalog.workloads[workload].as_str(), "so_far" => context.counters.reads_treated_as_writes);
     }
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -165,9 +165,9 @@
             is_flagged_retry: false,
             may_write: false,
             work: known.map(|e| WorkEstimate {
-                fingerprint_seconds: e.work,
-                workload_seconds: e.typical,
-                log_standard_error: e.spread,
+                fingerprint_seconds: e.work_seconds,
+                workload_seconds: e.typical_work_seconds,
+                log_standard_error: e.log_standard_error,
             }),
         };
         self.asked[usize::from(heavy)] += 1.0;
--- a/crates/statement/src/classify/mod.rs
+++ b/crates/statement/src/classify/mod.rs
@@ -48,7 +48,7 @@
     /// The kind of statement.
     pub kind: StatementKind,
     /// The reason for the kind, for operators.
-    pub why: Box<str>,
+    pub reason: Box<str>,
     /// Whether the query contains more than one statement.
     pub multiple_statements: bool,
     /// Whether it locks rows.
@@ -60,9 +60,16 @@
 }
 
 impl Classification {
-    fn new(kind: StatementKind, why: impl Into<Box<str>>) -> Classification {
+    fn new(kind: StatementKind, reason: impl Into<Box<str>>) -> Classification {
         let (tables, functions) = (Box::default(), Box::default());
-        Classification { kind, why: why.into(), multiple_statements: false, locks: false, tables, functions }
+        Classification {
+            kind,
+            reason: reason.into(),
+            multiple_statements: false,
+            locks: false,
+            tables,
+            functions,
+        }
     }
 
     /// Returns why the statement is not supported, if so: connections are shared, so no client has a session of its own.
@@ -80,7 +87,7 @@
     pub fn bytes(&self) -> usize {
         let names =
             |names: &[Box<str>]| names.iter().map(|name| name.len() + size_of::<Box<str>>()).sum::<usize>();
-        self.why.len() + names(&self.tables) + names(&self.functions)
+        self.reason.len() + names(&self.tables) + names(&self.functions)
     }
 }
 
@@ -196,7 +203,8 @@
     {
         let mut classification = classify_by_prescan(text, &prescan);
         if classification.kind != StatementKind::Read {
-            classification.why = format!("{}; too long or too deep to be parsed", classification.why).into();
+            classification.reason =
+                format!("{}; too long or too deep to be parsed", classification.reason).into();
         }
         return classification;
     }
--- a/crates/statement/src/cost_model.rs
+++ b/crates/statement/src/cost_model.rs
@@ -74,11 +74,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// Estimated seconds of work.
-    pub work: f64,
+    pub work_seconds: f64,
     /// Seconds of work of a typical statement of the same workload.
-    pub typical: f64,
-    /// Uncertainty of `work`: the standard error of its natural logarithm.
-    pub spread: f64,
+    pub typical_work_seconds: f64,
+    /// Uncertainty of `work_seconds`: the standard error of its natural logarithm.
+    pub log_standard_error: f64,
 }
 
 /// The queueing delay of an endpoint, from recent attempts.
@@ -162,8 +162,8 @@
         let variance = learnt_fraction * f64::from(self.log_variance)
             + (1.0 - learnt_fraction) * PRIOR_LOG_VARIANCE
             + 0.02;
-        let spread = (variance / (weight + 1.0)).sqrt();
-        Estimate { work, typical, spread }
+        let log_standard_error = (variance / (weight + 1.0)).sqrt();
+        Estimate { work_seconds: work, typical_work_seconds: typical, log_standard_error }
     }
 
     /// Returns the duration of the fastest recent answers in seconds; few attempts that queued are that fast.
--- a/crates/statement/src/fingerprint.rs
+++ b/crates/statement/src/fingerprint.rs
@@ -216,24 +216,25 @@
     /// comment doesn't count.
     pub comment: Option<Range<usize>>,
     /// Whether anything but white space and semicolons follows that comment.
-    pub behind: bool,
+    pub text_follows_comment: bool,
     /// The first literal, including its quotes.
     pub literal: Option<Range<usize>>,
     /// Whether the text contains invalid input, such as a comment, a literal or a name that is not terminated.
-    pub unfinished: bool,
+    pub has_invalid_input: bool,
 }
 
 /// Computes the fingerprint and locates the comment and the first literal, without allocation.
 pub fn scan(key: Key, text: &[u8]) -> Scan {
     let mut builder = fingerprint_builder(key);
-    let (mut comment, mut behind, mut literal, mut unfinished) = (None, false, None, false);
+    let (mut comment, mut text_follows_comment, mut literal, mut has_invalid_input) =
+        (None, false, None, false);
     for token in Lexer::new(text) {
         match token.kind {
-            TokenKind::BlockComment => (comment, behind) = (Some(token.span.clone()), false),
+            TokenKind::BlockComment => (comment, text_follows_comment) = (Some(token.span.clone()), false),
             TokenKind::Punctuation if text[token.span.start] == b';' => {}
             kind => {
-                behind = true;
-                unfinished |= kind == TokenKind::Invalid;
+                text_follows_comment = true;
+                has_invalid_input |= kind == TokenKind::Invalid;
                 if kind == TokenKind::Literal && literal.is_none() {
                     literal = Some(token.span.clone());
                 }
@@ -241,7 +242,7 @@
         }
         builder.push(&token, text);
     }
-    Scan { fingerprint: builder.finish(), comment, behind, literal, unfinished }
+    Scan { fingerprint: builder.finish(), comment, text_follows_comment, literal, has_invalid_input }
 }
 
 /// Computes the fingerprint alone.
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -111,13 +111,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LookupCounts {
     /// Statements found in the cache.
-    pub known: u64,
+    pub hits: u64,
     /// Statements that were parsed, as they were not in the cache.
     pub parsed: u64,
     /// Statements classified by their tokens alone, as a parse could not change the result or the parse budget was exhausted.
     pub prescanned: u64,
     /// Statements rejected by a replica as a write although the text shows none.
-    pub denied: u64,
+    pub read_only_rejections: u64,
 }
 
 /// A cache of the classification and the cost of each fingerprint, limited to a budget of bytes.
@@ -202,9 +202,9 @@
         let key = CacheKey { fingerprint, workload: u32::try_from(workload).unwrap_or(u32::MAX) };
         let typical = &mut self.typical[workload];
         if let Some(entry) = self.entries.get(&key) {
-            self.counts.known += 1;
+            self.counts.hits += 1;
             let estimate = entry.cost.estimate(now, typical.work);
-            typical.record(estimate.work);
+            typical.record(estimate.work_seconds);
             return StatementInfo {
                 key: Some(key),
                 kind: entry.kind(),
@@ -266,7 +266,7 @@
     /// Records that a replica rejected the statement as a write.
     pub fn record_read_only_rejection(&mut self, key: CacheKey) {
         if let Some(mut entry) = self.entries.peek_mut(&key) {
-            self.counts.denied += 1;
+            self.counts.read_only_rejections += 1;
             entry.read_only_rejections = entry.read_only_rejections.saturating_add(1);
         }
     }
--- a/crates/statement/tests/churn.rs
+++ b/crates/statement/tests/churn.rs
@@ -46,10 +46,10 @@
             let index = (n / NEW_PER_TYPICAL).wrapping_mul(2_654_435_761)
                 % (TYPICAL_FINGERPRINTS * TYPICAL_FINGERPRINTS);
             let index = TYPICAL_FINGERPRINTS - 1 - index.isqrt();
-            let hits_before = cache.counts.known;
+            let hits_before = cache.counts.hits;
             look_up(&mut cache, now, &typical[index]);
             lookups += 1;
-            hits += cache.counts.known - hits_before;
+            hits += cache.counts.hits - hits_before;
         }
         peak_bytes = peak_bytes.max(HEAP.current_usage() - heap_before);
         if n + 1 >= next_report {
--- a/crates/statement/tests/corpus.rs
+++ b/crates/statement/tests/corpus.rs
@@ -34,7 +34,7 @@
             wrong.push(format!(
                 "{text:?}: {} for {kind}: {}",
                 classification.kind.name(),
-                classification.why
+                classification.reason
             ));
         }
     }
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -83,7 +83,7 @@
 /// Returns the error of an estimate as a factor of at least one.
 fn error_factor(simulation: &Simulation, mix: &WorkloadMix, fingerprint: usize) -> f64 {
     let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
-    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical).work
+    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical).work_seconds
         / mix.fingerprints[fingerprint].0;
     ratio.max(1.0 / ratio)
 }
@@ -168,13 +168,13 @@
 fn spread_shrinks_with_attempts_and_grows_with_age() {
     let mut cost = CostModel::new(0.01);
     let mut delay = QueueingDelay::default();
-    let none = cost.estimate(0.0, 0.01).spread;
+    let none = cost.estimate(0.0, 0.01).log_standard_error;
     let mut spreads = Vec::new();
     for n in 1..=1000 {
         let now = f64::from(n) * 0.01;
         cost.record(now, 0.1 * (1.0 + 0.2 * f64::from(n % 5 - 2)), &mut delay);
         if [2, 50, 1000].contains(&n) {
-            spreads.push(cost.estimate(now, 0.01).spread);
+            spreads.push(cost.estimate(now, 0.01).log_standard_error);
         }
     }
     println!("spread with no attempt {none:.2}, with 2, 50 and 1000 attempts {spreads:.2?}");
@@ -185,15 +185,19 @@
     // With two attempts the estimate still leans towards the typical work of the workload.
     let mut few_attempts = CostModel::new(0.01);
     (1..=2).for_each(|n| few_attempts.record(f64::from(n), 0.1, &mut delay));
-    assert!(few_attempts.estimate(2.0, 0.01).work < 0.08, "{}", few_attempts.estimate(2.0, 0.01).work);
+    assert!(
+        few_attempts.estimate(2.0, 0.01).work_seconds < 0.08,
+        "{}",
+        few_attempts.estimate(2.0, 0.01).work_seconds
+    );
     let old = cost.estimate(10.0 + 60.0, 0.01);
-    assert!(old.spread > 0.25, "a minute later the spread is only {}", old.spread);
+    assert!(old.log_standard_error > 0.25, "a minute later the spread is only {}", old.log_standard_error);
 }
 
 /// Guards against two failures. A fingerprint that is rejected for its former cost is never sent again, so nothing shows that it
 /// costs less by then. And the only fingerprint of a workload is estimated to cost more than a typical statement of it.
 #[test]
-fn a_single_shape_is_what_is_usual_and_a_stall_is_forgotten() {
+fn a_single_fingerprint_is_typical_and_a_stall_is_forgotten() {
     let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
     let text = b"SELECT content FROM kv WHERE name = 'a'";
     let fingerprint = cache.scan(text).fingerprint;
@@ -206,7 +210,10 @@
         cache.record_completion(now, key, 0, elapsed, true);
         let estimate =
             cache.lookup(now, 0, text, fingerprint).estimate.expect("cached statement has no estimate");
-        assert!(n < 120 || estimate.work < estimate.typical * 1.5 + 0.01, "{n}: {estimate:?}");
+        assert!(
+            n < 120 || estimate.work_seconds < estimate.typical_work_seconds * 1.5 + 0.01,
+            "{n}: {estimate:?}"
+        );
     }
     // The fingerprint becomes expensive, and then nothing is sent for 40 seconds.
     let stalled = vec![1.5; 50];
@@ -226,5 +233,8 @@
         .filter_map(|_| cache.lookup(now + 40.0, 0, text, fingerprint).estimate)
         .last()
         .expect("cached statement has no estimate");
-    assert!(later.spread > 0.25 && later.work < later.typical * 1.2, "{later:?}");
+    assert!(
+        later.log_standard_error > 0.25 && later.work_seconds < later.typical_work_seconds * 1.2,
+        "{later:?}"
+    );
 }
