--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -110,7 +110,7 @@
 /// Sends a statement, without which no member asks for a share, and tells whether this member has one.
 fn has_a_share(member: usize, router: &Router) -> bool {
     // It is rejected while there is no share.
-    router.client().ask(&read(1, 500)).expect("an answer");
+    router.client().query(&read(1, 500)).expect("an answer");
     query(control(member), "budgets").iter().any(|line| line["leased"].as_u64() > Some(0))
 }
 
@@ -132,6 +132,6 @@
         let text = read_text(&members.audit_file(name));
         assert!(text.starts_with(STORED_AUDIT), "what was there stays\n{text}");
         let whole_lines = &text[..=text.rfind('\n').expect("a line")];
-        assert!(audit::read(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
+        assert!(audit::parse_audit_file(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
     }
 }
--- a/crates/statement/src/builtin_catalog.rs
+++ b/crates/statement/src/builtin_catalog.rs
@@ -1,24 +1,24 @@
-//! What PostgreSQL's own names are known to do. A name that is not listed may do anything.
+//! Lists PostgreSQL's built-in names by their known side effects. A name that is not listed may have any side effect.
 //!
-//! All lists are sorted, for binary search. Functions are listed if they neither write, lock, sleep, reach out of the
-//! server, run SQL given as text, nor change or show what belongs to a session.
+//! All lists are sorted for binary search. A function is listed as read-only if it doesn't write, lock, sleep, access anything
+//! outside the server, run SQL that is passed as text, or change or show state of a session.
 
-/// Whether a lower-case name is in a sorted list, in whatever case it comes.
-pub fn is_in(list: &[&str], name: &[u8]) -> bool {
+/// Returns whether a sorted list of lower-case names contains `name`, ignoring the case of `name`.
+pub fn contains_ignore_case(list: &[&str], name: &[u8]) -> bool {
     let mut lower = [0; 32];
-    let Some(place) = lower.get_mut(..name.len()) else { return false };
-    place.copy_from_slice(name);
-    place.make_ascii_lowercase();
-    list.binary_search_by(|known| known.as_bytes().cmp(place)).is_ok()
+    let Some(lowercase) = lower.get_mut(..name.len()) else { return false };
+    lowercase.copy_from_slice(name);
+    lowercase.make_ascii_lowercase();
+    list.binary_search_by(|known| known.as_bytes().cmp(lowercase)).is_ok()
 }
 
-/// The same for a quoted name, which is what it is.
-pub fn is_exactly_in(list: &[&str], name: &[u8]) -> bool {
+/// Returns whether a sorted list contains `name` exactly, as for a quoted name, which is case-sensitive.
+pub fn contains_exact(list: &[&str], name: &[u8]) -> bool {
     list.binary_search_by(|known| known.as_bytes().cmp(name)).is_ok()
 }
 
-/// Functions that only read, sorted by bytes.
-pub static READS: &[&str] = &[
+/// Functions without side effects, sorted by bytes.
+pub static READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "acos",
     "acosd",
@@ -364,8 +364,8 @@
     "width_bucket",
 ];
 
-/// Known to change a session, or to hold what outlives the statement.
-pub static SESSION: &[&str] = &[
+/// Functions that are known to change session state, or to hold a resource beyond the end of the statement.
+pub static SESSION_FUNCTIONS: &[&str] = &[
     "currval",
     "dblink_close",
     "dblink_connect",
@@ -384,8 +384,8 @@
     "setseed",
 ];
 
-/// Known to write, or to take locks, or to act on other sessions.
-pub static WRITES: &[&str] = &[
+/// Functions that are known to write, to take locks, or to act on other sessions.
+pub static WRITING_FUNCTIONS: &[&str] = &[
     "dblink_exec",
     "lo_creat",
     "lo_create",
@@ -418,8 +418,8 @@
     "txid_current",
 ];
 
-/// Types of PostgreSQL's own: a cast to any other may call a function of a user.
-pub static TYPES: &[&str] = &[
+/// Built-in types. A cast to any other type may call a user-defined function.
+pub static BUILTIN_TYPES: &[&str] = &[
     "bigint",
     "bit",
     "bool",
@@ -489,8 +489,8 @@
     "xml",
 ];
 
-/// Operators that have no side effect, sorted by bytes.
-pub static OPERATORS: &[&str] = &[
+/// Operators without side effects, sorted by bytes.
+pub static READ_ONLY_OPERATORS: &[&str] = &[
     "!!", "!=", "!~", "!~*", "!~~", "!~~*", "#", "##", "#-", "#=", "#>", "#>>", "%", "&", "&&", "&<", "&<|",
     "&>", "*", "+", "-", "->", "->>", "-|-", "/", ":=", "<", "<#>", "<->", "<<", "<<=", "<<|", "<=", "<>",
     "<@", "<^", "=", "=>", ">", ">=", ">>", ">>=", ">^", "?", "?#", "?&", "?-", "?-|", "?|", "?||", "@",
@@ -498,8 +498,8 @@
     "~~*",
 ];
 
-/// Words of the grammar that the parser takes for functions; quoted, they are a user's.
-pub static CONSTRUCTS: &[&str] = &[
+/// Keywords that the parser reports as functions. If quoted, they name user-defined functions.
+pub static FUNCTION_LIKE_KEYWORDS: &[&str] = &[
     "coalesce",
     "current_catalog",
     "current_date",
@@ -518,8 +518,8 @@
     "user",
 ];
 
-/// Words that no function can be called by, so that a parenthesis behind one is no call.
-pub static NO_CALLS: &[&str] = &[
+/// Keywords that can't be the name of a function unless quoted, so that a parenthesis after one is not a call.
+pub static NON_CALL_KEYWORDS: &[&str] = &[
     "all",
     "and",
     "any",
@@ -594,8 +594,8 @@
     "with",
 ];
 
-/// Options of `EXPLAIN` with which nothing runs.
-pub static SHOWS: &[&str] = &[
+/// Options of `EXPLAIN` that don't cause the statement to be executed.
+pub static DISPLAY_ONLY_EXPLAIN_OPTIONS: &[&str] = &[
     "buffers",
     "costs",
     "format",
@@ -608,8 +608,8 @@
     "wal",
 ];
 
-/// Words behind which a literal is a value, and no cast to a type of that name.
-pub static BEFORE_TEXT: &[&str] = &[
+/// Keywords after which a literal is a value and not a cast to a type of that name.
+pub static KEYWORDS_BEFORE_LITERAL: &[&str] = &[
     "all",
     "and",
     "any",
@@ -661,8 +661,9 @@
     "zone",
 ];
 
-/// Behind these and a comma, an operator or a full stop a name is a column's, whatever word it is.
-pub static BEFORE_COLUMN: &[&str] = &[
+/// Keywords after which a name is that of a column, whatever its spelling. The same holds after a comma, an operator or a full
+/// stop.
+pub static KEYWORDS_BEFORE_COLUMN: &[&str] = &[
     "all", "and", "as", "between", "by", "case", "distinct", "else", "having", "in", "like", "not", "on",
     "or", "select", "then", "when", "where",
 ];
@@ -673,16 +674,16 @@
     use rstest::rstest;
 
     #[rstest]
-    #[case(READS)]
-    #[case(SESSION)]
-    #[case(WRITES)]
-    #[case(TYPES)]
-    #[case(OPERATORS)]
-    #[case(CONSTRUCTS)]
-    #[case(SHOWS)]
-    #[case(NO_CALLS)]
-    #[case(BEFORE_TEXT)]
-    #[case(BEFORE_COLUMN)]
+    #[case(READ_ONLY_FUNCTIONS)]
+    #[case(SESSION_FUNCTIONS)]
+    #[case(WRITING_FUNCTIONS)]
+    #[case(BUILTIN_TYPES)]
+    #[case(READ_ONLY_OPERATORS)]
+    #[case(FUNCTION_LIKE_KEYWORDS)]
+    #[case(DISPLAY_ONLY_EXPLAIN_OPTIONS)]
+    #[case(NON_CALL_KEYWORDS)]
+    #[case(KEYWORDS_BEFORE_LITERAL)]
+    #[case(KEYWORDS_BEFORE_COLUMN)]
     fn lists_are_sorted_and_short_enough(#[case] list: &[&str]) {
         let unsorted: Vec<_> = list.windows(2).filter(|pair| pair[0] >= pair[1]).collect();
         assert!(unsorted.is_empty(), "{unsorted:?}");
--- a/crates/testkit/src/stand_in/behaviour.rs
+++ b/crates/testkit/src/stand_in/behaviour.rs
@@ -1,47 +1,47 @@
-//! How an endpoint of the stand-in store treats what it receives.
+//! Behaviours of an endpoint of the stand-in store, including faulty ones.
 
-/// What an endpoint does with connections and statements.
+/// How an endpoint handles connections and statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs reads and writes.
+    /// Executes reads and writes.
     Primary,
-    /// Runs reads and refuses writes.
+    /// Executes reads and refuses writes.
     Replica,
-    /// Rejects statements without running them.
-    Full,
-    /// Answers statements with an error.
-    Faulty,
-    /// Receives statements and closes the connection.
-    Resets,
+    /// Rejects statements as overloaded (SQLSTATE 53300), without executing them.
+    Overloaded,
+    /// Answers statements with an internal error (SQLSTATE XX000).
+    FailsStatements,
+    /// Closes the connection when it has received a statement, without an answer.
+    ResetsConnection,
     /// Receives statements and never answers them.
-    Silent,
-    /// Answers statements with bytes that are no message of the protocol.
-    Babbles,
-    /// Closes the connection right after each answer.
-    Closes,
-    /// Accepts new connections and never sends the greeting.
-    Mute,
-    /// Answers statements with a row that is shorter than its length field says.
-    Spoils,
+    NeverAnswers,
+    /// Answers statements with bytes that are not a message of the protocol.
+    SendsInvalidMessage,
+    /// Closes the connection after each answer.
+    ClosesAfterAnswer,
+    /// Accepts new connections but never completes their startup.
+    NeverCompletesStartup,
+    /// Answers statements with a row whose column is one byte shorter than its length field says.
+    CorruptsRow,
     /// Answers each statement twice.
-    Echoes,
+    AnswersTwice,
 }
 
 impl Behaviour {
-    /// The behaviour of that name, as typed at the command `serve`.
-    pub fn named(name: &str) -> Option<Behaviour> {
+    /// Returns the behaviour with the given name, as entered at the command `serve`.
+    pub fn from_name(name: &str) -> Option<Behaviour> {
         Some(match name {
             "primary" => Behaviour::Primary,
             "replica" => Behaviour::Replica,
-            "full" => Behaviour::Full,
-            "faulty" => Behaviour::Faulty,
-            "resets" => Behaviour::Resets,
-            "silent" => Behaviour::Silent,
-            "babbles" => Behaviour::Babbles,
-            "closes" => Behaviour::Closes,
-            "mute" => Behaviour::Mute,
-            "spoils" => Behaviour::Spoils,
-            "echoes" => Behaviour::Echoes,
+            "full" => Behaviour::Overloaded,
+            "faulty" => Behaviour::FailsStatements,
+            "resets" => Behaviour::ResetsConnection,
+            "silent" => Behaviour::NeverAnswers,
+            "babbles" => Behaviour::SendsInvalidMessage,
+            "closes" => Behaviour::ClosesAfterAnswer,
+            "mute" => Behaviour::NeverCompletesStartup,
+            "spoils" => Behaviour::CorruptsRow,
+            "echoes" => Behaviour::AnswersTwice,
             _ => return None,
         })
     }
