--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small group under one router, and a transport that writes down what it is asked.
-#![allow(dead_code, reason = "each test binary uses its own part")]
+//! A router with one group of four endpoints, and a transport that records its calls.
+#![allow(dead_code, reason = "each test binary uses only some of these items")]
 
 mod settings;
 
@@ -7,21 +7,23 @@
 use ottersill_routing::interface::*;
 use settings::{request_class, routing_config};
 
+/// A recorded call of [`Transport`], with the index of the request or of the endpoint, or both.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Done {
-    Execute(usize, usize),
+    StartAttempt(usize, usize),
     Reject(usize),
     Abort(usize),
     Cancel(usize),
     Probe(usize),
 }
 
+/// Records the calls that the tests examine, in order.
 #[derive(Default)]
-pub struct Book(pub Vec<Done>);
+pub struct RecordingTransport(pub Vec<Done>);
 
-impl Transport for Book {
-    fn start_attempt(&mut self, request: usize, endpoint: usize, _time_out: f64) {
-        self.0.push(Done::Execute(request, endpoint));
+impl Transport for RecordingTransport {
+    fn start_attempt(&mut self, request: usize, endpoint: usize, _timeout: f64) {
+        self.0.push(Done::StartAttempt(request, endpoint));
     }
     fn reject(&mut self, request: usize, _retry_after: f64) {
         self.0.push(Done::Reject(request));
@@ -29,7 +31,7 @@
     fn abort(&mut self, request: usize) {
         self.0.push(Done::Abort(request));
     }
-    fn cancel_attempt(&mut self, request: usize, _execution: u32) {
+    fn cancel_attempt(&mut self, request: usize, _attempt: u32) {
         self.0.push(Done::Cancel(request));
     }
     fn start_health_check(&mut self, endpoint: usize) {
@@ -40,22 +42,29 @@
     fn log(&mut self, _text: &str) {}
 }
 
+/// Index of the workload of bounded reads.
 pub const READ: usize = 0;
+/// Index of the workload of long reads that accept data of any age.
 pub const REPORT: usize = 1;
+/// Index of the workload of writes that must not run twice.
 pub const WRITE: usize = 2;
+/// Index of the workload of writes with an idempotency key.
 pub const MARKED: usize = 3;
 
+/// Settings of a router with these four workloads. `checks` states whether endpoints reject a read for which they lag
+/// too far.
 pub fn terms(checks: bool) -> RoutingConfig {
-    let marked = Effect::Deduplicated { within: DeduplicationScope::Group, window: 0.5 };
+    let deduplicated_in_group = Effect::Deduplicated { within: DeduplicationScope::Group, window: 0.5 };
     let workloads = vec![
         request_class(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
         request_class(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
         request_class(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
-        request_class(Consistency::Primary, marked, 4.0, 0.6, 2.0),
+        request_class(Consistency::Primary, deduplicated_in_group, 4.0, 0.6, 2.0),
     ];
     RoutingConfig { endpoints_check_reads: checks, ..routing_config(workloads) }
 }
 
+/// A request whose client waits for `time_left` seconds.
 pub fn statement(workload: usize, time_left: f64) -> Request {
     Request {
         workload,
@@ -70,29 +79,31 @@
     }
 }
 
+/// The entry of an endpoint in the endpoint list.
 pub fn listed(endpoint: usize, state: EndpointState) -> EndpointUpdate {
     let order = [3, 1, 0, 2, 4][endpoint];
     EndpointUpdate { endpoint, order, group: 0, site: Some(0), size: 1.0, state, started_at: None }
 }
 
+/// A router, the calls that it made, and the simulated time in seconds.
 pub struct World {
     pub router: Router,
-    pub book: Book,
+    pub book: RecordingTransport,
     pub now: f64,
-    next: usize,
+    next_request: usize,
 }
 
 impl World {
-    /// Four members at one site, none heard of yet; the clock stands at 100.
-    pub fn new(terms: RoutingConfig) -> World {
-        let mut book = Book::default();
-        let router = Router::start(100.0, terms, &mut book);
-        let mut world = World { router, book, now: 100.0, next: 0 };
+    /// Lists four endpoints at one site. None of them has reported yet, and the time is 100 s.
+    pub fn new(config: RoutingConfig) -> World {
+        let mut book = RecordingTransport::default();
+        let router = Router::start(100.0, config, &mut book);
+        let mut world = World { router, book, now: 100.0, next_request: 0 };
         (0..4).for_each(|endpoint| world.list(endpoint, EndpointState::Ready, None));
         world
     }
 
-    /// Host 0 is the primary, the others are replicas that lag this much.
+    /// All endpoints have reported: endpoint 0 is the primary, and the others are replicas with these lags in seconds.
     pub fn settled(checks: bool, lags: [f64; 3]) -> World {
         let mut world = World::new(terms(checks));
         world.report(0, Role::Primary, 0.0);
@@ -101,21 +112,25 @@
         world
     }
 
+    /// Delivers an endpoint list with this one entry.
     pub fn list(&mut self, endpoint: usize, state: EndpointState, started_at: Option<f64>) {
         let listed = EndpointUpdate { started_at, ..listed(endpoint, state) };
         self.router.on_endpoint_list(self.now, &[listed], &mut self.book);
     }
 
+    /// Delivers the answer to a health check; `lag` is in seconds.
     pub fn report(&mut self, endpoint: usize, role: Role, lag: f64) {
         let report = LoadReport { role: Some(role), lsn: Some(self.now - lag), utilization: None };
         self.router.on_health_check(self.now, endpoint, AttemptOutcome::Completed, report, &mut self.book);
     }
 
+    /// Sends a request with the statement timeout of its workload and returns its index.
     pub fn ask(&mut self, workload: usize) -> usize {
         let time_left = terms(true).workloads[workload].statement_timeout;
         self.ask_with(workload, time_left)
     }
 
+    /// Sends a request and returns the endpoints of the attempts that were started at once.
     pub fn ask_and_place(&mut self, workload: usize) -> Vec<usize> {
         let request = self.ask(workload);
         self.sent_to(request)
@@ -126,27 +141,28 @@
     }
 
     pub fn ask_for(&mut self, request: Request) -> usize {
-        self.next += 1;
-        self.router.on_request(self.now, self.next - 1, request, &mut self.book);
-        self.next - 1
+        self.next_request += 1;
+        self.router.on_request(self.now, self.next_request - 1, request, &mut self.book);
+        self.next_request - 1
     }
 
+    /// Ends an attempt after 0.05 s. The request has its final answer if the attempt completed.
     pub fn end(&mut self, request: usize, endpoint: usize, outcome: AttemptOutcome, role: Option<Role>) {
         let observed = LoadReport { role, lsn: None, utilization: None };
-        let closed = outcome == AttemptOutcome::Completed;
+        let is_completed = outcome == AttemptOutcome::Completed;
         let result = AttemptResult {
             request,
             endpoint,
             outcome,
             elapsed: 0.05,
-            has_final_answer: closed,
+            has_final_answer: is_completed,
             observed,
             report: None,
         };
         self.router.on_attempt_result(self.now, &result, &mut self.book);
     }
 
-    /// Lets time pass, beat by beat.
+    /// Advances the time in steps of 0.02 s, with a tick after each.
     pub fn pass(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
@@ -155,9 +171,10 @@
         }
     }
 
+    /// Returns the endpoints to which attempts of the request were sent, in order.
     pub fn sent_to(&self, request: usize) -> Vec<usize> {
         let sent = |done: &Done| match done {
-            Done::Execute(sent, endpoint) if *sent == request => Some(*endpoint),
+            Done::StartAttempt(sent, endpoint) if *sent == request => Some(*endpoint),
             _ => None,
         };
         self.book.0.iter().filter_map(sent).collect()
@@ -168,12 +185,17 @@
     }
 }
 
-/// How many of so many statements, asked at once, go to that host before they wait.
+/// Sends 60 requests at once and returns how many of them have one attempt, at this endpoint.
 pub fn held_at(world: &mut World, workload: usize, endpoint: usize) -> usize {
-    let asked: Vec<usize> = (0..60).map(|_| world.ask(workload)).collect();
-    asked.iter().filter(|request| world.sent_to(**request) == [endpoint]).count()
+    let requests: Vec<usize> = (0..60).map(|_| world.ask(workload)).collect();
+    requests.iter().filter(|request| world.sent_to(**request) == [endpoint]).count()
 }
 
-pub fn work(own: f64, usual: f64, spread: f64) -> Option<WorkEstimate> {
-    Some(WorkEstimate { fingerprint_seconds: own, workload_seconds: usual, log_standard_error: spread })
+/// An estimate of the cost of a request, in seconds of an endpoint's work.
+pub fn work(fingerprint: f64, workload: f64, standard_error: f64) -> Option<WorkEstimate> {
+    Some(WorkEstimate {
+        fingerprint_seconds: fingerprint,
+        workload_seconds: workload,
+        log_standard_error: standard_error,
+    })
 }
--- a/crates/routing/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -2,7 +2,7 @@
 
 use ottersill_routing::interface::*;
 
-/// A class without a share of late requests.
+/// Settings of a workload in which an answer after the SLO time has no value. Times are in seconds.
 pub fn request_class(
     needs: Consistency,
     effect: Effect,
@@ -13,7 +13,7 @@
     WorkloadSettings { needs, effect, priority_weight, late_value_fraction: 0.0, slo_time, statement_timeout }
 }
 
-/// One router at site 0 for these classes, without what only some deployments have.
+/// Settings of a single router at site 0 for these workloads, without the features that only some deployments have.
 pub fn routing_config(workloads: Vec<WorkloadSettings>) -> RoutingConfig {
     RoutingConfig {
         seed: 7,
