--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start summed over all routers: how often a warming host is sent more than the settings allow it, and how
-//! much of what they allow it is sent. Many routers, each an instance of the module that knows nothing of the
-//! others, share some groups of simulated hosts, one of which starts cold.
+//! Slow start summed over all routers: how often a warming endpoint is sent more than the settings allow, and how much
+//! of its allowance is used. Many routers, which don't communicate with each other, share a few groups of simulated
+//! endpoints. In one group some or all endpoints start cold.
 //!
-//! `SLOW_START_WARM_UPS=6000 cargo test --release -p ottersill-core --test slow_start -- --nocapture` plays more
+//! `SLOW_START_WARM_UPS=6000 cargo test --release -p ottersill-routing --test slow_start -- --nocapture` simulates more
 //! warm-ups than CI does.
 
 mod common;
@@ -14,34 +14,36 @@
 use ottersill_routing::Router;
 use ottersill_routing::interface::*;
 
-/// Warm-ups played where the environment names no other number.
-const WARM_UPS: u64 = 240;
+/// Number of simulated warm-ups unless the environment variable states another one.
+const DEFAULT_WARM_UPS: u64 = 240;
 const WARM_UPS_VARIABLE: &str = "SLOW_START_WARM_UPS";
-/// Warm-ups for each one that may exceed the bound.
+/// At most one warm-up out of this many may exceed the bound.
 const WARM_UPS_PER_EXCESS: usize = 1000;
-/// The mean part of what a cold host is allowed that it has to be sent: as much as before routers kept to the bound, over
-/// the warm-ups that CI plays.
-const LEAST_GIVEN: f64 = 0.31;
+/// Minimum of the mean fraction of their allowance that cold endpoints are sent: the value before routers respected the
+/// bound, over the warm-ups that CI simulates.
+const MIN_MEAN_USED_FRACTION: f64 = 0.31;
 const ROUTER_COUNTS: [usize; 6] = [1, 3, 20, 30, 300, 900];
 const THREADS: u64 = 4;
 
-const HOSTS_PER_GROUP: usize = 4;
-/// Seconds between two calls of the module's timer.
-const TIMER_PERIOD: f64 = 0.02;
-/// Seconds that an execution takes on an idle host, and that a probe takes.
-const SERVICE_TIME: f64 = 0.02;
-const PROBE_TIME: f64 = 0.002;
-/// Seconds of work that a host queues before it turns executions away.
-const QUEUE_TIME: f64 = 0.25;
-/// Seconds that routers run before the host starts, unless all were just restarted.
-const SETTLING_TIME: f64 = 2.5;
-/// Part of the statements that write; as many as load a primary like its replicas.
-const WRITE_SHARE: f64 = 0.2;
-/// How often a client comes back that was rejected: never, as usual, too often.
-const CLIENT_RETRIES: [u32; 3] = [0, 3, 8];
-const START: f64 = 100.0;
-
-/// A seeded generator (SplitMix64), so that a warm-up is the same each time it is played.
+const ENDPOINTS_PER_GROUP: usize = 4;
+/// Seconds between two ticks of a router.
+const TICK_INTERVAL_SECONDS: f64 = 0.02;
+/// Seconds that an attempt takes at an idle endpoint.
+const SERVICE_SECONDS: f64 = 0.02;
+/// Seconds that a health check takes, and an attempt that is refused.
+const CHECK_SECONDS: f64 = 0.002;
+/// Seconds of work that an endpoint queues before it refuses attempts.
+const MAX_QUEUE_SECONDS: f64 = 0.25;
+/// Seconds that the routers run before the cold endpoints start, unless all routers were just restarted.
+const SETTLING_SECONDS: f64 = 2.5;
+/// Fraction of the requests that are writes, at which a primary is about as loaded as its replicas.
+const WRITE_FRACTION: f64 = 0.2;
+/// How often a client retries after rejections: never, as often as usual, or too often.
+const CLIENT_RETRY_LIMITS: [u32; 3] = [0, 3, 8];
+/// Time on the routers' clocks when they start.
+const START_SECONDS: f64 = 100.0;
+
+/// A seeded generator (SplitMix64), so that a warm-up is the same each time it is simulated.
 struct Random(u64);
 
 impl Random {
@@ -53,7 +55,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Between 0 and 1, neither of them included.
+    /// Draws from the open interval between 0 and 1.
     fn unit(&mut self) -> f64 {
         ((self.next() >> 12) as f64 + 0.5) / (1_u64 << 52) as f64
     }
@@ -71,42 +73,46 @@
     }
 }
 
+/// Which endpoints of group 0 start cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cold {
+enum ColdEndpoints {
     OneReplica,
-    /// The old primary is gone, and after a gap without one the host that starts takes its place.
+    /// The old primary is removed, and after a gap without a primary the endpoint that starts takes its place.
     Primary,
     HalfTheGroup,
     WholeGroup,
 }
 
-/// What is drawn for one warm-up. The group with number 0 has the cold hosts.
+/// The random settings of one warm-up. The cold endpoints are in group 0.
 #[derive(Clone, Debug)]
 struct Scenario {
-    terms: RoutingConfig,
-    cold: Cold,
-    /// Two replicas of the group with the cold host have left for good.
-    half_gone: bool,
-    /// What the settings allow the cold host in the first span.
-    allowed_at_start: f64,
-    /// Executions a second that a warm host can do.
+    config: RoutingConfig,
+    cold: ColdEndpoints,
+    /// Two replicas of the group with the cold endpoint are removed for good.
+    is_half_removed: bool,
+    /// Attempts that the settings allow the cold endpoint in the first `overload_seconds`.
+    initial_allowance: f64,
+    /// Attempts per second that a warm endpoint completes.
     capacity: f64,
-    /// Statements a second that each group is offered, without repeats.
+    /// Requests per second to each group, without retries.
     offered: Vec<f64>,
     /// Traffic of each router, relative to the others.
     router_weights: Vec<f64>,
-    restarted: bool,
-    client_retries: u32,
-    marks_repeats: bool,
-    /// Seconds without a primary where the cold host becomes the new one.
-    primary_gap: f64,
+    /// Whether all routers start at the same time as the cold endpoints.
+    routers_restarted: bool,
+    /// How often a client retries after rejections.
+    max_client_retries: u32,
+    /// Whether clients flag their retries as such.
+    flags_retries: bool,
+    /// Seconds without a primary if the cold endpoint becomes the new one.
+    primary_gap_seconds: f64,
 }
 
 impl Scenario {
     fn draw(seed: u64) -> Scenario {
         let mut random = Random(seed);
         let routers = ROUTER_COUNTS[seed as usize % ROUTER_COUNTS.len()];
-        let terms = RoutingConfig {
+        let config = RoutingConfig {
             seed,
             routers,
             site: None,
@@ -116,102 +122,114 @@
             overload_seconds: random.between(0.8, 1.5),
             ..terms(true)
         };
-        let allowed_at_start = (random.between(3.0_f64.ln(), 400.0_f64.ln())).exp();
-        let capacity = allowed_at_start
-            / (terms.overload_multiple * terms.initial_capacity_fraction * terms.overload_seconds);
-        let group_capacity = capacity * HOSTS_PER_GROUP as f64;
-        let three_times_the_mean = random.chance(0.4);
-        let offered = if three_times_the_mean {
+        let initial_allowance = (random.between(3.0_f64.ln(), 400.0_f64.ln())).exp();
+        let capacity = initial_allowance
+            / (config.overload_multiple * config.initial_capacity_fraction * config.overload_seconds);
+        let group_capacity = capacity * ENDPOINTS_PER_GROUP as f64;
+        let has_hot_group = random.chance(0.4);
+        let offered = if has_hot_group {
             let mean = random.between(0.2, 0.5) * group_capacity;
             vec![3.0 * mean, mean / 3.0, mean / 3.0, mean / 3.0]
         } else {
             vec![random.between(0.3, 1.3) * group_capacity; 2]
         };
         let cold = match random.below(10) {
-            0..4 => Cold::OneReplica,
-            4..7 => Cold::Primary,
-            7..9 => Cold::HalfTheGroup,
-            _ => Cold::WholeGroup,
+            0..4 => ColdEndpoints::OneReplica,
+            4..7 => ColdEndpoints::Primary,
+            7..9 => ColdEndpoints::HalfTheGroup,
+            _ => ColdEndpoints::WholeGroup,
         };
-        let half_gone = matches!(cold, Cold::OneReplica | Cold::Primary) && random.chance(0.25);
+        let is_half_removed =
+            matches!(cold, ColdEndpoints::OneReplica | ColdEndpoints::Primary) && random.chance(0.25);
         Scenario {
-            half_gone,
+            is_half_removed,
             router_weights: (0..routers).map(|_| random.between(1.0, 5.0)).collect(),
-            restarted: random.chance(0.3),
-            client_retries: CLIENT_RETRIES[random.below(CLIENT_RETRIES.len())],
-            marks_repeats: random.chance(0.5),
-            primary_gap: random.between(0.3, 1.5),
-            terms,
+            routers_restarted: random.chance(0.3),
+            max_client_retries: CLIENT_RETRY_LIMITS[random.below(CLIENT_RETRY_LIMITS.len())],
+            flags_retries: random.chance(0.5),
+            primary_gap_seconds: random.between(0.3, 1.5),
+            config,
             cold,
-            allowed_at_start,
+            initial_allowance,
             capacity,
             offered,
         }
     }
 
-    fn cold_hosts(&self) -> Vec<usize> {
+    fn cold_endpoints(&self) -> Vec<usize> {
         match self.cold {
-            Cold::OneReplica | Cold::Primary => vec![1],
-            Cold::HalfTheGroup => vec![2, 3],
-            Cold::WholeGroup => vec![0, 1, 2, 3],
+            ColdEndpoints::OneReplica | ColdEndpoints::Primary => vec![1],
+            ColdEndpoints::HalfTheGroup => vec![2, 3],
+            ColdEndpoints::WholeGroup => vec![0, 1, 2, 3],
         }
     }
 
-    /// When the cold host starts.
-    fn cold_start(&self) -> f64 {
-        START + if self.restarted { 0.0 } else { SETTLING_TIME }
+    /// When the cold endpoints start.
+    fn cold_start_at(&self) -> f64 {
+        START_SECONDS + if self.routers_restarted { 0.0 } else { SETTLING_SECONDS }
     }
 
     fn end(&self) -> f64 {
-        self.cold_start() + self.terms.warmup_seconds
+        self.cold_start_at() + self.config.warmup_seconds
     }
 
-    /// What the settings allow a host that is so many seconds old.
-    fn allowed(&self, age: f64) -> f64 {
-        self.terms.overload_multiple * self.capacity * self.part(age) * self.terms.overload_seconds
+    /// Attempts within `overload_seconds` that the settings allow an endpoint that started `age` seconds ago.
+    fn allowance(&self, age: f64) -> f64 {
+        self.config.overload_multiple
+            * self.capacity
+            * self.capacity_fraction(age)
+            * self.config.overload_seconds
     }
 
-    fn part(&self, age: f64) -> f64 {
-        let grown = (age / self.terms.warmup_seconds).clamp(0.0, 1.0);
-        self.terms.initial_capacity_fraction + (1.0 - self.terms.initial_capacity_fraction) * grown
+    /// Fraction of its capacity that an endpoint has `age` seconds after its start.
+    fn capacity_fraction(&self, age: f64) -> f64 {
+        let warmup_progress = (age / self.config.warmup_seconds).clamp(0.0, 1.0);
+        self.config.initial_capacity_fraction
+            + (1.0 - self.config.initial_capacity_fraction) * warmup_progress
     }
 
-    fn allowed_in_all(&self) -> f64 {
-        let mean_part = f64::midpoint(self.terms.initial_capacity_fraction, 1.0);
-        self.terms.overload_multiple * self.capacity * mean_part * self.terms.warmup_seconds
+    /// Attempts that the settings allow an endpoint during its whole warm-up.
+    fn total_allowance(&self) -> f64 {
+        let mean_fraction = f64::midpoint(self.config.initial_capacity_fraction, 1.0);
+        self.config.overload_multiple * self.capacity * mean_fraction * self.config.warmup_seconds
     }
 }
 
-/// More than this in a span, and a host that is allowed so much falls.
-fn bound(allowed: f64) -> f64 {
-    if allowed < 30.0 { allowed + 3.0 * allowed.sqrt() + 3.0 } else { allowed + 2.0 * allowed.sqrt() + 2.0 }
+/// Number of attempts within `overload_seconds` beyond which an endpoint with this allowance fails.
+fn bound(allowance: f64) -> f64 {
+    if allowance < 30.0 {
+        allowance + 3.0 * allowance.sqrt() + 3.0
+    } else {
+        allowance + 2.0 * allowance.sqrt() + 2.0
+    }
 }
 
+/// A call of [`Transport`]; `slot` is the index of the request.
 #[derive(Clone, Copy)]
-enum Action {
-    Execute { slot: usize, endpoint: usize },
+enum Call {
+    StartAttempt { slot: usize, endpoint: usize },
     Reject { slot: usize, retry_after: f64 },
     Abort { slot: usize },
-    Probe { endpoint: usize },
+    Check { endpoint: usize },
 }
 
-/// Keeps what the module asks for until the simulation carries it out.
+/// Records the calls of a router until the simulation carries them out.
 #[derive(Default)]
-struct Actions(Vec<Action>);
+struct Calls(Vec<Call>);
 
-impl Transport for Actions {
-    fn start_attempt(&mut self, slot: usize, endpoint: usize, _time_out: f64) {
-        self.0.push(Action::Execute { slot, endpoint });
+impl Transport for Calls {
+    fn start_attempt(&mut self, slot: usize, endpoint: usize, _timeout: f64) {
+        self.0.push(Call::StartAttempt { slot, endpoint });
     }
     fn reject(&mut self, slot: usize, retry_after: f64) {
-        self.0.push(Action::Reject { slot, retry_after });
+        self.0.push(Call::Reject { slot, retry_after });
     }
     fn abort(&mut self, slot: usize) {
-        self.0.push(Action::Abort { slot });
+        self.0.push(Call::Abort { slot });
     }
-    fn cancel_attempt(&mut self, _slot: usize, _execution: u32) {}
+    fn cancel_attempt(&mut self, _slot: usize, _attempt: u32) {}
     fn start_health_check(&mut self, endpoint: usize) {
-        self.0.push(Action::Probe { endpoint });
+        self.0.push(Call::Check { endpoint });
     }
     fn schedule_tick(&mut self, _after: f64) {}
     fn request_endpoint_list(&mut self) {}
@@ -226,16 +244,17 @@
     retries: u32,
 }
 
-struct Instance {
+/// One router and the requests that it has.
+struct RouterInstance {
     router: Router,
-    /// The request that each of the module's statement numbers stands for.
+    /// The request of each index that the router was given; `None` for free indices.
     slots: Vec<Option<ClientRequest>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
 }
 
-impl Instance {
-    fn open(&mut self, request: ClientRequest) -> usize {
-        let slot = self.free.pop().unwrap_or(self.slots.len());
+impl RouterInstance {
+    fn open_slot(&mut self, request: ClientRequest) -> usize {
+        let slot = self.free_slots.pop().unwrap_or(self.slots.len());
         if slot == self.slots.len() {
             self.slots.push(None);
         }
@@ -243,49 +262,50 @@
         slot
     }
 
-    fn close(&mut self, slot: usize) -> ClientRequest {
-        self.free.push(slot);
-        self.slots[slot].take().expect("a statement is closed once")
+    fn close_slot(&mut self, slot: usize) -> ClientRequest {
+        self.free_slots.push(slot);
+        self.slots[slot].take().expect("slot is already free")
     }
 }
 
-struct Host {
+struct Endpoint {
     role: Role,
-    listed: EndpointUpdate,
-    /// When its queue will be empty.
-    free_at: f64,
-    /// When it was sent what lies within the last span, while it warms up.
-    sent: VecDeque<f64>,
-    /// The span that it is in, counted from its start, and what it was sent in this one.
-    span: u64,
-    sent_in_span: usize,
-    /// What it was sent in all spans, but no more in each than it was allowed.
-    sent_as_allowed: usize,
+    update: EndpointUpdate,
+    /// When its queue will be empty, in seconds.
+    idle_at: f64,
+    /// Times of the attempts of the last `overload_seconds`, if it has started cold.
+    recent_attempts: VecDeque<f64>,
+    /// Number of whole `overload_seconds` since its start, and the attempts in the current one.
+    period: u64,
+    attempts_in_period: usize,
+    /// Attempts that it was sent, without those beyond its allowance in a period.
+    attempts_within_allowance: usize,
+    /// Whether it was ever sent more than the bound.
     exceeded: bool,
 }
 
 #[derive(Clone, Copy)]
 enum Event {
-    Timers,
+    Ticks,
     Arrival,
     Retry(ClientRequest),
-    Executed { router: usize, slot: usize, endpoint: usize, outcome: AttemptOutcome, elapsed: f64 },
-    Probed { router: usize, endpoint: usize },
+    AttemptEnded { router: usize, slot: usize, endpoint: usize, outcome: AttemptOutcome, elapsed: f64 },
+    Checked { router: usize, endpoint: usize },
     ColdStart,
     NewPrimary,
 }
 
-/// Earliest first; those at the same time in the order in which they were scheduled.
+/// An event, ordered by time; events of the same time keep the order in which they were scheduled.
 #[derive(Clone, Copy)]
 struct Scheduled {
     at: f64,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -303,32 +323,34 @@
 
 impl Eq for Scheduled {}
 
-/// What came of one warm-up.
+/// The result of one warm-up.
 #[derive(Clone, Copy, Debug)]
-struct WarmUp {
+struct WarmUpResult {
     exceeded: bool,
-    /// The most that a cold host was sent in a span, as a part of the bound.
-    nearest: f64,
-    /// What the cold hosts were sent, as a part of what they were allowed, and no more than that in any span.
-    given: f64,
-    /// Requests of the group with the cold hosts that were answered, as a part of those offered.
-    answered: f64,
+    /// The most attempts that a cold endpoint was sent within `overload_seconds`, as a fraction of the bound.
+    peak_fraction_of_bound: f64,
+    /// Attempts that the cold endpoints were sent as a fraction of their allowance, without those beyond the allowance
+    /// of a period.
+    used_fraction: f64,
+    /// Fraction of the requests to the group with the cold endpoints that were answered.
+    answered_fraction: f64,
 }
 
 struct Simulation {
     scenario: Scenario,
     random: Random,
     now: f64,
-    instances: Vec<Instance>,
-    hosts: Vec<Host>,
+    instances: Vec<RouterInstance>,
+    endpoints: Vec<Endpoint>,
     events: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
-    /// Running sums, to draw from.
+    scheduled_count: u64,
+    /// Running sums of the weights, to draw indices from.
     router_sums: Vec<f64>,
     group_sums: Vec<f64>,
+    /// Requests to the group with the cold endpoints since these started, and those of them that were answered.
     offered: usize,
     answered: usize,
-    nearest: f64,
+    peak_fraction_of_bound: f64,
 }
 
 fn running_sums(weights: &[f64]) -> Vec<f64> {
@@ -341,63 +363,63 @@
 
 impl Simulation {
     fn new(scenario: Scenario) -> Simulation {
-        let host_count = scenario.offered.len() * HOSTS_PER_GROUP;
-        let endpoint = |index: usize| Host {
-            role: if index % HOSTS_PER_GROUP == 0 { Role::Primary } else { Role::Replica },
-            listed: EndpointUpdate {
+        let endpoint_count = scenario.offered.len() * ENDPOINTS_PER_GROUP;
+        let endpoint = |index: usize| Endpoint {
+            role: if index % ENDPOINTS_PER_GROUP == 0 { Role::Primary } else { Role::Replica },
+            update: EndpointUpdate {
                 endpoint: index,
                 order: index as u64,
-                group: index / HOSTS_PER_GROUP,
+                group: index / ENDPOINTS_PER_GROUP,
                 site: None,
                 size: 1.0,
                 state: EndpointState::Ready,
                 started_at: None,
             },
-            free_at: 0.0,
-            sent: VecDeque::new(),
-            span: 0,
-            sent_in_span: 0,
-            sent_as_allowed: 0,
+            idle_at: 0.0,
+            recent_attempts: VecDeque::new(),
+            period: 0,
+            attempts_in_period: 0,
+            attempts_within_allowance: 0,
             exceeded: false,
         };
-        let instance = |number: usize| {
-            let seed = scenario.terms.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
-            let terms = RoutingConfig { seed, ..scenario.terms.clone() };
-            let router = Router::start(START, terms, &mut Actions::default());
-            Instance { router, slots: Vec::new(), free: Vec::new() }
+        let instance = |index: usize| {
+            let seed = scenario.config.seed.wrapping_mul(1_000_003).wrapping_add(index as u64);
+            let config = RoutingConfig { seed, ..scenario.config.clone() };
+            let router = Router::start(START_SECONDS, config, &mut Calls::default());
+            RouterInstance { router, slots: Vec::new(), free_slots: Vec::new() }
         };
         Simulation {
-            random: Random(scenario.terms.seed ^ 0xa5a5),
-            now: START,
+            random: Random(scenario.config.seed ^ 0xa5a5),
+            now: START_SECONDS,
             instances: (0..scenario.router_weights.len()).map(instance).collect(),
-            hosts: (0..host_count).map(endpoint).collect(),
+            endpoints: (0..endpoint_count).map(endpoint).collect(),
             events: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             router_sums: running_sums(&scenario.router_weights),
             group_sums: running_sums(&scenario.offered),
             offered: 0,
             answered: 0,
-            nearest: 0.0,
+            peak_fraction_of_bound: 0.0,
             scenario,
         }
     }
 
-    fn play(mut self) -> WarmUp {
-        if self.scenario.half_gone {
+    fn run(mut self) -> WarmUpResult {
+        if self.scenario.is_half_removed {
             [2, 3]
                 .into_iter()
-                .for_each(|endpoint: usize| self.hosts[endpoint].listed.state = EndpointState::Removed);
+                .for_each(|endpoint: usize| self.endpoints[endpoint].update.state = EndpointState::Removed);
         }
-        // Routers that were just restarted find the cold hosts in their first list.
-        if self.scenario.restarted {
-            self.cold_start();
+        // Routers that were just restarted find the cold endpoints in their first endpoint list.
+        if self.scenario.routers_restarted {
+            self.start_cold_endpoints();
         }
-        let all: Vec<usize> = (0..self.hosts.len()).collect();
-        self.list(&all);
-        self.schedule(0.0, Event::Timers);
+        let all: Vec<usize> = (0..self.endpoints.len()).collect();
+        self.send_endpoint_list(&all);
+        self.schedule(0.0, Event::Ticks);
         self.schedule(0.0, Event::Arrival);
-        if !self.scenario.restarted {
-            self.schedule(SETTLING_TIME, Event::ColdStart);
+        if !self.scenario.routers_restarted {
+            self.schedule(SETTLING_SECONDS, Event::ColdStart);
         }
         let end = self.scenario.end();
         while let Some(Reverse(next)) = self.events.pop() {
@@ -405,159 +427,171 @@
                 break;
             }
             self.now = next.at;
-            self.handle(next.event);
+            self.handle_event(next.event);
         }
-        let cold = self.scenario.cold_hosts();
-        let sent: usize = cold.iter().map(|endpoint| self.hosts[*endpoint].sent_as_allowed).sum();
-        WarmUp {
-            exceeded: cold.iter().any(|endpoint| self.hosts[*endpoint].exceeded),
-            nearest: self.nearest,
-            given: sent as f64 / (self.scenario.allowed_in_all() * cold.len() as f64),
-            answered: self.answered as f64 / self.offered.max(1) as f64,
+        let cold = self.scenario.cold_endpoints();
+        let sent: usize =
+            cold.iter().map(|endpoint| self.endpoints[*endpoint].attempts_within_allowance).sum();
+        WarmUpResult {
+            exceeded: cold.iter().any(|endpoint| self.endpoints[*endpoint].exceeded),
+            peak_fraction_of_bound: self.peak_fraction_of_bound,
+            used_fraction: sent as f64 / (self.scenario.total_allowance() * cold.len() as f64),
+            answered_fraction: self.answered as f64 / self.offered.max(1) as f64,
         }
     }
 
     fn schedule(&mut self, after: f64, event: Event) {
-        self.scheduled += 1;
-        self.events.push(Reverse(Scheduled { at: self.now + after, number: self.scheduled, event }));
+        self.scheduled_count += 1;
+        self.events.push(Reverse(Scheduled { at: self.now + after, sequence: self.scheduled_count, event }));
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Timers => {
+            Event::Ticks => {
                 (0..self.instances.len()).for_each(|router| {
                     let now = self.now;
-                    self.call(router, |module, front| module.on_tick(now, front));
+                    self.call(router, |routing, calls| routing.on_tick(now, calls));
                 });
-                self.schedule(TIMER_PERIOD, Event::Timers);
+                self.schedule(TICK_INTERVAL_SECONDS, Event::Ticks);
             }
-            Event::Arrival => self.arrive(),
-            Event::Retry(request) => self.offer(request),
-            Event::Executed { router, slot, endpoint, outcome, elapsed } => {
-                self.executed(router, slot, endpoint, outcome, elapsed);
+            Event::Arrival => self.on_arrival(),
+            Event::Retry(request) => self.send_request(request),
+            Event::AttemptEnded { router, slot, endpoint, outcome, elapsed } => {
+                self.on_attempt_ended(router, slot, endpoint, outcome, elapsed);
             }
-            Event::Probed { router, endpoint } => {
+            Event::Checked { router, endpoint } => {
                 let (now, report) = (self.now, self.report(endpoint));
-                self.call(router, |module, front| {
-                    module.on_health_check(now, endpoint, AttemptOutcome::Completed, report, front);
+                self.call(router, |routing, calls| {
+                    routing.on_health_check(now, endpoint, AttemptOutcome::Completed, report, calls);
                 });
             }
             Event::ColdStart => {
-                self.cold_start();
-                let mut told = self.scenario.cold_hosts();
-                if self.scenario.cold == Cold::Primary {
-                    told.push(0);
+                self.start_cold_endpoints();
+                let mut changed = self.scenario.cold_endpoints();
+                if self.scenario.cold == ColdEndpoints::Primary {
+                    changed.push(0);
                 }
-                self.list(&told);
+                self.send_endpoint_list(&changed);
             }
-            Event::NewPrimary => self.hosts[1].role = Role::Primary,
+            Event::NewPrimary => self.endpoints[1].role = Role::Primary,
         }
     }
 
-    fn cold_start(&mut self) {
-        for endpoint in self.scenario.cold_hosts() {
-            self.hosts[endpoint].listed.started_at = Some(self.now);
-            self.hosts[endpoint].free_at = 0.0;
+    fn start_cold_endpoints(&mut self) {
+        for endpoint in self.scenario.cold_endpoints() {
+            self.endpoints[endpoint].update.started_at = Some(self.now);
+            self.endpoints[endpoint].idle_at = 0.0;
         }
-        if self.scenario.cold == Cold::Primary {
-            self.hosts[0].listed.state = EndpointState::Removed;
-            self.hosts[0].role = Role::Replica;
-            self.schedule(self.scenario.primary_gap, Event::NewPrimary);
+        if self.scenario.cold == ColdEndpoints::Primary {
+            self.endpoints[0].update.state = EndpointState::Removed;
+            self.endpoints[0].role = Role::Replica;
+            self.schedule(self.scenario.primary_gap_seconds, Event::NewPrimary);
         }
     }
 
-    fn list(&mut self, hosts: &[usize]) {
-        let list: Vec<EndpointUpdate> = hosts.iter().map(|endpoint| self.hosts[*endpoint].listed).collect();
+    fn send_endpoint_list(&mut self, endpoints: &[usize]) {
+        let list: Vec<EndpointUpdate> =
+            endpoints.iter().map(|endpoint| self.endpoints[*endpoint].update).collect();
         for router in 0..self.instances.len() {
             let now = self.now;
-            self.call(router, |module, front| module.on_endpoint_list(now, &list, front));
+            self.call(router, |routing, calls| routing.on_endpoint_list(now, &list, calls));
         }
     }
 
-    fn arrive(&mut self) {
+    fn on_arrival(&mut self) {
         let rate: f64 = self.scenario.offered.iter().sum();
         let gap = -self.random.unit().ln() / rate;
         self.schedule(gap, Event::Arrival);
-        let workload = if self.random.chance(WRITE_SHARE) { MARKED } else { READ };
-        let router = draw(&mut self.random, &self.router_sums);
-        let group = draw(&mut self.random, &self.group_sums);
-        self.offered += usize::from(group == 0 && self.now >= self.scenario.cold_start());
-        self.offer(ClientRequest { router, group, workload, retries: 0 });
+        let workload = if self.random.chance(WRITE_FRACTION) { MARKED } else { READ };
+        let router = draw_index(&mut self.random, &self.router_sums);
+        let group = draw_index(&mut self.random, &self.group_sums);
+        self.offered += usize::from(group == 0 && self.now >= self.scenario.cold_start_at());
+        self.send_request(ClientRequest { router, group, workload, retries: 0 });
     }
 
-    fn offer(&mut self, request: ClientRequest) {
+    fn send_request(&mut self, request: ClientRequest) {
         let statement = Request {
             workload: request.workload,
             group: request.group,
             tenant: None,
             session: None,
-            time_left: self.scenario.terms.workloads[request.workload].statement_timeout,
+            time_left: self.scenario.config.workloads[request.workload].statement_timeout,
             seconds_since_write: None,
-            is_flagged_retry: request.retries > 0 && self.scenario.marks_repeats,
+            is_flagged_retry: request.retries > 0 && self.scenario.flags_retries,
             may_write: false,
             work: None,
         };
-        let slot = self.instances[request.router].open(request);
+        let slot = self.instances[request.router].open_slot(request);
         let now = self.now;
-        self.call(request.router, |module, front| module.on_request(now, slot, statement, front));
-    }
-
-    /// Calls one router's module and carries out what it asks for.
-    fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut Actions)) {
-        let mut actions = Actions::default();
-        call(&mut self.instances[router].router, &mut actions);
-        for action in actions.0 {
-            match action {
-                Action::Execute { slot, endpoint } => self.start_attempt(router, slot, endpoint),
-                Action::Reject { slot, retry_after } => self.rejected(router, slot, retry_after),
-                Action::Abort { slot } => {
-                    self.instances[router].close(slot);
+        self.call(request.router, |routing, calls| routing.on_request(now, slot, statement, calls));
+    }
+
+    /// Calls one router and carries out what it asks for.
+    fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut Calls)) {
+        let mut calls = Calls::default();
+        call(&mut self.instances[router].router, &mut calls);
+        for requested in calls.0 {
+            match requested {
+                Call::StartAttempt { slot, endpoint } => self.start_attempt(router, slot, endpoint),
+                Call::Reject { slot, retry_after } => self.on_reject(router, slot, retry_after),
+                Call::Abort { slot } => {
+                    self.instances[router].close_slot(slot);
                 }
-                Action::Probe { endpoint } => self.schedule(PROBE_TIME, Event::Probed { router, endpoint }),
+                Call::Check { endpoint } => self.schedule(CHECK_SECONDS, Event::Checked { router, endpoint }),
             }
         }
     }
 
-    fn rejected(&mut self, router: usize, slot: usize, retry_after: f64) {
-        let request = self.instances[router].close(slot);
-        if request.retries < self.scenario.client_retries {
+    fn on_reject(&mut self, router: usize, slot: usize, retry_after: f64) {
+        let request = self.instances[router].close_slot(slot);
+        if request.retries < self.scenario.max_client_retries {
             let after = retry_after * self.random.between(1.0, 1.5);
             self.schedule(after, Event::Retry(ClientRequest { retries: request.retries + 1, ..request }));
         }
     }
 
     fn start_attempt(&mut self, router: usize, slot: usize, endpoint: usize) {
-        self.count(endpoint);
-        let part = self.hosts[endpoint].listed.started_at.map_or(1.0, |at| self.scenario.part(self.now - at));
-        let at = &mut self.hosts[endpoint];
-        let (outcome, elapsed) = if at.free_at - self.now > QUEUE_TIME {
-            (AttemptOutcome::Refused, PROBE_TIME)
+        self.count_attempt(endpoint);
+        let capacity_fraction = self.endpoints[endpoint]
+            .update
+            .started_at
+            .map_or(1.0, |at| self.scenario.capacity_fraction(self.now - at));
+        let target = &mut self.endpoints[endpoint];
+        let (outcome, elapsed) = if target.idle_at - self.now > MAX_QUEUE_SECONDS {
+            (AttemptOutcome::Refused, CHECK_SECONDS)
         } else {
-            at.free_at = at.free_at.max(self.now) + 1.0 / (self.scenario.capacity * part);
-            (AttemptOutcome::Completed, at.free_at - self.now + SERVICE_TIME)
+            target.idle_at =
+                target.idle_at.max(self.now) + 1.0 / (self.scenario.capacity * capacity_fraction);
+            (AttemptOutcome::Completed, target.idle_at - self.now + SERVICE_SECONDS)
         };
-        self.schedule(elapsed, Event::Executed { router, slot, endpoint, outcome, elapsed });
+        self.schedule(elapsed, Event::AttemptEnded { router, slot, endpoint, outcome, elapsed });
     }
 
-    /// Holds an execution against what its host may be sent in a span.
-    fn count(&mut self, endpoint: usize) {
-        let Some(started_at) = self.hosts[endpoint].listed.started_at else { return };
+    /// Counts an attempt and compares the attempts of the last `overload_seconds` with the bound.
+    fn count_attempt(&mut self, endpoint: usize) {
+        let Some(started_at) = self.endpoints[endpoint].update.started_at else { return };
         let age = self.now - started_at;
-        let (allowed, span) =
-            (self.scenario.allowed(age), (age / self.scenario.terms.overload_seconds) as u64);
-        let limit = bound(allowed);
-        let at = &mut self.hosts[endpoint];
-        (at.sent_in_span, at.span) = (if at.span == span { at.sent_in_span + 1 } else { 1 }, span);
-        at.sent_as_allowed += usize::from(at.sent_in_span as f64 <= allowed);
-        at.sent.push_back(self.now);
-        while at.sent.front().is_some_and(|sent| *sent <= self.now - self.scenario.terms.overload_seconds) {
-            at.sent.pop_front();
+        let (allowance, period) =
+            (self.scenario.allowance(age), (age / self.scenario.config.overload_seconds) as u64);
+        let limit = bound(allowance);
+        let target = &mut self.endpoints[endpoint];
+        (target.attempts_in_period, target.period) =
+            (if target.period == period { target.attempts_in_period + 1 } else { 1 }, period);
+        target.attempts_within_allowance += usize::from(target.attempts_in_period as f64 <= allowance);
+        target.recent_attempts.push_back(self.now);
+        while target
+            .recent_attempts
+            .front()
+            .is_some_and(|sent| *sent <= self.now - self.scenario.config.overload_seconds)
+        {
+            target.recent_attempts.pop_front();
         }
-        at.exceeded |= at.sent.len() as f64 > limit;
-        self.nearest = self.nearest.max(at.sent.len() as f64 / limit);
+        target.exceeded |= target.recent_attempts.len() as f64 > limit;
+        self.peak_fraction_of_bound =
+            self.peak_fraction_of_bound.max(target.recent_attempts.len() as f64 / limit);
     }
 
-    fn executed(
+    fn on_attempt_ended(
         &mut self,
         router: usize,
         slot: usize,
@@ -565,10 +599,10 @@
         outcome: AttemptOutcome,
         elapsed: f64,
     ) {
-        let closed = outcome == AttemptOutcome::Completed;
-        if closed {
-            let request = self.instances[router].close(slot);
-            self.answered += usize::from(request.group == 0 && self.now >= self.scenario.cold_start());
+        let is_completed = outcome == AttemptOutcome::Completed;
+        if is_completed {
+            let request = self.instances[router].close_slot(slot);
+            self.answered += usize::from(request.group == 0 && self.now >= self.scenario.cold_start_at());
         }
         let report = self.report(endpoint);
         let result = AttemptResult {
@@ -576,89 +610,106 @@
             endpoint,
             outcome,
             elapsed,
-            has_final_answer: closed,
+            has_final_answer: is_completed,
             observed: report,
-            report: closed.then_some(report),
+            report: is_completed.then_some(report),
         };
         let now = self.now;
-        self.call(router, |module, front| module.on_attempt_result(now, &result, front));
+        self.call(router, |routing, calls| routing.on_attempt_result(now, &result, calls));
     }
 
     fn report(&self, endpoint: usize) -> LoadReport {
-        LoadReport { role: Some(self.hosts[endpoint].role), lsn: Some(self.now), utilization: None }
+        LoadReport { role: Some(self.endpoints[endpoint].role), lsn: Some(self.now), utilization: None }
     }
 }
 
-/// An index, as likely as its weight.
-fn draw(random: &mut Random, running_sums: &[f64]) -> usize {
+/// Draws an index with a probability in proportion to its weight.
+fn draw_index(random: &mut Random, running_sums: &[f64]) -> usize {
     let target = random.unit() * running_sums.last().copied().unwrap_or_default();
     running_sums.partition_point(|sum| *sum < target).min(running_sums.len() - 1)
 }
 
-fn play_all(seeds: std::ops::Range<u64>) -> Vec<(Scenario, WarmUp)> {
-    let play_some = |first: u64| -> Vec<(Scenario, WarmUp)> {
-        let mine = seeds.clone().filter(|seed| seed % THREADS == first);
-        let play = |seed| (Scenario::draw(seed), Simulation::new(Scenario::draw(seed)).play());
-        mine.map(play).collect()
+fn run_all(seeds: std::ops::Range<u64>) -> Vec<(Scenario, WarmUpResult)> {
+    let run_some = |first: u64| -> Vec<(Scenario, WarmUpResult)> {
+        let own_seeds = seeds.clone().filter(|seed| seed % THREADS == first);
+        let run = |seed| (Scenario::draw(seed), Simulation::new(Scenario::draw(seed)).run());
+        own_seeds.map(run).collect()
     };
     std::thread::scope(|scope| {
-        let play_some = &play_some;
-        let threads: Vec<_> = (0..THREADS).map(|first| scope.spawn(move || play_some(first))).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("a warm-up panicked")).collect()
+        let run_some = &run_some;
+        let threads: Vec<_> = (0..THREADS).map(|first| scope.spawn(move || run_some(first))).collect();
+        threads
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("simulation of a warm-up panicked"))
+            .collect()
     })
 }
 
-/// One line on those of the warm-ups that a condition holds for.
-fn summarize(name: &str, played: &[(Scenario, WarmUp)], of: impl Fn(&Scenario) -> bool) {
-    let chosen: Vec<&WarmUp> = played.iter().filter(|(s, _)| of(s)).map(|(_, warm_up)| warm_up).collect();
-    let count = chosen.len().max(1) as f64;
-    let mean = |value: fn(&WarmUp) -> f64| chosen.iter().map(|w| value(w)).sum::<f64>() / count;
+/// Prints one line about the warm-ups for which the condition holds.
+fn summarize(name: &str, results: &[(Scenario, WarmUpResult)], condition: impl Fn(&Scenario) -> bool) {
+    let selected: Vec<&WarmUpResult> =
+        results.iter().filter(|(s, _)| condition(s)).map(|(_, result)| result).collect();
+    let count = selected.len().max(1) as f64;
+    let mean = |value: fn(&WarmUpResult) -> f64| selected.iter().map(|w| value(w)).sum::<f64>() / count;
     println!(
-        "{name:<24} {:>5} warm-ups, {:>4} exceeded the bound, given {:.3} of what is allowed, answered {:.3}",
-        chosen.len(),
-        chosen.iter().filter(|w| w.exceeded).count(),
-        mean(|w| w.given),
-        mean(|w| w.answered),
+        "{name:<24} {:>5} warm-ups, {:>4} exceeded the bound, used {:.3} of the allowance, answered {:.3}",
+        selected.len(),
+        selected.iter().filter(|w| w.exceeded).count(),
+        mean(|w| w.used_fraction),
+        mean(|w| w.answered_fraction),
     );
 }
 
 #[test]
-fn all_routers_together_keep_to_what_a_warming_host_is_allowed() {
-    let named = std::env::var(WARM_UPS_VARIABLE).ok().and_then(|number| number.parse().ok());
-    let played = play_all(0..named.unwrap_or(WARM_UPS));
-    summarize("all", &played, |_| true);
+fn all_routers_together_respect_the_allowance_of_a_warming_endpoint() {
+    let configured = std::env::var(WARM_UPS_VARIABLE).ok().and_then(|number| number.parse().ok());
+    let results = run_all(0..configured.unwrap_or(DEFAULT_WARM_UPS));
+    summarize("all", &results, |_| true);
     for routers in ROUTER_COUNTS {
-        summarize(&format!("{routers} routers"), &played, |s| s.router_weights.len() == routers);
-    }
-    for cold in [Cold::OneReplica, Cold::Primary, Cold::HalfTheGroup, Cold::WholeGroup] {
-        summarize(&format!("{cold:?}"), &played, |s| s.cold == cold);
-    }
-    let calm = |s: &Scenario| s.offered.len() == 2;
-    summarize("three times the mean", &played, |s| !calm(s));
-    summarize("half of the group gone", &played, |s| s.half_gone);
-    summarize("even groups", &played, calm);
-    summarize("even, no retries", &played, |s| calm(s) && s.client_retries == 0);
-    summarize("clients retry", &played, |s| s.client_retries > 0);
-    summarize("just restarted", &played, |s| s.restarted);
-    summarize("allowed under 30", &played, |s| s.allowed_at_start < 30.0);
-    for (scenario, warm_up) in played.iter().filter(|(_, w)| w.exceeded).take(20) {
+        summarize(&format!("{routers} routers"), &results, |s| s.router_weights.len() == routers);
+    }
+    for cold in [
+        ColdEndpoints::OneReplica,
+        ColdEndpoints::Primary,
+        ColdEndpoints::HalfTheGroup,
+        ColdEndpoints::WholeGroup,
+    ] {
+        summarize(&format!("{cold:?}"), &results, |s| s.cold == cold);
+    }
+    let has_even_load = |s: &Scenario| s.offered.len() == 2;
+    summarize("group 0 at 3x the mean", &results, |s| !has_even_load(s));
+    summarize("half the group removed", &results, |s| s.is_half_removed);
+    summarize("even load", &results, has_even_load);
+    summarize("even load, no retries", &results, |s| has_even_load(s) && s.max_client_retries == 0);
+    summarize("clients retry", &results, |s| s.max_client_retries > 0);
+    summarize("routers restarted", &results, |s| s.routers_restarted);
+    summarize("allowance under 30", &results, |s| s.initial_allowance < 30.0);
+    for (scenario, result) in results.iter().filter(|(_, w)| w.exceeded).take(20) {
         println!(
-            "seed {}: {} routers, {:?}, half gone {}, {:.0} allowed at the start, offered {:.2} of capacity, restarted {}, \
-             retries {}, marked {}: {:.2} of the bound",
-            scenario.terms.seed,
+            "seed {}: {} routers, {:?}, half removed {}, initial allowance {:.0}, offered {:.2} of capacity, restarted {}, \
+             retries {}, flagged {}: {:.2} of the bound",
+            scenario.config.seed,
             scenario.router_weights.len(),
             scenario.cold,
-            scenario.half_gone,
-            scenario.allowed_at_start,
-            scenario.offered[0] / (scenario.capacity * HOSTS_PER_GROUP as f64),
-            scenario.restarted,
-            scenario.client_retries,
-            scenario.marks_repeats,
-            warm_up.nearest,
+            scenario.is_half_removed,
+            scenario.initial_allowance,
+            scenario.offered[0] / (scenario.capacity * ENDPOINTS_PER_GROUP as f64),
+            scenario.routers_restarted,
+            scenario.max_client_retries,
+            scenario.flags_retries,
+            result.peak_fraction_of_bound,
         );
     }
-    let exceeded = played.iter().filter(|(_, warm_up)| warm_up.exceeded).count();
-    assert!(exceeded * WARM_UPS_PER_EXCESS <= played.len(), "{exceeded} of {} warm-ups", played.len());
-    let given = played.iter().map(|(_, warm_up)| warm_up.given).sum::<f64>() / played.len() as f64;
-    assert!(given >= LEAST_GIVEN, "cold hosts idle: {given:.3}");
+    let exceeded = results.iter().filter(|(_, result)| result.exceeded).count();
+    assert!(
+        exceeded * WARM_UPS_PER_EXCESS <= results.len(),
+        "{exceeded} of {} warm-ups exceeded the bound",
+        results.len()
+    );
+    let used_fraction =
+        results.iter().map(|(_, result)| result.used_fraction).sum::<f64>() / results.len() as f64;
+    assert!(
+        used_fraction >= MIN_MEAN_USED_FRACTION,
+        "cold endpoints were sent {used_fraction:.3} of their allowance on average"
+    );
 }
