--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -1,7 +1,7 @@
-//! What a router needs in fleets of different size, with the same traffic: 20 requests a second, one change of the endpoint
-//! list a second, groups of five.
+//! The work of a router in fleets of different sizes with the same traffic: 20 requests per second, one change of the endpoint
+//! list per second, groups of five.
 //!
-//! CI counts work, not seconds. The table of CPU seconds is printed by
+//! The assertions count work, not seconds. This command prints the table of CPU seconds:
 //! `SCALE_SECONDS=60 cargo test --release -p ottersill-routing --test scale -- --nocapture`.
 
 #[path = "common/settings.rs"]
@@ -20,15 +20,16 @@
 const STEPS_PER_SECOND: usize = 100;
 const STEPS_PER_TICK: usize = 2;
 const STEPS_PER_REQUEST: usize = 5;
-/// Steps until an attempt and a health check are answered.
+/// Steps until an attempt is answered.
 const ANSWER_STEPS: usize = 4;
-const CHECK_STEPS: usize = 1;
-/// One request of so many is a write.
+/// Steps until a health check is answered.
+const HEALTH_CHECK_STEPS: usize = 1;
+/// One request out of this many is a write.
 const REQUESTS_PER_WRITE: usize = 5;
 const READ: usize = 0;
 const WRITE: usize = 1;
-/// Seconds on the router's clock when it starts.
-const START: f64 = 1000.0;
+/// Time on the router's clock when it starts.
+const START_SECONDS: f64 = 1000.0;
 
 fn config(routers: usize) -> RoutingConfig {
     let class = |needs, effect| request_class(needs, effect, 3.0, 0.3, 1.0);
@@ -51,37 +52,37 @@
     }
 }
 
-/// CPU time of this thread.
+/// Returns the CPU time of this thread.
 fn cpu_time() -> Duration {
     clock_gettime(ClockId::ThreadCPUTime).try_into().expect("CPU time is positive")
 }
 
-/// Calls and adds the CPU time that it took.
-fn timed(spent: &mut Duration, call: impl FnOnce()) {
+/// Runs `call` and adds the CPU time that it took to `cpu_time_spent`.
+fn add_cpu_time(cpu_time_spent: &mut Duration, call: impl FnOnce()) {
     let before = cpu_time();
     call();
-    *spent += cpu_time() - before;
+    *cpu_time_spent += cpu_time() - before;
 }
 
-/// What the router asked for in one step.
+/// The actions that the router requested in one step.
 #[derive(Default)]
-struct Asked {
+struct RequestedActions {
     attempts: Vec<(usize, usize)>,
     health_checks: Vec<usize>,
-    refused: Vec<usize>,
+    rejected: Vec<usize>,
 }
 
-impl Transport for Asked {
-    fn start_attempt(&mut self, request: usize, endpoint: usize, _time_out: f64) {
+impl Transport for RequestedActions {
+    fn start_attempt(&mut self, request: usize, endpoint: usize, _timeout: f64) {
         self.attempts.push((request, endpoint));
     }
     fn reject(&mut self, request: usize, _retry_after: f64) {
-        self.refused.push(request);
+        self.rejected.push(request);
     }
     fn abort(&mut self, request: usize) {
-        self.refused.push(request);
+        self.rejected.push(request);
     }
-    fn cancel_attempt(&mut self, _stmt: usize, _execution: u32) {}
+    fn cancel_attempt(&mut self, _request: usize, _attempt: u32) {}
     fn start_health_check(&mut self, endpoint: usize) {
         self.health_checks.push(endpoint);
     }
@@ -92,10 +93,10 @@
 
 enum Event {
     Answer { request: usize, endpoint: usize },
-    CheckAnswer { endpoint: usize },
+    HealthCheckAnswer { endpoint: usize },
 }
 
-/// What one run took.
+/// The CPU time that each kind of call took in one run, and the counts of what happened.
 #[derive(Default)]
 struct Figures {
     ticks: Duration,
@@ -104,34 +105,34 @@
     first_list: Duration,
     changes: Duration,
     health_checks: usize,
-    asked: usize,
+    issued: usize,
     answered: usize,
-    refused: usize,
+    rejected: usize,
 }
 
-/// One router in a fleet of that size.
-struct Fleet {
+/// One router, and the endpoints of a fleet that it sends requests to.
+struct Simulation {
     router: Router,
-    asked: Asked,
+    actions: RequestedActions,
     endpoints: Vec<EndpointUpdate>,
     groups: usize,
     step: usize,
     events: BTreeMap<usize, Vec<Event>>,
-    /// Of each index whether a request holds it.
+    /// For each request index, whether a request uses it.
     in_use: Vec<bool>,
     figures: Figures,
 }
 
-impl Fleet {
-    fn new(endpoints: usize, routers: usize) -> Fleet {
-        let mut asked = Asked::default();
-        let router = Router::start(START, config(routers), &mut asked);
+impl Simulation {
+    fn new(endpoints: usize, routers: usize) -> Simulation {
+        let mut actions = RequestedActions::default();
+        let router = Router::start(START_SECONDS, config(routers), &mut actions);
         let listed = |endpoint: usize| listed(endpoint, endpoint / GROUP_SIZE, EndpointState::Ready, None);
         let endpoints: Vec<EndpointUpdate> = (0..endpoints).map(listed).collect();
         let groups = endpoints.len() / GROUP_SIZE;
-        let mut fleet = Fleet {
+        let mut simulation = Simulation {
             router,
-            asked,
+            actions,
             endpoints,
             groups,
             step: 0,
@@ -139,16 +140,16 @@
             in_use: Vec::new(),
             figures: Figures::default(),
         };
-        let Fleet { router, asked, endpoints, figures, .. } = &mut fleet;
-        timed(&mut figures.first_list, || router.on_endpoint_list(START, endpoints, asked));
-        fleet
+        let Simulation { router, actions, endpoints, figures, .. } = &mut simulation;
+        add_cpu_time(&mut figures.first_list, || router.on_endpoint_list(START_SECONDS, endpoints, actions));
+        simulation
     }
 
     fn now(&self) -> f64 {
-        START + self.step as f64 / STEPS_PER_SECOND as f64
+        START_SECONDS + self.step as f64 / STEPS_PER_SECOND as f64
     }
 
-    /// What an endpoint says of itself.
+    /// Returns the load report of an endpoint.
     fn report(&self, endpoint: usize) -> LoadReport {
         let role = if endpoint < self.groups * GROUP_SIZE && endpoint % GROUP_SIZE == 0 {
             Role::Primary
@@ -158,54 +159,54 @@
         LoadReport { role: Some(role), lsn: Some(self.now() - 0.01), utilization: Some(0.3) }
     }
 
-    /// Runs for so many simulated seconds, and some more without new requests.
+    /// Runs for this many simulated seconds, and two more without new requests.
     fn run(mut self, seconds: usize) -> (Figures, Router) {
         let last = seconds * STEPS_PER_SECOND;
         while self.step < last + 2 * STEPS_PER_SECOND {
             self.step += 1;
             for event in self.events.remove(&self.step).unwrap_or_default() {
-                self.take(&event);
+                self.handle_event(&event);
             }
             if self.step <= last && self.step % STEPS_PER_REQUEST == 0 {
-                self.ask();
+                self.send_request();
             }
             if self.step % STEPS_PER_SECOND == 0 {
                 self.replace_endpoint();
             }
             if self.step % STEPS_PER_TICK == 0 {
                 let now = self.now();
-                let Fleet { router, asked, figures, .. } = &mut self;
-                timed(&mut figures.ticks, || router.on_tick(now, asked));
+                let Simulation { router, actions, figures, .. } = &mut self;
+                add_cpu_time(&mut figures.ticks, || router.on_tick(now, actions));
             }
-            self.carry_out();
+            self.schedule_answers();
         }
         (self.figures, self.router)
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let now = self.now();
-        self.figures.asked += 1;
-        let workload = if self.figures.asked % REQUESTS_PER_WRITE == 0 { WRITE } else { READ };
+        self.figures.issued += 1;
+        let workload = if self.figures.issued % REQUESTS_PER_WRITE == 0 { WRITE } else { READ };
         let index = self.in_use.iter().position(|in_use| !in_use).unwrap_or(self.in_use.len());
         self.in_use.resize(self.in_use.len().max(index + 1), true);
         self.in_use[index] = true;
         let request = Request {
             workload,
-            // Spread over all groups in an order that repeats none soon.
-            group: self.figures.asked * 7919 % self.groups,
+            // Spreads requests over all groups, so that no group repeats soon.
+            group: self.figures.issued * 7919 % self.groups,
             tenant: None,
-            session: Some(self.figures.asked as u64 % 50),
+            session: Some(self.figures.issued as u64 % 50),
             time_left: 1.0,
             seconds_since_write: None,
             is_flagged_retry: false,
             may_write: false,
             work: None,
         };
-        let Fleet { router, asked, figures, .. } = self;
-        timed(&mut figures.requests, || router.on_request(now, index, request, asked));
+        let Simulation { router, actions, figures, .. } = self;
+        add_cpu_time(&mut figures.requests, || router.on_request(now, index, request, actions));
     }
 
-    fn take(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         let now = self.now();
         match *event {
             Event::Answer { request, endpoint } => {
@@ -220,157 +221,160 @@
                     observed,
                     report: Some(observed),
                 };
-                let Fleet { router, asked, figures, .. } = self;
-                timed(&mut figures.results, || router.on_attempt_result(now, &result, asked));
+                let Simulation { router, actions, figures, .. } = self;
+                add_cpu_time(&mut figures.results, || router.on_attempt_result(now, &result, actions));
                 self.figures.answered += 1;
                 self.in_use[request] = false;
             }
-            Event::CheckAnswer { endpoint } => {
+            Event::HealthCheckAnswer { endpoint } => {
                 let report = self.report(endpoint);
-                let Fleet { router, asked, figures, .. } = self;
+                let Simulation { router, actions, figures, .. } = self;
                 let outcome = AttemptOutcome::Completed;
-                timed(&mut figures.results, || {
-                    router.on_health_check(now, endpoint, outcome, report, asked);
+                add_cpu_time(&mut figures.results, || {
+                    router.on_health_check(now, endpoint, outcome, report, actions);
                 });
             }
         }
     }
 
-    /// A replica leaves in one second, another one takes its place, cold, in the next.
+    /// Removes a replica in one second and adds a cold one to its group in the next.
     fn replace_endpoint(&mut self) {
         let now = self.now();
         let second = self.step / STEPS_PER_SECOND;
         let group = second / 2 * 31 % self.groups;
-        let leaves = group * GROUP_SIZE + 1 + second / 2 % (GROUP_SIZE - 1);
+        let leaving = group * GROUP_SIZE + 1 + second / 2 % (GROUP_SIZE - 1);
         let change = if second % 2 == 0 {
-            listed(leaves, group, EndpointState::Removed, None)
+            listed(leaving, group, EndpointState::Removed, None)
         } else {
             listed(self.endpoints.len(), group, EndpointState::Ready, Some(now))
         };
         if change.endpoint == self.endpoints.len() {
             self.endpoints.push(change);
         }
-        let Fleet { router, asked, figures, .. } = self;
-        timed(&mut figures.changes, || router.on_endpoint_list(now, &[change], asked));
+        let Simulation { router, actions, figures, .. } = self;
+        add_cpu_time(&mut figures.changes, || router.on_endpoint_list(now, &[change], actions));
     }
 
-    fn carry_out(&mut self) {
-        let Asked { attempts, health_checks, refused } = std::mem::take(&mut self.asked);
+    fn schedule_answers(&mut self) {
+        let RequestedActions { attempts, health_checks, rejected } = std::mem::take(&mut self.actions);
         self.figures.health_checks += health_checks.len();
-        self.figures.refused += refused.len();
-        refused.into_iter().for_each(|request| self.in_use[request] = false);
+        self.figures.rejected += rejected.len();
+        rejected.into_iter().for_each(|request| self.in_use[request] = false);
         let answers = attempts.into_iter().map(|(request, endpoint)| Event::Answer { request, endpoint });
         self.events.entry(self.step + ANSWER_STEPS).or_default().extend(answers);
-        let checked = health_checks.into_iter().map(|endpoint| Event::CheckAnswer { endpoint });
-        self.events.entry(self.step + CHECK_STEPS).or_default().extend(checked);
+        let health_check_answers =
+            health_checks.into_iter().map(|endpoint| Event::HealthCheckAnswer { endpoint });
+        self.events.entry(self.step + HEALTH_CHECK_STEPS).or_default().extend(health_check_answers);
     }
 }
 
-/// Simulated seconds of each run: few in CI, more for the table.
-fn seconds() -> usize {
-    std::env::var("SCALE_SECONDS").map_or(4, |seconds| seconds.parse().expect("a number of seconds"))
+/// Returns the simulated seconds of each run: 4 in CI, or `SCALE_SECONDS` for the table.
+fn simulated_seconds() -> usize {
+    std::env::var("SCALE_SECONDS")
+        .map_or(4, |seconds| seconds.parse().expect("SCALE_SECONDS is not a number"))
 }
 
-/// The same traffic is answered in full whatever the size of the fleet. Prints the table.
+/// Each request of the same traffic gets one final answer, whatever the size of the fleet. Prints the table.
 #[test]
-fn each_request_is_answered_once_in_fleets_of_each_size() {
+fn each_request_gets_one_final_answer_in_fleets_of_each_size() {
     println!(
-        "endpoints routers | ticks s  requests s  results s  first list s  changes s | health checks refused"
+        "endpoints routers | ticks s  requests s  results s  first list s  changes s | health checks rejected"
     );
     for (endpoints, routers) in [(200, 300), (1600, 300), (3200, 900)] {
-        let (figures, _) = Fleet::new(endpoints, routers).run(seconds());
-        let Figures { ticks, requests, results, first_list, changes, health_checks, refused, .. } = figures;
-        let [ticks, requests, results, first_list, changes] =
-            [ticks, requests, results, first_list, changes].map(|spent| spent.as_secs_f64());
+        let (figures, _) = Simulation::new(endpoints, routers).run(simulated_seconds());
+        let Figures { ticks, requests, results, first_list, changes, health_checks, rejected, .. } = figures;
+        let [ticks, requests, results, first_list, changes] = [ticks, requests, results, first_list, changes]
+            .map(|cpu_time_spent| cpu_time_spent.as_secs_f64());
         println!(
             "{endpoints:9} {routers:7} | {ticks:.4}   {requests:.4}      {results:.4}     {first_list:.4}        \
-             {changes:.4}    | {health_checks:13} {refused:7}"
+             {changes:.4}    | {health_checks:13} {rejected:8}"
         );
-        assert_eq!(figures.answered + figures.refused, figures.asked, "one final answer each");
-        assert!(figures.refused * 20 <= figures.asked, "{refused} of {} refused", figures.asked);
+        assert_eq!(figures.answered + figures.rejected, figures.issued, "each request has one final answer");
+        assert!(figures.rejected * 20 <= figures.issued, "{rejected} of {} rejected", figures.issued);
     }
 }
 
-/// Guards against a walk over all groups with each change of the endpoint list: at 3,200 endpoints one a second is usual.
+/// Guards against visiting all groups at each change of the endpoint list: with 3,200 endpoints one change per second is usual.
 #[test]
-fn a_change_of_the_list_visits_only_groups_in_which_a_request_waits() {
-    let mut fleet = Fleet::new(3200, 900);
-    let groups_visited = |fleet: &mut Fleet| {
-        let before = fleet.router.work().groups;
-        fleet.replace_endpoint();
-        fleet.router.work().groups - before
+fn a_change_of_the_endpoint_list_visits_only_groups_with_waiting_requests() {
+    let mut simulation = Simulation::new(3200, 900);
+    let groups_visited = |simulation: &mut Simulation| {
+        let before = simulation.router.work().groups;
+        simulation.replace_endpoint();
+        simulation.router.work().groups - before
     };
-    assert_eq!(groups_visited(&mut fleet), 0, "nothing waits");
-    (0..3).for_each(|_| fleet.ask());
-    assert_eq!(groups_visited(&mut fleet), 3, "no endpoint was heard of, so the three requests wait");
+    assert_eq!(groups_visited(&mut simulation), 0, "no request waits");
+    (0..3).for_each(|_| simulation.send_request());
+    assert_eq!(groups_visited(&mut simulation), 3, "no endpoint has reported, so the three requests wait");
 }
 
-/// Guards against timer calls that go through all requests that were ever held at once.
+/// Guards against ticks that examine as many requests as were ever in flight at the same time.
 #[test]
-fn a_tick_looks_only_at_requests_in_flight() {
-    let mut fleet = Fleet::new(64, 300);
-    (0..200).for_each(|_| fleet.ask());
-    (0..200).for_each(|index| fleet.router.on_client_gone(index));
-    let before = fleet.router.work().requests;
-    fleet.router.on_tick(fleet.now() + 0.02, &mut fleet.asked);
-    assert_eq!(fleet.router.work().requests, before, "the clients of all have left");
+fn a_tick_examines_only_requests_in_flight() {
+    let mut simulation = Simulation::new(64, 300);
+    (0..200).for_each(|_| simulation.send_request());
+    (0..200).for_each(|index| simulation.router.on_client_gone(index));
+    let before = simulation.router.work().requests;
+    simulation.router.on_tick(simulation.now() + 0.02, &mut simulation.actions);
+    assert_eq!(simulation.router.work().requests, before, "all clients have disconnected");
 }
 
-/// Guards against timer calls that go through all groups: at 3,200 endpoints that was eleven times the CPU time of 200.
+/// Guards against ticks that visit all groups: with 3,200 endpoints that took eleven times the CPU time of 200 endpoints.
 #[test]
 fn ticks_visit_as_many_groups_in_a_large_fleet_as_in_a_small_one() {
-    let visited = |endpoints: usize| Fleet::new(endpoints, 300).run(seconds()).1.work().groups;
+    let visited = |endpoints: usize| Simulation::new(endpoints, 300).run(simulated_seconds()).1.work().groups;
     let (small, large) = (visited(200), visited(3200));
-    // Each group is visited once after it was listed.
+    // Each group is visited once after its endpoints were listed.
     let new_groups = (3200 - 200) / GROUP_SIZE as u64;
-    assert!(2 * (large - new_groups) <= 3 * small, "{large} for {small}");
+    assert!(2 * (large - new_groups) <= 3 * small, "{large} visits with 3200 endpoints, {small} with 200");
 }
 
-/// Guards against timer calls that go through the watermarks of all sessions: in a large fleet most members of a group are
-/// heard of rarely, so watermarks are kept long.
+/// Guards against ticks that examine the watermarks of all sessions: in a large fleet most members of a group report rarely,
+/// so watermarks are kept long.
 #[test]
-fn a_watermark_is_looked_at_when_its_group_has_changed() {
-    let (figures, router) = Fleet::new(3200, 300).run(seconds());
-    let writes = figures.asked / REQUESTS_PER_WRITE;
-    // Each write's own end, each answer and check of its group, each change of the list.
-    let changes = writes + figures.answered + figures.health_checks + seconds();
-    let looked_at = router.work().watermarks;
-    assert!(looked_at >= writes as u64, "{looked_at} for {writes} writes");
-    assert!(looked_at <= 2 * changes as u64, "{looked_at} for {changes} changes");
+fn watermarks_are_examined_only_if_their_group_has_changed() {
+    let (figures, router) = Simulation::new(3200, 300).run(simulated_seconds());
+    let writes = figures.issued / REQUESTS_PER_WRITE;
+    // A watermark is examined at the end of its write, and at each answer, health check and list change of its group.
+    let changes = writes + figures.answered + figures.health_checks + simulated_seconds();
+    let examined = router.work().watermarks;
+    assert!(examined >= writes as u64, "{examined} watermarks examined for {writes} writes");
+    assert!(examined <= 2 * changes as u64, "{examined} watermarks examined for {changes} changes");
 }
 
-/// Guards against looking at members for health checks that nothing can pay for.
+/// Guards against examining members for health checks while the health check budget is empty.
 #[test]
-fn members_are_looked_at_only_where_a_health_check_may_be_sent() {
-    let mut fleet = Fleet::new(3200, 900);
-    let polls = |fleet: &mut Fleet| {
-        let before = fleet.router.work().polls;
-        (0..10).for_each(|_| fleet.router.on_tick(START, &mut fleet.asked));
-        fleet.router.work().polls - before
+fn members_are_examined_only_if_a_health_check_may_be_sent() {
+    let mut simulation = Simulation::new(3200, 900);
+    let polls = |simulation: &mut Simulation| {
+        let before = simulation.router.work().polls;
+        (0..10).for_each(|_| simulation.router.on_tick(START_SECONDS, &mut simulation.actions));
+        simulation.router.work().polls - before
     };
-    assert!(polls(&mut fleet) > 0, "new endpoints bring some checks");
+    assert!(polls(&mut simulation) > 0, "new endpoints add some health checks to the budget");
     for _ in 0..1000 {
-        fleet.step += STEPS_PER_TICK;
-        fleet.router.on_tick(fleet.now(), &mut fleet.asked);
+        simulation.step += STEPS_PER_TICK;
+        simulation.router.on_tick(simulation.now(), &mut simulation.actions);
     }
-    assert!(!fleet.asked.health_checks.is_empty());
-    assert_eq!(polls(&mut fleet), 0, "all of them are spent, and nobody has asked for anything");
-    fleet.ask();
-    assert!(polls(&mut fleet) > 0, "a request waits");
+    assert!(!simulation.actions.health_checks.is_empty());
+    assert_eq!(polls(&mut simulation), 0, "the budget is spent, and no request has arrived");
+    simulation.send_request();
+    assert!(polls(&mut simulation) > 0, "a request waits");
 }
 
-/// Guards against checks of members whose answers decide nothing: in a fleet of 3,200 a router meets most groups once or twice a
-/// minute, and asked all five members of each (3,888 checks for 1,200 requests). A read of such a group needs one, as
-/// what was told half a minute ago is too old for it, a write three on average until the primary is found.
+/// Guards against health checks whose answers decide nothing. In a fleet of 3,200 endpoints a router sends requests to most
+/// groups only once or twice a minute, and checked all five members of each (3,888 checks for 1,200 requests). A read of such
+/// a group needs one check, because a report from half a minute ago is too old for it; a write needs three on average until
+/// the primary is found.
 #[test]
-fn health_checks_go_by_requests_in_a_large_fleet() {
+fn health_checks_depend_on_requests_in_a_large_fleet() {
     let checks = |endpoints: usize, routers: usize| {
-        let (figures, _) = Fleet::new(endpoints, routers).run(60);
-        assert_eq!(figures.refused, 0, "{endpoints} endpoints");
-        (figures.health_checks, figures.asked)
+        let (figures, _) = Simulation::new(endpoints, routers).run(60);
+        assert_eq!(figures.rejected, 0, "{endpoints} endpoints");
+        (figures.health_checks, figures.issued)
     };
-    let (small, asked) = checks(200, 300);
-    assert!(small * 5 <= asked, "{small} checks for {asked} requests");
-    let (large, asked) = checks(3200, 900);
-    assert!(large * 4 <= asked * 5, "{large} checks for {asked} requests");
+    let (small, requests) = checks(200, 300);
+    assert!(small * 5 <= requests, "{small} checks for {requests} requests");
+    let (large, requests) = checks(3200, 900);
+    assert!(large * 4 <= requests * 5, "{large} checks for {requests} requests");
 }
