--- a/crates/routing/tests/low_traffic.rs
+++ b/crates/routing/tests/low_traffic.rs
@@ -1,5 +1,5 @@
 //! One of hundreds of routers, each of which gets a few requests per second. A report from a given group arrives every few
-//! seconds, and one from a given endpoint every few tens of seconds. What one router does is done by 300 others as well.
+//! seconds, and one from a given endpoint every few tens of seconds. Whatever one router does happens 300 times in the fleet.
 
 mod common;
 
