--- a/crates/config/src/deployment/backend_timeouts.rs
+++ b/crates/config/src/deployment/backend_timeouts.rs
@@ -25,15 +25,15 @@
     pub fn backend_timeouts(&self) -> Result<BackendTimeouts, SettingsError> {
         let limits = &self.policy_limits;
         Ok(BackendTimeouts {
-            connect: policy_limit("connect_timeout_ms", limits.connect_timeout_ms)?,
-            idle: policy_limit("keepalive_ms", limits.keepalive_ms)?,
+            connect: required_limit_seconds("connect_timeout_ms", limits.connect_timeout_ms)?,
+            idle: required_limit_seconds("keepalive_ms", limits.keepalive_ms)?,
             drain_grace: seconds(self.rules.drain_grace_ms.unwrap_or(DEFAULT_DRAIN_GRACE_MS)),
         })
     }
 }
 
 /// A time of `policy_limits` that is optional in the schema, in seconds.
-fn policy_limit(field: &'static str, milliseconds: Option<f64>) -> Result<f64, SettingsError> {
+fn required_limit_seconds(field: &'static str, milliseconds: Option<f64>) -> Result<f64, SettingsError> {
     let missing = SettingsError::MissingField { section: "policy_limits", field };
     milliseconds.map(seconds).ok_or(missing)
 }
--- a/crates/config/src/deployment/catalog.rs
+++ b/crates/config/src/deployment/catalog.rs
@@ -16,7 +16,7 @@
     /// Names of the sites (zones).
     pub sites: Vec<String>,
     /// The clock time from which log positions are counted, in seconds.
-    pub zero: f64,
+    pub lsn_epoch_seconds: f64,
 }
 
 impl DeploymentSettings {
@@ -29,7 +29,7 @@
             reads: self.domain.class_read.iter().map(|class| class != "write").collect(),
             tenants: self.accounts.iter().map(|account| account.name.clone()).collect(),
             sites: self.localities.clone(),
-            zero: seconds(self.domain.counted_from_ms),
+            lsn_epoch_seconds: seconds(self.domain.counted_from_ms),
         }
     }
 }
--- a/crates/config/src/deployment/routing_config.rs
+++ b/crates/config/src/deployment/routing_config.rs
@@ -2,7 +2,7 @@
 
 use ottersill_routing::interface::{ReportSource, RoutingConfig, WorkloadSettings};
 
-use super::workload::workload;
+use super::workload::workload_settings;
 use super::{DeploymentSettings, SettingsError, seconds};
 
 /// The field of load reports that holds the endpoint's role.
@@ -24,7 +24,7 @@
             workloads: self.workloads()?,
             tenant_rates: self.accounts.iter().map(|account| account.quota_per_s).collect(),
             over_share_factor: self.over_share_worth,
-            reports: self.reports()?,
+            reports: self.report_source()?,
             endpoints_check_reads: self.endpoints_check_reads()?,
             must_remember_writes: self.must_remember_writes()?,
             list_on_request: self.list_on_request()?,
@@ -46,20 +46,20 @@
             return Err(SettingsError::EntryCount);
         }
         let consistency = domain.class_read.iter().zip(&domain.oldest_data_ms);
-        let classes = profiles.iter().zip(consistency).enumerate();
-        classes
+        let workloads = profiles.iter().zip(consistency).enumerate();
+        workloads
             .map(|(index, (profile, (class_read, oldest_data_ms)))| {
-                workload(index, profile, class_read, *oldest_data_ms)
+                workload_settings(index, profile, class_read, *oldest_data_ms)
             })
             .collect()
     }
 
     /// Load reports are of use only where they tell the role of the endpoint.
-    fn reports(&self) -> Result<ReportSource, SettingsError> {
-        let tell_role = self.stats.fields.iter().any(|field| field == ROLE_FIELD);
+    fn report_source(&self) -> Result<ReportSource, SettingsError> {
+        let include_role = self.stats.fields.iter().any(|field| field == ROLE_FIELD);
         match self.stats.how.as_str() {
-            "answers" if tell_role => Ok(ReportSource::WithAnswers),
-            "probe" if tell_role => Ok(ReportSource::WithHealthChecks),
+            "answers" if include_role => Ok(ReportSource::WithAnswers),
+            "probe" if include_role => Ok(ReportSource::WithHealthChecks),
             "answers" | "probe" | "none" => Ok(ReportSource::NoReports),
             found => Err(unknown_value("stats.how", "stats.how", "answers, probe or none", found)),
         }
--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -6,14 +6,14 @@
 use super::{SettingsError, seconds};
 
 /// The workload at `index` of the settings. `class_read` and `oldest_data_ms` are its entries in `domain`.
-pub(super) fn workload(
+pub(super) fn workload_settings(
     index: usize,
     profile: &Profile,
     class_read: &str,
     oldest_data_ms: f64,
 ) -> Result<WorkloadSettings, SettingsError> {
     Ok(WorkloadSettings {
-        needs: needs(index, class_read, oldest_data_ms)?,
+        needs: consistency(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
         priority_weight: profile.credit,
         late_value_fraction: profile.late_value,
@@ -22,7 +22,7 @@
     })
 }
 
-fn needs(index: usize, class_read: &str, oldest_data_ms: f64) -> Result<Consistency, SettingsError> {
+fn consistency(index: usize, class_read: &str, oldest_data_ms: f64) -> Result<Consistency, SettingsError> {
     Ok(match class_read {
         "write" => Consistency::Primary,
         "fresh" => Consistency::Fresh,
--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -12,30 +12,30 @@
 
 const MAX_VOTERS: usize = 15;
 /// Seconds of a lease.
-const LEASE_S: RangeInclusive<f64> = 0.2..=60.0;
+const LEASE_SECONDS: RangeInclusive<f64> = 0.2..=60.0;
 /// The least ratio of the lease of grants to the lease of the leader.
-const LEASE_RATIO: f64 = 1.5;
-const MAX_FLOOR_LEASE_S: f64 = 3600.0;
+const MIN_LEASE_RATIO: f64 = 1.5;
+const MAX_FLOOR_LEASE_SECONDS: f64 = 3600.0;
 /// Bounds on clock drift. A file that allows for less than the first relies on luck, as clocks in good order drift by
 /// that much; one that allows for more than the second wastes most of each lease.
-const DRIFT: RangeInclusive<f64> = 0.001..=0.2;
+const CLOCK_DRIFT: RangeInclusive<f64> = 0.001..=0.2;
 const MEMBER_LIMIT: RangeInclusive<u32> = 1..=10_000;
 /// Seconds after which a unit of a rate comes back.
-const RATE_PERIOD_S: RangeInclusive<f64> = 0.01..=60.0;
-const MAX_HOLD_S: f64 = 600.0;
+const REFILL_SECONDS: RangeInclusive<f64> = 0.01..=60.0;
+const MAX_HOLD_SECONDS: f64 = 600.0;
 
 type Result<T, E = FleetConfigError> = std::result::Result<T, E>;
 
 impl FleetFile {
     /// Reads the fleet file `text` as the member of the name `member`, in a deployment whose longest statement timeout
-    /// is `longest_timeout` seconds.
+    /// is `longest_timeout_seconds` seconds.
     ///
     /// # Errors
     ///
     /// [`FleetConfigError`] for the first field that is wrong. Nothing of such a file may be used.
-    pub fn from_textproto(text: &str, member: &str, longest_timeout: f64) -> Result<FleetFile> {
+    pub fn from_textproto(text: &str, member: &str, longest_timeout_seconds: f64) -> Result<FleetFile> {
         let file = FleetMessage::parse(text)?;
-        Checker { file: &file, fields: FieldMap::of(text), member, longest_timeout }.fleet_file()
+        Checker { file: &file, fields: FieldMap::parse(text), member, longest_timeout_seconds }.fleet_file()
     }
 }
 
@@ -45,13 +45,13 @@
     /// The name of this member.
     member: &'a str,
     /// The longest statement timeout of the deployment, in seconds.
-    longest_timeout: f64,
+    longest_timeout_seconds: f64,
 }
 
 /// The addresses of this member.
 struct OwnAddresses {
     /// Where the others reach it.
-    at: SocketAddr,
+    advertised: SocketAddr,
     listen: SocketAddr,
     control: Option<SocketAddr>,
 }
@@ -79,7 +79,7 @@
         Ok(FleetFile {
             fleet,
             peers,
-            at: own.at,
+            at: own.advertised,
             listen: own.listen,
             control: own.control,
             key_file: file.key_file.clone(),
@@ -102,8 +102,8 @@
 
     fn require_duration(&self, field: &str, found: f64, range: RangeInclusive<f64>) -> Result<()> {
         self.require(range.contains(&found), field, || Reason::DurationOutOfRange {
-            least: *range.start(),
-            most: *range.end(),
+            min_seconds: *range.start(),
+            max_seconds: *range.end(),
             found,
         })
     }
@@ -124,8 +124,8 @@
 
     fn check_voters(&self, peers: &[Peer]) -> Result<()> {
         let voters = &self.file.voter;
-        let count_reason = || Reason::VoterCount { most: MAX_VOTERS };
-        self.require((1..=MAX_VOTERS).contains(&voters.len()), "voter", count_reason)?;
+        let voter_count = || Reason::VoterCount { max: MAX_VOTERS };
+        self.require((1..=MAX_VOTERS).contains(&voters.len()), "voter", voter_count)?;
         self.require(voters.len() % 2 == 1, "voter", || Reason::EvenVoterCount)?;
         for (index, voter) in voters.iter().enumerate() {
             let field = format!("voter[{index}]");
@@ -142,9 +142,9 @@
             "" => own,
             text => Some(self.address("listen", text)?),
         };
-        let no_address = || Reason::NoListenAddress { member: self.member.to_string() };
-        let listen = listen.ok_or_else(|| self.error("listen", no_address()))?;
-        Ok(OwnAddresses { at: own.unwrap_or(listen), listen, control: self.control_address()? })
+        let no_listen_address = || Reason::NoListenAddress { member: self.member.to_string() };
+        let listen = listen.ok_or_else(|| self.error("listen", no_listen_address()))?;
+        Ok(OwnAddresses { advertised: own.unwrap_or(listen), listen, control: self.control_address()? })
     }
 
     /// The field `control` of the file goes before that of the peer.
@@ -167,19 +167,19 @@
 
     fn check_leases(&self) -> Result<()> {
         let file = self.file;
-        self.require_duration("keeper_lease_s", file.keeper_lease_s, LEASE_S)?;
-        self.require_duration("lease_s", file.lease_s, LEASE_S)?;
-        let long_enough = file.lease_s >= LEASE_RATIO * file.keeper_lease_s;
+        self.require_duration("keeper_lease_s", file.keeper_lease_s, LEASE_SECONDS)?;
+        self.require_duration("lease_s", file.lease_s, LEASE_SECONDS)?;
+        let long_enough = file.lease_s >= MIN_LEASE_RATIO * file.keeper_lease_s;
         self.require(long_enough, "lease_s", || Reason::LeaseTooShort)?;
-        self.require_duration("floor_lease_s", file.floor_lease_s, file.lease_s..=MAX_FLOOR_LEASE_S)?;
-        let drift_reason = || Reason::DriftOutOfRange { range: DRIFT, found: file.drift };
-        self.require(DRIFT.contains(&file.drift), "drift", drift_reason)
+        self.require_duration("floor_lease_s", file.floor_lease_s, file.lease_s..=MAX_FLOOR_LEASE_SECONDS)?;
+        let drift_out_of_range = || Reason::DriftOutOfRange { range: CLOCK_DRIFT, found: file.drift };
+        self.require(CLOCK_DRIFT.contains(&file.drift), "drift", drift_out_of_range)
     }
 
     fn check_member_limit(&self, peers: usize) -> Result<()> {
         let limit = self.file.members_at_most;
-        let range_reason = || Reason::MemberLimitOutOfRange { range: MEMBER_LIMIT };
-        self.require(MEMBER_LIMIT.contains(&limit), "members_at_most", range_reason)?;
+        let out_of_range = || Reason::MemberLimitOutOfRange { range: MEMBER_LIMIT };
+        self.require(MEMBER_LIMIT.contains(&limit), "members_at_most", out_of_range)?;
         self.require(limit as usize >= peers, "members_at_most", || Reason::MemberLimitBelowPeers)
     }
 
@@ -198,28 +198,28 @@
         self.require(entry.of != BudgetKind::Unknown, &field("of"), || Reason::NoBudgetKind)?;
         self.require(!earlier.contains(&entry.of), &field("of"), || Reason::DuplicateBudget)?;
         self.require(entry.whole > 0, &field("whole"), || Reason::EmptyBudget)?;
-        let (whole, floor) = (u64::from(entry.whole), u64::from(entry.floor));
+        let (total, floor) = (u64::from(entry.whole), u64::from(entry.floor));
         let members = u64::from(self.file.members_at_most);
-        let floor_reason = || Reason::FloorsExceedBudget { floor, members, whole };
-        self.require(floor * members <= whole, &field("floor"), floor_reason)?;
+        let floors_exceed_budget = || Reason::FloorsExceedBudget { floor, members, total };
+        self.require(floor * members <= total, &field("floor"), floors_exceed_budget)?;
         let kind = match entry.of {
-            BudgetKind::AttemptsPerEndpoint => self.concurrent_units(entry, field)?,
-            _ => self.rate(entry, field)?,
+            BudgetKind::AttemptsPerEndpoint => self.concurrency_limit(entry, field)?,
+            _ => self.rate_limit(entry, field)?,
         };
-        Ok(Budget::new(entry.of.budget_name(), kind, whole, floor))
+        Ok(Budget::new(entry.of.budget_name(), kind, total, floor))
     }
 
-    fn concurrent_units(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
-        let longest = self.longest_timeout;
-        let long_enough = entry.hold_s >= longest && entry.hold_s <= MAX_HOLD_S;
-        self.require(long_enough, &field("hold_s"), || Reason::HoldTooShort { longest })?;
-        self.require(entry.every_s == 0.0, &field("every_s"), || Reason::NotARate)?;
+    fn concurrency_limit(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
+        let longest_timeout_seconds = self.longest_timeout_seconds;
+        let in_range = entry.hold_s >= longest_timeout_seconds && entry.hold_s <= MAX_HOLD_SECONDS;
+        self.require(in_range, &field("hold_s"), || Reason::HoldOutOfRange { longest_timeout_seconds })?;
+        self.require(entry.every_s == 0.0, &field("every_s"), || Reason::RateFieldOfConcurrencyBudget)?;
         Ok(LimitKind::Concurrency { hold_seconds: entry.hold_s })
     }
 
-    fn rate(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
-        self.require_duration(&field("every_s"), entry.every_s, RATE_PERIOD_S)?;
-        self.require(entry.hold_s == 0.0, &field("hold_s"), || Reason::IsARate)?;
+    fn rate_limit(&self, entry: &BudgetEntry, field: impl Fn(&str) -> String) -> Result<LimitKind> {
+        self.require_duration(&field("every_s"), entry.every_s, REFILL_SECONDS)?;
+        self.require(entry.hold_s == 0.0, &field("hold_s"), || Reason::ConcurrencyFieldOfRateBudget)?;
         Ok(LimitKind::Rate { refill_seconds: entry.every_s })
     }
 }
--- a/crates/config/src/fleet/error.rs
+++ b/crates/config/src/fleet/error.rs
@@ -59,10 +59,10 @@
     #[error("another member has this name")]
     DuplicatePeer,
     /// There are no voters, or too many.
-    #[error("expected one voter at least, and {most} at most")]
+    #[error("expected one voter at least, and {max} at most")]
     VoterCount {
         /// Voters that there may be.
-        most: usize,
+        max: usize,
     },
     /// The number of voters is even.
     #[error("expected an odd number: one more brings no further failure that is survived")]
@@ -86,12 +86,12 @@
     #[error("members have to prove who they are")]
     NoKeyFile,
     /// A time is outside its range.
-    #[error("expected {least} to {most} seconds, found {found}")]
+    #[error("expected {min_seconds} to {max_seconds} seconds, found {found}")]
     DurationOutOfRange {
         /// The smallest value, in seconds.
-        least: f64,
+        min_seconds: f64,
         /// The largest value, in seconds.
-        most: f64,
+        max_seconds: f64,
         /// The value that is there, in seconds.
         found: f64,
     },
@@ -127,27 +127,27 @@
     #[error("expected one unit at least: nothing could be spent")]
     EmptyBudget,
     /// The floors of all members exceed the budget.
-    #[error("{floor} for each of {members} routers is more than the whole, {whole}")]
+    #[error("{floor} for each of {members} routers is more than the whole, {total}")]
     FloorsExceedBudget {
         /// Units that each member keeps for itself.
         floor: u64,
         /// Members that may be there.
         members: u64,
         /// Units of the whole budget.
-        whole: u64,
+        total: u64,
     },
     /// Units in use are considered returned while an attempt may still run.
     #[error(
-        "expected {longest} seconds at least, the longest statement timeout: an execution may outlive its router for so long"
+        "expected {longest_timeout_seconds} seconds at least, the longest statement timeout: an execution may outlive its router for so long"
     )]
-    HoldTooShort {
+    HoldOutOfRange {
         /// The longest statement timeout of the deployment, in seconds.
-        longest: f64,
+        longest_timeout_seconds: f64,
     },
     /// A budget of concurrent units has a field of rates.
     #[error("this budget is no rate")]
-    NotARate,
+    RateFieldOfConcurrencyBudget,
     /// A budget by rate has a field of concurrent units.
     #[error("this budget is a rate")]
-    IsARate,
+    ConcurrencyFieldOfRateBudget,
 }
--- a/crates/config/src/fleet/locate.rs
+++ b/crates/config/src/fleet/locate.rs
@@ -91,22 +91,23 @@
 
 impl<'t> FieldMap<'t> {
     /// Finds the fields of `text`, which need not be well-formed.
-    pub(super) fn of(text: &'t str) -> FieldMap<'t> {
+    pub(super) fn parse(text: &'t str) -> FieldMap<'t> {
         let tokens = tokens(text);
         let text_at = |index: usize| tokens.get(index).map_or("", |token| token.text);
         let mut fields: Vec<Field> = Vec::new();
         let mut enclosing: Vec<String> = Vec::new();
-        let mut occurrences = BTreeMap::<String, usize>::new();
+        let mut next_index = BTreeMap::<String, usize>::new();
         for (index, token) in tokens.iter().enumerate() {
             let (next, after_next) = (text_at(index + 1), text_at(index + 2));
             let previous = index.checked_sub(1).map_or("", text_at);
             if matches!(token.text, "}" | ">") {
                 enclosing.pop();
             } else if is_field_name(token.text, previous, next) {
-                let plain = enclosing.iter().map(|part| format!("{part}.")).collect::<String>() + token.text;
-                let occurrence = occurrences.entry(plain.clone()).or_default();
-                let path = format!("{plain}[{occurrence}]");
-                *occurrence += 1;
+                let path_without_index =
+                    enclosing.iter().map(|part| format!("{part}.")).collect::<String>() + token.text;
+                let index_in_repeated = next_index.entry(path_without_index.clone()).or_default();
+                let path = format!("{path_without_index}[{index_in_repeated}]");
+                *index_in_repeated += 1;
                 if next != ":" || matches!(after_next, "{" | "<") {
                     let name = path.rsplit_once('.').map_or(path.as_str(), |(_, name)| name);
                     enclosing.push(name.to_string());
@@ -121,7 +122,7 @@
     /// repeated.
     pub(super) fn path_at(&self, offset: usize) -> String {
         let last = self.fields.iter().rev().find(|field| field.offset <= offset);
-        last.map_or_else(|| "file".to_string(), |field| self.without_needless_numbers(&field.path))
+        last.map_or_else(|| "file".to_string(), |field| self.without_redundant_indices(&field.path))
     }
 
     /// The position of a field by its path, `budget[1].whole`; where it is left out, that of the message around it, and
@@ -129,8 +130,8 @@
     pub(super) fn position_of(&self, path: &str) -> Position {
         let mut path = path;
         loop {
-            let numbered = numbered(path);
-            if let Some(field) = self.fields.iter().find(|field| field.path == numbered) {
+            let indexed_path = with_all_indices(path);
+            if let Some(field) = self.fields.iter().find(|field| field.path == indexed_path) {
                 return position(self.text, field.offset);
             }
             match path.rsplit_once('.') {
@@ -140,7 +141,7 @@
         }
     }
 
-    fn without_needless_numbers(&self, path: &str) -> String {
+    fn without_redundant_indices(&self, path: &str) -> String {
         let mut full = String::new();
         let mut shown = Vec::new();
         for part in path.split('.') {
@@ -165,7 +166,7 @@
 }
 
 /// The path with a number for each part; a part without one is the first.
-fn numbered(path: &str) -> String {
+fn with_all_indices(path: &str) -> String {
     let parts =
         path.split('.').map(|part| if part.ends_with(']') { part.to_string() } else { format!("{part}[0]") });
     parts.collect::<Vec<_>>().join(".")
--- a/crates/config/src/fleet/schema.rs
+++ b/crates/config/src/fleet/schema.rs
@@ -10,7 +10,7 @@
 
 /// The compiled schema, made by `build.rs`.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/fleet.bin"));
-const MESSAGE: &str = "ottersill.fleet.Fleet";
+const MESSAGE_NAME: &str = "ottersill.fleet.Fleet";
 
 /// The message `Fleet`.
 #[derive(Deserialize)]
@@ -50,24 +50,26 @@
 impl FleetMessage {
     /// Parses `text`. A field that it leaves out has the default of its type.
     pub(super) fn parse(text: &str) -> Result<FleetMessage, FleetConfigError> {
-        let pool = DescriptorPool::decode(SCHEMA).map_err(|error| outside_text(error.into()))?;
-        let schema = pool.get_message_by_name(MESSAGE).ok_or_else(|| outside_text(Reason::NoSuchMessage))?;
+        let pool = DescriptorPool::decode(SCHEMA).map_err(|error| error_without_position(error.into()))?;
+        let schema = pool
+            .get_message_by_name(MESSAGE_NAME)
+            .ok_or_else(|| error_without_position(Reason::NoSuchMessage))?;
         let message = DynamicMessage::parse_text_format(schema, text).map_err(|error| {
             let label = error.labels().and_then(|mut labels| labels.next());
             let offset = label.map_or(text.len(), |label| label.offset());
             FleetConfigError::new(
                 locate::position(text, offset),
-                FieldMap::of(text).path_at(offset),
+                FieldMap::parse(text).path_at(offset),
                 error.into(),
             )
         })?;
         let options = SerializeOptions::new().use_proto_field_name(true).skip_default_fields(false);
         let json = message.serialize_with_options(serde_json::value::Serializer, &options);
-        json.and_then(serde_json::from_value).map_err(|error| outside_text(error.into()))
+        json.and_then(serde_json::from_value).map_err(|error| error_without_position(error.into()))
     }
 }
 
 /// An error that no place of the text causes.
-fn outside_text(reason: Reason) -> FleetConfigError {
-    FleetConfigError::new(locate::Position::START, MESSAGE.to_string(), reason)
+fn error_without_position(reason: Reason) -> FleetConfigError {
+    FleetConfigError::new(locate::Position::START, MESSAGE_NAME.to_string(), reason)
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -98,7 +98,7 @@
         format!("cold {} warm after {} s", config.initial_capacity_fraction, config.warmup_seconds),
         format!("falls at {} for {} s", config.overload_multiple, config.overload_seconds),
         format!("names {:?} {:?} {:?}", names.workloads, names.tenants, names.sites),
-        format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.zero),
+        format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.lsn_epoch_seconds),
     ];
     lines.extend(config.workloads.iter().map(describe_workload));
     lines
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -229,13 +229,17 @@
             ProgressRole::Replica => Role::Replica,
         });
         let position = progress.position_ms();
-        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + seconds(ms)), utilization: None }
+        LoadReport {
+            role,
+            lsn: position.map(|ms| self.catalog.lsn_epoch_seconds + seconds(ms)),
+            utilization: None,
+        }
     }
 
     fn load_report(&self, pressure: &Pressure) -> LoadReport {
         LoadReport {
             role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
-            lsn: pressure.x0.map(|x0| self.catalog.zero + x0),
+            lsn: pressure.x0.map(|x0| self.catalog.lsn_epoch_seconds + x0),
             utilization: pressure.utilization,
         }
     }
