--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the fleet file into a descriptor, so that no protobuf compiler is needed.
+//! Compiles the schema of the fleet file into a file descriptor set, so that the build needs no protobuf compiler.
 
 use std::path::PathBuf;
 
--- a/crates/config/src/deployment/catalog.rs
+++ b/crates/config/src/deployment/catalog.rs
@@ -1,26 +1,26 @@
-//! Names of the deployment.
+//! The names of a deployment's workloads, tenants and sites.
 
 use super::{DeploymentSettings, seconds};
 
-/// What the program keeps of the settings beside the terms of routing: routing knows workloads, tenants and sites by
-/// index only, and the position of a name in these lists is its index.
+/// The part of the settings that the program needs in addition to the routing configuration. Routing identifies
+/// workloads, tenants and sites by index only; the position of a name in these lists is its index.
 pub struct Catalog {
     /// Names of the workloads.
     pub workloads: Vec<String>,
-    /// The statement timeout of each workload, in seconds: no client of it waits longer.
+    /// The statement timeout of each workload, in seconds. No client of the workload waits longer.
     pub timeouts: Vec<f64>,
-    /// Whether each workload only reads.
+    /// Whether each workload is read-only.
     pub reads: Vec<bool>,
     /// Names of the tenants.
     pub tenants: Vec<String>,
     /// Names of the sites (zones).
     pub sites: Vec<String>,
-    /// The clock time from which log positions are counted, in seconds.
+    /// The clock time from which replication positions are counted, in seconds.
     pub lsn_epoch_seconds: f64,
 }
 
 impl DeploymentSettings {
-    /// The names of workloads, tenants and sites, in the order of the settings.
+    /// Returns the names of workloads, tenants and sites, in the order of the settings.
     pub fn catalog(&self) -> Catalog {
         let profiles = &self.profiles;
         Catalog {
--- a/crates/config/src/deployment/error.rs
+++ b/crates/config/src/deployment/error.rs
@@ -1,41 +1,41 @@
-//! Why deployment settings are rejected.
+//! Errors of deployment settings.
 
 use thiserror::Error;
 
-/// Why deployment settings that are well-formed JSON are rejected.
+/// The reason why deployment settings are rejected that are well-formed JSON.
 ///
-/// The text is what operators read: the name of the field, then the reason. [`SettingsError::path`] gives the full
-/// place in the JSON object.
+/// The message is meant for operators: the name of the field, then the reason. [`SettingsError::path`] returns the full
+/// path of the field in the JSON object.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[must_use]
 pub enum SettingsError {
-    /// A field has a word that is none of those defined for it.
+    /// A field has a value that is not one of those defined for it.
     #[error("{field}: expected {expected}, found {found:?}")]
     UnknownValue {
-        /// The field as operators are told it.
+        /// The name of the field as it appears in the message.
         field: &'static str,
-        /// Where the field is in the JSON object, for instance `profiles[2].group`.
+        /// The path of the field in the JSON object, for instance `profiles[2].group`.
         path: String,
-        /// The words defined for the field.
+        /// The values that are defined for the field.
         expected: &'static str,
-        /// The word that is there.
+        /// The value that was found.
         found: String,
     },
-    /// A field that is optional in the schema is needed here and is absent.
+    /// A field is absent that is optional in the schema, but required for this use.
     #[error("{section}: missing field `{field}`")]
     MissingField {
         /// The object that lacks the field.
         section: &'static str,
-        /// The absent field.
+        /// The name of the absent field.
         field: &'static str,
     },
-    /// The arrays that describe one workload an entry differ in length.
+    /// The arrays of `domain` with one entry per workload differ in length from `profiles`.
     #[error("class_read and oldest_data_ms: expected an entry for each of profiles")]
     EntryCount,
 }
 
 impl SettingsError {
-    /// Where the field at fault is in the JSON object: keys joined by dots, elements of arrays as `[index]`.
+    /// Returns the path of the invalid field in the JSON object: keys joined by dots, elements of arrays as `[index]`.
     pub fn path(&self) -> String {
         match self {
             SettingsError::UnknownValue { path, .. } => path.clone(),
--- a/crates/config/src/deployment/mod.rs
+++ b/crates/config/src/deployment/mod.rs
@@ -1,8 +1,9 @@
-//! Deployment settings: the JSON object that every router of a deployment is given, over sockets and on the
-//! simulator's wire alike.
+//! Deployment settings: the JSON object that configures every router of a deployment, whether the router uses sockets
+//! or runs in the simulator.
 //!
-//! [`DeploymentSettings`] is the object as parsed. From it come the [`RoutingConfig`](ottersill_routing::interface::RoutingConfig) that
-//! routing decides by, the [`Catalog`] of names that the program keeps beside them, and the [`BackendTimeouts`].
+//! [`DeploymentSettings`] is the parsed object. The following are derived from it: the
+//! [`RoutingConfig`](ottersill_routing::interface::RoutingConfig) on which routing decisions are based, the [`Catalog`]
+//! of names that the program keeps in addition, and the [`BackendTimeouts`].
 
 mod backend_timeouts;
 mod catalog;
@@ -16,7 +17,7 @@
 pub use error::SettingsError;
 pub use schema::DeploymentSettings;
 
-/// Milliseconds, as the JSON has times, in seconds, as the program has them.
+/// Converts milliseconds, the unit of times in the JSON object, to seconds, the unit of times in the program.
 fn seconds(milliseconds: f64) -> f64 {
     milliseconds / 1000.0
 }
--- a/crates/config/src/deployment/routing_config.rs
+++ b/crates/config/src/deployment/routing_config.rs
@@ -1,20 +1,20 @@
-//! The settings as routing's [`RoutingConfig`].
+//! Conversion of the settings to the [`RoutingConfig`].
 
 use ottersill_routing::interface::{ReportSource, RoutingConfig, WorkloadSettings};
 
 use super::workload::workload_settings;
 use super::{DeploymentSettings, SettingsError, seconds};
 
-/// The field of load reports that holds the endpoint's role.
+/// The field of a load report that holds the endpoint's role.
 const ROLE_FIELD: &str = "x1";
 
 impl DeploymentSettings {
-    /// The configuration of routing. `seed` is the seed of the router's random choices.
+    /// Returns the configuration of routing. `seed` is the seed of the router's random choices.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::UnknownValue`] if a field has a word that is not defined for it, and
-    /// [`SettingsError::EntryCount`] if `domain` does not describe each of `profiles`.
+    /// Returns [`SettingsError::UnknownValue`] if a field has a value that is not defined for it, and
+    /// [`SettingsError::EntryCount`] if an array of `domain` does not have one entry for each of `profiles`.
     pub fn routing_config(&self, seed: u64) -> Result<RoutingConfig, SettingsError> {
         let (limits, rules) = (&self.policy_limits, &self.rules);
         Ok(RoutingConfig {
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// Load reports are of use only where they tell the role of the endpoint.
+    /// Returns the source of load reports. Load reports are used only if they include the role of the endpoint.
     fn report_source(&self) -> Result<ReportSource, SettingsError> {
         let include_role = self.stats.fields.iter().any(|field| field == ROLE_FIELD);
         match self.stats.how.as_str() {
--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -1,11 +1,12 @@
-//! One workload of the settings as routing's [`WorkloadSettings`].
+//! Conversion of one workload of the settings to [`WorkloadSettings`].
 
 use ottersill_routing::interface::{Consistency, DeduplicationScope, Effect, WorkloadSettings};
 
 use super::schema::Profile;
 use super::{SettingsError, seconds};
 
-/// The workload at `index` of the settings. `class_read` and `oldest_data_ms` are its entries in `domain`.
+/// Returns the settings of the workload at `index` of `profiles`. `class_read` and `oldest_data_ms` are its entries in
+/// `domain`.
 pub(super) fn workload_settings(
     index: usize,
     profile: &Profile,
--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -1,4 +1,4 @@
-//! What has to hold of a fleet file. The checks run in the order of this file, and the first that fails is reported.
+//! Validation of a fleet file. The checks run in the order of this file, and the first failure is reported.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -11,28 +11,29 @@
 use super::{BudgetKind, FleetFile};
 
 const MAX_VOTERS: usize = 15;
-/// Seconds of a lease.
+/// Accepted range of `keeper_lease_s` and `lease_s`.
 const LEASE_SECONDS: RangeInclusive<f64> = 0.2..=60.0;
-/// The least ratio of the lease of grants to the lease of the leader.
+/// Minimum ratio of the lease of grants to the lease of the leader, so that a new leader can be elected before grants
+/// expire.
 const MIN_LEASE_RATIO: f64 = 1.5;
 const MAX_FLOOR_LEASE_SECONDS: f64 = 3600.0;
-/// Bounds on clock drift. A file that allows for less than the first relies on luck, as clocks in good order drift by
-/// that much; one that allows for more than the second wastes most of each lease.
+/// Accepted range of the maximum clock drift, as a fraction. Working clocks drift by up to the lower bound, so a smaller
+/// value would not be safe. A value above the upper bound would waste most of each lease.
 const CLOCK_DRIFT: RangeInclusive<f64> = 0.001..=0.2;
 const MEMBER_LIMIT: RangeInclusive<u32> = 1..=10_000;
-/// Seconds after which a unit of a rate comes back.
+/// Accepted range of the time until a spent unit of a rate limit is refilled.
 const REFILL_SECONDS: RangeInclusive<f64> = 0.01..=60.0;
 const MAX_HOLD_SECONDS: f64 = 600.0;
 
 type Result<T, E = FleetConfigError> = std::result::Result<T, E>;
 
 impl FleetFile {
-    /// Reads the fleet file `text` as the member of the name `member`, in a deployment whose longest statement timeout
-    /// is `longest_timeout_seconds` seconds.
+    /// Parses and validates the fleet file `text` for the member named `member`. `longest_timeout_seconds` is the longest
+    /// statement timeout of the deployment.
     ///
     /// # Errors
     ///
-    /// [`FleetConfigError`] for the first field that is wrong. Nothing of such a file may be used.
+    /// Returns [`FleetConfigError`] for the first invalid field. No part of such a file may be used.
     pub fn from_textproto(text: &str, member: &str, longest_timeout_seconds: f64) -> Result<FleetFile> {
         let file = FleetMessage::parse(text)?;
         Checker { file: &file, fields: FieldMap::parse(text), member, longest_timeout_seconds }.fleet_file()
@@ -44,13 +45,13 @@
     fields: FieldMap<'a>,
     /// The name of this member.
     member: &'a str,
-    /// The longest statement timeout of the deployment, in seconds.
+    /// The longest statement timeout of the deployment.
     longest_timeout_seconds: f64,
 }
 
 /// The addresses of this member.
 struct OwnAddresses {
-    /// Where the others reach it.
+    /// The address at which the other members reach this one.
     advertised: SocketAddr,
     listen: SocketAddr,
     control: Option<SocketAddr>,
@@ -147,7 +148,7 @@
         Ok(OwnAddresses { advertised: own.unwrap_or(listen), listen, control: self.control_address()? })
     }
 
-    /// The field `control` of the file goes before that of the peer.
+    /// The file's own field `control` takes precedence over that of the peer entry.
     fn control_address(&self) -> Result<Option<SocketAddr>> {
         let mut control = match self.file.control.as_str() {
             "" => None,
@@ -192,7 +193,7 @@
         Ok((budgets, kinds))
     }
 
-    /// The budget at `index` of the file; `earlier` are the kinds of those before it.
+    /// Validates the budget at `index` of the file. `earlier` holds the kinds of the budgets before it.
     fn budget(&self, index: usize, entry: &BudgetEntry, earlier: &[BudgetKind]) -> Result<Budget> {
         let field = |name: &str| format!("budget[{index}].{name}");
         self.require(entry.of != BudgetKind::Unknown, &field("of"), || Reason::NoBudgetKind)?;
--- a/crates/config/src/fleet/error.rs
+++ b/crates/config/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet file is rejected, and where it is wrong.
+//! Errors of the fleet file, with the position of the invalid field.
 
 use std::ops::RangeInclusive;
 
@@ -7,15 +7,16 @@
 
 use super::locate::Position;
 
-/// Why a fleet file is rejected, and where it is wrong. The text is one line for the operator.
+/// The reason why a fleet file is rejected, with the position of the error. The message is a single line, meant for
+/// operators.
 #[derive(Debug, Error)]
 #[error("line {line}: {field}: {reason}")]
 #[must_use]
 pub struct FleetConfigError {
-    /// The line of the field, from 1; where the field is absent, the line of the message that lacks it. Of text that can't
-    /// be parsed, the line of the word at which the parser stopped.
+    /// The line of the field, counted from 1. If the field is absent, the line of the message that lacks it. If the text
+    /// can't be parsed, the line of the token at which the parser stopped.
     pub line: usize,
-    /// The column of that place, from 1, in bytes.
+    /// The column of that position in bytes, counted from 1.
     pub column: usize,
     /// The path of the field, for instance `budget[1].whole`.
     pub field: String,
@@ -34,120 +35,123 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Reason {
-    /// The text is not of the schema.
+    /// The text does not follow the schema.
     #[error(transparent)]
     Syntax(#[from] ParseError),
-    /// The schema that the program was built with can't be decoded.
+    /// The schema that was compiled into the program can't be decoded.
     #[error(transparent)]
     Schema(#[from] prost_reflect::DescriptorError),
-    /// The schema that the program was built with lacks the message.
-    #[error("no such message")]
+    /// The schema that was compiled into the program lacks the message.
+    #[error("the schema that was compiled into the program has no such message")]
     NoSuchMessage,
-    /// A value of the message does not fit the type that the program has for it.
+    /// A value of the message can't be converted to the Rust type of its field.
     #[error(transparent)]
     Conversion(#[from] serde_json::Error),
     /// An address is not `host:port` with a numeric host.
     #[error("expected an address with its port, found {found:?}")]
     NotAnAddress {
-        /// What is there instead.
+        /// The value that was found.
         found: String,
     },
     /// A peer has no name.
-    #[error("a member needs a name")]
+    #[error("expected a name, found an empty one")]
     PeerWithoutName,
     /// Two peers have the same name.
-    #[error("another member has this name")]
+    #[error("an earlier peer has the same name")]
     DuplicatePeer,
     /// There are no voters, or too many.
-    #[error("expected one voter at least, and {max} at most")]
+    #[error("expected 1 to {max} voters")]
     VoterCount {
-        /// Voters that there may be.
+        /// Maximum number of voters.
         max: usize,
     },
     /// The number of voters is even.
-    #[error("expected an odd number: one more brings no further failure that is survived")]
+    #[error(
+        "expected an odd number of voters: an even number tolerates no more failures than one voter fewer"
+    )]
     EvenVoterCount,
     /// A voter is not among the peers.
-    #[error("no peer has this name, and each must know where voters are")]
+    #[error("no peer has this name, and every member needs the addresses of all voters")]
     UnknownVoter,
     /// A voter is listed twice.
-    #[error("named twice: it would vote twice")]
+    #[error("this voter is listed twice, and would vote twice")]
     DuplicateVoter,
-    /// This member is no peer and the file names no address for it.
-    #[error("{member:?} is no peer, so it needs its own address")]
+    /// This member is not among the peers and the file has no `listen` address.
+    #[error("{member:?} is not among the peers, so it needs a listen address of its own")]
     NoListenAddress {
         /// The name of this member.
         member: String,
     },
     /// The control address is reachable from other machines.
-    #[error("expected a loopback address: nobody signs in there")]
+    #[error("expected a loopback address: control requests are not authenticated")]
     ControlNotLoopback,
-    /// No key file is named.
-    #[error("members have to prove who they are")]
+    /// The file names no key file.
+    #[error("expected the path of the key file: members authenticate each other with its key")]
     NoKeyFile,
-    /// A time is outside its range.
+    /// A duration is outside its range.
     #[error("expected {min_seconds} to {max_seconds} seconds, found {found}")]
     DurationOutOfRange {
         /// The smallest value, in seconds.
         min_seconds: f64,
         /// The largest value, in seconds.
         max_seconds: f64,
-        /// The value that is there, in seconds.
+        /// The value that was found, in seconds.
         found: f64,
     },
-    /// The lease of grants ends before a new leader can be elected.
+    /// The lease of grants is too short: it would expire before a new leader can be elected.
     #[error(
-        "expected half as much again as keeper_lease_s: else all parts run out before the next keeper is found"
+        "expected at least 1.5 times keeper_lease_s: otherwise all grants expire before a new leader is elected"
     )]
     LeaseTooShort,
-    /// The bound on clock drift is outside its range.
+    /// The maximum clock drift is outside its range.
     #[error("expected {} to {}, found {found}", .range.start(), .range.end())]
     DriftOutOfRange {
         /// The values that are accepted.
         range: RangeInclusive<f64>,
-        /// The value that is there.
+        /// The value that was found.
         found: f64,
     },
-    /// The bound on the number of members is outside its range.
+    /// The maximum number of members is outside its range.
     #[error("expected {} to {}", .range.start(), .range.end())]
     MemberLimitOutOfRange {
         /// The values that are accepted.
         range: RangeInclusive<u32>,
     },
-    /// There are more peers than members may be there.
-    #[error("there are more peers than that")]
+    /// There are more peers than the maximum number of members.
+    #[error("expected at least the number of peers")]
     MemberLimitBelowPeers,
     /// A budget does not say what it limits.
-    #[error("what is it for?")]
+    #[error("expected what the budget limits")]
     NoBudgetKind,
-    /// Two budgets limit the same.
-    #[error("an earlier budget is for this")]
+    /// Two budgets have the same kind.
+    #[error("an earlier budget already limits this")]
     DuplicateBudget,
     /// A budget has no units.
-    #[error("expected one unit at least: nothing could be spent")]
+    #[error("expected at least 1 unit: a budget of 0 allows nothing")]
     EmptyBudget,
-    /// The floors of all members exceed the budget.
-    #[error("{floor} for each of {members} routers is more than the whole, {total}")]
+    /// The floors of all members together exceed the total of the budget.
+    #[error("a floor of {floor} for each of {members} routers exceeds the budget's whole, {total}")]
     FloorsExceedBudget {
-        /// Units that each member keeps for itself.
+        /// Units that are reserved for each member.
         floor: u64,
-        /// Members that may be there.
+        /// Maximum number of members.
         members: u64,
-        /// Units of the whole budget.
+        /// Total units of the budget.
         total: u64,
     },
-    /// Units in use are considered returned while an attempt may still run.
+    /// The hold time is outside its range. If it is too short, units in use are treated as released while an attempt may
+    /// still be running.
     #[error(
-        "expected {longest_timeout_seconds} seconds at least, the longest statement timeout: an execution may outlive its router for so long"
+        "expected at least {longest_timeout_seconds} seconds, the longest statement timeout: an attempt may run that long after its router crashed"
     )]
     HoldOutOfRange {
         /// The longest statement timeout of the deployment, in seconds.
         longest_timeout_seconds: f64,
     },
-    /// A budget of concurrent units has a field of rates.
-    #[error("this budget is no rate")]
+    /// A budget that limits concurrency has a field of rate limits.
+    #[error("this budget limits concurrency, and the field applies to rate limits only")]
     RateFieldOfConcurrencyBudget,
-    /// A budget by rate has a field of concurrent units.
-    #[error("this budget is a rate")]
+    /// A budget that limits a rate has a field of concurrency limits.
+    #[error("this budget limits a rate, and the field applies to concurrency limits only")]
     ConcurrencyFieldOfRateBudget,
 }
--- a/crates/config/src/fleet/locate.rs
+++ b/crates/config/src/fleet/locate.rs
@@ -1,14 +1,14 @@
-//! Line and column of a field in protobuf text format. The parser tells positions only of what it can't parse; checks
-//! need that of any field.
+//! Line and column of a field in protobuf text format. The parser reports positions only for syntax errors, but
+//! validation needs the position of any field.
 
 use std::collections::BTreeMap;
 
-/// A place in a text.
+/// A position in a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Position {
-    /// From 1.
+    /// Counted from 1.
     pub(super) line: usize,
-    /// From 1, in bytes.
+    /// In bytes, counted from 1.
     pub(super) column: usize,
 }
 
@@ -16,7 +16,7 @@
     pub(super) const START: Position = Position { line: 1, column: 1 };
 }
 
-/// The position of the byte at `offset`.
+/// Returns the position of the byte at `offset`.
 pub(super) fn position(text: &str, offset: usize) -> Position {
     let before = &text.as_bytes()[..offset.min(text.len())];
     let line_start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
@@ -32,7 +32,7 @@
     text: &'t str,
 }
 
-/// All tokens of the text; comments and white space are left out.
+/// Returns all tokens of the text, without comments and white space.
 fn tokens(text: &str) -> Vec<Token<'_>> {
     let bytes = text.as_bytes();
     let mut tokens = Vec::new();
@@ -55,7 +55,7 @@
     is_word_byte(byte) || b"\"'{}<>:[],;".contains(&byte)
 }
 
-/// The length of the token, the comment or the single other byte that `bytes` begins with.
+/// Returns the length of the token or comment at the start of `bytes`, or 1 for any other byte.
 fn token_length(bytes: &[u8]) -> usize {
     match bytes[0] {
         b'#' => bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len()),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The length of the quoted string that `bytes` begins with, both quotes included.
+/// Returns the length of the quoted string at the start of `bytes`, including both quotes.
 fn quoted_length(bytes: &[u8]) -> usize {
     let quote = bytes[0];
     let mut length = 1;
@@ -77,13 +77,13 @@
 
 /// A field of the text.
 struct Field {
-    /// Where its name begins.
+    /// Byte offset of the start of its name.
     offset: usize,
-    /// Its path with a number for each part, `budget[1].whole[0]`.
+    /// Its path with an index for each segment, for instance `budget[1].whole[0]`.
     path: String,
 }
 
-/// All fields of a text, in its order.
+/// All fields of a text, in the order of the text.
 pub(super) struct FieldMap<'t> {
     text: &'t str,
     fields: Vec<Field>,
@@ -104,7 +104,7 @@
                 enclosing.pop();
             } else if is_field_name(token.text, previous, next) {
                 let path_without_index =
-                    enclosing.iter().map(|part| format!("{part}.")).collect::<String>() + token.text;
+                    enclosing.iter().map(|segment| format!("{segment}.")).collect::<String>() + token.text;
                 let index_in_repeated = next_index.entry(path_without_index.clone()).or_default();
                 let path = format!("{path_without_index}[{index_in_repeated}]");
                 *index_in_repeated += 1;
@@ -118,15 +118,15 @@
         FieldMap { text, fields }
     }
 
-    /// The path of the last field that begins at or before the byte at `offset`. A part has a number only if it is
-    /// repeated.
+    /// Returns the path of the last field that starts at or before the byte at `offset`. A segment has an index only if
+    /// its field is repeated.
     pub(super) fn path_at(&self, offset: usize) -> String {
         let last = self.fields.iter().rev().find(|field| field.offset <= offset);
         last.map_or_else(|| "file".to_string(), |field| self.without_redundant_indices(&field.path))
     }
 
-    /// The position of a field by its path, `budget[1].whole`; where it is left out, that of the message around it, and
-    /// at last the start of the text.
+    /// Returns the position of the field with the given path, for instance `budget[1].whole`. If the field is absent,
+    /// returns the position of the innermost enclosing message that is present, or else the start of the text.
     pub(super) fn position_of(&self, path: &str) -> Position {
         let mut path = path;
         loop {
@@ -144,11 +144,11 @@
     fn without_redundant_indices(&self, path: &str) -> String {
         let mut full = String::new();
         let mut shown = Vec::new();
-        for part in path.split('.') {
+        for segment in path.split('.') {
             full += if full.is_empty() { "" } else { "." };
-            full += part;
-            let name = part.split('[').next().unwrap_or(part);
-            shown.push(if self.is_repeated(&full) { part } else { name });
+            full += segment;
+            let name = segment.split('[').next().unwrap_or(segment);
+            shown.push(if self.is_repeated(&full) { segment } else { name });
         }
         shown.join(".")
     }
@@ -165,9 +165,10 @@
     is_name && !matches!(previous, ":" | "[" | ",") && matches!(next, ":" | "{" | "<")
 }
 
-/// The path with a number for each part; a part without one is the first.
+/// Returns the path with an index for each segment. A segment without an index gets the index 0.
 fn with_all_indices(path: &str) -> String {
-    let parts =
-        path.split('.').map(|part| if part.ends_with(']') { part.to_string() } else { format!("{part}[0]") });
-    parts.collect::<Vec<_>>().join(".")
+    let segments = path
+        .split('.')
+        .map(|segment| if segment.ends_with(']') { segment.to_string() } else { format!("{segment}[0]") });
+    segments.collect::<Vec<_>>().join(".")
 }
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The fleet file (`fleet.textproto`): the members of the fleet, and the budgets that all of them share.
+//! The fleet file (`fleet.textproto`): the members of the fleet, and the budgets that they share.
 //!
-//! The file is protobuf text format by the schema `proto/fleet.proto`. [`FleetFile::from_textproto`] reads and
-//! checks it; [`FleetConfigError`] says where the file is wrong and why.
+//! The file is in protobuf text format and follows the schema `proto/fleet.proto`. [`FleetFile::from_textproto`] parses
+//! and validates it. [`FleetConfigError`] reports where the file is invalid, and why.
 //!
-//! Modules in reading order: `schema` (the file as parsed), `check` (what has to hold), `error`, `locate` (line and
-//! column of a field).
+//! Modules in reading order: `schema` (the file as parsed), `check` (validation), `error`, `locate` (line and column of a
+//! field).
 
 mod check;
 mod error;
@@ -21,19 +21,19 @@
 /// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub enum BudgetKind {
-    /// The file does not say; rejected.
+    /// Not specified in the file, which is rejected.
     #[serde(rename = "UNKNOWN")]
     Unknown,
     /// Attempts in flight at one endpoint, from all routers.
     #[serde(rename = "EXECUTIONS_AT_EACH_HOST")]
     AttemptsPerEndpoint,
-    /// Retries of requests of which an earlier attempt may have had an effect.
+    /// Retries of requests of which an earlier attempt may have taken effect.
     #[serde(rename = "SECOND_TRIES")]
     Retries,
     /// Health checks.
     #[serde(rename = "PROBES")]
     HealthChecks,
-    /// Connections opened to endpoints.
+    /// New connections to endpoints.
     #[serde(rename = "NEW_CONNECTIONS")]
     NewConnections,
     /// Attempts sent to one endpoint, from all routers, during its slow start.
@@ -42,13 +42,12 @@
 }
 
 impl BudgetKind {
-    /// Whether each endpoint has a budget of this kind to itself.
+    /// Whether each endpoint has a budget of this kind of its own.
     pub fn is_per_endpoint(self) -> bool {
         matches!(self, BudgetKind::AttemptsPerEndpoint | BudgetKind::AttemptsPerWarmingEndpoint)
     }
 
-    /// The name under which the fleet knows the budget. Budgets are identified by it in datagrams and audit lines, so
-    /// it never changes.
+    /// The name that identifies the budget in datagrams and audit lines. It must never change.
     pub fn budget_name(self) -> &'static str {
         match self {
             BudgetKind::Unknown => "unknown",
@@ -61,30 +60,31 @@
     }
 }
 
-/// A fleet file that passed all checks, as one member of the fleet sees it.
+/// A validated fleet file, from the point of view of one member of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetFile {
-    /// Voters, leases and budgets, which all members have alike.
+    /// Voters, leases and budgets, which are the same for all members.
     pub fleet: FleetConfig,
     /// The members that the file lists.
     pub peers: Vec<Peer>,
-    /// The address at which the others reach this member.
+    /// The address at which the other members reach this one.
     pub at: SocketAddr,
     /// The address at which this member receives datagrams.
     pub listen: SocketAddr,
-    /// The loopback address at which this member answers `ottersill fleet`, if it does.
+    /// The loopback address at which this member answers `ottersill fleet`, if configured.
     pub control: Option<SocketAddr>,
-    /// Path of the file with the secret that proves membership.
+    /// Path of the file with the secret that authenticates members.
     pub key_file: String,
-    /// Path of the file to which grants and spent units are written, if they are.
+    /// Path of the file to which grants and spent units are written, if configured.
     pub audit_file: Option<String>,
     /// What each budget of `fleet` limits, in the same order.
     pub budget_kinds: Vec<BudgetKind>,
 }
 
 impl FleetFile {
-    /// The fields in which `other` differs that can't be changed by a reload; `None` if a reload can take over all
-    /// changes. Members have to agree on leases at any time, so these change only while no member runs.
+    /// Returns the first group of fields in which `other` differs that a reload can't change, or `None` if a reload can
+    /// apply all changes. Members have to agree on leases at all times, so leases can only be changed while no member is
+    /// running.
     pub fn restart_required(&self, other: &FleetFile) -> Option<&'static str> {
         let (ours, theirs) = (&self.fleet, &other.fleet);
         let fields = [
--- a/crates/config/src/fleet/schema.rs
+++ b/crates/config/src/fleet/schema.rs
@@ -1,4 +1,4 @@
-//! The fleet file as parsed, field by field. The schema `proto/fleet.proto` says what each field means.
+//! The fleet file as parsed. The schema `proto/fleet.proto` documents each field.
 
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, SerializeOptions};
@@ -8,7 +8,7 @@
 use super::locate::FieldMap;
 use super::{BudgetKind, locate};
 
-/// The compiled schema, made by `build.rs`.
+/// The compiled schema, which `build.rs` generates.
 const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/fleet.bin"));
 const MESSAGE_NAME: &str = "ottersill.fleet.Fleet";
 
@@ -48,7 +48,7 @@
 }
 
 impl FleetMessage {
-    /// Parses `text`. A field that it leaves out has the default of its type.
+    /// Parses `text`. A field that is absent from it has the default value of its type.
     pub(super) fn parse(text: &str) -> Result<FleetMessage, FleetConfigError> {
         let pool = DescriptorPool::decode(SCHEMA).map_err(|error| error_without_position(error.into()))?;
         let schema = pool
@@ -69,7 +69,7 @@
     }
 }
 
-/// An error that no place of the text causes.
+/// Returns an error that no particular position of the text causes.
 fn error_without_position(reason: Reason) -> FleetConfigError {
     FleetConfigError::new(locate::Position::START, MESSAGE_NAME.to_string(), reason)
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,5 +1,6 @@
-//! The terms that come from the settings' JSON, described in words that no rename touches, and the exact texts of
-//! errors.
+//! Guards against a setting that is parsed into the wrong value, and against changed texts of errors. The values are
+//! described as text that is independent of the names of Rust fields, so that renaming a field doesn't change the
+//! expectations.
 
 use ottersill_config::deployment::{Catalog, DeploymentSettings};
 use ottersill_routing::interface::{
@@ -11,11 +12,11 @@
 /// The settings of example/router.json.
 fn example() -> Value {
     let file: Value =
-        serde_json::from_str(include_str!("../../../example/router.json")).expect("the example is JSON");
+        serde_json::from_str(include_str!("../../../example/router.json")).expect("the example is not JSON");
     file["settings"].clone()
 }
 
-/// Every key that is used, none at its default, and one that is unknown.
+/// Settings with every known key, none of them at its default, and with one unknown key.
 fn every_key() -> Value {
     json!({
         "balancers": 300,
@@ -51,7 +52,7 @@
 }
 
 fn parse(settings: &Value) -> DeploymentSettings {
-    serde_json::from_value(settings.clone()).expect("settings of the right form")
+    serde_json::from_value(settings.clone()).expect("settings are not of the expected form")
 }
 
 fn describe_workload(workload: &WorkloadSettings) -> String {
@@ -105,9 +106,9 @@
 }
 
 #[test]
-fn the_example_maps_to_these_terms() {
+fn the_example_has_these_values() {
     let settings = parse(&example());
-    let (config, names) = (settings.routing_config(77).expect("terms"), settings.catalog());
+    let (config, names) = (settings.routing_config(77).expect("settings are rejected"), settings.catalog());
     assert_eq!(
         describe(&config, &names),
         [
@@ -128,14 +129,15 @@
             "primary, once, importance 2, late 0.3, aim 0.5 s, limit 2 s",
         ]
     );
-    let timeouts = settings.backend_timeouts().expect("times of connections");
+    let timeouts = settings.backend_timeouts().expect("timeouts are missing");
     assert_eq!((timeouts.connect, timeouts.idle, timeouts.drain_grace), (0.25, 15.0, 0.25));
 }
 
 #[test]
-fn every_key_maps_to_these_terms() {
+fn every_key_is_read() {
     let settings = parse(&every_key());
-    let (config, names) = (settings.routing_config(u64::MAX).expect("terms"), settings.catalog());
+    let (config, names) =
+        (settings.routing_config(u64::MAX).expect("settings are rejected"), settings.catalog());
     assert_eq!(
         describe(&config, &names),
         [
@@ -160,27 +162,27 @@
             "primary, once, importance 4, late 0.5, aim 0.15 s, limit 0.3 s",
         ]
     );
-    let timeouts = settings.backend_timeouts().expect("times of connections");
+    let timeouts = settings.backend_timeouts().expect("timeouts are missing");
     assert_eq!((timeouts.connect, timeouts.idle, timeouts.drain_grace), (0.125, 8.0, 0.4));
 }
 
-/// Values that neither of the two sets above has.
+/// Values that occur in neither of the two settings above.
 #[rstest]
-#[case::reports_of_probes("/stats/how", json!("none"), 2, "reports nowhere")]
-#[case::no_roles_in_reports("/stats/fields", json!(["x0"]), 2, "reports nowhere")]
-#[case::unchecked("/domain/when_behind", json!("none"), 3, "members check reads false")]
-#[case::no_advice("/policy_limits/retry_after", json!(false), 7, "at most 5 attempts, 0 s until retry")]
-#[case::nowhere("/zone", json!("reef"), 0, "seed 5 routers 300 site None")]
-fn single_values_map_to_these_terms(
+#[case::no_reports("/stats/how", json!("none"), 2, "reports nowhere")]
+#[case::reports_without_role("/stats/fields", json!(["x0"]), 2, "reports nowhere")]
+#[case::reads_not_checked("/domain/when_behind", json!("none"), 3, "members check reads false")]
+#[case::no_retry_after("/policy_limits/retry_after", json!(false), 7, "at most 5 attempts, 0 s until retry")]
+#[case::unknown_zone("/zone", json!("reef"), 0, "seed 5 routers 300 site None")]
+fn other_values_are_read(
     #[case] key: &str,
     #[case] value: Value,
     #[case] line: usize,
     #[case] expected: &str,
 ) {
     let mut settings = every_key();
-    *settings.pointer_mut(key).expect("a key of the settings") = value;
+    *settings.pointer_mut(key).expect("the settings lack the key") = value;
     let settings = parse(&settings);
-    let config = settings.routing_config(5).expect("terms");
+    let config = settings.routing_config(5).expect("settings are rejected");
     assert_eq!(describe(&config, &settings.catalog())[line], expected);
 }
 
@@ -189,15 +191,15 @@
 #[case::group("/profiles/3/group", json!("odd"), "group: expected all, zone or cell, found \"odd\"")]
 #[case::effect("/profiles/0/effect", json!("odd"), "effect: expected pure, token or side_effect, found \"odd\"")]
 #[case::reports("/stats/how", json!("odd"), "stats.how: expected answers, probe or none, found \"odd\"")]
-#[case::behind("/domain/when_behind", json!("odd"), "when_behind: expected none, refuse or wait, found \"odd\"")]
-#[case::marks("/domain/write_marks", json!("odd"), "write_marks: expected carried or remembered, found \"odd\"")]
+#[case::when_behind("/domain/when_behind", json!("odd"), "when_behind: expected none, refuse or wait, found \"odd\"")]
+#[case::write_marks("/domain/write_marks", json!("odd"), "write_marks: expected carried or remembered, found \"odd\"")]
 #[case::registry("/registry_mode", json!("odd"), "registry_mode: expected automatic or subscribe, found \"odd\"")]
-#[case::classes("/domain/class_read", json!(["any"]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
-#[case::bounds("/domain/oldest_data_ms", json!([]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
+#[case::class_count("/domain/class_read", json!(["any"]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
+#[case::bound_count("/domain/oldest_data_ms", json!([]), "class_read and oldest_data_ms: expected an entry for each of profiles")]
 fn unknown_values_are_rejected(#[case] key: &str, #[case] value: Value, #[case] expected: &str) {
     let mut settings = every_key();
-    *settings.pointer_mut(key).expect("a key of the settings") = value;
-    let error = parse(&settings).routing_config(5).expect_err("an error");
+    *settings.pointer_mut(key).expect("the settings lack the key") = value;
+    let error = parse(&settings).routing_config(5).expect_err("invalid settings are accepted");
     assert_eq!(error.to_string(), expected);
 }
 
@@ -206,13 +208,13 @@
 #[case::idle("keepalive_ms", "policy_limits: missing field `keepalive_ms`")]
 fn timeouts_are_required_only_for_sockets(#[case] key: &str, #[case] expected: &str) {
     let mut settings = every_key();
-    settings["policy_limits"].as_object_mut().expect("an object").remove(key);
+    settings["policy_limits"].as_object_mut().expect("policy_limits is not an object").remove(key);
     let settings = parse(&settings);
     assert!(settings.routing_config(5).is_ok());
-    assert_eq!(settings.backend_timeouts().expect_err("an error").to_string(), expected);
+    assert_eq!(settings.backend_timeouts().expect_err("invalid settings are accepted").to_string(), expected);
 }
 
-/// The error has the full path of the field, which its text does not.
+/// The error has the full path of the field, which its message lacks.
 #[rstest]
 #[case::class("/domain/class_read/2", "domain.class_read[2]")]
 #[case::group("/profiles/3/group", "profiles[3].group")]
@@ -220,6 +222,6 @@
 #[case::reports("/stats/how", "stats.how")]
 fn errors_have_the_full_path(#[case] key: &str, #[case] path: &str) {
     let mut settings = every_key();
-    *settings.pointer_mut(key).expect("a key of the settings") = json!("odd");
-    assert_eq!(parse(&settings).routing_config(5).expect_err("an error").path(), path);
+    *settings.pointer_mut(key).expect("the settings lack the key") = json!("odd");
+    assert_eq!(parse(&settings).routing_config(5).expect_err("invalid settings are accepted").path(), path);
 }
