--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -46,7 +46,7 @@
     },
     /// An event is well-formed and can't be carried out.
     #[error("field {field}: {source} at line {line} column {column}")]
-    Refused {
+    Rejected {
         /// The path of the event.
         field: String,
         /// The line within the batch, from 1.
@@ -58,7 +58,7 @@
     },
     /// The line was rejected once and accepted when it was read again, which is a fault of the adapter.
     #[error("not a batch")]
-    Unstable,
+    Inconsistent,
 }
 
 /// Why a well-formed event can't be carried out.
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -22,7 +22,7 @@
 use crate::wire::reply::Reply;
 use endpoints::EndpointTable;
 use requests::RequestTable;
-use transport::ReplyFront;
+use transport::ReplyTransport;
 
 /// What a list of endpoints covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Only entries that changed.
     Changes,
     /// All endpoints: one that is absent is gone.
-    Whole,
+    Full,
 }
 
 /// One router with its names. Actions go to the reply that each call is lent.
@@ -73,7 +73,7 @@
             groups: GroupTable::default(),
             requests: RequestTable::default(),
         };
-        let router = Router::start(now, config, &mut ReplyFront { names: &mut names, reply });
+        let router = Router::start(now, config, &mut ReplyTransport { names: &mut names, reply });
         Ok(Instance { router, names })
     }
 
@@ -96,11 +96,11 @@
             let group = |number| groups.index(number);
             changes.push(endpoints.update(entry, &catalog.sites, group)?);
         }
-        if scope == ListScope::Whole {
-            let missing = endpoints.absent_from(&changes, known_before);
-            changes.extend(missing);
+        if scope == ListScope::Full {
+            let absent = endpoints.absent_from(&changes, known_before);
+            changes.extend(absent);
         }
-        self.router.on_endpoint_list(now, &changes, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_endpoint_list(now, &changes, &mut ReplyTransport { names: &mut self.names, reply });
         Ok(())
     }
 
@@ -125,7 +125,7 @@
             }
             Some(Tenant::Nobody(_)) | None => None,
         };
-        let statement = Request {
+        let routing_request = Request {
             workload,
             group: names.groups.index(demand.partition_no),
             tenant,
@@ -137,7 +137,7 @@
             work: None,
         };
         let index = names.requests.insert(demand.tid);
-        self.router.on_request(now, index, statement, &mut ReplyFront { names, reply });
+        self.router.on_request(now, index, routing_request, &mut ReplyTransport { names, reply });
         Ok(())
     }
 
@@ -166,10 +166,10 @@
             outcome,
             elapsed: resolved.cost_time_ms / 1000.0,
             has_final_answer: resolved.done_flag,
-            observed: names.answer_report(resolved.progress),
+            observed: names.report_of_answer(resolved.progress),
             report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
         };
-        self.router.on_attempt_result(now, &result, &mut ReplyFront { names, reply });
+        self.router.on_attempt_result(now, &result, &mut ReplyTransport { names, reply });
         self.names.requests.release_if_finished(request);
         Ok(())
     }
@@ -190,13 +190,13 @@
         let report =
             result.pressure.as_ref().map_or(LoadReport::default(), |pressure| names.load_report(pressure));
         let outcome = outcome(&result.result)?;
-        self.router.on_health_check(now, endpoint, outcome, report, &mut ReplyFront { names, reply });
+        self.router.on_health_check(now, endpoint, outcome, report, &mut ReplyTransport { names, reply });
         Ok(())
     }
 
     /// The timer of the router has expired.
     pub fn timer_expired(&mut self, now: f64, reply: &mut Reply) {
-        self.router.on_tick(now, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_tick(now, &mut ReplyTransport { names: &mut self.names, reply });
     }
 
     /// A client went away. The batch may name a request that was answered a moment ago.
@@ -213,8 +213,8 @@
 
 /// Milliseconds of the wire as the seconds of routing; exact up to 2^53.
 #[expect(clippy::cast_precision_loss, reason = "positions in milliseconds are far below 2^53")]
-fn seconds(ms: u64) -> f64 {
-    ms as f64 / 1000.0
+fn seconds(milliseconds: u64) -> f64 {
+    milliseconds as f64 / 1000.0
 }
 
 impl Names {
@@ -223,7 +223,7 @@
     }
 
     /// What an answer itself told of its endpoint.
-    fn answer_report(&self, progress: Progress) -> LoadReport {
+    fn report_of_answer(&self, progress: Progress) -> LoadReport {
         let role = progress.role().map(|role| match role {
             ProgressRole::Primary => Role::Primary,
             ProgressRole::Replica => Role::Replica,
--- a/crates/sim-adapter/src/instance/requests.rs
+++ b/crates/sim-adapter/src/instance/requests.rs
@@ -67,8 +67,8 @@
     /// Frees the index if nothing is to come for its request any more.
     pub(super) fn release_if_finished(&mut self, index: usize) {
         let slot = &self.slots[index];
-        let nothing_to_come = slot.finished && slot.attempts_in_flight == 0;
-        if nothing_to_come && self.by_id.remove(&slot.id).is_some() {
+        let is_unused = slot.finished && slot.attempts_in_flight == 0;
+        if is_unused && self.by_id.remove(&slot.id).is_some() {
             self.free.push(index);
         }
     }
--- a/crates/sim-adapter/src/instance/transport.rs
+++ b/crates/sim-adapter/src/instance/transport.rs
@@ -6,19 +6,19 @@
 use crate::wire::reply::Reply;
 
 /// Writes what the router decides into the reply, for the time of one call.
-pub(super) struct ReplyFront<'a> {
+pub(super) struct ReplyTransport<'a> {
     pub(super) names: &'a mut Names,
     pub(super) reply: &'a mut Reply,
 }
 
-impl ReplyFront<'_> {
+impl ReplyTransport<'_> {
     fn finish(&mut self, request: usize) {
         self.names.requests.finish(request);
         self.names.requests.release_if_finished(request);
     }
 }
 
-impl Transport for ReplyFront<'_> {
+impl Transport for ReplyTransport<'_> {
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
         let Names { requests, endpoints, .. } = self.names;
         requests.attempt_started(request);
--- a/crates/sim-adapter/src/session.rs
+++ b/crates/sim-adapter/src/session.rs
@@ -5,7 +5,7 @@
 use crate::error::{BatchError, EventError};
 use crate::instance::{Instance, ListScope};
 use crate::wire::InstanceNumber;
-use crate::wire::batch::{self, BatchHandler, TrackedError};
+use crate::wire::batch::{self, BatchHandler, ErrorWithFieldPath};
 use crate::wire::event::{BackendsChanged, Create, Entry, Event, InstanceEvent};
 use crate::wire::reply::Reply;
 
@@ -23,9 +23,9 @@
     /// The clock of the batch, in seconds.
     now: f64,
     /// Events of this batch that were carried out.
-    events_done: usize,
+    events_handled: usize,
     /// Why the event after those was refused.
-    refusal: Option<EventError>,
+    rejection: Option<EventError>,
 }
 
 impl Session {
@@ -35,11 +35,11 @@
     ///
     /// [`BatchError`] if the line is not a valid batch. Events before the one at fault have been carried out, so the
     /// session must not be used any further.
-    pub fn play(&mut self, line: &str) -> Result<&[u8], BatchError> {
+    pub fn handle_batch(&mut self, line: &str) -> Result<&[u8], BatchError> {
         self.reply.begin();
-        self.events_done = 0;
+        self.events_handled = 0;
         if batch::read(line, self).is_err() {
-            return Err(diagnose(line, self.events_done, self.refusal.take()));
+            return Err(locate_error(line, self.events_handled, self.rejection.take()));
         }
         Ok(self.reply.finish())
     }
@@ -53,19 +53,23 @@
             Event::Roster(roster) => {
                 self.lists.insert(roster.list, roster.members_list);
             }
-            Event::Running(event) => self.deliver(number, &event)?,
+            Event::Running(event) => self.dispatch_to_instance(number, &event)?,
         }
         Ok(())
     }
 
-    fn deliver(&mut self, number: InstanceNumber, event: &InstanceEvent<'_>) -> Result<(), EventError> {
+    fn dispatch_to_instance(
+        &mut self,
+        number: InstanceNumber,
+        event: &InstanceEvent<'_>,
+    ) -> Result<(), EventError> {
         let (now, reply) = (self.now, &mut self.reply);
         // A killed instance may still be named by what was on its way to it.
         let Some(instance) = self.instances.get_mut(&number) else {
             return Ok(());
         };
         match event {
-            InstanceEvent::BackendsChanged(change) => change_list(instance, now, &self.lists, change, reply)?,
+            InstanceEvent::BackendsChanged(change) => apply_list(instance, now, &self.lists, change, reply)?,
             InstanceEvent::Demand(demand) => instance.request(now, demand, reply)?,
             InstanceEvent::Resolved(resolved) => instance.attempt_ended(now, resolved, reply)?,
             InstanceEvent::HealthResult(result) => instance.health_check_ended(now, result, reply)?,
@@ -82,7 +86,7 @@
     }
 }
 
-fn change_list(
+fn apply_list(
     instance: &mut Instance,
     now: f64,
     lists: &BTreeMap<u8, Vec<Entry>>,
@@ -91,7 +95,7 @@
 ) -> Result<(), EventError> {
     let scope = match change.kind {
         0 => ListScope::Changes,
-        1 | 2 => ListScope::Whole,
+        1 | 2 => ListScope::Full,
         3 => {
             instance.list_failed();
             return Ok(());
@@ -106,7 +110,7 @@
 impl BatchHandler for Session {
     type Error = EventError;
 
-    fn clock(&mut self, now: f64) {
+    fn set_clock(&mut self, now: f64) {
         self.now = now;
     }
 
@@ -117,8 +121,8 @@
     fn event(&mut self, instance: InstanceNumber, event: Event<'_>) -> Result<(), EventError> {
         let result = self.dispatch(instance, event);
         match &result {
-            Ok(()) => self.events_done += 1,
-            Err(error) => self.refusal = Some(error.clone()),
+            Ok(()) => self.events_handled += 1,
+            Err(error) => self.rejection = Some(error.clone()),
         }
         result
     }
@@ -135,24 +139,24 @@
 }
 
 /// Reads a batch that was rejected once more, to learn which field is at fault; nothing is carried out.
-struct Diagnosis {
+struct RejectionReplay {
     /// Events to pass over until the one that was refused.
-    events_before: usize,
-    refusal: Option<EventError>,
+    events_to_skip: usize,
+    rejection: Option<EventError>,
 }
 
-impl BatchHandler for Diagnosis {
+impl BatchHandler for RejectionReplay {
     type Error = EventError;
 
-    fn clock(&mut self, _now: f64) {}
+    fn set_clock(&mut self, _now: f64) {}
 
     fn begin_part(&mut self, _instance: InstanceNumber) {}
 
     fn event(&mut self, _instance: InstanceNumber, _event: Event<'_>) -> Result<(), EventError> {
-        match &self.refusal {
-            Some(refusal) if self.events_before == 0 => Err(refusal.clone()),
+        match &self.rejection {
+            Some(rejection) if self.events_to_skip == 0 => Err(rejection.clone()),
             _ => {
-                self.events_before = self.events_before.saturating_sub(1);
+                self.events_to_skip = self.events_to_skip.saturating_sub(1);
                 Ok(())
             }
         }
@@ -163,15 +167,15 @@
     fn end_part(&mut self) {}
 }
 
-/// Finds the field that makes `line` invalid: `refusal` is why the event after the first `events_done` was refused, if
+/// Finds the field that makes `line` invalid: `rejection` is why the event after the first `events_handled` was refused, if
 /// one was.
-fn diagnose(line: &str, events_done: usize, refusal: Option<EventError>) -> BatchError {
-    let mut diagnosis = Diagnosis { events_before: events_done, refusal };
-    let Err(TrackedError { field, error }) = batch::read_tracked(line, &mut diagnosis) else {
-        return BatchError::Unstable;
+fn locate_error(line: &str, events_handled: usize, rejection: Option<EventError>) -> BatchError {
+    let mut replay = RejectionReplay { events_to_skip: events_handled, rejection };
+    let Err(ErrorWithFieldPath { field, error }) = batch::read_with_field_path(line, &mut replay) else {
+        return BatchError::Inconsistent;
     };
-    match diagnosis.refusal {
-        Some(source) => BatchError::Refused { field, line: error.line(), column: error.column(), source },
+    match replay.rejection {
+        Some(source) => BatchError::Rejected { field, line: error.line(), column: error.column(), source },
         None => BatchError::Malformed { field, source: error },
     }
 }
--- a/crates/sim-adapter/src/stdio.rs
+++ b/crates/sim-adapter/src/stdio.rs
@@ -20,8 +20,9 @@
             break;
         }
         let text = std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { number, source })?;
-        let reply =
-            session.play(text).map_err(|error| AdapterError::Batch { number, source: Box::new(error) })?;
+        let reply = session
+            .handle_batch(text)
+            .map_err(|error| AdapterError::Batch { number, source: Box::new(error) })?;
         output.write_all(reply).and_then(|()| output.flush()).map_err(AdapterError::Output)?;
     }
     Ok(())
--- a/crates/sim-adapter/src/wire/batch.rs
+++ b/crates/sim-adapter/src/wire/batch.rs
@@ -15,7 +15,7 @@
     type Error: fmt::Display;
 
     /// The batch has this clock time, in seconds. Comes before everything else.
-    fn clock(&mut self, now: f64);
+    fn set_clock(&mut self, now: f64);
 
     /// The events that follow are for this instance.
     fn begin_part(&mut self, instance: InstanceNumber);
@@ -35,7 +35,7 @@
 }
 
 /// A line that can't be read, with the path of the field that is wrong.
-pub struct TrackedError {
+pub struct ErrorWithFieldPath {
     /// The path of the field.
     pub field: String,
     /// What is wrong.
@@ -49,7 +49,7 @@
 /// The line is not a batch, or the handler refuses an event.
 pub fn read(line: &str, handler: &mut impl BatchHandler) -> Result<(), serde_json::Error> {
     let mut json = serde_json::Deserializer::from_str(line);
-    Batch(handler).deserialize(&mut json)?;
+    BatchSeed(handler).deserialize(&mut json)?;
     json.end()
 }
 
@@ -58,40 +58,40 @@
 /// # Errors
 ///
 /// As [`read`].
-pub fn read_tracked(line: &str, handler: &mut impl BatchHandler) -> Result<(), TrackedError> {
+pub fn read_with_field_path(line: &str, handler: &mut impl BatchHandler) -> Result<(), ErrorWithFieldPath> {
     let mut json = serde_json::Deserializer::from_str(line);
     let mut track = serde_path_to_error::Track::new();
     let tracked = serde_path_to_error::Deserializer::new(&mut json, &mut track);
-    let read = Batch(handler).deserialize(tracked).and_then(|()| json.end());
-    read.map_err(|error| TrackedError { field: track.path().to_string(), error })
+    let read = BatchSeed(handler).deserialize(tracked).and_then(|()| json.end());
+    read.map_err(|error| ErrorWithFieldPath { field: track.path().to_string(), error })
 }
 
-struct Batch<'h, H>(&'h mut H);
-struct FleetQuota<'h, H>(&'h mut H);
-struct EndpointQuota<'h, H>(&'h mut H);
-struct Events<'h, H>(&'h mut H, InstanceNumber);
-struct OneEvent<'h, H>(&'h mut H, InstanceNumber);
+struct BatchSeed<'h, H>(&'h mut H);
+struct PartsSeed<'h, H>(&'h mut H);
+struct PartSeed<'h, H>(&'h mut H);
+struct EventsSeed<'h, H>(&'h mut H, InstanceNumber);
+struct EventSeed<'h, H>(&'h mut H, InstanceNumber);
 
 /// Each of the types above reads itself from one form of JSON value and has no result but what the handler is told.
 macro_rules! deserialize_seed {
-    ($type:ident, $form:ident) => {
+    ($type:ident, $deserialize:ident) => {
         impl<'de, H: BatchHandler> DeserializeSeed<'de> for $type<'_, H> {
             type Value = ();
             fn deserialize<D: Deserializer<'de>>(self, json: D) -> Result<(), D::Error> {
-                json.$form(self)
+                json.$deserialize(self)
             }
         }
     };
 }
 
-deserialize_seed!(Batch, deserialize_map);
-deserialize_seed!(FleetQuota, deserialize_seq);
-deserialize_seed!(EndpointQuota, deserialize_map);
-deserialize_seed!(Events, deserialize_seq);
-deserialize_seed!(OneEvent, deserialize_map);
+deserialize_seed!(BatchSeed, deserialize_map);
+deserialize_seed!(PartsSeed, deserialize_seq);
+deserialize_seed!(PartSeed, deserialize_map);
+deserialize_seed!(EventsSeed, deserialize_seq);
+deserialize_seed!(EventSeed, deserialize_map);
 
 /// Reads a member that came before one it depends on. The simulator's order of members never needs this.
-fn read_raw<'de, S, E>(seed: S, raw: &'de RawValue) -> Result<(), E>
+fn deserialize_deferred<'de, S, E>(seed: S, raw: &'de RawValue) -> Result<(), E>
 where
     S: DeserializeSeed<'de, Value = ()>,
     E: Error,
@@ -99,7 +99,7 @@
     seed.deserialize(&mut serde_json::Deserializer::from_str(raw.get())).map_err(E::custom)
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for Batch<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for BatchSeed<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -110,33 +110,33 @@
         let handler = self.0;
         let mut has_clock = false;
         let mut has_parts = false;
-        let mut early_parts = None;
-        while let Some(name) = map.next_key::<Cow<str>>()? {
-            match &*name {
+        let mut deferred_parts = None;
+        while let Some(key) = map.next_key::<Cow<str>>()? {
+            match &*key {
                 "ts_ms" => {
-                    handler.clock(map.next_value::<f64>()? / 1000.0);
+                    handler.set_clock(map.next_value::<f64>()? / 1000.0);
                     has_clock = true;
                 }
                 "parts" if has_clock => {
-                    map.next_value_seed(FleetQuota(handler))?;
+                    map.next_value_seed(PartsSeed(handler))?;
                     has_parts = true;
                 }
-                "parts" => early_parts = Some(map.next_value::<&RawValue>()?),
+                "parts" => deferred_parts = Some(map.next_value::<&RawValue>()?),
                 _ => {
                     map.next_value::<IgnoredAny>()?;
                 }
             }
         }
-        match early_parts {
+        match deferred_parts {
             _ if !has_clock => Err(A::Error::missing_field("ts_ms")),
-            Some(raw) => read_raw(FleetQuota(handler), raw),
+            Some(raw) => deserialize_deferred(PartsSeed(handler), raw),
             None if has_parts => Ok(()),
             None => Err(A::Error::missing_field("parts")),
         }
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for FleetQuota<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for PartsSeed<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -144,12 +144,12 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        while seq.next_element_seed(EndpointQuota(&mut *self.0))?.is_some() {}
+        while seq.next_element_seed(PartSeed(&mut *self.0))?.is_some() {}
         Ok(())
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for EndpointQuota<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for PartSeed<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -160,30 +160,30 @@
         let handler = self.0;
         let mut instance = None;
         let mut has_events = false;
-        let mut early_events = None;
-        while let Some(name) = map.next_key::<Cow<str>>()? {
-            match (&*name, instance) {
+        let mut deferred_events = None;
+        while let Some(key) = map.next_key::<Cow<str>>()? {
+            match (&*key, instance) {
                 ("who", _) => instance = Some(map.next_value::<InstanceNumber>()?),
                 ("in", Some(instance)) => {
-                    map.next_value_seed(Events(handler, instance))?;
+                    map.next_value_seed(EventsSeed(handler, instance))?;
                     has_events = true;
                 }
-                ("in", None) => early_events = Some(map.next_value::<&RawValue>()?),
+                ("in", None) => deferred_events = Some(map.next_value::<&RawValue>()?),
                 _ => {
                     map.next_value::<IgnoredAny>()?;
                 }
             }
         }
-        match (instance, early_events) {
+        match (instance, deferred_events) {
             (None, _) => Err(A::Error::missing_field("who")),
-            (Some(instance), Some(raw)) => read_raw(Events(handler, instance), raw),
+            (Some(instance), Some(raw)) => deserialize_deferred(EventsSeed(handler, instance), raw),
             (Some(_), None) if has_events => Ok(()),
             (Some(_), None) => Err(A::Error::missing_field("in")),
         }
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for Events<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for EventsSeed<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -191,15 +191,15 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        let Events(handler, instance) = self;
+        let EventsSeed(handler, instance) = self;
         handler.begin_part(instance);
-        while seq.next_element_seed(OneEvent(&mut *handler, instance))?.is_some() {}
+        while seq.next_element_seed(EventSeed(&mut *handler, instance))?.is_some() {}
         handler.end_part();
         Ok(())
     }
 }
 
-impl<'de, H: BatchHandler> Visitor<'de> for OneEvent<'_, H> {
+impl<'de, H: BatchHandler> Visitor<'de> for EventSeed<'_, H> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -207,11 +207,11 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        let OneEvent(handler, instance) = self;
+        let EventSeed(handler, instance) = self;
         let Some(name) = map.next_key::<Cow<str>>()? else {
             return Err(A::Error::custom("expected the name of an event"));
         };
-        if let Some(event) = read_body(&name, &mut map, handler)? {
+        if let Some(event) = read_event(&name, &mut map, handler)? {
             handler.event(instance, event).map_err(A::Error::custom)?;
         }
         match map.next_key::<IgnoredAny>()? {
@@ -222,7 +222,7 @@
 }
 
 /// The event of that name; `None` for one that the adapter has no use for.
-fn read_body<'de, A: MapAccess<'de>>(
+fn read_event<'de, A: MapAccess<'de>>(
     name: &str,
     map: &mut A,
     handler: &mut impl BatchHandler,
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -6,7 +6,7 @@
 use super::{InstanceNumber, RequestId};
 
 const OPENING: &[u8] = b"{\"parts\":[";
-const WRITING_TO_MEMORY: &str = "writing to memory does not fail";
+const WRITE_TO_VEC_FAILED: &str = "writing to a Vec failed";
 
 /// The reply to one batch, written while the batch is read. Each action is followed by a comma; [`Reply::end_part`]
 /// takes the last one back.
@@ -52,20 +52,20 @@
         &self.bytes
     }
 
-    /// Sends an attempt, which times out after `time_out` seconds; 0: once the client gives up.
-    pub fn forward(&mut self, request: RequestId, endpoint: &str, time_out: f64) {
-        let time_out = milliseconds(time_out);
+    /// Sends an attempt, which times out after `timeout_ms` seconds; 0: once the client gives up.
+    pub fn forward(&mut self, request: RequestId, endpoint: &str, timeout_seconds: f64) {
+        let timeout_ms = milliseconds(timeout_seconds);
         self.write(format_args!(
-            "{{\"forward\":{{\"tid\":{request},\"give_up_after_ms\":{time_out},\"host\":"
+            "{{\"forward\":{{\"tid\":{request},\"give_up_after_ms\":{timeout_ms},\"host\":"
         ));
-        self.string(endpoint);
+        self.write_string(endpoint);
         self.end_action();
     }
 
     /// Final answer: rejected. Nothing has run, and the client may try again after `retry_after` seconds.
-    pub fn say_no(&mut self, request: RequestId, retry_after: f64) {
-        let retry_after = milliseconds(retry_after);
-        self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after}"));
+    pub fn say_no(&mut self, request: RequestId, retry_after_seconds: f64) {
+        let retry_after_ms = milliseconds(retry_after_seconds);
+        self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after_ms}"));
         self.end_action();
     }
 
@@ -84,14 +84,14 @@
     /// Sends a health check.
     pub fn sound_out(&mut self, endpoint: &str) {
         self.write(format_args!("{{\"sound_out\":{{\"host\":"));
-        self.string(endpoint);
+        self.write_string(endpoint);
         self.end_action();
     }
 
     /// Sets the instance's timer.
-    pub fn notify_me(&mut self, after: f64) {
-        let after = milliseconds(after);
-        self.write(format_args!("{{\"notify_me\":{{\"sleep_for_ms\":{after},\"name\":\"beat\""));
+    pub fn notify_me(&mut self, delay_seconds: f64) {
+        let delay_ms = milliseconds(delay_seconds);
+        self.write(format_args!("{{\"notify_me\":{{\"sleep_for_ms\":{delay_ms},\"name\":\"beat\""));
         self.end_action();
     }
 
@@ -104,16 +104,16 @@
     /// Adds a line to the simulator's report.
     pub fn record(&mut self, text: &str) {
         self.write(format_args!("{{\"record\":{{\"what\":"));
-        self.string(text);
+        self.write_string(text);
         self.end_action();
     }
 
     fn write(&mut self, json: Arguments<'_>) {
-        self.bytes.write_fmt(json).expect(WRITING_TO_MEMORY);
+        self.bytes.write_fmt(json).expect(WRITE_TO_VEC_FAILED);
     }
 
-    fn string(&mut self, text: &str) {
-        serde_json::to_writer(&mut self.bytes, text).expect(WRITING_TO_MEMORY);
+    fn write_string(&mut self, text: &str) {
+        serde_json::to_writer(&mut self.bytes, text).expect(WRITE_TO_VEC_FAILED);
     }
 
     fn end_action(&mut self) {
