--- a/crates/sim-adapter/src/instance/endpoints.rs
+++ b/crates/sim-adapter/src/instance/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints by name and by index.
+//! The mapping between endpoint names on the wire and endpoint indices of routing.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,8 +8,8 @@
 use crate::error::EventError;
 use crate::wire::event::Entry;
 
-/// Every endpoint that a list has named, also those that are gone. Its index is its place in the order in which they
-/// were first named.
+/// All endpoints that any list has contained, including those that have been removed. Indices are assigned in the order
+/// in which endpoints first appear.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -18,7 +18,7 @@
 
 struct Endpoint {
     name: String,
-    /// The last entry that named it.
+    /// The most recent list entry of the endpoint.
     listed: EndpointUpdate,
 }
 
@@ -35,7 +35,8 @@
         self.by_name.get(name).copied()
     }
 
-    /// Takes in an entry and returns it with indices. `group_index` gives the index of a group by its number.
+    /// Applies a list entry and returns it with indices in place of names. `group_index` returns the index of the group with
+    /// the given number.
     pub(super) fn update(
         &mut self,
         entry: &Entry,
@@ -62,7 +63,7 @@
         Ok(listed)
     }
 
-    /// The first `known` endpoints without those in `list`, each as gone.
+    /// Returns those of the first `known` endpoints that are not in `list`, each with the state `Removed`.
     pub(super) fn absent_from(&self, list: &[EndpointUpdate], known: usize) -> Vec<EndpointUpdate> {
         let mut present = vec![false; known];
         for listed in list {
@@ -86,7 +87,7 @@
     }
 }
 
-/// A number that is the same for an endpoint at every router, as its index is not.
+/// Returns a hash of the endpoint's name. Unlike its index, it is the same at every router.
 fn name_hash(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -1,8 +1,8 @@
-//! One router of the simulation, with the names that the wire has for the indices of routing.
+//! One router of the simulation, with the mapping between names on the wire and indices of routing.
 //!
-//! Routing knows endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] turns the names of
-//! events into indices and hands the events to its [`Router`]; the module `transport` turns the router's decisions back into
-//! actions of the wire.
+//! Routing identifies endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] converts the names
+//! in events to indices and passes the events to its [`Router`]. The module `transport` converts the router's decisions
+//! back to actions of the wire.
 
 mod endpoints;
 mod requests;
@@ -24,22 +24,22 @@
 use requests::RequestTable;
 use transport::ReplyTransport;
 
-/// What a list of endpoints covers.
+/// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only entries that changed.
+    /// Only endpoints whose entries changed.
     Changes,
-    /// All endpoints: one that is absent is gone.
+    /// All endpoints. One that is absent has been removed.
     Full,
 }
 
-/// One router with its names. Actions go to the reply that each call is lent.
+/// One router and its names. Actions are written to the reply that is passed to each call.
 pub struct Instance {
     router: Router,
     names: Names,
 }
 
-/// Names of the wire on one side, indices of routing on the other.
+/// The mappings between names on the wire and indices of routing.
 struct Names {
     catalog: Catalog,
     endpoints: EndpointTable,
@@ -47,7 +47,7 @@
     requests: RequestTable,
 }
 
-/// The index of each group, in the order in which groups were met.
+/// The index of each group by its number. Indices are assigned in the order in which groups first appear.
 #[derive(Default)]
 struct GroupTable(HashMap<u64, usize>);
 
@@ -59,11 +59,11 @@
 }
 
 impl Instance {
-    /// Starts a router. `now` is the clock of the batch in seconds, here and below.
+    /// Starts a router. Here and below, `now` is the clock time of the batch in seconds.
     ///
     /// # Errors
     ///
-    /// [`EventError::Settings`] if its settings are rejected.
+    /// Returns [`EventError::Settings`] if the settings are rejected.
     pub fn start(now: f64, create: &Create, reply: &mut Reply) -> Result<Instance, EventError> {
         let settings = &create.boot_info;
         let config = settings.routing_config(create.nonce64)?;
@@ -77,11 +77,11 @@
         Ok(Instance { router, names })
     }
 
-    /// Discovery told of endpoints.
+    /// Handles an endpoint list from discovery.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownState`] for an entry with a state that the wire does not define.
+    /// Returns [`EventError::UnknownState`] if an entry has a state that the wire does not define.
     pub fn list_changed(
         &mut self,
         now: f64,
@@ -104,16 +104,17 @@
         Ok(())
     }
 
-    /// A call to discovery failed, or the subscription to its list broke.
+    /// Handles a failed call to discovery, or the loss of the subscription to its list.
     pub fn list_failed(&mut self) {
         self.router.on_endpoint_list_failed();
     }
 
-    /// A client's request arrived.
+    /// Handles a client's request.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownWorkload`] or [`EventError::UnknownTenant`] if the settings lack what it names.
+    /// Returns [`EventError::UnknownWorkload`] or [`EventError::UnknownTenant`] if the settings don't have the request's
+    /// workload or tenant.
     pub fn request(&mut self, now: f64, demand: &Demand<'_>, reply: &mut Reply) -> Result<(), EventError> {
         let names = &mut self.names;
         let workload = position(&names.catalog.workloads, &demand.priority)
@@ -141,12 +142,11 @@
         Ok(())
     }
 
-    /// An attempt ended. One of a request that this instance was never given is passed over: it ended before the
-    /// instance started.
+    /// Handles the end of an attempt. An attempt of an unknown request is ignored: it ended before this instance started.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    /// Returns [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`] if the event names one.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -174,11 +174,11 @@
         Ok(())
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    /// Returns [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`] if the event names one.
     pub fn health_check_ended(
         &mut self,
         now: f64,
@@ -194,12 +194,12 @@
         Ok(())
     }
 
-    /// The timer of the router has expired.
+    /// Handles the expiry of the router's timer.
     pub fn timer_expired(&mut self, now: f64, reply: &mut Reply) {
         self.router.on_tick(now, &mut ReplyTransport { names: &mut self.names, reply });
     }
 
-    /// A client went away. The batch may name a request that was answered a moment ago.
+    /// Handles the disconnection of a client. Its request may already have been answered.
     pub fn client_gone(&mut self, request: RequestId) {
         let requests = &mut self.names.requests;
         let Some(index) = requests.index_of(request) else { return };
@@ -211,7 +211,7 @@
     }
 }
 
-/// Milliseconds of the wire as the seconds of routing; exact up to 2^53.
+/// Converts milliseconds, the unit of the wire, to seconds, the unit of routing. Exact up to 2^53 ms.
 #[expect(clippy::cast_precision_loss, reason = "positions in milliseconds are far below 2^53")]
 fn seconds(milliseconds: u64) -> f64 {
     milliseconds as f64 / 1000.0
@@ -222,7 +222,7 @@
         self.endpoints.index_of(name).ok_or_else(|| EventError::UnknownEndpoint(name.to_string()))
     }
 
-    /// What an answer itself told of its endpoint.
+    /// Returns what an answer reports about its endpoint.
     fn report_of_answer(&self, progress: Progress) -> LoadReport {
         let role = progress.role().map(|role| match role {
             ProgressRole::Primary => Role::Primary,
@@ -249,7 +249,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The outcome of an attempt or of a health check by its name on the wire.
+/// Returns the outcome of an attempt or of a health check by its name on the wire.
 fn outcome(result: &str) -> Result<AttemptOutcome, EventError> {
     Ok(match result {
         "ok" => AttemptOutcome::Completed,
--- a/crates/sim-adapter/src/instance/requests.rs
+++ b/crates/sim-adapter/src/instance/requests.rs
@@ -1,15 +1,15 @@
-//! Requests by their number on the wire and by index.
+//! The mapping between request numbers on the wire and request indices of routing.
 
 use std::collections::HashMap;
 
 use crate::wire::RequestId;
 
-/// The requests of an instance. An index is free again once its request has the final answer and none of its attempts is
+/// The requests of an instance. An index can be reused once its request has the final answer and none of its attempts is
 /// in flight.
 #[derive(Default)]
 pub(super) struct RequestTable {
     by_id: HashMap<RequestId, usize>,
-    /// As many as were ever open at once.
+    /// Grows to the largest number of requests that were open at the same time.
     slots: Vec<Slot>,
     free: Vec<usize>,
 }
@@ -17,7 +17,7 @@
 struct Slot {
     id: RequestId,
     attempts_in_flight: u32,
-    /// It has its final answer, or its client is gone.
+    /// Whether the request has its final answer, or its client has disconnected.
     finished: bool,
 }
 
@@ -30,7 +30,7 @@
         self.slots[index].id
     }
 
-    /// Takes in a new request and returns its index.
+    /// Adds a request and returns its index.
     pub(super) fn insert(&mut self, id: RequestId) -> usize {
         let slot = Slot { id, attempts_in_flight: 0, finished: false };
         let index = match self.free.pop() {
@@ -51,8 +51,8 @@
         self.slots[index].attempts_in_flight += 1;
     }
 
-    /// An attempt ended; `finished` if the request has its final answer by now. The index stays taken until
-    /// [`RequestTable::release_if_finished`].
+    /// Records the end of an attempt. `finished` says whether the request has its final answer by now. The index stays in
+    /// use until [`RequestTable::release_if_finished`].
     pub(super) fn attempt_ended(&mut self, index: usize, finished: bool) {
         let slot = &mut self.slots[index];
         slot.attempts_in_flight = slot.attempts_in_flight.saturating_sub(1);
@@ -64,7 +64,7 @@
         !std::mem::replace(&mut self.slots[index].finished, true)
     }
 
-    /// Frees the index if nothing is to come for its request any more.
+    /// Frees the index if its request is finished and none of its attempts is in flight.
     pub(super) fn release_if_finished(&mut self, index: usize) {
         let slot = &self.slots[index];
         let is_unused = slot.finished && slot.attempts_in_flight == 0;
--- a/crates/sim-adapter/src/instance/transport.rs
+++ b/crates/sim-adapter/src/instance/transport.rs
@@ -1,11 +1,11 @@
-//! The router's decisions as actions of the wire.
+//! Conversion of the router's decisions to actions of the wire.
 
 use ottersill_routing::interface::Transport;
 
 use super::Names;
 use crate::wire::reply::Reply;
 
-/// Writes what the router decides into the reply, for the time of one call.
+/// Writes the router's decisions during one call into the reply.
 pub(super) struct ReplyTransport<'a> {
     pub(super) names: &'a mut Names,
     pub(super) reply: &'a mut Reply,
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,14 +1,15 @@
-//! Runs ottersill's routing on the wire of the operators' simulator. The simulator hosts any number of routers in one
-//! process: it writes a batch of events a line to standard input, and reads a reply with the routers' actions a line
-//! from standard output. This crate translates; it decides nothing. Instances share nothing but the numbered endpoint
-//! lists that the wire declares for the whole process.
+//! Runs ottersill's routing in the operators' simulator. The simulator runs any number of routers ("instances") in one
+//! adapter process. It writes one batch of events per line to the adapter's standard input, and reads one reply per
+//! line, with the routers' actions, from its standard output. This crate only translates between that JSON protocol
+//! ("the wire") and the router; it makes no routing decisions. Instances share nothing except the numbered endpoint
+//! lists, which the wire declares for the whole process.
 //!
 //! Modules in reading order; each uses only those before it:
 //!
-//! 1. [`wire`]: the forms of events and actions, reading a batch, writing a reply.
-//! 2. [`error`]: what can be wrong with an event, a batch or the streams.
-//! 3. [`instance`]: one router with the names that the wire has for its indices.
-//! 4. [`session`]: all instances of the process; a batch in, a reply out.
+//! 1. [`wire`]: the types of events and actions, parsing of batches and writing of replies.
+//! 2. [`error`]: the errors of events, batches and streams.
+//! 3. [`instance`]: one router, with the mapping between names on the wire and indices of routing.
+//! 4. [`session`]: all instances of the process. It turns a batch into a reply.
 //! 5. [`stdio`]: the loop over standard input and output.
 
 #![warn(clippy::cast_possible_truncation, clippy::cast_precision_loss, clippy::cast_sign_loss)]
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! The adapter for the operators' simulator: a batch of events a line on standard input, a reply a line on standard
-//! output. Ends with status 1 and one line on standard error at the first line that is not a valid batch.
+//! The adapter for the operators' simulator. It reads one batch of events per line from standard input and writes one
+//! reply per line to standard output. At the first line that is not a valid batch, it writes one line to standard error
+//! and exits with status 1.
 
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
--- a/crates/sim-adapter/src/session.rs
+++ b/crates/sim-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! All instances of one process: a batch in, a reply out.
+//! All instances of one process. Each batch of events results in one reply.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,32 +9,32 @@
 use crate::wire::event::{BackendsChanged, Create, Entry, Event, InstanceEvent};
 use crate::wire::reply::Reply;
 
-/// The name of the program in its messages on standard error.
+/// The name of the program, as a prefix of its messages on standard error.
 pub const PROGRAM: &str = "ottersill-sim-adapter";
 
-/// All instances of one process. They share the numbered lists, as the wire has it, and nothing else.
+/// All instances of one process. They share nothing except the numbered endpoint lists, as the wire defines.
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<InstanceNumber, Instance>,
     lists: BTreeMap<u8, Vec<Entry>>,
-    /// Names of unknown events, each of which is reported once.
+    /// Names of unknown events that have been reported, so that each is reported only once.
     unknown_events: BTreeSet<String>,
     reply: Reply,
     /// The clock of the batch, in seconds.
     now: f64,
-    /// Events of this batch that were carried out.
+    /// Number of events of this batch that were processed.
     events_handled: usize,
-    /// Why the event after those was refused.
+    /// The reason why the event after those was rejected, if it was.
     rejection: Option<EventError>,
 }
 
 impl Session {
-    /// Carries out a batch and returns the line that answers it.
+    /// Processes a batch and returns the line with the reply.
     ///
     /// # Errors
     ///
-    /// [`BatchError`] if the line is not a valid batch. Events before the one at fault have been carried out, so the
-    /// session must not be used any further.
+    /// Returns [`BatchError`] if the line is not a valid batch. The events before the invalid one have been processed by
+    /// then, so the session must not be used any further.
     pub fn handle_batch(&mut self, line: &str) -> Result<&[u8], BatchError> {
         self.reply.begin();
         self.events_handled = 0;
@@ -64,7 +64,7 @@
         event: &InstanceEvent<'_>,
     ) -> Result<(), EventError> {
         let (now, reply) = (self.now, &mut self.reply);
-        // A killed instance may still be named by what was on its way to it.
+        // Events that were already in flight to an instance when it was killed may still arrive, and are ignored.
         let Some(instance) = self.instances.get_mut(&number) else {
             return Ok(());
         };
@@ -138,9 +138,9 @@
     }
 }
 
-/// Reads a batch that was rejected once more, to learn which field is at fault; nothing is carried out.
+/// A handler for reading a rejected batch a second time to find the invalid field. It processes no events.
 struct RejectionReplay {
-    /// Events to pass over until the one that was refused.
+    /// Number of events to skip before the one that was rejected.
     events_to_skip: usize,
     rejection: Option<EventError>,
 }
@@ -167,8 +167,8 @@
     fn end_part(&mut self) {}
 }
 
-/// Finds the field that makes `line` invalid: `rejection` is why the event after the first `events_handled` was refused, if
-/// one was.
+/// Finds the field that makes `line` invalid. `rejection` is the reason why the event after the first `events_handled`
+/// was rejected, if one was.
 fn locate_error(line: &str, events_handled: usize, rejection: Option<EventError>) -> BatchError {
     let mut replay = RejectionReplay { events_to_skip: events_handled, rejection };
     let Err(ErrorWithFieldPath { field, error }) = batch::read_with_field_path(line, &mut replay) else {
--- a/crates/sim-adapter/src/stdio.rs
+++ b/crates/sim-adapter/src/stdio.rs
@@ -1,15 +1,15 @@
-//! The loop over lines of input and output.
+//! The loop that reads batches and writes replies.
 
 use std::io::{BufRead, Write};
 
 use crate::error::AdapterError;
 use crate::session::Session;
 
-/// Answers each line of `input` with one line on `output`, until the input ends. Each reply is flushed.
+/// Answers each line of `input` with one line on `output` until the input ends. Each reply is flushed.
 ///
 /// # Errors
 ///
-/// [`AdapterError`] for the first line that is not a valid batch, or if a stream fails.
+/// Returns [`AdapterError`] for the first line that is not a valid batch, or if a stream fails.
 pub fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut line = Vec::new();
--- a/crates/sim-adapter/src/wire/batch.rs
+++ b/crates/sim-adapter/src/wire/batch.rs
@@ -1,4 +1,4 @@
-//! Reads a batch and passes each event on as soon as it is parsed.
+//! Parses a batch and passes each event on as soon as it is parsed.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -9,36 +9,36 @@
 use super::InstanceNumber;
 use super::event::{Event, InstanceEvent};
 
-/// Takes what a batch holds, in its order.
+/// Receives the contents of a batch in the order of the line.
 pub trait BatchHandler {
-    /// Why an event is refused.
+    /// The reason why an event is rejected.
     type Error: fmt::Display;
 
-    /// The batch has this clock time, in seconds. Comes before everything else.
+    /// Sets the clock time of the batch, in seconds. It is called before all other methods.
     fn set_clock(&mut self, now: f64);
 
-    /// The events that follow are for this instance.
+    /// Starts the part with the events for this instance.
     fn begin_part(&mut self, instance: InstanceNumber);
 
-    /// An event. A refusal ends the reading.
+    /// Processes an event. An error ends the parsing of the batch.
     ///
     /// # Errors
     ///
-    /// An event that can't be carried out.
+    /// Returns an error if the event can't be processed.
     fn event(&mut self, instance: InstanceNumber, event: Event<'_>) -> Result<(), Self::Error>;
 
-    /// An event that the adapter does not know is skipped.
+    /// Reports an event that the adapter does not know, which is skipped.
     fn unknown_event(&mut self, name: &str);
 
-    /// There are no more events in this part.
+    /// Ends the part; it has no more events.
     fn end_part(&mut self);
 }
 
-/// A line that can't be read, with the path of the field that is wrong.
+/// The reason why a line can't be read, with the path of the invalid field.
 pub struct ErrorWithFieldPath {
     /// The path of the field.
     pub field: String,
-    /// What is wrong.
+    /// The reason.
     pub error: serde_json::Error,
 }
 
@@ -46,18 +46,18 @@
 ///
 /// # Errors
 ///
-/// The line is not a batch, or the handler refuses an event.
+/// Returns an error if the line is not a batch, or if the handler rejects an event.
 pub fn read(line: &str, handler: &mut impl BatchHandler) -> Result<(), serde_json::Error> {
     let mut json = serde_json::Deserializer::from_str(line);
     BatchSeed(handler).deserialize(&mut json)?;
     json.end()
 }
 
-/// As [`read`], slower, and tells the field that is wrong.
+/// Reads one batch like [`read`], and reports the path of the invalid field on an error. It is slower than [`read`].
 ///
 /// # Errors
 ///
-/// As [`read`].
+/// Returns an error in the same cases as [`read`].
 pub fn read_with_field_path(line: &str, handler: &mut impl BatchHandler) -> Result<(), ErrorWithFieldPath> {
     let mut json = serde_json::Deserializer::from_str(line);
     let mut track = serde_path_to_error::Track::new();
@@ -72,7 +72,8 @@
 struct EventsSeed<'h, H>(&'h mut H, InstanceNumber);
 struct EventSeed<'h, H>(&'h mut H, InstanceNumber);
 
-/// Each of the types above reads itself from one form of JSON value and has no result but what the handler is told.
+/// Implements [`DeserializeSeed`] for one of the types above, each of which parses one kind of JSON value. They return no
+/// value; their results are the calls of the handler.
 macro_rules! deserialize_seed {
     ($type:ident, $deserialize:ident) => {
         impl<'de, H: BatchHandler> DeserializeSeed<'de> for $type<'_, H> {
@@ -90,7 +91,8 @@
 deserialize_seed!(EventsSeed, deserialize_seq);
 deserialize_seed!(EventSeed, deserialize_map);
 
-/// Reads a member that came before one it depends on. The simulator's order of members never needs this.
+/// Parses the value of a key that came before another key on which it depends. The simulator's own order of keys never
+/// requires this.
 fn deserialize_deferred<'de, S, E>(seed: S, raw: &'de RawValue) -> Result<(), E>
 where
     S: DeserializeSeed<'de, Value = ()>,
@@ -216,12 +218,12 @@
         }
         match map.next_key::<IgnoredAny>()? {
             None => Ok(()),
-            Some(_) => Err(A::Error::custom("expected one event an object")),
+            Some(_) => Err(A::Error::custom("expected one event per object")),
         }
     }
 }
 
-/// The event of that name; `None` for one that the adapter has no use for.
+/// Parses the event called `name`. Returns `None` for an event that the adapter does not use.
 fn read_event<'de, A: MapAccess<'de>>(
     name: &str,
     map: &mut A,
@@ -240,7 +242,7 @@
             map.next_value::<IgnoredAny>()?;
             Event::Kill
         }
-        // No workload here is streamed, and no instance talks to another.
+        // Not used: no workload is streamed, and instances do not communicate with each other.
         "accepted" | "peer_data" => {
             map.next_value::<IgnoredAny>()?;
             return Ok(None);
--- a/crates/sim-adapter/src/wire/event.rs
+++ b/crates/sim-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! The forms of events. Fields that the adapter does not use are not listed and are skipped.
+//! The types of events. Fields that the adapter does not use are not declared here; parsing skips them.
 
 use std::borrow::Cow;
 
@@ -9,21 +9,21 @@
 
 /// An event.
 pub enum Event<'a> {
-    /// The instance starts.
+    /// Starts the instance.
     Create(Box<Create>),
-    /// The instance is killed.
+    /// Kills the instance.
     Kill,
-    /// A numbered list of endpoints is declared, for all instances of the process.
+    /// Declares a numbered list of endpoints for all instances of the process.
     Roster(Roster),
-    /// Something for an instance that runs.
+    /// An event for a running instance.
     Running(InstanceEvent<'a>),
 }
 
-/// An event for an instance that runs.
+/// An event for a running instance.
 pub enum InstanceEvent<'a> {
-    /// Discovery tells the instance of a list.
+    /// Discovery sent the instance an endpoint list, or a call to discovery failed.
     BackendsChanged(BackendsChanged),
-    /// A client's request arrives.
+    /// A client's request arrived.
     Demand(Demand<'a>),
     /// An attempt ended.
     Resolved(Resolved<'a>),
@@ -31,14 +31,14 @@
     HealthResult(HealthResult<'a>),
     /// A timer has expired.
     Reminder(Reminder<'a>),
-    /// A client went away.
+    /// A client disconnected.
     Hangup(Hangup),
 }
 
-/// The instance starts.
+/// Starts an instance.
 #[derive(Deserialize)]
 pub struct Create {
-    /// The seed of its random choices.
+    /// The seed of the instance's random choices.
     pub nonce64: u64,
     /// The settings of the deployment.
     pub boot_info: DeploymentSettings,
@@ -56,25 +56,25 @@
 /// One endpoint of a list.
 #[derive(Deserialize)]
 pub struct Entry {
-    /// 0: ready, 2: gone, 3: draining.
+    /// 0: ready, 2: removed, 3: draining.
     pub state: u8,
-    /// Size in comparison to other endpoints, without unit.
+    /// Size relative to other endpoints, without unit.
     pub power_hint: f64,
     /// The number of its group.
     pub set: u64,
     /// The name of its zone.
     pub site: String,
-    /// When it last started, in milliseconds of the batch clock; 0: long ago.
+    /// When the endpoint last started, in milliseconds of the batch clock. 0 means long ago.
     #[serde(default)]
     pub started_at_ms: f64,
-    /// Its name.
+    /// The name of the endpoint.
     pub host: String,
 }
 
-/// Discovery tells of a list.
+/// Discovery sent an endpoint list, or a call to discovery failed.
 #[derive(Deserialize)]
 pub struct BackendsChanged {
-    /// 0: changes only, 1: the whole list, 2: the whole list as last known, 3: the call failed.
+    /// 0: changes only, 1: the full list, 2: the full list as last known, 3: the call failed.
     pub kind: u8,
     /// The number of the [`Roster`] with the entries.
     #[serde(default)]
@@ -84,36 +84,36 @@
 /// A client's request.
 #[derive(Deserialize)]
 pub struct Demand<'a> {
-    /// Its number.
+    /// The number of the request.
     pub tid: RequestId,
-    /// The name of its workload.
+    /// The name of the request's workload.
     #[serde(borrow)]
     pub priority: Cow<'a, str>,
-    /// Its tenant.
+    /// The tenant, if any.
     #[serde(default, borrow)]
     pub owner: Option<Tenant<'a>>,
-    /// Its session.
+    /// The session, if any.
     #[serde(default)]
     pub key: Option<u64>,
     /// Milliseconds until the client gives up.
     pub budget_ms: f64,
-    /// The number of its group.
+    /// The number of the request's group.
     pub partition_no: u64,
-    /// Milliseconds since the session's last write was committed; 0: none.
+    /// Milliseconds since the session's last write was committed. 0 means that there was no write.
     #[serde(default)]
     pub token_ms: f64,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client flagged the request as a retry.
     #[serde(default)]
     pub resent: bool,
 }
 
-/// A tenant's name; the wire writes 0 where there is none.
+/// The tenant of a request. The wire has the number 0 instead of a name if there is none.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum Tenant<'a> {
-    /// The name.
+    /// The name of the tenant.
     Name(#[serde(borrow)] Cow<'a, str>),
-    /// No tenant, whatever the number.
+    /// No tenant. The number is ignored.
     Nobody(u64),
 }
 
@@ -122,9 +122,9 @@
 pub struct Resolved<'a> {
     /// The number of its request.
     pub tid: RequestId,
-    /// Milliseconds since it was sent.
+    /// Milliseconds since the attempt was sent.
     pub cost_time_ms: f64,
-    /// What the answer tells of the endpoint's role and position; see [`Progress`].
+    /// The endpoint's role and replication position as reported by the answer.
     #[serde(default)]
     pub progress: Progress,
     /// The name of the endpoint.
@@ -141,22 +141,22 @@
     pub pressure: Option<Pressure>,
 }
 
-/// Four times a position plus a role.
+/// A replication position and a role, encoded as four times the position plus the role.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Progress(u64);
 
-/// The role of an endpoint as [`Progress`] has it.
+/// The role of an endpoint as encoded in [`Progress`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgressRole {
-    /// It answered as the primary.
+    /// The endpoint answered as the primary.
     Primary,
-    /// It answered as a replica.
+    /// The endpoint answered as a replica.
     Replica,
 }
 
 impl Progress {
-    /// The role of the endpoint, if it is told.
+    /// Returns the role of the endpoint, if it is reported.
     pub fn role(self) -> Option<ProgressRole> {
         match self.0 % 4 {
             1 => Some(ProgressRole::Primary),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Milliseconds since the time from which positions are counted, if a position is told.
+    /// Returns the replication position in milliseconds since the epoch of positions, if it is reported.
     pub fn position_ms(self) -> Option<u64> {
         Some(self.0 / 4).filter(|position| *position > 0)
     }
@@ -174,13 +174,13 @@
 /// The values of a load report that the router uses.
 #[derive(Deserialize)]
 pub struct Pressure {
-    /// Seconds since the time from which positions are counted.
+    /// The replication position, in seconds since the epoch of positions.
     #[serde(default)]
     pub x0: Option<f64>,
-    /// 1 if the endpoint was the primary.
+    /// The role: 1 if the endpoint was the primary.
     #[serde(default)]
     pub x1: Option<f64>,
-    /// The fraction of its CPU that is busy.
+    /// The fraction of the endpoint's CPU that is busy.
     #[serde(default)]
     pub utilization: Option<f64>,
 }
@@ -199,17 +199,18 @@
     pub pressure: Option<Pressure>,
 }
 
-/// A client went away.
+/// A client disconnected.
 #[derive(Deserialize)]
 pub struct Hangup {
     /// The number of its request.
     pub tid: RequestId,
 }
 
-/// A timer has expired. An instance has only one kind of timer, so its name is required by the wire and not used.
+/// A timer has expired. The wire requires the name, but the adapter does not use it, since an instance has only one kind
+/// of timer.
 #[derive(Deserialize)]
 pub struct Reminder<'a> {
-    /// The name that the instance gave to it.
+    /// The name that the instance gave to the timer.
     #[serde(borrow)]
     pub name: Cow<'a, str>,
 }
--- a/crates/sim-adapter/src/wire/mod.rs
+++ b/crates/sim-adapter/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The simulator's wire: JSON, a batch of events a line in, a reply with actions a line out.
+//! The simulator's JSON protocol, called the wire: each input line is a batch of events, and each output line is a reply
+//! with actions.
 //!
-//! Names of types and methods here are those of the wire where it has one (`Demand`, `say_no`); outside this module the
-//! words of ottersill are used. [`batch`] passes each event on as soon as it is parsed, since a batch may hold megabytes,
-//! and strings are slices of the line.
+//! Types and methods of this module have the names of the wire where it defines one (`Demand`, `say_no`); the other
+//! modules use ottersill's own terms. [`batch`] passes each event on as soon as it is parsed, because a batch may hold
+//! megabytes. Strings are slices of the line.
 
 pub mod batch;
 pub mod event;
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Writes the reply to a batch.
+//! Writing of the reply to a batch.
 
 use std::fmt::Arguments;
 use std::io::Write;
@@ -9,13 +9,13 @@
 const WRITE_TO_VEC_FAILED: &str = "writing to a Vec failed";
 
 /// The reply to one batch, written while the batch is read. Each action is followed by a comma; [`Reply::end_part`]
-/// takes the last one back.
+/// removes the last one.
 #[derive(Default)]
 pub struct Reply {
     bytes: Vec<u8>,
-    /// Where the current part begins, with the comma before it.
+    /// The offset of the current part, including the comma before it.
     part_start: usize,
-    /// Where the actions of the current part begin.
+    /// The offset of the first action of the current part.
     actions_start: usize,
 }
 
@@ -26,7 +26,7 @@
         self.bytes.extend_from_slice(OPENING);
     }
 
-    /// The actions that follow are those of this instance.
+    /// Starts the part with the actions of this instance.
     pub fn begin_part(&mut self, instance: InstanceNumber) {
         self.part_start = self.bytes.len();
         if self.part_start > OPENING.len() {
@@ -36,7 +36,7 @@
         self.actions_start = self.bytes.len();
     }
 
-    /// Ends the part; one without actions is left out.
+    /// Ends the part. A part without actions is omitted.
     pub fn end_part(&mut self) {
         if self.bytes.len() == self.actions_start {
             self.bytes.truncate(self.part_start);
@@ -46,13 +46,13 @@
         }
     }
 
-    /// The whole line, with its end.
+    /// Ends the reply and returns the complete line, including the line end.
     pub fn finish(&mut self) -> &[u8] {
         self.bytes.extend_from_slice(b"]}\n");
         &self.bytes
     }
 
-    /// Sends an attempt, which times out after `timeout_ms` seconds; 0: once the client gives up.
+    /// Sends an attempt that times out after `timeout_seconds`, or when the client gives up if that is 0.
     pub fn forward(&mut self, request: RequestId, endpoint: &str, timeout_seconds: f64) {
         let timeout_ms = milliseconds(timeout_seconds);
         self.write(format_args!(
@@ -62,20 +62,20 @@
         self.end_action();
     }
 
-    /// Final answer: rejected. Nothing has run, and the client may try again after `retry_after` seconds.
+    /// Final answer: the request is rejected. It has not run, and the client may retry after `retry_after_seconds`.
     pub fn say_no(&mut self, request: RequestId, retry_after_seconds: f64) {
         let retry_after_ms = milliseconds(retry_after_seconds);
         self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after_ms}"));
         self.end_action();
     }
 
-    /// Final answer: failed. Nothing is promised about the effect.
+    /// Final answer: the request failed. It may or may not have taken effect.
     pub fn finish_error(&mut self, request: RequestId) {
         self.write(format_args!("{{\"finish_error\":{{\"tid\":{request}"));
         self.end_action();
     }
 
-    /// Stops waiting for the attempt of that number, from 0.
+    /// Cancels the attempt with the given number, counted from 0.
     pub fn call_off(&mut self, request: RequestId, attempt: u32) {
         self.write(format_args!("{{\"call_off\":{{\"tid\":{request},\"trial\":{attempt}"));
         self.end_action();
@@ -88,7 +88,7 @@
         self.end_action();
     }
 
-    /// Sets the instance's timer.
+    /// Sets the instance's timer to expire after `delay_seconds`.
     pub fn notify_me(&mut self, delay_seconds: f64) {
         let delay_ms = milliseconds(delay_seconds);
         self.write(format_args!("{{\"notify_me\":{{\"sleep_for_ms\":{delay_ms},\"name\":\"beat\""));
@@ -101,7 +101,7 @@
         self.end_action();
     }
 
-    /// Adds a line to the simulator's report.
+    /// Adds `text` as a line to the simulator's report.
     pub fn record(&mut self, text: &str) {
         self.write(format_args!("{{\"record\":{{\"what\":"));
         self.write_string(text);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Seconds as milliseconds, rounded to the microsecond that the wire resolves.
+/// Converts seconds to milliseconds, rounded to whole microseconds, the resolution of the wire.
 fn milliseconds(seconds: f64) -> f64 {
     (seconds * 1e6).round() / 1e3
 }
