--- a/crates/config/src/fleet/error.rs
+++ b/crates/config/src/fleet/error.rs
@@ -121,7 +121,7 @@
     #[error("expected at least the number of peers")]
     MemberLimitBelowPeers,
     /// A budget does not say what it limits.
-    #[error("expected what the budget limits")]
+    #[error("the budget does not say what it limits")]
     NoBudgetKind,
     /// Two budgets have the same kind.
     #[error("an earlier budget already limits this")]
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -180,7 +180,7 @@
     "budget[1].of",
     "an earlier budget already limits this"
 )]
-#[case::no_budget_kind("of: PROBES ", "", 21, "budget[1].of", "expected what the budget limits")]
+#[case::no_budget_kind("of: PROBES ", "", 21, "budget[1].of", "the budget does not say what it limits")]
 #[case::peer_without_name(
     "name: \"c\"",
     "name: \"\"",
