--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -1,8 +1,8 @@
-//! One router of the simulation, with the names that the wire has for the indices of routing.
+//! One router of the simulation, with the mapping between names on the wire and indices of routing.
 //!
-//! Routing knows endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] turns the names of
-//! events into indices and hands the events to its [`Router`]; the module `transport` turns the router's decisions back into
-//! actions of the wire.
+//! Routing identifies endpoints, groups, requests, workloads and tenants by small indices. [`Instance`] converts the names
+//! in events to indices and passes the events to its [`Router`]. The module `transport` converts the router's decisions
+//! back to actions of the wire.
 
 mod endpoints;
 mod requests;
@@ -22,24 +22,24 @@
 use crate::wire::reply::Reply;
 use endpoints::EndpointTable;
 use requests::RequestTable;
-use transport::ReplyFront;
+use transport::ReplyTransport;
 
-/// What a list of endpoints covers.
+/// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only entries that changed.
+    /// Only endpoints whose entries changed.
     Changes,
-    /// All endpoints: one that is absent is gone.
-    Whole,
+    /// All endpoints. One that is absent has been removed.
+    Full,
 }
 
-/// One router with its names. Actions go to the reply that each call is lent.
+/// One router and its names. Actions are written to the reply that is passed to each call.
 pub struct Instance {
     router: Router,
     names: Names,
 }
 
-/// Names of the wire on one side, indices of routing on the other.
+/// The mappings between names on the wire and indices of routing.
 struct Names {
     catalog: Catalog,
     endpoints: EndpointTable,
@@ -47,7 +47,7 @@
     requests: RequestTable,
 }
 
-/// The index of each group, in the order in which groups were met.
+/// The index of each group by its number. Indices are assigned in the order in which groups first appear.
 #[derive(Default)]
 struct GroupTable(HashMap<u64, usize>);
 
@@ -59,11 +59,11 @@
 }
 
 impl Instance {
-    /// Starts a router. `now` is the clock of the batch in seconds, here and below.
+    /// Starts a router. Here and below, `now` is the clock time of the batch in seconds.
     ///
     /// # Errors
     ///
-    /// [`EventError::Settings`] if its settings are rejected.
+    /// Returns [`EventError::Settings`] if the settings are rejected.
     pub fn start(now: f64, create: &Create, reply: &mut Reply) -> Result<Instance, EventError> {
         let settings = &create.boot_info;
         let config = settings.routing_config(create.nonce64)?;
@@ -73,15 +73,15 @@
             groups: GroupTable::default(),
             requests: RequestTable::default(),
         };
-        let router = Router::start(now, config, &mut ReplyFront { names: &mut names, reply });
+        let router = Router::start(now, config, &mut ReplyTransport { names: &mut names, reply });
         Ok(Instance { router, names })
     }
 
-    /// Discovery told of endpoints.
+    /// Handles an endpoint list from discovery.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownState`] for an entry with a state that the wire does not define.
+    /// Returns [`EventError::UnknownState`] if an entry has a state that the wire does not define.
     pub fn list_changed(
         &mut self,
         now: f64,
@@ -96,24 +96,25 @@
             let group = |number| groups.index(number);
             changes.push(endpoints.update(entry, &catalog.sites, group)?);
         }
-        if scope == ListScope::Whole {
-            let missing = endpoints.absent_from(&changes, known_before);
-            changes.extend(missing);
+        if scope == ListScope::Full {
+            let absent = endpoints.absent_from(&changes, known_before);
+            changes.extend(absent);
         }
-        self.router.on_endpoint_list(now, &changes, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_endpoint_list(now, &changes, &mut ReplyTransport { names: &mut self.names, reply });
         Ok(())
     }
 
-    /// A call to discovery failed, or the subscription to its list broke.
+    /// Handles a failed call to discovery, or the loss of the subscription to its list.
     pub fn list_failed(&mut self) {
         self.router.on_endpoint_list_failed();
     }
 
-    /// A client's request arrived.
+    /// Handles a client's request.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownWorkload`] or [`EventError::UnknownTenant`] if the settings lack what it names.
+    /// Returns [`EventError::UnknownWorkload`] or [`EventError::UnknownTenant`] if the settings don't have the request's
+    /// workload or tenant.
     pub fn request(&mut self, now: f64, demand: &Demand<'_>, reply: &mut Reply) -> Result<(), EventError> {
         let names = &mut self.names;
         let workload = position(&names.catalog.workloads, &demand.priority)
@@ -125,7 +126,7 @@
             }
             Some(Tenant::Nobody(_)) | None => None,
         };
-        let statement = Request {
+        let routing_request = Request {
             workload,
             group: names.groups.index(demand.partition_no),
             tenant,
@@ -137,16 +138,15 @@
             work: None,
         };
         let index = names.requests.insert(demand.tid);
-        self.router.on_request(now, index, statement, &mut ReplyFront { names, reply });
+        self.router.on_request(now, index, routing_request, &mut ReplyTransport { names, reply });
         Ok(())
     }
 
-    /// An attempt ended. One of a request that this instance was never given is passed over: it ended before the
-    /// instance started.
+    /// Handles the end of an attempt. An attempt of an unknown request is ignored: it ended before this instance started.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    /// Returns [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`] if the event names one.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -166,19 +166,19 @@
             outcome,
             elapsed: resolved.cost_time_ms / 1000.0,
             has_final_answer: resolved.done_flag,
-            observed: names.answer_report(resolved.progress),
+            observed: names.report_of_answer(resolved.progress),
             report: resolved.pressure.as_ref().map(|pressure| names.load_report(pressure)),
         };
-        self.router.on_attempt_result(now, &result, &mut ReplyFront { names, reply });
+        self.router.on_attempt_result(now, &result, &mut ReplyTransport { names, reply });
         self.names.requests.release_if_finished(request);
         Ok(())
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     ///
     /// # Errors
     ///
-    /// [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`].
+    /// Returns [`EventError::UnknownOutcome`] or [`EventError::UnknownEndpoint`] if the event names one.
     pub fn health_check_ended(
         &mut self,
         now: f64,
@@ -190,16 +190,16 @@
         let report =
             result.pressure.as_ref().map_or(LoadReport::default(), |pressure| names.load_report(pressure));
         let outcome = outcome(&result.result)?;
-        self.router.on_health_check(now, endpoint, outcome, report, &mut ReplyFront { names, reply });
+        self.router.on_health_check(now, endpoint, outcome, report, &mut ReplyTransport { names, reply });
         Ok(())
     }
 
-    /// The timer of the router has expired.
+    /// Handles the expiry of the router's timer.
     pub fn timer_expired(&mut self, now: f64, reply: &mut Reply) {
-        self.router.on_tick(now, &mut ReplyFront { names: &mut self.names, reply });
+        self.router.on_tick(now, &mut ReplyTransport { names: &mut self.names, reply });
     }
 
-    /// A client went away. The batch may name a request that was answered a moment ago.
+    /// Handles the disconnection of a client. Its request may already have been answered.
     pub fn client_gone(&mut self, request: RequestId) {
         let requests = &mut self.names.requests;
         let Some(index) = requests.index_of(request) else { return };
@@ -211,10 +211,10 @@
     }
 }
 
-/// Milliseconds of the wire as the seconds of routing; exact up to 2^53.
+/// Converts milliseconds, the unit of the wire, to seconds, the unit of routing. Exact up to 2^53 ms.
 #[expect(clippy::cast_precision_loss, reason = "positions in milliseconds are far below 2^53")]
-fn seconds(ms: u64) -> f64 {
-    ms as f64 / 1000.0
+fn seconds(milliseconds: u64) -> f64 {
+    milliseconds as f64 / 1000.0
 }
 
 impl Names {
@@ -222,20 +222,24 @@
         self.endpoints.index_of(name).ok_or_else(|| EventError::UnknownEndpoint(name.to_string()))
     }
 
-    /// What an answer itself told of its endpoint.
-    fn answer_report(&self, progress: Progress) -> LoadReport {
+    /// Returns what an answer reports about its endpoint.
+    fn report_of_answer(&self, progress: Progress) -> LoadReport {
         let role = progress.role().map(|role| match role {
             ProgressRole::Primary => Role::Primary,
             ProgressRole::Replica => Role::Replica,
         });
         let position = progress.position_ms();
-        LoadReport { role, lsn: position.map(|ms| self.catalog.zero + seconds(ms)), utilization: None }
+        LoadReport {
+            role,
+            lsn: position.map(|ms| self.catalog.lsn_epoch_seconds + seconds(ms)),
+            utilization: None,
+        }
     }
 
     fn load_report(&self, pressure: &Pressure) -> LoadReport {
         LoadReport {
             role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
-            lsn: pressure.x0.map(|x0| self.catalog.zero + x0),
+            lsn: pressure.x0.map(|x0| self.catalog.lsn_epoch_seconds + x0),
             utilization: pressure.utilization,
         }
     }
@@ -245,7 +249,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The outcome of an attempt or of a health check by its name on the wire.
+/// Returns the outcome of an attempt or of a health check by its name on the wire.
 fn outcome(result: &str) -> Result<AttemptOutcome, EventError> {
     Ok(match result {
         "ok" => AttemptOutcome::Completed,
--- a/crates/sim-adapter/src/stdio.rs
+++ b/crates/sim-adapter/src/stdio.rs
@@ -1,15 +1,15 @@
-//! The loop over lines of input and output.
+//! The loop that reads batches and writes replies.
 
 use std::io::{BufRead, Write};
 
 use crate::error::AdapterError;
 use crate::session::Session;
 
-/// Answers each line of `input` with one line on `output`, until the input ends. Each reply is flushed.
+/// Answers each line of `input` with one line on `output` until the input ends. Each reply is flushed.
 ///
 /// # Errors
 ///
-/// [`AdapterError`] for the first line that is not a valid batch, or if a stream fails.
+/// Returns [`AdapterError`] for the first line that is not a valid batch, or if a stream fails.
 pub fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut line = Vec::new();
@@ -20,8 +20,9 @@
             break;
         }
         let text = std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { number, source })?;
-        let reply =
-            session.play(text).map_err(|error| AdapterError::Batch { number, source: Box::new(error) })?;
+        let reply = session
+            .handle_batch(text)
+            .map_err(|error| AdapterError::Batch { number, source: Box::new(error) })?;
         output.write_all(reply).and_then(|()| output.flush()).map_err(AdapterError::Output)?;
     }
     Ok(())
