--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,7 +1,8 @@
-//! Members whose wall clock was stepped back between two starts: their incarnation is smaller than the one that their
-//! peers know. They get their shares again within a lease, and no leases of two lives of one name add up.
+//! Members whose wall clock was stepped back between two starts, so that their incarnation is smaller than the one that
+//! their peers know. They get their shares again within a lease, and the leases of two processes of one name never add
+//! up.
 
-// Not every helper of it is needed here.
+// Not all of its helpers are used here.
 #[allow(dead_code)]
 mod simulation;
 
@@ -11,65 +12,66 @@
 use ottersill_fleet::node::{Event, FleetNode, MemberIdentity};
 use ottersill_fleet::settings::incarnation;
 use rstest::rstest;
-use simulation::{Simulation, seed_count, storm};
+use simulation::{Simulation, run_with_random_faults, seed_count};
 
-/// Five members, of which three vote, with incarnations as of a clock that is right.
-fn settled(floor: u64) -> Simulation {
+/// Runs five members, three of which vote, until their leases have settled. Their incarnations are those of a correct
+/// wall clock.
+fn settled_simulation(floor: u64) -> Simulation {
     let mut simulation = Simulation::new(11, 5, 3, 60, floor);
-    simulation.nodes.iter_mut().for_each(|node| node.appetite = 100.0);
+    simulation.nodes.iter_mut().for_each(|node| node.offered_rate = 100.0);
     (0..5).for_each(|node| simulation.start_as(node, 1_000_000));
     simulation.run(13.0, |_| {});
-    assert!(simulation.sum(0) >= 50, "{}", simulation.sum(0));
+    assert!(simulation.sum_over_members(0) >= 50, "{}", simulation.sum_over_members(0));
     simulation
 }
 
-fn share(simulation: &Simulation, node: usize) -> u64 {
+fn leased_units(simulation: &Simulation, node: usize) -> u64 {
     simulation.leased(node, 0).sum()
 }
 
-/// Guards against: peers that go by the largest incarnation of a name drop all that its next process says, for as long
-/// as they run.
+/// Guards against peers that accept only the largest incarnation of a name, and drop all messages of its next process
+/// for as long as they run.
 #[rstest]
-#[case::a_voter(0, 500_000)]
-#[case::no_voter(4, 500_000)]
-#[case::a_clock_that_was_never_set(4, 1)]
-#[case::a_clock_that_is_right(4, 2_000_000)]
-fn a_member_started_again_after_its_clock_went_back_has_its_share_within_a_lease(
+#[case::voter(0, 500_000)]
+#[case::non_voter(4, 500_000)]
+#[case::clock_never_set(4, 1)]
+#[case::correct_clock(4, 2_000_000)]
+fn a_member_restarted_after_its_clock_was_stepped_back_has_its_share_within_a_lease_and_a_second(
     #[case] node: usize,
     #[case] incarnation: u64,
 ) {
-    let mut simulation = settled(1);
+    let mut simulation = settled_simulation(1);
     simulation.kill(node);
     let until = simulation.time + 0.2;
     simulation.run(until, |_| {});
     simulation.start_as(node, incarnation);
     let lease = simulation.nodes[0].config.lease_seconds;
     simulation.run(until + lease + 1.0, |_| {});
-    let refused: u64 =
+    let outdated: u64 =
         simulation.nodes.iter().filter_map(|n| n.fleet.as_ref()).map(|f| f.counters().outdated).sum();
-    println!("{} units; {refused} datagrams refused as old", share(&simulation, node));
+    println!("{} units; {outdated} datagrams rejected as outdated", leased_units(&simulation, node));
     assert!(
-        share(&simulation, node) >= 5,
-        "{} units; {refused} datagrams refused as old",
-        share(&simulation, node)
+        leased_units(&simulation, node) >= 5,
+        "{} units; {outdated} datagrams rejected as outdated",
+        leased_units(&simulation, node)
     );
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
-/// Guards against: routers that have seen a term of the voters' earlier lives take the new leader's for an older one, as
-/// rounds of election begin anew, and get nothing until they are started again themselves.
+/// Guards against routers that treat the new leader's term as older than a term they have seen before the voters were
+/// restarted, because the rounds of the election start again. They would get no units until they are restarted, too.
 #[rstest]
-#[case::clocks_that_are_right(true, 0)]
-#[case::clocks_that_went_back(false, 0)]
-#[case::after_some_changes_of_leader(true, 2)]
-#[case::after_some_changes_of_leader_and_clocks_went_back(false, 2)]
-fn when_all_voters_start_again_the_others_have_their_shares_again(
-    #[case] forward: bool,
-    #[case] changes: u64,
+#[case::correct_clocks(true, 0)]
+#[case::clocks_stepped_back(false, 0)]
+#[case::leader_changes(true, 2)]
+#[case::leader_changes_and_clocks_stepped_back(false, 2)]
+fn after_a_restart_of_all_voters_every_member_has_its_share_again(
+    #[case] clocks_correct: bool,
+    #[case] leader_changes: u64,
 ) {
-    let mut simulation = settled(0);
-    for change in 0..changes {
-        let leader = simulation.leader().expect("a leader");
+    let mut simulation = settled_simulation(0);
+    for change in 0..leader_changes {
+        let leader = simulation.leader().expect("no member is leader");
         simulation.kill(leader);
         let until = simulation.time + 4.0;
         simulation.run(until, |_| {});
@@ -79,51 +81,59 @@
     (0..3).for_each(|voter| simulation.kill(voter));
     let until = simulation.time + 0.5;
     simulation.run(until, |_| {});
-    (0..3).for_each(|voter| simulation.start_as(voter, if forward { 2_000_000 } else { 1_000 }));
+    (0..3).for_each(|voter| simulation.start_as(voter, if clocks_correct { 2_000_000 } else { 1_000 }));
     simulation.run(until + 8.0, |_| {});
     for router in 0..5 {
-        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
+        assert!(
+            leased_units(&simulation, router) >= 5,
+            "router {router} has {}",
+            leased_units(&simulation, router)
+        );
     }
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
-/// Guards against: leases of two lives of one name that add up, and names that are shut out for good.
+/// Guards against leases of two processes of one name that add up, and against names that never get units again.
 #[test]
-fn no_schedule_of_faults_and_clock_steps_lets_the_sum_exceed_the_total_or_shuts_a_member_out() {
+fn no_schedule_of_faults_and_clock_steps_exceeds_the_total_or_excludes_a_member() {
     for seed in 50_000..50_000 + seed_count(60) {
         let mut simulation = Simulation::new(seed, 5, 3, 40, 1);
-        simulation.wall_clocks_step = true;
-        let mut simulation = storm(simulation, 30.0);
-        // Calm again: each has its share.
+        simulation.random_incarnations = true;
+        let mut simulation = run_with_random_faults(simulation, 30.0);
+        // Without further faults, every member gets its share.
         simulation.cut.iter_mut().flatten().for_each(|cut| *cut = false);
-        simulation.link_faults = simulation::LinkFaults { lost: 0.0, twice: 0.0, delay: 0.002 };
+        simulation.link_faults = simulation::LinkFaults {
+            loss_probability: 0.0,
+            duplicate_probability: 0.0,
+            delay_seconds: 0.002,
+        };
         for node in 0..5 {
             match simulation.nodes[node].fleet.is_some() {
                 true => simulation.resume(node),
                 false => simulation.start(node),
             }
-            simulation.nodes[node].appetite = 60.0;
+            simulation.nodes[node].offered_rate = 60.0;
         }
         simulation.run(45.0, |_| {});
         simulation.assert_within_total(seed);
-        let shares: Vec<u64> = (0..5).map(|node| share(&simulation, node)).collect();
+        let shares: Vec<u64> = (0..5).map(|node| leased_units(&simulation, node)).collect();
         assert!(shares.iter().all(|share| *share >= 3), "seed {seed}: {shares:?}");
     }
 }
 
-/// Guards against: one incarnation for two processes, whose leases the leader would count as one's. A clock that is
-/// stepped back shows the same time twice, and one before 1970 shows none.
+/// Guards against two processes with the same incarnation, whose leases the leader would count as those of one process.
+/// A clock that is stepped back shows the same time twice, and a clock before 1970 gives no time.
 #[test]
-fn two_starts_at_one_reading_of_the_clock_are_two_processes() {
+fn two_starts_at_the_same_wall_clock_time_get_different_incarnations() {
     let now = Duration::from_micros(1_764_672_000_123_456);
     assert_ne!(incarnation(Some(now), 1), incarnation(Some(now), 2));
     assert_ne!(incarnation(None, 1), incarnation(None, 2));
-    // Where the clock is right, a later start has the larger one, from a tenth of a second on.
+    // If the clock is correct, a process that starts at least 100 ms later has the larger incarnation.
     let later = now + Duration::from_millis(100);
     assert!(incarnation(Some(now), u64::MAX) < incarnation(Some(later), 0));
 }
 
-/// One member and what it sends, by hand.
+/// Starts a member of a fleet with three voters, whose datagrams the test delivers itself.
 fn member(name: &str, incarnation: u64) -> FleetNode {
     member_of(name, incarnation, 3)
 }
@@ -141,7 +151,7 @@
     FleetNode::start(0.0, config, identity)
 }
 
-/// All that `from` sends to `to`, delivered.
+/// Ticks `from` and delivers all datagrams that it sends to `to`. Returns their number.
 fn deliver(now: f64, from: &mut FleetNode, to: &mut FleetNode) -> usize {
     from.tick(now);
     let mut outgoing = from.take_datagrams();
@@ -150,17 +160,18 @@
     outgoing.len()
 }
 
-fn raised(member: &mut FleetNode) -> usize {
+/// Returns how many times `member` has raised its incarnation since its events were last taken.
+fn raise_count(member: &mut FleetNode) -> usize {
     member.take_events().iter().filter(|event| matches!(event, Event::IncarnationRaised { .. })).count()
 }
 
-/// What `from` wants sent to `to` now, without a tick.
-fn pending(from: &mut FleetNode, to: &FleetNode) -> Vec<Vec<u8>> {
+/// Takes the datagrams that `from` sends to `to`, without a tick.
+fn pending_datagrams(from: &mut FleetNode, to: &FleetNode) -> Vec<Vec<u8>> {
     let to = &to.process().name;
     from.take_datagrams().into_iter().filter(|sent| sent.to == *to).map(|sent| sent.bytes).collect()
 }
 
-/// Guards against: two processes that learn of the same earlier one and take the same incarnation.
+/// Guards against two processes that learn of the same earlier process and take the same incarnation.
 #[test]
 fn two_processes_that_learn_of_the_same_earlier_one_take_different_incarnations() {
     let raised_to = |incarnation: u64| {
@@ -175,26 +186,26 @@
     assert!(one > 2_000 && other > 2_000 && one != other, "{one} and {other}");
 }
 
-/// Guards against: two members of which each knows a later process of the other's name. Neither would hear the other's
-/// answer, or both would answer answers for ever.
+/// Two members each know a later process of the other's name. Guards against both ignoring the other's answer, and
+/// against both answering each other's answers endlessly.
 #[test]
-fn members_that_each_know_a_later_process_of_the_other_learn_and_end_it() {
+fn members_that_each_know_a_later_process_of_the_other_both_raise_their_incarnation() {
     let (mut earlier_one, mut earlier_other) = (member("r0", 5_000), member("r1", 5_000));
     let (mut one, mut other) = (member("r0", 4_000), member("r1", 4_000));
-    // Datagrams of the earlier processes come late.
+    // Delayed datagrams of the earlier processes arrive.
     deliver(0.0, &mut earlier_one, &mut other);
     deliver(0.0, &mut earlier_other, &mut one);
-    // What they send to the earlier processes is lost.
+    // The datagrams to the earlier processes are lost.
     let _ = (one.take_datagrams(), other.take_datagrams());
-    // Only one of them ticks, so all that the other sends is answers.
+    // Only one of them ticks, so the other sends only answers.
     for step in 0..20 {
         if one.process().incarnation > 5_000 {
             break;
         }
         deliver(0.1 * f64::from(step), &mut one, &mut other);
-        for answer in pending(&mut other, &one) {
+        for answer in pending_datagrams(&mut other, &one) {
             one.handle_datagram(0.1 * f64::from(step), &answer);
-            assert!(pending(&mut one, &other).is_empty(), "an answer to an answer");
+            assert!(pending_datagrams(&mut one, &other).is_empty(), "an answer was answered");
         }
     }
     assert!(one.process().incarnation > 5_000);
@@ -205,10 +216,10 @@
     assert!(other.process().incarnation > 5_000);
 }
 
-/// Guards against: a process that has long been in use and shuts out the one that was started after it, which peers
-/// would then hear in turns.
+/// Guards against a process that has been in use for a long time and takes precedence over one that started later.
+/// Peers would then accept the two alternately.
 #[test]
-fn a_process_that_has_run_for_long_stands_back_for_one_that_started_later() {
+fn a_long_running_process_is_superseded_by_one_that_started_later() {
     let mut leader = member_of("r0", 5, 1);
     let mut first = member_of("r9", 2_000, 1);
     let mut time = 0.0;
@@ -222,21 +233,24 @@
         }
     };
     run(3.0, &mut time, &mut leader, &mut [&mut first]);
-    assert!(leader.is_leader(time) && first.leader() == Some("r0"), "it was answered");
+    assert!(
+        leader.is_leader(time) && first.leader() == Some("r0"),
+        "the first process got no answer from a leader"
+    );
     time = 70.0;
     run(73.0, &mut time, &mut leader, &mut [&mut first]);
-    // On a clock that is behind the first one's.
+    // The clock of the second process is behind that of the first.
     let mut second = member_of("r9", 10, 1);
     run(76.0, &mut time, &mut leader, &mut [&mut first, &mut second]);
     assert!(second.process().incarnation > 2_000);
     assert_eq!(first.process().incarnation, 2_000);
-    let stood_back = first.take_events().iter().filter(|e| matches!(e, Event::Superseded { .. })).count();
-    assert_eq!(stood_back, 1, "and says so once");
+    let supersessions = first.take_events().iter().filter(|e| matches!(e, Event::Superseded { .. })).count();
+    assert_eq!(supersessions, 1, "it is reported once");
 }
 
-/// Guards against: a leader that goes on in its term as another process, with an empty ledger.
+/// Guards against a leader that takes another incarnation and continues its term with an empty ledger.
 #[test]
-fn a_candidate_that_goes_on_as_another_process_is_not_leader() {
+fn a_candidate_restarted_with_another_incarnation_is_not_leader() {
     let mut candidate = Candidate::start(0.0, 0, 1_000, 3, 1.0, 0.0);
     let Some(CandidateRequest::Prepare(ballot)) = candidate.tick(0.0, false) else { panic!("no ballot") };
     let promise = VoterReply::Promised { held: false };
@@ -248,19 +262,23 @@
     assert_eq!(candidate.term(0.1), Some(ballot));
     candidate.restart_as(2_000);
     assert_eq!(candidate.term(0.1), None);
-    let late = candidate.handle_reply(0.1, 2, ballot, VoterReply::Granted);
-    assert_eq!((late, candidate.term(0.1)), (None, None), "a late reply to the earlier process");
-    let again = candidate.tick(1.0, false);
+    let request = candidate.handle_reply(0.1, 2, ballot, VoterReply::Granted);
+    assert_eq!(
+        (request, candidate.term(0.1)),
+        (None, None),
+        "a delayed reply to the earlier process is used"
+    );
+    let next_request = candidate.tick(1.0, false);
     assert!(
-        matches!(again, Some(CandidateRequest::Prepare(next)) if next > ballot && next.incarnation == 2_000)
+        matches!(next_request, Some(CandidateRequest::Prepare(next)) if next > ballot && next.incarnation == 2_000)
     );
 }
 
-/// Guards against: grants of two ledgers in one term. The leader learns of a larger incarnation of its name from a voter
-/// that was cut off, long after it was elected by others that knew of none.
+/// Guards against grants of two ledgers in one term. A partitioned voter knows a larger incarnation of the leader's
+/// name, and the leader learns of it from this voter long after its election by others that did not know it.
 #[test]
-fn a_leader_that_learns_of_its_earlier_process_ends_its_term_and_all_have_their_shares_again() {
-    let mut simulation = settled(0);
+fn a_leader_that_learns_of_its_earlier_process_ends_its_term_and_all_members_have_their_shares_again() {
+    let mut simulation = settled_simulation(0);
     let cut = |simulation: &mut Simulation, cut: bool| {
         for other in [0, 1, 3, 4] {
             (simulation.cut[2][other], simulation.cut[other][2]) = (cut, cut);
@@ -273,28 +291,32 @@
     [0, 1].into_iter().for_each(|node| simulation.start_as(node, 1_000));
     [3, 4].into_iter().for_each(|node| simulation.start_as(node, 2_000_000));
     simulation.run(until + 8.0, |_| {});
-    let leader = simulation.leader().expect("a leader");
+    let leader = simulation.leader().expect("no member is leader");
     let incarnation = |simulation: &Simulation| {
-        let fleet = simulation.nodes[leader].fleet.as_ref().expect("a node");
+        let fleet = simulation.nodes[leader].fleet.as_ref().expect("leader is not running");
         fleet.process().incarnation
     };
     assert_eq!(incarnation(&simulation), 1_000);
-    assert!(share(&simulation, 4) >= 5);
+    assert!(leased_units(&simulation, 4) >= 5);
     cut(&mut simulation, false);
     simulation.run(until + 16.0, |_| {});
     assert!(incarnation(&simulation) > 1_000_000);
     for router in 0..5 {
-        assert!(share(&simulation, router) >= 5, "router {router} has {}", share(&simulation, router));
+        assert!(
+            leased_units(&simulation, router) >= 5,
+            "router {router} has {}",
+            leased_units(&simulation, router)
+        );
     }
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations.first());
 }
 
-/// Guards against: two processes of one name that go on outbidding each other, or a process that has run for long and
-/// shuts out the one that followed it.
+/// Guards against two processes of one name that raise their incarnations endlessly, and against a process that has run
+/// for a long time and takes precedence over one that started later.
 #[test]
-fn of_two_processes_of_one_name_the_later_start_counts_and_neither_outbids_for_ever() {
+fn of_two_processes_of_one_name_the_later_start_prevails_and_raises_are_bounded() {
     let (mut peer, mut first, mut second) = (member("r0", 5), member("r9", 2_000), member("r9", 1_000));
-    // Ten seconds of both, started together: their duel ends.
+    // Two processes that started together run for ten seconds, in which they stop raising their incarnations.
     for step in 0..100 {
         let now = f64::from(step) * 0.1;
         for process in [&mut first, &mut second] {
@@ -302,10 +324,10 @@
             deliver(now, &mut peer, process);
         }
     }
-    let duel = raised(&mut first) + raised(&mut second);
-    assert!((1..=16).contains(&duel), "{duel} times");
-    // A third is started two minutes later, on a clock that is behind; it has its way at once.
-    let last = first.process().incarnation.max(second.process().incarnation);
+    let raises = raise_count(&mut first) + raise_count(&mut second);
+    assert!((1..=16).contains(&raises), "{raises} raises");
+    // A third process starts two minutes later with a clock that is behind. It takes precedence after one raise.
+    let largest = first.process().incarnation.max(second.process().incarnation);
     let mut third = member("r9", 10);
     for step in 0..20 {
         let now = 120.0 + f64::from(step) * 0.1;
@@ -314,25 +336,29 @@
             deliver(now, &mut peer, process);
         }
     }
-    assert_eq!(raised(&mut third), 1);
-    assert!(third.process().incarnation > last);
-    let late = raised(&mut first) + raised(&mut second);
-    assert_eq!(late, 0, "those that have run for long stand back");
+    assert_eq!(raise_count(&mut third), 1);
+    assert!(third.process().incarnation > largest);
+    let raises = raise_count(&mut first) + raise_count(&mut second);
+    assert_eq!(raises, 0, "a long-running process raised its incarnation");
 }
 
-/// Guards against: two members that each know a later process of the other's name, and answer each other's answers.
+/// Guards against two members that each know a later process of the other's name and answer each other's answers
+/// endlessly.
 #[test]
-fn two_members_that_both_went_back_do_not_answer_each_other_for_ever() {
+fn two_members_with_smaller_incarnations_do_not_answer_each_other_endlessly() {
     let (mut one, mut other) = (member("r0", 5_000), member("r1", 5_000));
     deliver(0.0, &mut one, &mut other);
     deliver(0.0, &mut other, &mut one);
-    // Both are started anew with smaller incarnations, and hear each other's earlier lives' peers at once.
-    let (mut late_one, mut late_other) = (member("r0", 4_000), member("r1", 4_000));
+    // Both are restarted with smaller incarnations. Each exchanges datagrams with the other's earlier process, which
+    // knows its larger incarnation.
+    let (mut restarted_one, mut restarted_other) = (member("r0", 4_000), member("r1", 4_000));
     let mut datagrams = 0;
     for _ in 0..50 {
-        datagrams += deliver(0.0, &mut late_one, &mut other) + deliver(0.0, &mut late_other, &mut one);
-        datagrams += deliver(0.0, &mut other, &mut late_one) + deliver(0.0, &mut one, &mut late_other);
+        datagrams +=
+            deliver(0.0, &mut restarted_one, &mut other) + deliver(0.0, &mut restarted_other, &mut one);
+        datagrams +=
+            deliver(0.0, &mut other, &mut restarted_one) + deliver(0.0, &mut one, &mut restarted_other);
     }
-    assert!(datagrams < 60, "{datagrams} in an instant");
-    assert_eq!((raised(&mut late_one), raised(&mut late_other)), (1, 1));
+    assert!(datagrams < 60, "{datagrams} datagrams without time passing");
+    assert_eq!((raise_count(&mut restarted_one), raise_count(&mut restarted_other)), (1, 1));
 }
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Many members in one process, on a true time that only the simulation knows: clocks that run at different rates,
-//! datagrams that come late, twice, out of order or never, members that are suspended, killed and started again. After
-//! each step the sum of what all may spend is held against the total.
+//! Simulates a fleet of members in one process. The simulation keeps the true time; the members' clocks run at
+//! different rates. Datagrams may be delayed, duplicated, reordered or lost, and members may be suspended, killed and
+//! restarted. After each step, the units that all members may spend are compared with the total.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-pub const RATE: &str = "probes";
-pub const CONCURRENCY: &str = "executions";
-pub const HOLD: f64 = 0.5;
-pub const EVERY: f64 = 1.0;
+pub const RATE_BUDGET: &str = "probes";
+pub const CONCURRENCY_BUDGET: &str = "executions";
+pub const HOLD_SECONDS: f64 = 0.5;
+pub const REFILL_SECONDS: f64 = 1.0;
 
-/// Indices of the two budgets.
+/// Indices of the two budgets in the configuration.
 const RATE_INDEX: usize = 0;
 const CONCURRENCY_INDEX: usize = 1;
 
@@ -30,8 +30,13 @@
         max_clock_drift: 0.02,
         max_members,
         budgets: vec![
-            Budget::new(RATE, LimitKind::Rate { refill_seconds: EVERY }, total, floor),
-            Budget::new(CONCURRENCY, LimitKind::Concurrency { hold_seconds: HOLD }, total, floor),
+            Budget::new(RATE_BUDGET, LimitKind::Rate { refill_seconds: REFILL_SECONDS }, total, floor),
+            Budget::new(
+                CONCURRENCY_BUDGET,
+                LimitKind::Concurrency { hold_seconds: HOLD_SECONDS },
+                total,
+                floor,
+            ),
         ],
     }
 }
@@ -40,12 +45,12 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + index as u16))
 }
 
-/// As many seeds as `OTTERSILL_SEEDS` says, or the number given.
-pub fn seed_count(usual: u64) -> u64 {
-    std::env::var("OTTERSILL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// Returns the number of seeds from `OTTERSILL_SEEDS`, or `default_count` if that is not set.
+pub fn seed_count(default_count: u64) -> u64 {
+    std::env::var("OTTERSILL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(default_count)
 }
 
-/// The first members, which are the voters.
+/// Returns the voters, which are the first members.
 pub fn voter_peers(voters: usize) -> Vec<Peer> {
     (0..voters).map(|voter| Peer { name: format!("r{voter}"), address: address(voter) }).collect()
 }
@@ -54,15 +59,16 @@
     pub fleet: Option<FleetNode>,
     pub config: FleetConfig,
     starts: u64,
-    /// Its clock is at `offset + rate * true time`.
-    rate: f64,
-    offset: f64,
+    /// The node's clock shows `clock_offset + clock_rate * true time`, in seconds.
+    clock_rate: f64,
+    clock_offset: f64,
     pub suspended: bool,
-    /// What came while it was suspended.
-    waiting: Vec<Vec<u8>>,
-    /// Operations that it would like to begin in a second.
-    pub appetite: f64,
-    owed: f64,
+    /// Datagrams that arrived while the node was suspended.
+    queued_datagrams: Vec<Vec<u8>>,
+    /// Operations per second that the node attempts to begin.
+    pub offered_rate: f64,
+    /// Operations that are due but have not been attempted yet.
+    due_operations: f64,
 }
 
 impl Node {
@@ -73,16 +79,18 @@
 
 #[derive(Debug, PartialEq)]
 enum Action {
-    Arrives(usize, Vec<u8>),
-    Wakes(usize),
-    /// An operation of that start of that node ends.
-    Ends(usize, u64),
+    DatagramArrives(usize, Vec<u8>),
+    TimerFires(usize),
+    /// An operation of this node ends, which began after this number of starts of the node.
+    OperationEnds(usize, u64),
 }
 
 #[derive(Debug, PartialEq)]
 struct Scheduled {
+    /// True time in seconds.
     at: f64,
-    number: u64,
+    /// Order of actions that are scheduled for the same time.
+    sequence: u64,
     action: Action,
 }
 
@@ -96,61 +104,61 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
-        other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
+        other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkFaults {
-    /// Probabilities.
-    pub lost: f64,
-    pub twice: f64,
-    /// Mean seconds on the way; one in twenty takes thirty times as long.
-    pub delay: f64,
+    pub loss_probability: f64,
+    pub duplicate_probability: f64,
+    /// Mean delay of a datagram in seconds; one in twenty takes thirty times as long.
+    pub delay_seconds: f64,
 }
 
 pub struct Simulation {
     pub nodes: Vec<Node>,
+    /// True time in seconds.
     pub time: f64,
     pub rng: SmallRng,
     pub link_faults: LinkFaults,
-    /// From whom to whom nothing comes through.
+    /// `cut[from][to]` says whether all datagrams from member `from` to member `to` are dropped.
     pub cut: Vec<Vec<bool>>,
     scheduled: BinaryHeap<Scheduled>,
-    count: u64,
-    /// Operations in flight anywhere, those of the dead among them.
+    scheduled_count: u64,
+    /// Operations in flight at all members, including those of killed members.
     pub in_flight: u64,
-    /// Times of what was spent of the rate.
-    pub spent: Vec<f64>,
-    /// The highest sum, as a part of the total.
-    pub highest: f64,
-    pub most_in_flight: u64,
+    /// When each unit of the rate budget was acquired, in seconds of true time.
+    pub rate_acquired_at: Vec<f64>,
+    /// The highest sum over all members so far, as a fraction of the total.
+    pub highest_sum_fraction: f64,
+    pub max_in_flight: u64,
     pub violations: Vec<String>,
     pub total: u64,
-    pub acquired: BTreeMap<usize, u64>,
-    /// Incarnations come in any order, as from wall clocks that are stepped between two starts.
-    pub wall_clocks_step: bool,
+    pub rate_units_acquired: BTreeMap<usize, u64>,
+    /// Whether each start gets a random incarnation, as with a wall clock that is stepped between starts.
+    pub random_incarnations: bool,
 }
 
 impl Simulation {
     pub fn new(seed: u64, nodes: usize, voters: usize, total: u64, floor: u64) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let members = 2 * nodes as u64;
+        let max_members = 2 * nodes as u64;
         let nodes = (0..nodes).map(|index| {
-            let config = config(&format!("r{index}"), voters, total, floor, members);
-            let rate = rng.random_range(1.0 - config.max_clock_drift..1.0 + config.max_clock_drift);
-            let offset = rng.random_range(0.0..100.0);
-            let appetite = rng.random_range(0.0..total as f64);
+            let config = config(&format!("r{index}"), voters, total, floor, max_members);
+            let clock_rate = rng.random_range(1.0 - config.max_clock_drift..1.0 + config.max_clock_drift);
+            let clock_offset = rng.random_range(0.0..100.0);
+            let offered_rate = rng.random_range(0.0..total as f64);
             Node {
                 fleet: None,
                 config,
                 starts: 0,
-                rate,
-                offset,
+                clock_rate,
+                clock_offset,
                 suspended: false,
-                waiting: Vec::new(),
-                appetite,
-                owed: 0.0,
+                queued_datagrams: Vec::new(),
+                offered_rate,
+                due_operations: 0.0,
             }
         });
         let nodes: Vec<Node> = nodes.collect();
@@ -159,42 +167,46 @@
             nodes,
             time: 0.0,
             rng,
-            link_faults: LinkFaults { lost: 0.0, twice: 0.0, delay: 0.002 },
+            link_faults: LinkFaults {
+                loss_probability: 0.0,
+                duplicate_probability: 0.0,
+                delay_seconds: 0.002,
+            },
             cut,
             scheduled: BinaryHeap::new(),
-            count: 0,
+            scheduled_count: 0,
             in_flight: 0,
-            spent: Vec::new(),
-            highest: 0.0,
-            most_in_flight: 0,
+            rate_acquired_at: Vec::new(),
+            highest_sum_fraction: 0.0,
+            max_in_flight: 0,
             violations: Vec::new(),
             total,
-            acquired: BTreeMap::new(),
-            wall_clocks_step: false,
+            rate_units_acquired: BTreeMap::new(),
+            random_incarnations: false,
         }
     }
 
     pub fn clock(&self, node: usize) -> f64 {
-        self.nodes[node].offset + self.nodes[node].rate * self.time
+        self.nodes[node].clock_offset + self.nodes[node].clock_rate * self.time
     }
 
-    /// Its clock runs at so much of its rate from now on.
-    pub fn slow_down(&mut self, node: usize, by: f64) {
+    /// Multiplies the rate of the node's clock by `factor` from now on.
+    pub fn scale_clock_rate(&mut self, node: usize, factor: f64) {
         let now = self.clock(node);
-        let at = &mut self.nodes[node];
-        at.rate *= by;
-        at.offset = now - at.rate * self.time;
+        let node = &mut self.nodes[node];
+        node.clock_rate *= factor;
+        node.clock_offset = now - node.clock_rate * self.time;
     }
 
     fn schedule(&mut self, at: f64, action: Action) {
-        self.count += 1;
-        self.scheduled.push(Scheduled { at, number: self.count, action });
+        self.scheduled_count += 1;
+        self.scheduled.push(Scheduled { at, sequence: self.scheduled_count, action });
     }
 
-    /// Starts it, or starts it again with nothing in memory. Each start has a larger incarnation than those before,
-    /// unless wall clocks are stepped.
+    /// Starts the node, or restarts it without its state. Each start has a larger incarnation than the previous ones,
+    /// unless incarnations are random.
     pub fn start(&mut self, node: usize) {
-        let incarnation = if self.wall_clocks_step {
+        let incarnation = if self.random_incarnations {
             self.rng.random_range(1..u64::from(u32::MAX))
         } else {
             self.nodes[node].starts + 1
@@ -202,7 +214,7 @@
         self.start_as(node, incarnation);
     }
 
-    /// The same with an incarnation of the test's choice: what a wall clock says that may have been stepped.
+    /// Starts or restarts the node with the given incarnation, as from a wall clock that may have been stepped.
     pub fn start_as(&mut self, node: usize, incarnation: u64) {
         let now = self.clock(node);
         let voters = self.nodes[node].config.voters.len();
@@ -214,9 +226,9 @@
         let config = self.nodes[node].config.clone();
         let new = &mut self.nodes[node];
         new.fleet = Some(FleetNode::start(now, config, identity));
-        (new.suspended, new.waiting) = (false, Vec::new());
+        (new.suspended, new.queued_datagrams) = (false, Vec::new());
         self.send_from(node);
-        self.schedule(self.time, Action::Wakes(node));
+        self.schedule(self.time, Action::TimerFires(node));
     }
 
     pub fn start_all(&mut self) {
@@ -231,16 +243,16 @@
         self.nodes[node].suspended = true;
     }
 
-    /// It goes on where it was, and reads what came meanwhile.
+    /// Resumes a suspended node, which first handles the datagrams that arrived meanwhile.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].suspended = false;
-        for datagram in std::mem::take(&mut self.nodes[node].waiting) {
-            self.arrive(node, &datagram);
+        for datagram in std::mem::take(&mut self.nodes[node].queued_datagrams) {
+            self.deliver(node, &datagram);
         }
-        self.schedule(self.time, Action::Wakes(node));
+        self.schedule(self.time, Action::TimerFires(node));
     }
 
-    /// Leaves as on SIGTERM, and ends.
+    /// Lets the node leave the fleet and stop, as on SIGTERM.
     pub fn leave(&mut self, node: usize) {
         let now = self.clock(node);
         if let Some(fleet) = self.nodes[node].fleet.as_mut() {
@@ -250,7 +262,7 @@
         self.kill(node);
     }
 
-    /// The node that is leader by its own clock.
+    /// Returns the first node that is leader by its own clock.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|node| {
             let now = self.clock(*node);
@@ -258,7 +270,7 @@
         })
     }
 
-    fn arrive(&mut self, node: usize, datagram: &[u8]) {
+    fn deliver(&mut self, node: usize, datagram: &[u8]) {
         let now = self.clock(node);
         if let Some(fleet) = self.nodes[node].fleet.as_mut() {
             fleet.handle_datagram(now, datagram);
@@ -266,63 +278,64 @@
         }
     }
 
-    /// Sends what it wants sent.
+    /// Takes the node's outgoing datagrams and schedules their arrival, with the link faults applied.
     fn send_from(&mut self, node: usize) {
         let Some(fleet) = self.nodes[node].fleet.as_mut() else {
             return;
         };
         fleet.take_events();
         for datagram in fleet.take_datagrams() {
-            let to: usize = datagram.to[1..].parse().expect("a number");
-            let twice = self.rng.random_bool(self.link_faults.twice);
-            for _ in 0..1 + usize::from(twice) {
-                if self.cut[node][to] || self.rng.random_bool(self.link_faults.lost) {
+            let to: usize = datagram.to[1..].parse().expect("member name has no number");
+            let duplicated = self.rng.random_bool(self.link_faults.duplicate_probability);
+            for _ in 0..1 + usize::from(duplicated) {
+                if self.cut[node][to] || self.rng.random_bool(self.link_faults.loss_probability) {
                     continue;
                 }
-                let slow = if self.rng.random_bool(0.05) { 30.0 } else { 1.0 };
-                let delay = self.link_faults.delay * slow * self.rng.random_range(0.1..2.0);
-                self.schedule(self.time + delay, Action::Arrives(to, datagram.bytes.clone()));
+                let delay_factor = if self.rng.random_bool(0.05) { 30.0 } else { 1.0 };
+                let delay = self.link_faults.delay_seconds * delay_factor * self.rng.random_range(0.1..2.0);
+                self.schedule(self.time + delay, Action::DatagramArrives(to, datagram.bytes.clone()));
             }
         }
     }
 
-    /// Goes on until that time; `each` is called every tenth of a second.
+    /// Runs the simulation until that true time in seconds; `each` is called every tenth of a second.
     pub fn run(&mut self, until: f64, mut each: impl FnMut(&mut Simulation)) {
-        let mut next = self.time;
+        let mut next_step_at = self.time;
         while self.time < until {
             let at = self.scheduled.peek().map_or(f64::INFINITY, |scheduled| scheduled.at);
-            if next <= at {
-                self.time = self.time.max(next);
-                next += 0.02;
-                self.traffic(0.02);
-                if (next * 50.0).round() as u64 % 5 == 0 {
+            if next_step_at <= at {
+                self.time = self.time.max(next_step_at);
+                next_step_at += 0.02;
+                self.generate_traffic(0.02);
+                if (next_step_at * 50.0).round() as u64 % 5 == 0 {
                     each(self);
                 }
-                self.check();
+                self.check_invariants();
                 continue;
             }
             let Some(Scheduled { at, action, .. }) = self.scheduled.pop() else {
                 continue;
             };
             self.time = self.time.max(at);
-            self.act(action);
-            // Checked after each step where that can be afforded, else fifty times a second.
+            self.perform(action);
+            // Large fleets are checked only fifty times per second, because a check after each step takes too long.
             if self.nodes.len() < 20 {
-                self.check();
+                self.check_invariants();
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Arrives(node, datagram) if self.nodes[node].suspended => {
-                self.nodes[node].waiting.push(datagram);
+            Action::DatagramArrives(node, datagram) if self.nodes[node].suspended => {
+                self.nodes[node].queued_datagrams.push(datagram);
             }
-            Action::Arrives(node, datagram) => self.arrive(node, &datagram),
-            Action::Wakes(node) => self.wake(node),
-            Action::Ends(node, starts) => {
+            Action::DatagramArrives(node, datagram) => self.deliver(node, &datagram),
+            Action::TimerFires(node) => self.fire_timer(node),
+            Action::OperationEnds(node, starts) => {
                 self.in_flight -= 1;
-                // A suspended router learns of the end once it goes on; sooner does no harm to the sum.
+                // A suspended router would learn of the end only after it resumes. An earlier release does not raise
+                // the sum.
                 let now = self.clock(node);
                 let key = self.nodes[node].key(CONCURRENCY_INDEX);
                 if self.nodes[node].starts == starts {
@@ -334,7 +347,7 @@
         }
     }
 
-    fn wake(&mut self, node: usize) {
+    fn fire_timer(&mut self, node: usize) {
         let now = self.clock(node);
         if self.nodes[node].suspended {
             return;
@@ -342,54 +355,54 @@
         let Some(fleet) = self.nodes[node].fleet.as_mut() else {
             return;
         };
-        let next = fleet.next_timeout();
-        if next <= now {
+        let due_at = fleet.next_timeout();
+        if due_at <= now {
             fleet.tick(now);
             self.send_from(node);
         }
         let Some(fleet) = self.nodes[node].fleet.as_ref() else {
             return;
         };
-        let ahead = ((fleet.next_timeout() - now) / self.nodes[node].rate).clamp(0.0005, 0.02);
-        self.schedule(self.time + ahead, Action::Wakes(node));
+        let delay = ((fleet.next_timeout() - now) / self.nodes[node].clock_rate).clamp(0.0005, 0.02);
+        self.schedule(self.time + delay, Action::TimerFires(node));
     }
 
-    fn traffic(&mut self, span: f64) {
+    fn generate_traffic(&mut self, seconds: f64) {
         for node in 0..self.nodes.len() {
             let now = self.clock(node);
-            let at = &mut self.nodes[node];
-            if at.suspended || at.fleet.is_none() {
+            let state = &mut self.nodes[node];
+            if state.suspended || state.fleet.is_none() {
                 continue;
             }
-            at.owed += at.appetite * span;
-            let starts = at.starts;
-            let (rate, concurrency) = (at.key(RATE_INDEX), at.key(CONCURRENCY_INDEX));
-            while self.nodes[node].owed >= 1.0 {
-                self.nodes[node].owed -= 1.0;
+            state.due_operations += state.offered_rate * seconds;
+            let starts = state.starts;
+            let (rate, concurrency) = (state.key(RATE_INDEX), state.key(CONCURRENCY_INDEX));
+            while self.nodes[node].due_operations >= 1.0 {
+                self.nodes[node].due_operations -= 1.0;
                 let Some(fleet) = self.nodes[node].fleet.as_mut() else {
                     break;
                 };
                 if fleet.acquire(now, rate) {
-                    self.spent.push(self.time);
-                    *self.acquired.entry(node).or_default() += 1;
+                    self.rate_acquired_at.push(self.time);
+                    *self.rate_units_acquired.entry(node).or_default() += 1;
                 }
                 let Some(fleet) = self.nodes[node].fleet.as_mut() else {
                     break;
                 };
                 if fleet.acquire(now, concurrency) {
                     self.in_flight += 1;
-                    let ends = self.time + self.rng.random_range(0.01..HOLD * 0.95);
-                    self.schedule(ends, Action::Ends(node, starts));
+                    let ends_at = self.time + self.rng.random_range(0.01..HOLD_SECONDS * 0.95);
+                    self.schedule(ends_at, Action::OperationEnds(node, starts));
                 }
             }
         }
     }
 
-    /// Units that all may have in use of that budget now: leases, and what is in use beyond them.
-    pub fn sum(&mut self, budget: usize) -> u64 {
+    /// Returns the units of a budget that all members may have in use now: their leases, and units in use beyond them.
+    pub fn sum_over_members(&mut self, budget: usize) -> u64 {
         let time = self.time;
         let alive = self.nodes.iter_mut().filter_map(|node| {
-            let now = node.offset + node.rate * time;
+            let now = node.clock_offset + node.clock_rate * time;
             let key = node.key(budget);
             let fleet = node.fleet.as_mut()?;
             let spendable = fleet.spendable(now, key);
@@ -398,69 +411,75 @@
         alive.sum()
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         for budget in [RATE_INDEX, CONCURRENCY_INDEX] {
-            let sum = self.sum(budget);
-            self.highest = self.highest.max(sum as f64 / self.total as f64);
+            let sum = self.sum_over_members(budget);
+            self.highest_sum_fraction = self.highest_sum_fraction.max(sum as f64 / self.total as f64);
             if sum > self.total {
                 self.violations
-                    .push(format!("at {:.3}: {sum} of {} of budget {budget}", self.time, self.total));
+                    .push(format!("at {:.3} s: {sum} of {} units of budget {budget}", self.time, self.total));
             }
         }
-        self.most_in_flight = self.most_in_flight.max(self.in_flight);
+        self.max_in_flight = self.max_in_flight.max(self.in_flight);
         if self.in_flight > self.total {
-            self.violations
-                .push(format!("at {:.3}: {} in flight of {}", self.time, self.in_flight, self.total));
+            self.violations.push(format!(
+                "at {:.3} s: {} operations in flight of {}",
+                self.time, self.in_flight, self.total
+            ));
         }
     }
 
-    /// Panics unless the sum stayed within the total at all times, and returns [`spent_at_most`](Self::spent_at_most).
+    /// Panics unless the sum stayed within the total at all times. Returns [`max_rate_usage`](Self::max_rate_usage).
     pub fn assert_within_total(&self, seed: u64) -> f64 {
         let first = &self.violations[..self.violations.len().min(5)];
         assert!(self.violations.is_empty(), "seed {seed}: {first:?}");
-        let most = self.spent_at_most();
-        assert!(most <= 1.0, "seed {seed}: spent {most} of what the rate allows");
-        most
+        let rate_usage = self.max_rate_usage();
+        assert!(
+            rate_usage <= 1.0,
+            "seed {seed}: rate budget exceeded, {rate_usage} of the allowed units acquired"
+        );
+        rate_usage
     }
 
-    /// The most that was spent of the rate over what any window allows; at most 1 if the budget was kept.
-    pub fn spent_at_most(&self) -> f64 {
+    /// Returns the largest ratio, over windows of time, of the units of the rate budget that were acquired to those
+    /// allowed. It is at most 1 if the budget was kept.
+    pub fn max_rate_usage(&self) -> f64 {
         let drift = self.nodes[0].config.max_clock_drift;
-        let mut most: f64 = 0.0;
-        for (first, from) in self.spent.iter().enumerate().step_by(7) {
-            for (last, to) in self.spent.iter().enumerate().skip(first).step_by(5) {
-                let allowed = self.total as f64 * (1.0 + (to - from) * (1.0 + drift) / EVERY);
-                most = most.max((last - first + 1) as f64 / allowed);
+        let mut max_usage: f64 = 0.0;
+        for (first, from) in self.rate_acquired_at.iter().enumerate().step_by(7) {
+            for (last, to) in self.rate_acquired_at.iter().enumerate().skip(first).step_by(5) {
+                let allowed = self.total as f64 * (1.0 + (to - from) * (1.0 + drift) / REFILL_SECONDS);
+                max_usage = max_usage.max((last - first + 1) as f64 / allowed);
             }
         }
-        most
+        max_usage
     }
 
-    /// What that node has leased of that budget.
+    /// Returns the units of a budget that the node has leased now.
     pub fn leased(&self, node: usize, budget: usize) -> Pools<u64> {
-        let (now, at) = (self.clock(node), &self.nodes[node]);
-        let key = at.key(budget);
-        let fleet = at.fleet.as_ref().expect("a running node");
+        let (now, node) = (self.clock(node), &self.nodes[node]);
+        let key = node.key(budget);
+        let fleet = node.fleet.as_ref().expect("node is not running");
         let quota = fleet.quotas().find(|(other, _)| **other == key);
         quota.map_or_else(Pools::default, |(_, quota)| quota.leased(now))
     }
 }
 
-/// A schedule of faults from the simulation's seed, for `seconds`.
-pub fn storm(mut simulation: Simulation, seconds: f64) -> Simulation {
+/// Runs the simulation for `seconds` with faults that are derived from its seed.
+pub fn run_with_random_faults(mut simulation: Simulation, seconds: f64) -> Simulation {
     simulation.link_faults = LinkFaults {
-        lost: simulation.rng.random_range(0.0..0.2),
-        twice: simulation.rng.random_range(0.0..0.2),
-        delay: simulation.rng.random_range(0.001..0.03),
+        loss_probability: simulation.rng.random_range(0.0..0.2),
+        duplicate_probability: simulation.rng.random_range(0.0..0.2),
+        delay_seconds: simulation.rng.random_range(0.001..0.03),
     };
     simulation.start_all();
-    // From three faults a second to one in some seconds.
+    // Between about three faults per second and one in several seconds.
     let rarity = simulation.rng.random_range(40..1000);
-    simulation.run(seconds, |simulation| fault(simulation, rarity));
+    simulation.run(seconds, |simulation| inject_random_fault(simulation, rarity));
     simulation
 }
 
-fn fault(simulation: &mut Simulation, rarity: u32) {
+fn inject_random_fault(simulation: &mut Simulation, rarity: u32) {
     let node = simulation.rng.random_range(0..simulation.nodes.len());
     let total = simulation.total;
     match simulation.rng.random_range(0..rarity) {
@@ -469,18 +488,18 @@
         2 | 3 if simulation.nodes[node].suspended => simulation.resume(node),
         4 => simulation.leave(node),
         5 | 6 if simulation.nodes[node].fleet.is_none() => simulation.start(node),
-        // A router that is started anew while it still runs: the old one ends with it.
+        // A running router is restarted, which ends its previous process.
         7 => simulation.start(node),
-        8 => partition(simulation),
+        8 => partition_members(simulation),
         9 | 10 => simulation.cut.iter_mut().flatten().for_each(|cut| *cut = false),
-        // The leader, for longer than its lease, in the middle of dividing.
+        // The leader is suspended for longer than its lease, while it divides the budgets.
         11 => simulation.leader().into_iter().for_each(|leader| simulation.suspend(leader)),
-        12 => simulation.nodes[node].appetite = simulation.rng.random_range(0.0..2.0 * total as f64),
+        12 => simulation.nodes[node].offered_rate = simulation.rng.random_range(0.0..2.0 * total as f64),
         _ => {}
     }
 }
 
-fn partition(simulation: &mut Simulation) {
+fn partition_members(simulation: &mut Simulation) {
     let count = simulation.nodes.len();
     let side: Vec<bool> = (0..count).map(|_| simulation.rng.random_bool(0.5)).collect();
     let one_way = simulation.rng.random_bool(0.5);
