--- a/crates/fleet/tests/model_election.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -1,7 +1,8 @@
-//! The election, exhaustively at a small size: the code itself is the model's transition, on a clock that goes in whole
-//! steps. Three voters, of which two stand for election; messages may come late, twice, out of order or never; members
-//! are started again with nothing in memory. There is never more than one leader; with the lease counted long by its
-//! holder, or without the wait of a voter after its start, there is, and it is found.
+//! Checks the election exhaustively with a small model whose transitions call the election code itself; time advances
+//! in whole steps. There are three voters, two of which stand for election. Messages may be delayed, duplicated,
+//! reordered or lost, and members may be restarted without their state. There is never more than one leader. If the
+//! holder of a lease counts it for longer than the voters, or if a voter does not wait after its start, there can be
+//! two, and the check detects it.
 
 mod state_hash;
 
@@ -10,22 +11,22 @@
 use ottersill_fleet::election::{Ballot, Candidate, CandidateRequest, Voter, VoterReply};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const LEASE: f64 = 2.0;
-const STEPS: u64 = 4;
+const LEASE_SECONDS: f64 = 2.0;
+const MAX_TIME_STEPS: u64 = 4;
 
-/// What is taken out on purpose.
+/// The rule that the model omits, if any, to show that the check detects the violation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// A voter that was started again votes at once.
+    /// A restarted voter votes at once, without waiting for one lease.
     NoRecovery,
-    /// A candidate counts its lease from the last answer, and longer than the voters.
-    LongCount,
+    /// A candidate counts its lease for twice as long as the voters.
+    LeaseCountedTooLong,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Message {
-    Call(CandidateRequest),
+    Request(CandidateRequest),
     Reply(Ballot, VoterReply),
 }
 
@@ -43,11 +44,11 @@
     candidates: Vec<Candidate>,
     incarnations: Vec<u64>,
     in_transit: Vec<InTransit>,
-    starts_left: u64,
-    repeats_left: u64,
+    restarts_left: u64,
+    duplicates_left: u64,
 }
 
-/// No time in it is ever not a number.
+/// Equality is total because no time in a state is ever NaN.
 impl Eq for State {}
 
 impl Hash for State {
@@ -59,8 +60,8 @@
 impl InTransit {
     fn key(&self) -> (usize, usize, u8, Ballot) {
         let (kind, ballot) = match self.message {
-            Message::Call(CandidateRequest::Prepare(ballot)) => (0, ballot),
-            Message::Call(CandidateRequest::Accept(ballot)) => (1, ballot),
+            Message::Request(CandidateRequest::Prepare(ballot)) => (0, ballot),
+            Message::Request(CandidateRequest::Accept(ballot)) => (1, ballot),
             Message::Reply(ballot, VoterReply::Granted) => (2, ballot),
             Message::Reply(ballot, VoterReply::Promised { held }) => (3 + u8::from(held), ballot),
             Message::Reply(ballot, VoterReply::Preempted(_)) => (5, ballot),
@@ -71,107 +72,110 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// Time goes on by a step.
-    Pass,
+    /// Time advances by one step.
+    AdvanceTime,
     Tick(usize),
     Deliver(usize),
-    /// Delivered, and kept to come once more.
-    Repeat(usize),
+    /// Delivers a message and keeps it in transit, so that it is delivered again.
+    Duplicate(usize),
     Restart(usize),
 }
 
-struct Election {
+struct ElectionModel {
     voters: usize,
     candidates: usize,
     mutant: Mutant,
-    /// An answer arrives together with the message that it answers: far fewer states, so that all can be looked at.
-    at_once: bool,
+    /// Each reply arrives in the same step as the request that it answers. There are far fewer states then, so that all
+    /// of them can be checked.
+    instant_reply: bool,
 }
 
-impl Election {
+impl ElectionModel {
     fn candidate(&self, time: u64, index: usize, incarnation: u64) -> Candidate {
-        let lease = if self.mutant == Mutant::LongCount { 2.0 * LEASE } else { LEASE };
+        let lease =
+            if self.mutant == Mutant::LeaseCountedTooLong { 2.0 * LEASE_SECONDS } else { LEASE_SECONDS };
         Candidate::start(time as f64, index as u16, incarnation, self.voters, lease, 0.0)
     }
 
     fn voter(&self, time: u64) -> Voter {
-        let lease = LEASE;
+        let lease = LEASE_SECONDS;
         let since = if self.mutant == Mutant::NoRecovery { time as f64 - lease } else { time as f64 };
         Voter::start(since, lease)
     }
 }
 
 impl State {
-    fn deliver_call(
+    fn deliver_request(
         &mut self,
         now: f64,
         voter: usize,
-        call: CandidateRequest,
+        request: CandidateRequest,
     ) -> (Ballot, Option<VoterReply>) {
         let voter = &mut self.voters[voter];
-        match call {
+        match request {
             CandidateRequest::Prepare(ballot) => (ballot, voter.handle_prepare(now, ballot)),
             CandidateRequest::Accept(ballot) => (ballot, voter.handle_accept(now, ballot)),
         }
     }
 
-    fn handle_reply(&mut self, now: f64, candidate: usize, voter: usize, ballot: Ballot, reply: VoterReply) {
-        let call = self.candidates[candidate].handle_reply(now, voter as u16, ballot, reply);
-        self.send_call(now, candidate, call);
+    fn on_reply(&mut self, now: f64, candidate: usize, voter: usize, ballot: Ballot, reply: VoterReply) {
+        let request = self.candidates[candidate].handle_reply(now, voter as u16, ballot, reply);
+        self.send_request(now, candidate, request);
     }
 
-    /// What a candidate sends to itself arrives at once, as in the program.
-    fn send_call(&mut self, now: f64, from: usize, call: Option<CandidateRequest>) {
-        let Some(call) = call else { return };
+    /// Sends a request to all voters. A candidate's request to itself is delivered at once, as in the program.
+    fn send_request(&mut self, now: f64, from: usize, request: Option<CandidateRequest>) {
+        let Some(request) = request else { return };
         let others = (0..self.voters.len()).filter(|to| *to != from);
-        self.in_transit.extend(others.map(|to| InTransit { from, to, message: Message::Call(call) }));
-        if let (ballot, Some(reply)) = self.deliver_call(now, from, call) {
-            self.handle_reply(now, from, from, ballot, reply);
+        self.in_transit.extend(others.map(|to| InTransit { from, to, message: Message::Request(request) }));
+        if let (ballot, Some(reply)) = self.deliver_request(now, from, request) {
+            self.on_reply(now, from, from, ballot, reply);
         }
     }
 
-    fn leaders(&self) -> usize {
+    fn leader_count(&self) -> usize {
         let now = self.time as f64;
         self.candidates.iter().filter(|candidate| candidate.term(now).is_some()).count()
     }
 }
 
-impl Model for Election {
+impl Model for ElectionModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
             time: 0,
-            // All that went before is over.
-            voters: (0..self.voters).map(|_| Voter::start(-LEASE, LEASE)).collect(),
+            // The voters have already recovered: all earlier grants have expired.
+            voters: (0..self.voters).map(|_| Voter::start(-LEASE_SECONDS, LEASE_SECONDS)).collect(),
             candidates: (0..self.candidates).map(|index| self.candidate(0, index, 1)).collect(),
             incarnations: vec![1; self.voters],
             in_transit: Vec::new(),
-            starts_left: 1,
-            repeats_left: u64::from(!self.at_once),
+            restarts_left: 1,
+            duplicates_left: u64::from(!self.instant_reply),
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.time < if self.at_once { LEASE as u64 + 1 } else { STEPS } {
-            actions.push(Action::Pass);
+        if state.time < if self.instant_reply { LEASE_SECONDS as u64 + 1 } else { MAX_TIME_STEPS } {
+            actions.push(Action::AdvanceTime);
         }
         let now = state.time as f64;
-        let due = |candidate: &Candidate| now >= candidate.next_timeout();
-        actions.extend((0..self.candidates).filter(|index| due(&state.candidates[*index])).map(Action::Tick));
+        let is_due = |candidate: &Candidate| now >= candidate.next_timeout();
+        actions
+            .extend((0..self.candidates).filter(|index| is_due(&state.candidates[*index])).map(Action::Tick));
         actions.extend((0..state.in_transit.len()).map(Action::Deliver));
-        // Twice only where it can matter: what moves a voter.
-        let moves =
-            |in_transit: &InTransit| matches!(in_transit.message, Message::Call(CandidateRequest::Accept(_)));
-        if state.repeats_left > 0 {
+        // Duplicates only the requests whose repetition can matter, which are those that change a voter.
+        let changes_a_voter =
+            |item: &InTransit| matches!(item.message, Message::Request(CandidateRequest::Accept(_)));
+        if state.duplicates_left > 0 {
             actions.extend(
                 (0..state.in_transit.len())
-                    .filter(|in_transit| moves(&state.in_transit[*in_transit]))
-                    .map(Action::Repeat),
+                    .filter(|index| changes_a_voter(&state.in_transit[*index]))
+                    .map(Action::Duplicate),
             );
         }
-        if state.starts_left > 0 {
+        if state.restarts_left > 0 {
             actions.extend((0..self.voters).map(Action::Restart));
         }
     }
@@ -180,22 +184,22 @@
         let mut state = last.clone();
         let now = state.time as f64;
         match action {
-            Action::Pass => state.time += 1,
+            Action::AdvanceTime => state.time += 1,
             Action::Tick(index) => {
-                let call = state.candidates[index].tick(now, false);
-                state.send_call(now, index, call);
+                let request = state.candidates[index].tick(now, false);
+                state.send_request(now, index, request);
             }
-            Action::Deliver(index) | Action::Repeat(index) => {
+            Action::Deliver(index) | Action::Duplicate(index) => {
                 let InTransit { from, to, message } = state.in_transit[index].clone();
                 match action {
                     Action::Deliver(_) => drop(state.in_transit.remove(index)),
-                    _ => state.repeats_left -= 1,
+                    _ => state.duplicates_left -= 1,
                 }
                 match message {
-                    Message::Call(call) => {
-                        let (ballot, reply) = state.deliver_call(now, to, call);
+                    Message::Request(request) => {
+                        let (ballot, reply) = state.deliver_request(now, to, request);
                         match reply {
-                            Some(reply) if self.at_once => state.handle_reply(now, from, to, ballot, reply),
+                            Some(reply) if self.instant_reply => state.on_reply(now, from, to, ballot, reply),
                             Some(reply) => {
                                 state.in_transit.push(InTransit {
                                     from: to,
@@ -206,11 +210,11 @@
                             None => {}
                         }
                     }
-                    Message::Reply(ballot, reply) => state.handle_reply(now, to, from, ballot, reply),
+                    Message::Reply(ballot, reply) => state.on_reply(now, to, from, ballot, reply),
                 }
             }
             Action::Restart(node) => {
-                state.starts_left -= 1;
+                state.restarts_left -= 1;
                 state.incarnations[node] += 1;
                 state.voters[node] = self.voter(state.time);
                 if node < self.candidates {
@@ -218,52 +222,53 @@
                 }
             }
         }
-        // The same messages in another order are the same state.
+        // States whose messages differ only in their order are the same.
         state.in_transit.sort_by_key(InTransit::key);
         state.in_transit.dedup();
         Some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Election>> {
+    fn properties(&self) -> Vec<Property<ElectionModel>> {
         vec![
-            Property::always("one leader at most", |_, state: &State| state.leaders() <= 1),
-            Property::sometimes("a leader", |_, state: &State| state.leaders() == 1),
+            Property::always("at most one leader", |_, state: &State| state.leader_count() <= 1),
+            Property::sometimes("a leader is elected", |_, state: &State| state.leader_count() == 1),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.in_transit.len() <= if self.at_once { 3 } else { 4 }
+        state.in_transit.len() <= if self.instant_reply { 3 } else { 4 }
     }
 }
 
-fn check(mutant: Mutant, at_once: bool, most: usize) -> (bool, bool, usize, bool) {
-    let model = Election { voters: 3, candidates: 2, mutant, at_once };
-    let options = model.checker().target_state_count(most).finish_when(HasDiscoveries::AnyFailures);
+fn check(mutant: Mutant, instant_reply: bool, max_states: usize) -> (bool, bool, usize, bool) {
+    let model = ElectionModel { voters: 3, candidates: 2, mutant, instant_reply };
+    let options = model.checker().target_state_count(max_states).finish_when(HasDiscoveries::AnyFailures);
     let checker = options.threads(4).spawn_bfs().join();
-    let found = checker.discovery("one leader at most").is_some();
-    let elected = checker.discovery("a leader").is_some();
-    (found, elected, checker.unique_state_count(), checker.state_count() < most)
+    let violated = checker.discovery("at most one leader").is_some();
+    let elected = checker.discovery("a leader is elected").is_some();
+    (violated, elected, checker.unique_state_count(), checker.state_count() < max_states)
 }
 
 #[test]
-fn there_is_never_more_than_one_leader_in_any_state() {
-    let (found, elected, states, all) = check(Mutant::None, true, usize::MAX);
-    println!("{states} states, which are all");
-    assert!(!found && elected && all);
+fn no_reachable_state_has_more_than_one_leader() {
+    let (violated, elected, states, complete) = check(Mutant::None, true, usize::MAX);
+    println!("{states} states (complete)");
+    assert!(!violated && elected && complete);
 }
 
-/// With answers that come late and out of order, as far as the number goes.
+/// Checks as many states as `OTTERSILL_STATES` says, or 150,000, of a model with delayed and reordered replies.
 #[test]
-fn nor_where_answers_are_on_their_way() {
-    let most = std::env::var("OTTERSILL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(150_000);
-    let (found, elected, states, _) = check(Mutant::None, false, most);
+fn no_state_with_delayed_replies_has_more_than_one_leader() {
+    let max_states =
+        std::env::var("OTTERSILL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(150_000);
+    let (violated, elected, states, _) = check(Mutant::None, false, max_states);
     println!("{states} states");
-    assert!(!found && elected);
+    assert!(!violated && elected);
 }
 
 #[test]
-fn a_rule_left_out_is_found() {
-    for mutant in [Mutant::NoRecovery, Mutant::LongCount] {
-        assert!(check(mutant, true, 20_000_000).0, "{mutant:?} passes unseen");
+fn each_omitted_rule_is_detected() {
+    for mutant in [Mutant::NoRecovery, Mutant::LeaseCountedTooLong] {
+        assert!(check(mutant, true, 20_000_000).0, "{mutant:?} is not detected");
     }
 }
--- a/crates/fleet/tests/model_quota.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -1,8 +1,8 @@
-//! The ledger and the local quotas, exhaustively at a small size: the code itself is the model's transition. One leader
-//! after the other (that there is one at a time is `model_election.rs`), two holders that want all there is; requests and
-//! replies may come late, out of order or never, a holder may be started again with nothing in memory, the next leader
-//! knows nothing. The sum of what both may spend never exceeds the total. Each rule that this rests on is taken out once,
-//! and its lack is found.
+//! Checks the ledger and the local quotas exhaustively with a small model whose transitions call their code itself.
+//! There is one leader at a time (`model_election.rs` checks that), and there are two holders that each demand the
+//! total. Requests and replies may be delayed, reordered or lost, a holder may be restarted without its state, and the
+//! next leader starts without a record of earlier grants. The units that both holders may spend never exceed the total.
+//! Each rule that ensures this is omitted once, and the check detects the violation.
 
 mod state_hash;
 
@@ -16,45 +16,57 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TOTAL: u64 = 2;
-const LEASE: f64 = 3.0;
+const LEASE_SECONDS: f64 = 3.0;
 
-/// How large a model is: all states of it are looked at.
+/// Bounds of a model, all of whose states are checked.
 #[derive(Clone, Copy, Debug)]
 struct Size {
-    /// A leader may grant for so long.
+    /// Time steps for which a leader may make grants.
     term: u64,
-    steps: u64,
+    time_steps: u64,
     requests: u64,
     restarts: u64,
 }
 
-/// What is taken out on purpose.
+/// The rule that the model omits, if any, to show that the check detects the violation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// A new leader divides at once.
+    /// A new leader grants units at once, before its predecessor's grants have expired.
     NoSettling,
-    /// A new leader goes on with what was said before its term.
-    OldReports,
-    /// The leader counts its grants for half as long as their holders do.
-    LeaseNotWaitedOut,
-    /// The holder counts from when the reply came, not from when it sent the request.
-    CountedFromReply,
+    /// A new leader accepts reports that were made before its term.
+    AcceptsOldReports,
+    /// The leader counts a lease for half as long as its holder does.
+    LeaseCountedTooShort,
+    /// A holder counts its lease from the arrival of the reply, not from when it sent the request.
+    LeaseCountedFromReply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum InTransit {
-    Request { holder: usize, incarnation: u64, request_id: u64, seen: Ballot, entry: BudgetRequest },
-    Reply { holder: usize, incarnation: u64, request_id: u64, term: Ballot, grant: Option<Grant> },
+    Request {
+        holder: usize,
+        incarnation: u64,
+        request_id: u64,
+        newest_known_term: Ballot,
+        entry: BudgetRequest,
+    },
+    Reply {
+        holder: usize,
+        incarnation: u64,
+        request_id: u64,
+        term: Ballot,
+        grant: Option<Grant>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     incarnation: u64,
     quota: LocalQuota,
-    seen: Ballot,
+    newest_known_term: Ballot,
     request_id: u64,
-    /// When each request was sent.
+    /// When each request was sent, in seconds.
     sent_at: Vec<f64>,
 }
 
@@ -70,7 +82,7 @@
     leaders_left: u64,
 }
 
-/// No time in it is ever not a number.
+/// Equality is total because no time in a state is ever NaN.
 impl Eq for State {}
 
 impl Hash for State {
@@ -79,30 +91,31 @@
     }
 }
 
-/// Which of a request and its reply comes later, or never. What comes at once comes in one step: far fewer states.
+/// Which of a request and its reply is delayed or lost. A message that is not delayed arrives in the same step, which
+/// gives far fewer states.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Late {
-    Nothing,
+enum Delayed {
+    Neither,
     Request,
     Reply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    Pass,
-    Ask(usize, Late),
+    AdvanceTime,
+    SendRequest(usize, Delayed),
     Deliver(usize),
     Restart(usize),
     NewLeader,
 }
 
-struct Division {
+struct DivisionModel {
     mutant: Mutant,
     kind: LimitKind,
     size: Size,
 }
 
-impl Division {
+impl DivisionModel {
     fn config(&self, lease: f64) -> FleetConfig {
         FleetConfig {
             name: "k".to_string(),
@@ -118,7 +131,13 @@
 
     fn holder(&self, time: u64, incarnation: u64) -> Holder {
         let quota = LocalQuota::new(time as f64, self.kind, TOTAL, 0);
-        Holder { incarnation, quota, seen: Ballot::default(), request_id: 0, sent_at: Vec::new() }
+        Holder {
+            incarnation,
+            quota,
+            newest_known_term: Ballot::default(),
+            request_id: 0,
+            sent_at: Vec::new(),
+        }
     }
 
     fn ledger(&self, time: u64, round: u64) -> QuotaLedger {
@@ -126,38 +145,42 @@
         QuotaLedger::new(since, Ballot { round, voter_index: 0, incarnation: 1 })
     }
 
-    /// `on` says whether a reply that this makes is delivered as well.
-    #[expect(clippy::needless_pass_by_value, reason = "what is delivered is on its way no longer")]
-    fn deliver(&self, state: &mut State, in_transit: InTransit, on: bool) {
+    /// Delivers a message. `with_reply` says whether the reply to a request is delivered as well.
+    #[expect(clippy::needless_pass_by_value, reason = "a delivered message is no longer in transit")]
+    fn deliver(&self, state: &mut State, in_transit: InTransit, with_reply: bool) {
         let now = state.time as f64;
         match in_transit {
-            InTransit::Request { holder, incarnation, request_id, seen, entry } => {
+            InTransit::Request { holder, incarnation, request_id, newest_known_term, entry } => {
                 if state.time >= state.term_until {
                     return;
                 }
                 let term = state.ledger.term();
-                let lease = if self.mutant == Mutant::LeaseNotWaitedOut { LEASE / 2.0 } else { LEASE };
+                let lease = if self.mutant == Mutant::LeaseCountedTooShort {
+                    LEASE_SECONDS / 2.0
+                } else {
+                    LEASE_SECONDS
+                };
                 let process = Process { name: format!("h{holder}"), incarnation };
-                let renewed = seen == term || self.mutant == Mutant::OldReports;
-                let grant = if renewed {
+                let accepted = newest_known_term == term || self.mutant == Mutant::AcceptsOldReports;
+                let grant = if accepted {
                     state.ledger.request(now, &self.config(lease), &process, request_id, &entry).ok()
                 } else {
                     None
                 };
                 let reply = InTransit::Reply { holder, incarnation, request_id, term, grant };
-                if on { self.deliver(state, reply, on) } else { state.in_transit.push(reply) }
+                if with_reply { self.deliver(state, reply, with_reply) } else { state.in_transit.push(reply) }
             }
             InTransit::Reply { holder, incarnation, request_id, term, grant } => {
                 let holder = &mut state.holders[holder];
-                if holder.incarnation != incarnation || term < holder.seen {
+                if holder.incarnation != incarnation || term < holder.newest_known_term {
                     return;
                 }
-                holder.seen = term;
+                holder.newest_known_term = term;
                 let sent_at = holder.sent_at[request_id as usize - 1];
-                let sent_at = if self.mutant == Mutant::CountedFromReply { now } else { sent_at };
+                let sent_at = if self.mutant == Mutant::LeaseCountedFromReply { now } else { sent_at };
                 if let Some(grant) = grant {
                     let request = SentRequest { id: request_id, sent_at };
-                    let durations = Pools { demand: LEASE, floor: LEASE };
+                    let durations = Pools { demand: LEASE_SECONDS, floor: LEASE_SECONDS };
                     let _ = holder.quota.apply_grant(now, term, &grant, request, durations);
                 }
             }
@@ -166,23 +189,23 @@
 }
 
 impl State {
-    fn sum(&self) -> u64 {
+    fn spendable(&self) -> u64 {
         self.holders.iter().map(|holder| holder.quota.spendable(self.time as f64)).sum()
     }
 }
 
-impl Model for Division {
+impl Model for DivisionModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // The first leader has settled: what went before it is over.
+        // The first leader has settled: all earlier grants have expired.
         let ledger = QuotaLedger::new(-100.0, Ballot { round: 1, voter_index: 0, incarnation: 1 });
         vec![State {
             time: 0,
             term_until: self.size.term,
-            // Both have heard of it.
-            holders: vec![Holder { seen: ledger.term(), ..self.holder(0, 1) }; 2],
+            // Both holders know the leader's term.
+            holders: vec![Holder { newest_known_term: ledger.term(), ..self.holder(0, 1) }; 2],
             ledger,
             in_transit: Vec::new(),
             requests_left: self.size.requests,
@@ -192,12 +215,12 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.time < self.size.steps {
-            actions.push(Action::Pass);
+        if state.time < self.size.time_steps {
+            actions.push(Action::AdvanceTime);
         }
         if state.requests_left > 0 {
-            for late in [Late::Nothing, Late::Request, Late::Reply] {
-                actions.extend((0..2).map(|holder| Action::Ask(holder, late)));
+            for delayed in [Delayed::Neither, Delayed::Request, Delayed::Reply] {
+                actions.extend((0..2).map(|holder| Action::SendRequest(holder, delayed)));
             }
         }
         actions.extend((0..state.in_transit.len()).map(Action::Deliver));
@@ -213,25 +236,27 @@
         let mut state = last.clone();
         let now = state.time as f64;
         match action {
-            Action::Pass => state.time += 1,
-            Action::Ask(index, late) => {
+            Action::AdvanceTime => state.time += 1,
+            Action::SendRequest(index, delayed) => {
                 state.requests_left -= 1;
                 let holder = &mut state.holders[index];
                 holder.request_id += 1;
                 holder.sent_at.push(now);
-                let budget = self.config(LEASE).budgets[0].id;
+                let budget = self.config(LEASE_SECONDS).budgets[0].id;
                 let entry = BudgetRequest {
                     key: BudgetKey { budget, subject: 0 },
                     total: TOTAL,
                     demand: TOTAL,
                     in_use: 0,
-                    held: holder.quota.held(now, holder.seen),
+                    held: holder.quota.held(now, holder.newest_known_term),
                 };
-                let (incarnation, request_id, seen) = (holder.incarnation, holder.request_id, holder.seen);
-                let in_transit = InTransit::Request { holder: index, incarnation, request_id, seen, entry };
-                match late {
-                    Late::Request => state.in_transit.push(in_transit),
-                    _ => self.deliver(&mut state, in_transit, late == Late::Nothing),
+                let (incarnation, request_id, newest_known_term) =
+                    (holder.incarnation, holder.request_id, holder.newest_known_term);
+                let in_transit =
+                    InTransit::Request { holder: index, incarnation, request_id, newest_known_term, entry };
+                match delayed {
+                    Delayed::Request => state.in_transit.push(in_transit),
+                    _ => self.deliver(&mut state, in_transit, delayed == Delayed::Neither),
                 }
             }
             Action::Deliver(index) => {
@@ -251,12 +276,12 @@
         Some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Division>> {
+    fn properties(&self) -> Vec<Property<DivisionModel>> {
         vec![
-            Property::always("the sum is within the total", |_, state: &State| state.sum() <= TOTAL),
-            Property::sometimes("all is in use", |_, state: &State| state.sum() == TOTAL),
+            Property::always("the sum is within the total", |_, state: &State| state.spendable() <= TOTAL),
+            Property::sometimes("all units are in use", |_, state: &State| state.spendable() == TOTAL),
             Property::sometimes("a lease outlives its leader", |_, state: &State| {
-                state.ledger.term().round == 2 && state.sum() > 0
+                state.ledger.term().round == 2 && state.spendable() > 0
             }),
         ]
     }
@@ -267,32 +292,32 @@
 }
 
 fn check(mutant: Mutant, size: Size) -> (bool, usize, usize) {
-    let model = Division { mutant, kind: LimitKind::Concurrency { hold_seconds: 0.0 }, size };
+    let model = DivisionModel { mutant, kind: LimitKind::Concurrency { hold_seconds: 0.0 }, size };
     let options = model.checker().finish_when(HasDiscoveries::AnyFailures).threads(2);
     let checker = options.spawn_bfs().join();
-    let broken = checker.discovery("the sum is within the total").is_some();
-    let shown = ["all is in use", "a lease outlives its leader"];
-    let seen = shown.iter().filter(|name| checker.discovery(name).is_some()).count();
-    (broken, seen, checker.unique_state_count())
+    let violated = checker.discovery("the sum is within the total").is_some();
+    let expected = ["all units are in use", "a lease outlives its leader"];
+    let reached = expected.iter().filter(|name| checker.discovery(name).is_some()).count();
+    (violated, reached, checker.unique_state_count())
 }
 
 #[test]
-fn in_no_state_is_the_sum_above_the_total() {
-    let size = Size { term: 2, steps: 4, requests: 3, restarts: 1 };
-    let (broken, seen, states) = check(Mutant::None, size);
-    println!("{states} states, which are all");
-    assert!(!broken && seen == 2, "{broken} {seen}");
+fn no_reachable_state_exceeds_the_total() {
+    let size = Size { term: 2, time_steps: 4, requests: 3, restarts: 1 };
+    let (violated, reached, states) = check(Mutant::None, size);
+    println!("{states} states (complete)");
+    assert!(!violated && reached == 2, "violated: {violated}, expected states reached: {reached}");
 }
 
 #[rstest]
 #[case(Mutant::NoSettling, 2, 3)]
-#[case(Mutant::OldReports, 4, 5)]
-#[case(Mutant::LeaseNotWaitedOut, 4, 4)]
-#[case(Mutant::CountedFromReply, 4, 4)]
-fn a_rule_left_out_is_found(#[case] mutant: Mutant, #[case] term: u64, #[case] steps: u64) {
-    let size = Size { term, steps, requests: 3, restarts: 0 };
-    let (broken, _, states) = check(mutant, size);
+#[case(Mutant::AcceptsOldReports, 4, 5)]
+#[case(Mutant::LeaseCountedTooShort, 4, 4)]
+#[case(Mutant::LeaseCountedFromReply, 4, 4)]
+fn each_omitted_rule_is_detected(#[case] mutant: Mutant, #[case] term: u64, #[case] time_steps: u64) {
+    let size = Size { term, time_steps, requests: 3, restarts: 0 };
+    let (violated, _, states) = check(mutant, size);
     println!("{mutant:?}: {states} states");
-    assert!(broken, "{mutant:?} passes unseen");
-    assert!(!check(Mutant::None, size).0, "the same without {mutant:?}");
+    assert!(violated, "{mutant:?} is not detected");
+    assert!(!check(Mutant::None, size).0, "violated without {mutant:?}, too");
 }
--- a/crates/fleet/tests/state_hash/mod.rs
+++ b/crates/fleet/tests/state_hash/mod.rs
@@ -1,11 +1,11 @@
-//! Hashes the states of a model by their `Debug` text: they are plain data throughout, so the text says all of them.
+//! Hashes the states of a model by their `Debug` text. All states are plain data, so the text contains every field.
 
 use std::fmt::{Debug, Result, Write};
 use std::hash::Hasher;
 
-struct Printed<'a, H>(&'a mut H);
+struct HashWriter<'a, H>(&'a mut H);
 
-impl<H: Hasher> Write for Printed<'_, H> {
+impl<H: Hasher> Write for HashWriter<'_, H> {
     fn write_str(&mut self, text: &str) -> Result {
         self.0.write(text.as_bytes());
         Ok(())
@@ -13,5 +13,5 @@
 }
 
 pub fn hash(state: &impl Debug, hasher: &mut impl Hasher) {
-    write!(Printed(hasher), "{state:?}").expect("a hasher takes everything");
+    write!(HashWriter(hasher), "{state:?}").expect("writing to a hasher failed");
 }
