--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of one datagram of each kind. Members of different releases talk to each other, so these stay as they are,
-//! whatever the types are called.
+//! Compares one datagram of each kind with its recorded bytes. Members of different releases exchange datagrams, so the
+//! encoding must not change, even if types are renamed.
 
 use ottersill_fleet::authenticator::Authenticator;
 use ottersill_fleet::election::{Ballot, VoterReply};
@@ -19,18 +19,18 @@
     Ballot { round: 300, voter_index: 2, incarnation: INCARNATION }
 }
 
-fn key() -> BudgetKey {
+fn budget_key() -> BudgetKey {
     BudgetKey { budget: name_hash("probes"), subject: name_hash("host-1") }
 }
 
 fn budget_request() -> BudgetRequest {
     let held = |units: u64| HeldQuota { units, serial: 1_000 };
     let held = Pools { demand: held(40), floor: held(1) };
-    BudgetRequest { key: key(), total: 400, demand: 60, in_use: 7, held }
+    BudgetRequest { key: budget_key(), total: 400, demand: 60, in_use: 7, held }
 }
 
 fn grant() -> Grant {
-    Grant { key: key(), total: 400, units: Pools { demand: 52, floor: 1 }, serial: 1_001 }
+    Grant { key: budget_key(), total: 400, units: Pools { demand: 52, floor: 1 }, serial: 1_001 }
 }
 
 fn request(leaving: bool, budgets: Vec<BudgetRequest>) -> Message {
@@ -62,13 +62,13 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards against: a change of names or of the order of fields that changes what goes over the wire.
+/// Guards against a renamed type or a different order of fields that changes the encoding.
 #[rstest]
 #[case::membership(Message::Membership(vec![1, 2, 3, 255]), "01926728c6f73909a8a59b66b061172495027231c0c4d9bddb9e9103027230010004010203ff")]
 #[case::prepare(Message::Prepare { ballot: ballot(), shared_settings_hash: 9 }, "01bca5685aba6a14b036047b99bd9e8bd3027231c0c4d9bddb9e91030272300101ac0202c0c4d9bddb9e910309")]
 #[case::accept(Message::Accept { ballot: ballot(), shared_settings_hash: 9 }, "010646d109c329394770b5e11a222e2525027231c0c4d9bddb9e91030272300102ac0202c0c4d9bddb9e910309")]
 #[case::promised(voter_reply(VoterReply::Promised { held: true }), "015703ba5465c9c43c07c542245a09e5e9027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e91030001")]
-#[case::outbid(
+#[case::preempted(
     voter_reply(VoterReply::Preempted(ballot())),
     "013e88c630c2f6955c07d483a8f9be4e15027231c0c4d9bddb9e91030272300103ac0202c0c4d9bddb9e910301ac0202c0c4d9bddb9e9103"
 )]
@@ -93,16 +93,19 @@
     not_leader(None),
     "012dbb0fcabeb6777da90860be7f3aedd2027231c0c4d9bddb9e910302723001064dc0c4d9bddb9e910300"
 )]
-fn a_datagram_has_these_bytes(#[case] message: Message, #[case] expected: &str) {
-    let datagram = Authenticator::new(SECRET, process("r1")).seal("r0", message.clone()).expect("a datagram");
+fn each_kind_of_datagram_encodes_to_the_recorded_bytes(#[case] message: Message, #[case] expected: &str) {
+    let datagram = Authenticator::new(SECRET, process("r1"))
+        .seal("r0", message.clone())
+        .expect("datagram cannot be sealed");
     assert_eq!(hexadecimal(&datagram), expected);
-    let envelope = Authenticator::new(SECRET, process("r0")).open(&datagram).expect("it is read again");
+    let envelope = Authenticator::new(SECRET, process("r0")).open(&datagram).expect("datagram is rejected");
     assert_eq!((envelope.from, envelope.to.as_str(), envelope.message), (process("r1"), "r0", message));
 }
 
-/// Guards against: members of two releases that hold each other's equal files for different.
+/// Guards against members of two releases that compute different hashes of equal settings and therefore treat each
+/// other as incompatible.
 #[test]
-fn what_has_to_be_alike_at_all_members_has_this_label() {
+fn the_shared_settings_hash_has_the_recorded_value() {
     let config = FleetConfig {
         name: "r1".to_string(),
         voters: ["r0", "r1", "r2"].map(String::from).to_vec(),
