--- a/crates/config/src/deployment/workload.rs
+++ b/crates/config/src/deployment/workload.rs
@@ -14,7 +14,7 @@
     oldest_data_ms: f64,
 ) -> Result<WorkloadSettings, SettingsError> {
     Ok(WorkloadSettings {
-        needs: consistency(index, class_read, oldest_data_ms)?,
+        consistency: consistency(index, class_read, oldest_data_ms)?,
         effect: effect(index, profile)?,
         priority_weight: profile.credit,
         late_value_fraction: profile.late_value,
--- a/crates/config/src/fleet/check.rs
+++ b/crates/config/src/fleet/check.rs
@@ -80,9 +80,9 @@
         Ok(FleetFile {
             fleet,
             peers,
-            at: own.advertised,
-            listen: own.listen,
-            control: own.control,
+            advertised_address: own.advertised,
+            listen_address: own.listen,
+            control_address: own.control,
             key_file: file.key_file.clone(),
             audit_file: (!file.audit_file.is_empty()).then(|| file.audit_file.clone()),
             budget_kinds,
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -68,11 +68,11 @@
     /// The members that the file lists.
     pub peers: Vec<Peer>,
     /// The address at which the other members reach this one.
-    pub at: SocketAddr,
+    pub advertised_address: SocketAddr,
     /// The address at which this member receives datagrams.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The loopback address at which this member answers `ottersill fleet`, if configured.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// Path of the file with the secret that authenticates members.
     pub key_file: String,
     /// Path of the file to which grants and spent units are written, if configured.
@@ -93,8 +93,8 @@
                 ours.shared_settings_hash() != theirs.shared_settings_hash(),
             ),
             ("peer", self.peers != other.peers),
-            ("listen", self.listen != other.listen),
-            ("control", self.control != other.control),
+            ("listen", self.listen_address != other.listen_address),
+            ("control", self.control_address != other.control_address),
             ("key_file", self.key_file != other.key_file),
             ("audit_file", self.audit_file != other.audit_file),
         ];
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_valid_file_is_accepted() {
     let config = FleetFile::from_textproto(VALID_FILE, "b", 2.0).expect("a valid file is rejected");
-    assert_eq!(config.listen, "127.0.0.1:7412".parse().expect("not an address"));
+    assert_eq!(config.listen_address, "127.0.0.1:7412".parse().expect("not an address"));
     assert_eq!(config.fleet.voters, ["a", "b", "c"]);
     assert_eq!((config.fleet.budgets[0].total, config.fleet.budgets[0].floor), (64, 2));
     let shrunk = FleetFile::from_textproto(&VALID_FILE.replace("whole: 64", "whole: 32"), "b", 2.0)
@@ -288,7 +288,7 @@
     );
     let peers = config.peers.iter().map(|peer| format!("{} {}", peer.name, peer.address));
     assert_eq!(peers.collect::<Vec<_>>(), ["a 127.0.0.1:7411", "b 127.0.0.1:7412", "c 127.0.0.1:7413"]);
-    let addresses = [Some(config.at), Some(config.listen), config.control];
+    let addresses = [Some(config.advertised_address), Some(config.listen_address), config.control_address];
     let expected = ["127.0.0.1:7412", "127.0.0.1:7412", "127.0.0.1:7422"];
     assert_eq!(addresses.map(|at| at.expect("not an address").to_string()), expected);
     assert_eq!((config.key_file.as_str(), config.audit_file.as_deref()), ("target/fleet.key", None));
@@ -303,11 +303,11 @@
     let config =
         FleetFile::from_textproto(&format!("{own}{text}"), "b", 2.0).expect("a valid file is rejected");
     assert_eq!(
-        (config.at.to_string(), config.listen.to_string()),
+        (config.advertised_address.to_string(), config.listen_address.to_string()),
         ("127.0.0.1:7412".into(), "0.0.0.0:7419".into())
     );
     // The file's own field takes precedence over that of the peer entry.
-    assert_eq!(config.control.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:7421"));
+    assert_eq!(config.control_address.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:7421"));
     assert_eq!(config.audit_file.as_deref(), Some("audit.jsonl"));
 }
 
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -2,7 +2,7 @@
 //! described as text that is independent of the names of Rust fields, so that renaming a field doesn't change the
 //! expectations.
 
-use ottersill_config::deployment::{Catalog, DeploymentSettings};
+use ottersill_config::deployment::{DeploymentNames, DeploymentSettings};
 use ottersill_routing::interface::{
     Consistency, DeduplicationScope, Effect, ReportSource, RoutingConfig, WorkloadSettings,
 };
@@ -56,7 +56,7 @@
 }
 
 fn describe_workload(workload: &WorkloadSettings) -> String {
-    let needs = match workload.needs {
+    let consistency = match workload.consistency {
         Consistency::Primary => "primary".to_string(),
         Consistency::Fresh => "fresh".to_string(),
         Consistency::Session => "session".to_string(),
@@ -77,10 +77,12 @@
     };
     let (priority_weight, late) = (workload.priority_weight, workload.late_value_fraction);
     let (aim, limit) = (workload.slo_time, workload.statement_timeout);
-    format!("{needs}, {effect}, importance {priority_weight}, late {late}, aim {aim} s, limit {limit} s")
+    format!(
+        "{consistency}, {effect}, importance {priority_weight}, late {late}, aim {aim} s, limit {limit} s"
+    )
 }
 
-fn describe(config: &RoutingConfig, names: &Catalog) -> Vec<String> {
+fn describe(config: &RoutingConfig, names: &DeploymentNames) -> Vec<String> {
     let reports = match config.reports {
         ReportSource::WithAnswers => "with answers",
         ReportSource::WithHealthChecks => "with probes",
@@ -99,7 +101,10 @@
         format!("cold {} warm after {} s", config.initial_capacity_fraction, config.warmup_seconds),
         format!("falls at {} for {} s", config.overload_multiple, config.overload_seconds),
         format!("names {:?} {:?} {:?}", names.workloads, names.tenants, names.sites),
-        format!("timeouts {:?} reads {:?} zero {} s", names.timeouts, names.reads, names.lsn_epoch_seconds),
+        format!(
+            "timeouts {:?} reads {:?} zero {} s",
+            names.statement_timeouts, names.is_read_only, names.lsn_epoch_seconds
+        ),
     ];
     lines.extend(config.workloads.iter().map(describe_workload));
     lines
@@ -108,7 +113,7 @@
 #[test]
 fn the_example_has_these_values() {
     let settings = parse(&example());
-    let (config, names) = (settings.routing_config(77).expect("settings are rejected"), settings.catalog());
+    let (config, names) = (settings.routing_config(77).expect("settings are rejected"), settings.names());
     assert_eq!(
         describe(&config, &names),
         [
@@ -137,7 +142,7 @@
 fn every_key_is_read() {
     let settings = parse(&every_key());
     let (config, names) =
-        (settings.routing_config(u64::MAX).expect("settings are rejected"), settings.catalog());
+        (settings.routing_config(u64::MAX).expect("settings are rejected"), settings.names());
     assert_eq!(
         describe(&config, &names),
         [
@@ -183,7 +188,7 @@
     *settings.pointer_mut(key).expect("the settings lack the key") = value;
     let settings = parse(&settings);
     let config = settings.routing_config(5).expect("settings are rejected");
-    assert_eq!(describe(&config, &settings.catalog())[line], expected);
+    assert_eq!(describe(&config, &settings.names())[line], expected);
 }
 
 #[rstest]
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -58,8 +58,8 @@
         let reads = classification.kind == StatementKind::Read;
         // As in the routing module, the classification of the text can only make the workload's settings stricter.
         let replica_suffices =
-            workload.is_none_or(|w| !matches!(w.needs, Consistency::Primary | Consistency::Fresh));
-        let may_write = workload.is_some_and(|w| w.needs == Consistency::Primary);
+            workload.is_none_or(|w| !matches!(w.consistency, Consistency::Primary | Consistency::Fresh));
+        let may_write = workload.is_some_and(|w| w.consistency == Consistency::Primary);
         let is_idempotent = workload.is_none_or(|w| w.effect != Effect::NonIdempotent);
         Explanation {
             nature: classification.kind.name(),
@@ -133,10 +133,10 @@
     }
     let config = Config::load()?;
     let routing_config = config.settings.routing_config(config.seed).map_err(ConfigError::from)?;
-    let catalog = config.settings.catalog();
+    let names = config.settings.names();
     let unknown =
-        || ExplainError::UnknownWorkload { name: name.to_string(), known: catalog.workloads.join(", ") };
-    let index = catalog.workloads.iter().position(|known| known == name).ok_or_else(unknown)?;
+        || ExplainError::UnknownWorkload { name: name.to_string(), known: names.workloads.join(", ") };
+    let index = names.workloads.iter().position(|known| known == name).ok_or_else(unknown)?;
     Ok(routing_config.workloads.get(index).cloned())
 }
 
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -7,7 +7,7 @@
 mod fleet;
 mod outcomes;
 
-use ottersill_config::deployment::{BackendTimeouts, Catalog};
+use ottersill_config::deployment::{BackendTimeouts, DeploymentNames};
 use ottersill_routing::facade::{Decision, Facade, PickRequest, RoutingAction, RoutingEvent};
 use ottersill_routing::interface::{Request, RoutingConfig};
 use slog::{Logger, info};
@@ -56,7 +56,7 @@
     /// Creates an event loop without connections and without known endpoints.
     pub fn new(
         routing_config: RoutingConfig,
-        catalog: Catalog,
+        names: DeploymentNames,
         timeouts: BackendTimeouts,
         limits: ConnectionLimits,
         discovery: std::net::SocketAddr,
@@ -68,8 +68,8 @@
         let max_retry_after = routing_config.max_retry_after;
         EventLoop {
             requests: InFlightRequests::default(),
-            endpoints: EndpointRegistry::new(catalog.sites.clone()),
-            statements: StatementChecker::new(now, catalog, &routing_config, limits.fingerprint_bytes),
+            endpoints: EndpointRegistry::new(names.sites.clone()),
+            statements: StatementChecker::new(now, names, &routing_config, limits.fingerprint_bytes),
             clients: Clients::new(limits),
             backends: Backends::new(timeouts),
             discovery: DiscoveryClient::new(discovery, timeouts.drain_grace),
--- a/crates/ottersill/src/fleet_link/datagrams.rs
+++ b/crates/ottersill/src/fleet_link/datagrams.rs
@@ -33,7 +33,7 @@
     }
 
     fn join(&mut self, context: &mut Context) {
-        let listen = self.file.listen;
+        let listen = self.file.listen_address;
         let opened = socket::bind_datagram(listen).and_then(|socket| context.register(socket, Source::Fleet));
         match opened {
             Ok((socket, token)) => {
@@ -54,7 +54,7 @@
         let voters = &self.file.fleet.voters;
         let identity = MemberIdentity {
             incarnation: incarnation(unix, random),
-            address: self.file.at,
+            address: self.file.advertised_address,
             seeds: self.file.peers.iter().filter(|peer| voters.contains(&peer.name)).cloned().collect(),
             secret: &self.secret,
             seed: self.seed ^ random,
@@ -64,8 +64,8 @@
 
     fn on_bind_failed(&mut self, fault: &io::Error, context: &Context) {
         if matches!(self.state, MembershipState::AddressTaken { retry_at } if retry_at == 0.0) {
-            warn!(context.log, "fleet not joined: the member's address is not available"; "listen" => %self.file.listen,
-                "fault" => %fault);
+            warn!(context.log, "fleet not joined: the member's address is not available";
+                "listen" => %self.file.listen_address, "fault" => %fault);
         }
         self.state = MembershipState::AddressTaken { retry_at: context.now() + BIND_RETRY_DELAY_SECONDS };
     }
--- a/crates/ottersill/src/fleet_link/mod.rs
+++ b/crates/ottersill/src/fleet_link/mod.rs
@@ -108,7 +108,7 @@
 
     /// The address of the control listener, if the fleet file gives one.
     pub fn control_address(&self) -> Option<SocketAddr> {
-        self.file.control
+        self.file.control_address
     }
 
     /// The number of acquisitions that were refused.
--- a/crates/ottersill/src/lifecycle/start.rs
+++ b/crates/ottersill/src/lifecycle/start.rs
@@ -24,7 +24,7 @@
     let limits = config.limits.connection_limits().map_err(ConfigError::from)?;
     let timeouts = config.settings.backend_timeouts().map_err(ConfigError::from)?;
     let routing_config = config.settings.routing_config(config.seed).map_err(ConfigError::from)?;
-    let catalog = config.settings.catalog();
+    let names = config.settings.names();
     let longest_statement_timeout =
         routing_config.workloads.iter().map(|w| w.statement_timeout).fold(0.0, f64::max);
     let open_link = |path| FleetLink::open(path, &config.name, longest_statement_timeout, config.seed);
@@ -33,7 +33,7 @@
     handle_signals(&reactor.handle())?;
     let logger = log.logger(&config.name);
     let mut event_loop =
-        EventLoop::new(routing_config, catalog, timeouts, limits, config.discovery, logger, reactor.handle());
+        EventLoop::new(routing_config, names, timeouts, limits, config.discovery, logger, reactor.handle());
     if let Some(known) = &config.known {
         event_loop.apply_endpoint_list(known);
     }
--- a/crates/ottersill/src/statement_checker.rs
+++ b/crates/ottersill/src/statement_checker.rs
@@ -1,7 +1,7 @@
 //! Checks and classifies the statements of clients, and turns them into requests for the routing module.
 
 use bytes::Bytes;
-use ottersill_config::deployment::Catalog;
+use ottersill_config::deployment::DeploymentNames;
 use ottersill_routing::Router;
 use ottersill_routing::interface::{Request, RoutingConfig, WorkEstimate};
 use ottersill_statement::classify;
@@ -114,7 +114,7 @@
 /// Checks statements, and caches what is known about them by their fingerprints.
 pub struct StatementChecker {
     /// The names and settings of the workloads.
-    catalog: Catalog,
+    names: DeploymentNames,
     /// What is known about fingerprints, within a limit on its memory.
     fingerprints: FingerprintCache,
     /// When the log last had a line about a read treated as a write, in Unix seconds.
@@ -123,10 +123,10 @@
 
 impl StatementChecker {
     /// Creates a checker with an empty fingerprint cache. `now` is in Unix seconds, `bytes` is the memory limit of the cache.
-    pub fn new(now: f64, catalog: Catalog, routing: &RoutingConfig, bytes: usize) -> StatementChecker {
+    pub fn new(now: f64, names: DeploymentNames, routing: &RoutingConfig, bytes: usize) -> StatementChecker {
         let typical_work = routing.workloads.iter().map(Router::initial_latency).collect();
         let fingerprints = FingerprintCache::new(now, Key::from_seed(routing.seed), bytes, typical_work);
-        StatementChecker { catalog, fingerprints, logged_at: 0.0 }
+        StatementChecker { names, fingerprints, logged_at: 0.0 }
     }
 
     /// Checks a statement.
@@ -142,7 +142,7 @@
         let scan = self.fingerprints.scan(text);
         let parsed = StatementText::parse(text, &scan);
         let (statement, comment) = parsed.map_err(|error| Refusal::Query(error.into()))?;
-        let workload = self.catalog.workloads.iter().position(|name| name == comment.workload);
+        let workload = self.names.workloads.iter().position(|name| name == comment.workload);
         let workload = workload.ok_or(Refusal::Query(QueryError::UnknownWorkload))?;
         let group = find_group(&comment, check_context)?;
         let info = self.fingerprints.lookup(context.now(), workload, text, scan.fingerprint);
@@ -150,11 +150,11 @@
             context.counters.session_queries += 1;
             return Err(Refusal::Query(QueryError::NotSupported(reason)));
         }
-        if info.kind != StatementKind::Read && self.catalog.reads[workload] {
+        if info.kind != StatementKind::Read && self.names.is_read_only[workload] {
             context.counters.reads_treated_as_writes += 1;
             self.log_write_classification(workload, text, &info, context);
         }
-        let time_left = comment.time_left.min(self.catalog.timeouts[workload]);
+        let time_left = comment.time_left.min(self.names.statement_timeouts[workload]);
         Ok(CheckedStatement { text: statement, comment, info, workload, group, time_left })
     }
 
@@ -207,7 +207,7 @@
         let is_read = classification.kind == StatementKind::Read;
         let reason = if is_read { "replicas reject it" } else { &classification.reason };
         info!(context.log, "statement may write"; "reason" => reason, "kind" => info.kind.name(),
-            "workload" => self.catalog.workloads[workload].as_str(), "so_far" => context.counters.reads_treated_as_writes);
+            "workload" => self.names.workloads[workload].as_str(), "so_far" => context.counters.reads_treated_as_writes);
     }
 }
 
--- a/crates/ottersill/tests/held_up_turn.rs
+++ b/crates/ottersill/tests/held_up_turn.rs
@@ -39,7 +39,7 @@
         let limits = config.limits.connection_limits().expect("limits");
         let timeouts = config.settings.backend_timeouts().expect("settings");
         let routing_config = config.settings.routing_config(config.seed).expect("settings");
-        let names = config.settings.catalog();
+        let names = config.settings.names();
         let events = Reactor::try_new().expect("a loop");
         let log = Logger::root(Discard, o!());
         let handle = events.handle();
--- a/crates/ottersill/tests/mix.rs
+++ b/crates/ottersill/tests/mix.rs
@@ -22,7 +22,7 @@
 
 fn config(seed: u64) -> RoutingConfig {
     let workload = WorkloadSettings {
-        needs: Consistency::Bounded(1.0),
+        consistency: Consistency::Bounded(1.0),
         effect: Effect::Idempotent,
         priority_weight: 1.0,
         late_value_fraction: 0.3,
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -97,7 +97,7 @@
             transport.abort(id.index());
             return;
         }
-        let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
+        let needs_primary = matches!(settings.consistency, Consistency::Primary | Consistency::Fresh);
         self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
         // A client that returns after its SLO time only adds load; before that, the sooner it returns the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -55,7 +55,7 @@
     /// Returns the position that an endpoint needs to serve the request from its own data; infinite if only the primary
     /// will do.
     pub(crate) fn required_position(&self, request: &TrackedRequest) -> f64 {
-        match self.class_of(request).needs() {
+        match self.class_of(request).consistency() {
             Consistency::Primary | Consistency::Fresh => f64::INFINITY,
             Consistency::Session => {
                 let remembered = self.state.watermarks.required(request.group, request.session);
@@ -140,7 +140,10 @@
         let members = group.members().iter();
         let candidate = Candidate {
             is_second_in_a_row: request.last_endpoint == Some(endpoint),
-            to_primary: matches!(self.class_of(request).needs(), Consistency::Primary | Consistency::Fresh),
+            to_primary: matches!(
+                self.class_of(request).consistency(),
+                Consistency::Primary | Consistency::Fresh
+            ),
             waited_seconds: self.now - request.arrived_at,
             size: target.size(),
             members: members.map(|member| (self.endpoint(*member).size(), self.is_usable(*member))),
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -36,7 +36,7 @@
     /// before the result.
     pub(crate) fn update_role(&mut self, now: f64, request: &TrackedRequest, result: &AttemptResult) {
         let id = EndpointId::new(result.endpoint);
-        let needs_primary = self.classes.get(request.class).needs() == Consistency::Primary;
+        let needs_primary = self.classes.get(request.class).consistency() == Consistency::Primary;
         let is_refused = matches!(result.outcome, AttemptOutcome::WrongEndpoint | AttemptOutcome::ReadOnly);
         if result.outcome == AttemptOutcome::WrongEndpoint && !needs_primary {
             // The endpoint would reject the next read too. If it waits before it rejects, that read would be late.
@@ -91,8 +91,8 @@
             return;
         }
         let id = EndpointId::new(result.endpoint);
-        let needs = self.classes.get(request.class).needs();
-        let needs_primary = matches!(needs, Consistency::Primary | Consistency::Fresh);
+        let consistency = self.classes.get(request.class).consistency();
+        let needs_primary = matches!(consistency, Consistency::Primary | Consistency::Fresh);
         let view = View::new(now, self);
         let endpoint_capacity = view.capacity(id);
         let group_capacity = view.group_capacity(request.group).max(endpoint_capacity);
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkloadSettings {
     /// The data that it needs.
-    pub needs: Consistency,
+    pub consistency: Consistency,
     /// How often one of its requests may take effect.
     pub effect: Effect,
     /// Priority weight: the value of an answer in time.
@@ -68,7 +68,7 @@
     /// Returns the staleness bound in seconds; `None` if the workload is not a bounded read.
     #[must_use]
     pub fn bound(&self) -> Option<f64> {
-        match self.needs {
+        match self.consistency {
             Consistency::Bounded(bound) => Some(bound),
             _ => None,
         }
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -137,8 +137,8 @@
             ..WaitingRequests::default()
         };
         for request in self.requests.waiting(group).iter().map(|id| self.requests.get(*id)) {
-            let class_needs = self.classes.get(request.class).needs();
-            let goes_to_primary = matches!(class_needs, Consistency::Primary | Consistency::Fresh);
+            let consistency = self.classes.get(request.class).consistency();
+            let goes_to_primary = matches!(consistency, Consistency::Primary | Consistency::Fresh);
             summary.needs_primary |= goes_to_primary && !has_primary;
             summary.has_failed |= request.attempts > 0;
             summary.longest_wait = summary.longest_wait.max(now - request.arrived_at);
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -30,7 +30,7 @@
 pub(crate) fn choose(view: View<'_>, request: &TrackedRequest) -> Option<EndpointId> {
     let group = &view.state.replica_sets[request.group];
     let selection = Selection { view, request, group };
-    match view.class_of(request).needs() {
+    match view.class_of(request).consistency() {
         Consistency::Primary | Consistency::Fresh => selection.accepting_primary(),
         Consistency::Session | Consistency::Bounded(_) | Consistency::Any => selection.choose_for_read(),
     }
@@ -210,8 +210,8 @@
         let primary = self.group.primary()?;
         let classes = &self.view.state.classes;
         let writes = classes.work_share(super::stats::ClassStats::is_write);
-        let reads =
-            classes.work_share(|class| !matches!(class.needs(), Consistency::Primary | Consistency::Any));
+        let reads = classes
+            .work_share(|class| !matches!(class.consistency(), Consistency::Primary | Consistency::Any));
         let fair_share = (writes + reads) / count_to_f64(fresh + 1);
         let spare_capacity = self.view.endpoint(primary).spare_capacity(self.view.now);
         let share_of_reads = (fair_share - writes) / reads.max(MIN_SHARE) * spare_capacity;
--- a/crates/routing/src/stats.rs
+++ b/crates/routing/src/stats.rs
@@ -50,8 +50,8 @@
     }
 
     /// The consistency that its requests need.
-    pub(crate) fn needs(&self) -> Consistency {
-        self.settings.needs
+    pub(crate) fn consistency(&self) -> Consistency {
+        self.settings.consistency
     }
 
     /// How often its requests may take effect.
@@ -61,7 +61,7 @@
 
     /// Whether its requests go to the primary because they may write.
     pub(crate) fn is_write(&self) -> bool {
-        self.settings.needs == Consistency::Primary
+        self.settings.consistency == Consistency::Primary
     }
 
     /// The detector of retries by the clients of the class.
@@ -107,7 +107,7 @@
         let configured = config.workloads.iter().cloned();
         // A statement that may write is handled by the strictest settings, whatever its workload specifies.
         let write_class = |workload: &WorkloadSettings| WorkloadSettings {
-            needs: Consistency::Primary,
+            consistency: Consistency::Primary,
             effect: Effect::NonIdempotent,
             ..workload.clone()
         };
@@ -152,13 +152,13 @@
     /// The fraction of all recent work that is due to long reads.
     pub(crate) fn long_read_share(&self) -> f64 {
         let threshold = self.long_read_threshold();
-        self.work_share(|class| class.needs() == Consistency::Any && class.expected_latency > threshold)
+        self.work_share(|class| class.consistency() == Consistency::Any && class.expected_latency > threshold)
     }
 
     /// Whether an answer of this class that takes `seconds` is a long read: a read of data of any age that delays the
     /// replication of the endpoint on which it runs.
     pub(crate) fn is_long_read(&self, class: &ClassStats, seconds: f64) -> bool {
-        class.needs() == Consistency::Any && seconds > self.long_read_threshold()
+        class.consistency() == Consistency::Any && seconds > self.long_read_threshold()
     }
 
     /// The latency in seconds above which a read of data of any age is long.
--- a/crates/routing/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -4,13 +4,20 @@
 
 /// Settings of a workload in which an answer after the SLO time has no value. Times are in seconds.
 pub fn request_class(
-    needs: Consistency,
+    consistency: Consistency,
     effect: Effect,
     priority_weight: f64,
     slo_time: f64,
     statement_timeout: f64,
 ) -> WorkloadSettings {
-    WorkloadSettings { needs, effect, priority_weight, late_value_fraction: 0.0, slo_time, statement_timeout }
+    WorkloadSettings {
+        consistency,
+        effect,
+        priority_weight,
+        late_value_fraction: 0.0,
+        slo_time,
+        statement_timeout,
+    }
 }
 
 /// Settings of a single router at site 0 for these workloads, without the features that only some deployments have.
--- a/crates/routing/tests/decisions/consistency.rs
+++ b/crates/routing/tests/decisions/consistency.rs
@@ -55,7 +55,7 @@
 #[case::crowded(Between::Crowded, false)]
 fn a_session_sees_its_own_writes(#[case] between: Between, #[case] taken: bool) {
     let mut all = RoutingConfig { must_remember_writes: true, ..terms(false) };
-    all.workloads[READ].needs = Consistency::Session;
+    all.workloads[READ].consistency = Consistency::Session;
     let mut world = World::new(all);
     world.report(0, Primary, 0.0);
     // One replica, which lags by a second.
--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -317,7 +317,7 @@
             workload_seconds: usual,
             log_standard_error: self.random.unit(),
         });
-        let reads = terms.needs != Consistency::Primary;
+        let reads = terms.consistency != Consistency::Primary;
         let statement = Request {
             workload,
             group: self.random.below(self.scenario.groups),
@@ -380,7 +380,7 @@
     fn draw_ending(&mut self, request: usize, attempt: &Attempt) -> (AttemptOutcome, f64) {
         let SimulatedRequest { statement, hidden_write, .. } = self.requests[request];
         let terms = &self.scenario.terms.workloads[statement.workload];
-        let (needs, slo_time) = (terms.needs, terms.slo_time);
+        let (consistency, slo_time) = (terms.consistency, terms.slo_time);
         let endpoint = &self.endpoints[attempt.endpoint];
         let (health, lag) = (endpoint.health, endpoint.lag);
         let crowd = 1.0 + endpoint.attempts as f64 / (8.0 * endpoint.listed.size);
@@ -392,9 +392,9 @@
             Health::Hung => return (AttemptOutcome::TimedOut, statement.time_left),
             Health::Up | Health::Slow => {}
         }
-        let old = matches!(needs, Consistency::Bounded(bound) if lag > bound)
+        let old = matches!(consistency, Consistency::Bounded(bound) if lag > bound)
             && self.scenario.terms.endpoints_check_reads;
-        if !is_primary && (needs == Consistency::Primary || statement.may_write) || old {
+        if !is_primary && (consistency == Consistency::Primary || statement.may_write) || old {
             return (AttemptOutcome::WrongEndpoint, quick);
         }
         if hidden_write && !is_primary {
@@ -447,7 +447,8 @@
         if answered && self.random.chance(900) {
             observed = self.report_of(attempt.endpoint, 0.0);
             observed.utilization = None;
-            let writes = self.scenario.terms.workloads[statement.workload].needs == Consistency::Primary;
+            let writes =
+                self.scenario.terms.workloads[statement.workload].consistency == Consistency::Primary;
             let tells_position =
                 if writes { attempt.outcome == AttemptOutcome::Completed } else { self.random.chance(300) };
             observed.lsn = observed.lsn.filter(|_| tells_position);
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -32,7 +32,7 @@
 const START_SECONDS: f64 = 1000.0;
 
 fn config(routers: usize) -> RoutingConfig {
-    let class = |needs, effect| request_class(needs, effect, 3.0, 0.3, 1.0);
+    let class = |consistency, effect| request_class(consistency, effect, 3.0, 0.3, 1.0);
     let workloads = vec![
         class(Consistency::Bounded(10.0), Effect::Idempotent),
         class(Consistency::Primary, Effect::NonIdempotent),
--- a/crates/sim-adapter/src/instance/mod.rs
+++ b/crates/sim-adapter/src/instance/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashMap;
 
-use ottersill_config::deployment::Catalog;
+use ottersill_config::deployment::DeploymentNames;
 use ottersill_routing::Router;
 use ottersill_routing::interface::{AttemptOutcome, AttemptResult, LoadReport, Request, Role};
 
@@ -41,7 +41,7 @@
 
 /// The mappings between names on the wire and indices of routing.
 struct Names {
-    catalog: Catalog,
+    deployment: DeploymentNames,
     endpoints: EndpointTable,
     groups: GroupTable,
     requests: RequestTable,
@@ -68,7 +68,7 @@
         let settings = &create.boot_info;
         let config = settings.routing_config(create.nonce64)?;
         let mut names = Names {
-            catalog: settings.catalog(),
+            deployment: settings.names(),
             endpoints: EndpointTable::default(),
             groups: GroupTable::default(),
             requests: RequestTable::default(),
@@ -89,12 +89,12 @@
         entries: &[Entry],
         reply: &mut Reply,
     ) -> Result<(), EventError> {
-        let Names { catalog, endpoints, groups, .. } = &mut self.names;
+        let Names { deployment, endpoints, groups, .. } = &mut self.names;
         let known_before = endpoints.len();
         let mut changes = Vec::with_capacity(entries.len());
         for entry in entries {
             let group = |number| groups.index(number);
-            changes.push(endpoints.update(entry, &catalog.sites, group)?);
+            changes.push(endpoints.update(entry, &deployment.sites, group)?);
         }
         if scope == ListScope::Full {
             let absent = endpoints.absent_from(&changes, known_before);
@@ -117,11 +117,11 @@
     /// workload or tenant.
     pub fn request(&mut self, now: f64, demand: &Demand<'_>, reply: &mut Reply) -> Result<(), EventError> {
         let names = &mut self.names;
-        let workload = position(&names.catalog.workloads, &demand.priority)
+        let workload = position(&names.deployment.workloads, &demand.priority)
             .ok_or_else(|| EventError::UnknownWorkload(demand.priority.to_string()))?;
         let tenant = match &demand.owner {
             Some(Tenant::Name(name)) => {
-                let tenant = position(&names.catalog.tenants, name);
+                let tenant = position(&names.deployment.tenants, name);
                 Some(tenant.ok_or_else(|| EventError::UnknownTenant(name.to_string()))?)
             }
             Some(Tenant::Nobody(_)) | None => None,
@@ -231,7 +231,7 @@
         let position = progress.position_ms();
         LoadReport {
             role,
-            lsn: position.map(|ms| self.catalog.lsn_epoch_seconds + seconds(ms)),
+            lsn: position.map(|ms| self.deployment.lsn_epoch_seconds + seconds(ms)),
             utilization: None,
         }
     }
@@ -239,7 +239,7 @@
     fn load_report(&self, pressure: &Pressure) -> LoadReport {
         LoadReport {
             role: pressure.x1.map(|x1| if x1 > 0.5 { Role::Primary } else { Role::Replica }),
-            lsn: pressure.x0.map(|x0| self.catalog.lsn_epoch_seconds + x0),
+            lsn: pressure.x0.map(|x0| self.deployment.lsn_epoch_seconds + x0),
             utilization: pressure.utilization,
         }
     }
