--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -76,7 +76,7 @@
 /// Returns a 64-bit hash of a name, the same at all members: the first eight bytes of its BLAKE3 hash, big-endian.
 pub fn name_hash(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
-    hash.as_bytes().iter().take(8).fold(0, |label, byte| label << 8 | u64::from(*byte))
+    hash.as_bytes().iter().take(8).fold(0, |value, byte| value << 8 | u64::from(*byte))
 }
 
 /// Settings of one member. All times are in seconds.
--- a/crates/ottersill/src/command/explain.rs
+++ b/crates/ottersill/src/command/explain.rs
@@ -89,8 +89,8 @@
                 text.push_str(&format!("\n         {title}: {}", names.join(", ")));
             }
         }
-        if let Some(why) = self.refused {
-            text.push_str(&format!("\n         refused: {why}"));
+        if let Some(reason) = self.refused {
+            text.push_str(&format!("\n         refused: {reason}"));
         }
         text
     }
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -35,7 +35,7 @@
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
         let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
         for group in waiting {
-            self.work.groups += 1;
+            self.work_counts.groups += 1;
             self.dispatch_waiting(now, group, transport);
         }
     }
@@ -122,7 +122,7 @@
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
         let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
         for id in in_flight {
-            self.work.requests += 1;
+            self.work_counts.requests += 1;
             let request = self.requests.get(id);
             if let RequestState::InFlight(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -305,7 +305,7 @@
 /// Counts of what a router has examined since it started, beyond what each call names. They depend on the traffic and
 /// on what changes, not on the size of the fleet: a count that grows with the number of endpoints is a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct WorkCounts {
     /// Groups visited by ticks, and by endpoint lists and quotas in order to dispatch waiting requests.
     pub groups: u64,
     /// Groups whose members were examined for a health check.
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -59,7 +59,7 @@
 
     /// Ejects the endpoints that are sent attempts and answer none of them (departure 5 of docs/design.md).
     pub(crate) fn eject_silent(&mut self, now: f64) {
-        self.work.requests += count_to_u64(self.requests.in_flight_ids().len());
+        self.work_counts.requests += count_to_u64(self.requests.in_flight_ids().len());
         let mut detector = SilenceDetector::default();
         for (request, id) in self.requests.in_flight() {
             let endpoint = &self.endpoints[id];
@@ -84,7 +84,7 @@
         if !self.config.may_check_health || !is_check_possible {
             return;
         }
-        self.work.polls += 1;
+        self.work_counts.polls += 1;
         let needed_by_read = selection::replica_to_check(View::new(now, self), group);
         let members = self.members_by_last_check(group);
         let mut exempt_checks = self.checks_outside_budget(now, group).unwrap_or(usize::MAX);
@@ -245,7 +245,7 @@
     /// Adjusts the fraction for one group, in which replicas count as lagging above `limit` seconds. Returns whether
     /// the next tick may change the fraction again if no result arrives until then.
     fn adjust_write_throttle(&mut self, now: f64, group: GroupId, limit: f64) -> bool {
-        self.work.groups += 1;
+        self.work_counts.groups += 1;
         let is_current = self.replica_sets[group].has_frequent_results(now);
         let lagging = if is_current { self.lagging_fraction(now, group, limit) } else { 0.0 };
         let replica_set = &mut self.replica_sets[group];
@@ -287,6 +287,6 @@
             self.replica_sets[group].members().iter().any(is_behind)
         });
         self.watermarks = watermarks;
-        self.work.watermarks += examined;
+        self.work_counts.watermarks += examined;
     }
 }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -146,8 +146,8 @@
         let waiting = self.groups_waiting().flat_map(|group| self.waiting(group).iter().copied());
         let held = waiting.chain(self.in_flight_ids()).map(|id| &self.table[id]);
         let named = held.flat_map(|entry| {
-            let doubtful = entry.request.possible_effect.map(|effect| effect.endpoint);
-            [entry.state.endpoint(), entry.request.last_endpoint, doubtful]
+            let possibly_affected = entry.request.possible_effect.map(|effect| effect.endpoint);
+            [entry.state.endpoint(), entry.request.last_endpoint, possibly_affected]
         });
         named.flatten().collect()
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,7 +7,7 @@
 use crate::ids::{EndpointId, GroupId, Id, RequestId};
 use crate::interface::{
     AttemptOutcome, AttemptResult, EndpointUpdate, FleetQuota, LoadReport, ReportSource, Request,
-    RoutingConfig, Transport, Work, WorkloadSettings,
+    RoutingConfig, Transport, WorkCounts, WorkloadSettings,
 };
 use crate::request::RequestState;
 use crate::state::RouterState;
@@ -200,7 +200,7 @@
             visited.insert(GroupId::new(self.rotation_group));
         }
         for group in visited {
-            state.work.groups += 1;
+            state.work_counts.groups += 1;
             state.dispatch_waiting(now, group, transport);
             state.poll(now, group, transport);
         }
@@ -220,8 +220,8 @@
 
     /// Returns counts of what the router has examined since it started.
     #[must_use]
-    pub fn work(&self) -> Work {
-        self.state.work
+    pub fn work_counts(&self) -> WorkCounts {
+        self.state.work_counts
     }
 
     /// Returns whether an attempt that was decided on may still be sent: the endpoint list, a role or the time may have
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -183,8 +183,8 @@
     /// Returns one of the first `kept` replicas, which serve the other long reads, or else the first other replica that
     /// accepts the request.
     fn choose_for_long_read(&self, fresh: &[EndpointId], kept: usize) -> Option<EndpointId> {
-        let together = fewest_in_flight(self.view, &fresh[..kept], |endpoint| self.accepts(endpoint));
-        together.or_else(|| fresh.iter().copied().find(|endpoint| self.accepts(*endpoint)))
+        let shared = fewest_in_flight(self.view, &fresh[..kept], |endpoint| self.accepts(endpoint));
+        shared.or_else(|| fresh.iter().copied().find(|endpoint| self.accepts(*endpoint)))
     }
 
     /// Removes the replicas that serve long reads, unless no others are left: replication does not advance there. A
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::Endpoint;
 use crate::health_check::HealthCheckBudget;
 use crate::ids::{EndpointId, GroupId, Id, RequestId, Table};
-use crate::interface::{RoutingConfig, Work};
+use crate::interface::{RoutingConfig, WorkCounts};
 use crate::replica_set::ReplicaSet;
 use crate::request::{RequestState, Requests};
 use crate::retry::RetryBudget;
@@ -42,7 +42,7 @@
     pub(crate) latency_pressure: LatencyPressure,
     pub(crate) stall_detector: StallDetector,
     pub(crate) sampler: Sampler,
-    pub(crate) work: Work,
+    pub(crate) work_counts: WorkCounts,
 }
 
 impl RouterState {
@@ -66,7 +66,7 @@
             latency_pressure: LatencyPressure::default(),
             stall_detector: StallDetector::new(now),
             sampler: Sampler::new(config.seed),
-            work: Work::default(),
+            work_counts: WorkCounts::default(),
             config,
         }
     }
--- a/crates/routing/tests/decisions/retention.rs
+++ b/crates/routing/tests/decisions/retention.rs
@@ -177,7 +177,7 @@
 fn an_empty_list_visits_no_group() {
     let mut world = World::new(terms(false));
     world.ask(READ);
-    let before = world.router.work();
+    let before = world.router.work_counts();
     world.router.on_endpoint_list(world.now, &[], &mut world.book);
-    assert_eq!(world.router.work(), before);
+    assert_eq!(world.router.work_counts(), before);
 }
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -299,9 +299,9 @@
 fn a_change_of_the_endpoint_list_visits_only_groups_with_waiting_requests() {
     let mut simulation = Simulation::new(3200, 900);
     let groups_visited = |simulation: &mut Simulation| {
-        let before = simulation.router.work().groups;
+        let before = simulation.router.work_counts().groups;
         simulation.replace_endpoint();
-        simulation.router.work().groups - before
+        simulation.router.work_counts().groups - before
     };
     assert_eq!(groups_visited(&mut simulation), 0, "no request waits");
     (0..3).for_each(|_| simulation.send_request());
@@ -314,15 +314,16 @@
     let mut simulation = Simulation::new(64, 300);
     (0..200).for_each(|_| simulation.send_request());
     (0..200).for_each(|index| simulation.router.on_client_gone(index));
-    let before = simulation.router.work().requests;
+    let before = simulation.router.work_counts().requests;
     simulation.router.on_tick(simulation.now() + 0.02, &mut simulation.actions);
-    assert_eq!(simulation.router.work().requests, before, "all clients have disconnected");
+    assert_eq!(simulation.router.work_counts().requests, before, "all clients have disconnected");
 }
 
 /// Guards against ticks that visit all groups: with 3,200 endpoints that took eleven times the CPU time of 200 endpoints.
 #[test]
 fn ticks_visit_as_many_groups_in_a_large_fleet_as_in_a_small_one() {
-    let visited = |endpoints: usize| Simulation::new(endpoints, 300).run(simulated_seconds()).1.work().groups;
+    let visited =
+        |endpoints: usize| Simulation::new(endpoints, 300).run(simulated_seconds()).1.work_counts().groups;
     let (small, large) = (visited(200), visited(3200));
     // Each group is visited once after its endpoints were listed.
     let new_groups = (3200 - 200) / GROUP_SIZE as u64;
@@ -337,7 +338,7 @@
     let writes = figures.issued / REQUESTS_PER_WRITE;
     // A watermark is examined at the end of its write, and at each answer, health check and list change of its group.
     let changes = writes + figures.answered + figures.health_checks + simulated_seconds();
-    let examined = router.work().watermarks;
+    let examined = router.work_counts().watermarks;
     assert!(examined >= writes as u64, "{examined} watermarks examined for {writes} writes");
     assert!(examined <= 2 * changes as u64, "{examined} watermarks examined for {changes} changes");
 }
@@ -347,9 +348,9 @@
 fn members_are_examined_only_if_a_health_check_may_be_sent() {
     let mut simulation = Simulation::new(3200, 900);
     let polls = |simulation: &mut Simulation| {
-        let before = simulation.router.work().polls;
+        let before = simulation.router.work_counts().polls;
         (0..10).for_each(|_| simulation.router.on_tick(START_SECONDS, &mut simulation.actions));
-        simulation.router.work().polls - before
+        simulation.router.work_counts().polls - before
     };
     assert!(polls(&mut simulation) > 0, "new endpoints add some health checks to the budget");
     for _ in 0..1000 {
--- a/crates/statement/src/classify/mod.rs
+++ b/crates/statement/src/classify/mod.rs
@@ -116,7 +116,7 @@
 
 fn classify_objection(text: &[u8], objection: &Objection) -> Classification {
     let excerpt = excerpt(text, objection);
-    let (kind, why) = match objection.cause {
+    let (kind, reason) = match objection.cause {
         Cause::Invalid => (
             StatementKind::Unknown,
             "invalid or unterminated SQL from byte ".to_string() + &objection.span.start.to_string(),
@@ -137,7 +137,7 @@
             (StatementKind::Unknown, format!("a cast at {excerpt} to a type that is not built in"))
         }
     };
-    let mut classification = Classification::new(kind, why);
+    let mut classification = Classification::new(kind, reason);
     classification.multiple_statements = objection.cause == Cause::MultipleStatements;
     classification.locks = objection.cause == Cause::RowLocks;
     classification
--- a/crates/statement/src/classify/tree_findings.rs
+++ b/crates/statement/src/classify/tree_findings.rs
@@ -24,10 +24,10 @@
     column_list_names: Vec<String>,
     statements: usize,
     pub(super) locks: bool,
-    /// The first write that was found.
-    writes: Option<&'static str>,
-    /// The first construct that may write.
-    unknown: Option<String>,
+    /// Why the statement writes, by the first write that was found.
+    write_reason: Option<&'static str>,
+    /// Why the statement may write, by the first construct that was found.
+    unknown_reason: Option<String>,
 }
 
 fn ident_text(ident: &Ident) -> String {
@@ -47,9 +47,9 @@
 }
 
 impl TreeFindings {
-    fn note_unknown(&mut self, what: impl Into<String>) {
-        if self.unknown.is_none() {
-            self.unknown = Some(what.into());
+    fn note_unknown(&mut self, reason: impl Into<String>) {
+        if self.unknown_reason.is_none() {
+            self.unknown_reason = Some(reason.into());
         }
     }
 
@@ -112,8 +112,8 @@
         }
     }
 
-    fn note_write(&mut self, what: &'static str) {
-        self.writes.get_or_insert(what);
+    fn note_write(&mut self, reason: &'static str) {
+        self.write_reason.get_or_insert(reason);
     }
 
     /// Classifies the statement by the findings and the prescan. `is_executed` is false if it is only explained.
@@ -133,8 +133,8 @@
         if let Some(called) = self.first_unknown_call(is_executed, text, prescan) {
             return Classification::new(StatementKind::Unknown, format!("{called}() may write"));
         }
-        let why = if is_executed { "nothing in it can write" } else { "EXPLAIN alone runs nothing" };
-        Classification::new(StatementKind::Read, why)
+        let reason = if is_executed { "nothing in it can write" } else { "EXPLAIN alone runs nothing" };
+        Classification::new(StatementKind::Read, reason)
     }
 
     /// Adds the findings that follow from the kind of statement. Returns a classification if the kind alone determines it.
@@ -187,8 +187,8 @@
             return Some(classify_objection(text, objection));
         }
         // A plain `EXPLAIN` doesn't execute the statement, but may call functions, as the planner folds constant expressions.
-        if let Some(what) = self.writes.filter(|_| is_executed) {
-            return Some(Classification::new(StatementKind::Write, what));
+        if let Some(reason) = self.write_reason.filter(|_| is_executed) {
+            return Some(Classification::new(StatementKind::Write, reason));
         }
         if let Some(objection) = prescan.write_objection.as_ref().filter(|_| is_executed) {
             return Some(classify_objection(text, objection));
@@ -199,7 +199,7 @@
         if self.statements > 1 && is_executed {
             return Some(Classification::new(StatementKind::Unknown, "a statement within the statement"));
         }
-        self.unknown.take().map(|why| Classification::new(StatementKind::Unknown, why))
+        self.unknown_reason.take().map(|reason| Classification::new(StatementKind::Unknown, reason))
     }
 
     /// Returns the first name before a parenthesis that is neither an alias that the parser found nor, in a statement that is
--- a/crates/statement/src/cost_model.rs
+++ b/crates/statement/src/cost_model.rs
@@ -59,7 +59,7 @@
     log_mean: f32,
     log_variance: f32,
     /// The mean in seconds. Stored, as it is read for each statement but changes only with completed attempts.
-    work: f32,
+    mean_work_seconds: f32,
     /// The number of attempts that the mean is based on, at most [`MEMORY_ATTEMPTS`].
     weight: f32,
     /// The fastest answers of the current window and of the last complete one.
@@ -106,7 +106,7 @@
     /// the greater the weight of the observation.
     fn record(&mut self, now: f64, elapsed: f64, cost: &CostModel) {
         self.fade(now);
-        let own_work = cost.work();
+        let own_work = cost.mean_work_seconds();
         // Up to a fifth above the mean work is random variation of the fingerprint, not a delay.
         let delay = (elapsed - own_work * 1.2).max(0.0);
         let weight = cost.certainty() / (own_work * own_work).max(1e-12);
@@ -127,7 +127,7 @@
         CostModel {
             log_mean: to_f32(typical.ln()),
             log_variance: to_f32(PRIOR_LOG_VARIANCE),
-            work: to_f32(typical),
+            mean_work_seconds: to_f32(typical),
             weight: 0.0,
             current: FastestAnswers::NONE,
             previous: FastestAnswers::NONE,
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Returns the seconds of work by the fingerprint's own attempts alone.
-    pub fn work(&self) -> f64 {
-        f64::from(self.work)
+    /// Returns the mean seconds of work by the fingerprint's own attempts alone.
+    pub fn mean_work_seconds(&self) -> f64 {
+        f64::from(self.mean_work_seconds)
     }
 
     /// Returns the number of attempts that the model is based on.
@@ -157,7 +157,7 @@
         let freshness = (-(now - self.updated_at).max(0.0) / COST_HALF_LIFE_SECONDS).exp2();
         let weight = f64::from(self.weight) * freshness;
         let learnt_fraction = weight / (weight + PRIOR_ATTEMPTS);
-        let work = learnt_fraction * self.work() + (1.0 - learnt_fraction) * typical;
+        let work = learnt_fraction * self.mean_work_seconds() + (1.0 - learnt_fraction) * typical;
         // With few attempts the variance is close to that of an arbitrary fingerprint.
         let variance = learnt_fraction * f64::from(self.log_variance)
             + (1.0 - learnt_fraction) * PRIOR_LOG_VARIANCE
@@ -197,7 +197,7 @@
             }
             self.weight = to_f32(weight + confidence);
             self.updated_at = now;
-            self.work = self.log_mean.exp();
+            self.mean_work_seconds = self.log_mean.exp();
         }
         delay.record(now, elapsed, self);
     }
@@ -211,7 +211,7 @@
             self.window_started_at = now;
         }
         self.current.record(to_f32(elapsed));
-        let (floor, mean) = (self.floor(), self.work());
+        let (floor, mean) = (self.floor(), self.mean_work_seconds());
         let has_full_window = self.current.answers.max(self.previous.answers) >= WINDOW_ANSWERS;
         if self.weight > 0.0 && has_full_window && (mean > floor * QUEUED_RATIO || mean < floor) {
             self.weight = 0.0;
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -136,7 +136,7 @@
 /// The mean estimated work of the statements that clients send in a workload, in seconds, and the number of statements averaged.
 #[derive(Clone, Copy, Debug)]
 struct TypicalWork {
-    work: f64,
+    mean_seconds: f64,
     statements: f64,
 }
 
@@ -147,7 +147,7 @@
     /// Adds a statement with an estimate of `work` seconds.
     fn record(&mut self, work: f64) {
         self.statements = (self.statements + 1.0).min(TYPICAL_WORK_STATEMENTS);
-        self.work += (work - self.work) / self.statements;
+        self.mean_seconds += (work - self.mean_seconds) / self.statements;
     }
 }
 
@@ -164,7 +164,8 @@
             // capacity.
             Err(_) => Cache::with(items, weight, ByteWeighter, Default::default(), Default::default()),
         };
-        let typical = typical.into_iter().map(|work| TypicalWork { work, statements: 0.0 }).collect();
+        let typical =
+            typical.into_iter().map(|mean_seconds| TypicalWork { mean_seconds, statements: 0.0 }).collect();
         FingerprintCache {
             key,
             entries,
@@ -203,7 +204,7 @@
         let typical = &mut self.typical[workload];
         if let Some(entry) = self.entries.get(&key) {
             self.counts.hits += 1;
-            let estimate = entry.cost.estimate(now, typical.work);
+            let estimate = entry.cost.estimate(now, typical.mean_seconds);
             typical.record(estimate.work_seconds);
             return StatementInfo {
                 key: Some(key),
@@ -212,7 +213,7 @@
                 estimate: Some(estimate),
             };
         }
-        let typical = typical.work;
+        let typical = typical.mean_seconds;
         let mut prescan = Prescan::default();
         Lexer::new(text).for_each(|token| prescan.push(&token, text));
         if classify::is_conclusive(&prescan) || !self.parse_budget.allows(now, key.fingerprint.0, text.len())
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -64,9 +64,9 @@
 struct Totals {
     violations: Vec<String>,
     /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
-    highest: BTreeMap<String, f64>,
+    highest_fraction: BTreeMap<String, f64>,
     grants: u64,
-    spent: u64,
+    units_acquired: u64,
     processes: usize,
     /// Number of torn lines in audit files.
     torn: usize,
@@ -80,11 +80,11 @@
         self.violations
             .extend(verdict.violations.into_iter().map(|violation| format!("seed {seed}: {violation}")));
         for (budget, highest) in verdict.highest_fraction {
-            let highest_so_far = self.highest.entry(budget).or_default();
+            let highest_so_far = self.highest_fraction.entry(budget).or_default();
             *highest_so_far = highest_so_far.max(highest);
         }
         self.grants += verdict.grants;
-        self.spent += verdict.units_acquired;
+        self.units_acquired += verdict.units_acquired;
         self.processes += verdict.processes;
         self.torn += verdict.torn;
         answers.iter().for_each(|counts| self.answers.add(counts));
@@ -97,10 +97,10 @@
         println!(
             "{} grants, {} units spent, answers Answers {{ completed: {completed}, rejected: {rejected}, \
              aborted: {aborted}, broken: {connections_broken}, wrong: {malformed} }}",
-            self.grants, self.spent
+            self.grants, self.units_acquired
         );
         println!("{} torn lines of audit files skipped", self.torn);
-        for (budget, highest) in &self.highest {
+        for (budget, highest) in &self.highest_fraction {
             println!("{budget}: highest sum {highest:.3} of the total");
         }
         self.violations
--- a/crates/testkit/src/command/mod.rs
+++ b/crates/testkit/src/command/mod.rs
@@ -64,8 +64,9 @@
 impl RouterFiles {
     /// Uses the router next to this program if `program` is `None`.
     fn find(program: Option<&Path>, example: &Path) -> Result<RouterFiles, CommandError> {
-        let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("ottersill"));
-        let program = program.map_or_else(beside, |program| Ok(program.to_path_buf()))?;
+        let next_to_this_program =
+            || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("ottersill"));
+        let program = program.map_or_else(next_to_this_program, |program| Ok(program.to_path_buf()))?;
         Ok(RouterFiles { program, example: read_file(example)? })
     }
 }
--- a/crates/testkit/src/stand_in/mod.rs
+++ b/crates/testkit/src/stand_in/mod.rs
@@ -11,7 +11,7 @@
 mod acceptor;
 mod behaviour;
 mod client;
-mod database;
+mod connection;
 mod discovery;
 pub(crate) mod endpoint_list;
 mod membership;
--- a/crates/testkit/src/stand_in/store.rs
+++ b/crates/testkit/src/stand_in/store.rs
@@ -13,7 +13,7 @@
 use super::membership::MembershipChange;
 use super::shared_state::SharedState;
 use super::state::{Execution, State};
-use super::{database, discovery};
+use super::{connection, discovery};
 
 /// Number of the replica set to which endpoints are added if none is given.
 pub(crate) const DEFAULT_GROUP: u64 = 1;
@@ -50,7 +50,7 @@
         let listener = TcpListener::bind(address)?;
         let endpoint = self.lock().add_endpoint(listener.local_addr()?, group, is_listed);
         let shared = Arc::clone(&self.shared);
-        self.accept(listener, Arc::new(move |client| database::serve(&shared, endpoint, client)))?;
+        self.accept(listener, Arc::new(move |client| connection::serve(&shared, endpoint, client)))?;
         Ok(endpoint)
     }
 
