--- a/crates/routing/tests/digests/main.rs
+++ b/crates/routing/tests/digests/main.rs
@@ -1,9 +1,10 @@
-//! Guards against unintended changes of behaviour: for the same seed and the same events the router has to answer as
-//! before. Each scenario drives one `Router` through its public API with some thousand seeded events, writes every event and
-//! every action in the words of this file, and compares the FNV-1a hash of that transcript with a recorded one.
+//! Guards against unintended changes of behaviour: for the same seed and the same events the router has to take the same
+//! actions as before. Each scenario drives one `Router` through its public API with thousands of seeded events, records
+//! every event and every action in a transcript, and compares the FNV-1a hash of the transcript with a recorded digest.
 //!
-//! If a change of behaviour is meant, the message of the failed assertion has the new digest; the commit says why it
-//! changed. `KEEP_TRANSCRIPTS=1` writes each transcript to the target's `tmp` directory, to compare two versions line by line.
+//! After an intended change of behaviour, the message of the failed assertion contains the new digest, and the commit
+//! states why it changed. `KEEP_TRANSCRIPTS=1` writes each transcript to the `tmp` directory of the target, so that the
+//! transcripts of two versions can be compared line by line.
 
 mod scenarios;
 #[path = "../common/settings.rs"]
@@ -50,7 +51,7 @@
     let name = std::thread::current().name().unwrap_or("scenario").replace("::", "-");
     if std::env::var_os("KEEP_TRANSCRIPTS").is_some() {
         let path = format!("{}/{name}.txt", env!("CARGO_TARGET_TMPDIR"));
-        std::fs::write(&path, &recorder.transcript).expect("the transcript can be written");
+        std::fs::write(&path, &recorder.transcript).expect("failed to write the transcript");
     }
     let (digest, lines) = (recorder.digest(), recorder.transcript.lines().count());
     assert!(lines > 5000, "{name} has only {lines} lines");
