--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -250,7 +250,7 @@
             Event::FleetQuota => self.grant_quotas(),
             Event::EndpointList => {
                 let all: Vec<usize> = (0..self.endpoints.len()).collect();
-                self.send_endpoint_list(&all);
+                self.send_list(&all);
             }
         }
     }
@@ -258,9 +258,7 @@
     fn apply_actions(&mut self) {
         for action in std::mem::take(&mut self.recorder.actions) {
             match action {
-                Action::StartAttempt { request, endpoint, timeout } => {
-                    self.queue_attempt(request, endpoint, timeout)
-                }
+                Action::Send { request, endpoint, timeout } => self.send_attempt(request, endpoint, timeout),
                 Action::FinalAnswer { request } => {
                     self.requests[request].has_final_answer = true;
                     self.release_index_if_done(request);
@@ -384,7 +382,7 @@
         unreachable!("the draw is below the sum of the weights")
     }
 
-    fn queue_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
+    fn send_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
         self.serial += 1;
         let serial = self.serial;
         let attempt =
@@ -606,7 +604,7 @@
         self.recorder.line(format_args!("waiting {group} {}", self.router.waiting(group)));
     }
 
-    fn send_endpoint_list(&mut self, endpoints: &[usize]) {
+    fn send_list(&mut self, endpoints: &[usize]) {
         let list: Vec<EndpointUpdate> =
             endpoints.iter().map(|endpoint| self.endpoints[*endpoint].listed).collect();
         self.recorder.line(format_args!("list {}", hex_bits(self.now)));
@@ -681,10 +679,8 @@
             Change::Join => {}
         }
         match change {
-            Change::Drain | Change::Remove | Change::Restore | Change::Restart => {
-                self.send_endpoint_list(&[endpoint])
-            }
-            Change::Join => self.send_endpoint_list(&[self.endpoints.len() - 1]),
+            Change::Drain | Change::Remove | Change::Restore | Change::Restart => self.send_list(&[endpoint]),
+            Change::Join => self.send_list(&[self.endpoints.len() - 1]),
             _ => {}
         }
     }
--- a/crates/routing/tests/digests/transcript.rs
+++ b/crates/routing/tests/digests/transcript.rs
@@ -8,7 +8,7 @@
 /// An action that the router requested from its transport.
 pub enum Action {
     /// `timeout` is in seconds; 0 stands for the time that the client has left.
-    StartAttempt {
+    Send {
         request: usize,
         endpoint: usize,
         timeout: f64,
@@ -62,7 +62,7 @@
 impl Transport for Recorder {
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
         self.line(format_args!("> send {request} {endpoint} {}", hex_bits(timeout)));
-        self.actions.push(Action::StartAttempt { request, endpoint, timeout });
+        self.actions.push(Action::Send { request, endpoint, timeout });
     }
     fn reject(&mut self, request: usize, retry_after: f64) {
         self.line(format_args!("> reject {request} {}", hex_bits(retry_after)));
