--- a/crates/routing/tests/decisions/concurrency_limit.rs
+++ b/crates/routing/tests/decisions/concurrency_limit.rs
@@ -7,89 +7,100 @@
 
 use Role::{Primary, Replica};
 
-/// Found at full size: a limit of one at each of hundreds of routers is hundreds for a host. And with a list
-/// that names hosts which do not exist: a member never heard of gets nothing.
+/// Guards against two overloads: a limit of one attempt at each of hundreds of routers adds up to hundreds of
+/// attempts at one endpoint; and an endpoint list may contain endpoints that do not exist, so an endpoint that has never
+/// reported is sent nothing.
 #[rstest]
 #[case::always_full(Some(AttemptOutcome::Refused), 2..30)]
 #[case::quick(Some(AttemptOutcome::Completed), 40..41)]
-#[case::never_heard(None, 0..1)]
-fn a_host_gets_what_it_can_take(
+#[case::never_reported(None, 0..1)]
+fn an_endpoint_is_sent_no_more_than_it_can_serve(
     #[case] outcome: Option<AttemptOutcome>,
     #[case] expected: std::ops::Range<usize>,
 ) {
-    let mut world = World::new(RoutingConfig { routers: 200, ..terms(true) });
+    let mut fixture = World::new(RoutingConfig { routers: 200, ..terms(true) });
     if outcome.is_some() {
-        world.report(1, Replica, 0.0);
+        fixture.report(1, Replica, 0.0);
     }
     let mut sent = 0;
     for _ in 0..40 {
-        let read = world.ask_with(READ, 0.1);
+        let read = fixture.ask_with(READ, 0.1);
         let mut ended = 0;
-        while let (Some(outcome), true) = (outcome, ended < world.sent_to(read).len()) {
-            world.end(read, 1, outcome, None);
+        while let (Some(outcome), true) = (outcome, ended < fixture.sent_to(read).len()) {
+            fixture.end(read, 1, outcome, None);
             ended += 1;
         }
         sent += ended;
-        world.router.on_client_gone(read);
-        world.pass(0.5);
+        fixture.router.on_client_gone(read);
+        fixture.pass(0.5);
     }
     assert!(expected.contains(&sent), "{sent}");
 }
 
-/// Found on a day with lagging replicas: reads fill half of the primary's limit, which grew only where it was full.
+/// Guards against a limit that never grows: reads may use only half of the primary's limit, so while replicas lag they
+/// never fill it, and a limit that grows only when full stays as it is.
 #[test]
-fn a_primary_that_answers_reads_quickly_is_lent_more_of_them() {
-    let mut world = World::settled(true, [0.0; 3]);
-    (1..4).for_each(|endpoint| world.list(endpoint, EndpointState::Draining, None));
+fn a_primary_that_answers_reads_quickly_is_sent_more_of_them() {
+    let mut fixture = World::settled(true, [0.0; 3]);
+    (1..4).for_each(|endpoint| fixture.list(endpoint, EndpointState::Draining, None));
     let mut asked = Vec::new();
     for round in 0..160 {
-        let more = if round < 150 { 12 } else { 0 };
-        asked.extend((0..more).map(|_| world.ask(READ)));
-        world.pass(0.02);
-        // What waits is sent as others end, or given up.
-        let (out, waits): (Vec<usize>, Vec<usize>) =
-            asked.into_iter().partition(|request| world.sent_to(*request) == [0]);
-        out.into_iter().for_each(|request| world.end(request, 0, AttemptOutcome::Completed, Some(Primary)));
-        asked = waits;
+        let arrivals = if round < 150 { 12 } else { 0 };
+        asked.extend((0..arrivals).map(|_| fixture.ask(READ)));
+        fixture.pass(0.02);
+        // Waiting requests are sent as others end, or rejected.
+        let (sent, waiting): (Vec<usize>, Vec<usize>) =
+            asked.into_iter().partition(|request| fixture.sent_to(*request) == [0]);
+        sent.into_iter()
+            .for_each(|request| fixture.end(request, 0, AttemptOutcome::Completed, Some(Primary)));
+        asked = waiting;
     }
-    let held = held_at(&mut world, READ, 0);
-    assert!(held > 12, "{held}");
+    let in_flight = held_at(&mut fixture, READ, 0);
+    assert!(in_flight > 12, "{in_flight}");
 }
 
-/// Found on a day with replaced hosts: long statements that timed out one after another closed members that answered
-/// all others in a tenth of their SLO time; a member that answers nothing is still closed.
+/// Guards against endpoints that are closed by a few long requests: their time-outs, one after another, lowered the limit
+/// of endpoints that answered all other requests in a tenth of their SLO time. An endpoint that answers nothing is still
+/// closed.
 #[rstest]
 #[case::answers_others(true, 3)]
 #[case::answers_nothing(false, 0)]
-fn time_outs_close_a_member_only_if_it_answers_nothing(#[case] answers: bool, #[case] least: usize) {
-    let mut world = World::settled(true, [0.0; 3]);
-    (0..3).for_each(|endpoint| world.list(endpoint, EndpointState::Draining, None));
+fn time_outs_close_an_endpoint_only_if_it_answers_nothing(
+    #[case] answers: bool,
+    #[case] min_in_flight: usize,
+) {
+    let mut fixture = World::settled(true, [0.0; 3]);
+    (0..3).for_each(|endpoint| fixture.list(endpoint, EndpointState::Draining, None));
     for _ in 0..30 {
-        let (long, quick) = (world.ask(READ), world.ask(READ));
-        world.pass(0.1);
+        let (long, quick) = (fixture.ask(READ), fixture.ask(READ));
+        fixture.pass(0.1);
         if answers {
-            world.end(quick, 3, AttemptOutcome::Completed, Some(Replica));
+            fixture.end(quick, 3, AttemptOutcome::Completed, Some(Replica));
         }
-        world.pass(0.7);
+        fixture.pass(0.7);
         for request in [long].into_iter().chain((!answers).then_some(quick)) {
-            if world.sent_to(request) == [3] {
-                world.end(request, 3, AttemptOutcome::TimedOut, None);
+            if fixture.sent_to(request) == [3] {
+                fixture.end(request, 3, AttemptOutcome::TimedOut, None);
             }
         }
     }
-    let held = held_at(&mut world, READ, 3);
-    assert!(if answers { held >= least } else { held == least }, "{held}");
+    let in_flight = held_at(&mut fixture, READ, 3);
+    assert!(if answers { in_flight >= min_in_flight } else { in_flight == min_in_flight }, "{in_flight}");
 }
 
-/// A hundred heavy statements of a mixed workload make no member look crowded.
+/// A hundred expensive requests with a known estimate, in a workload that also has cheap ones, do not make an endpoint
+/// look overloaded.
 #[rstest]
 #[case::known(work(0.29, 0.05, 0.02), true)]
 #[case::unknown(None, false)]
-fn heavy_shapes_close_no_member(#[case] work: Option<WorkEstimate>, #[case] open: bool) {
-    let mut world = World::settled(true, [0.0; 3]);
+fn requests_known_to_be_expensive_close_no_endpoint(
+    #[case] work: Option<WorkEstimate>,
+    #[case] stays_open: bool,
+) {
+    let mut fixture = World::settled(true, [0.0; 3]);
     for _ in 0..100 {
-        let request = world.ask_for(Request { work, ..statement(READ, 0.75) });
-        let Some(endpoint) = world.sent_to(request).first().copied() else { continue };
+        let request = fixture.ask_for(Request { work, ..statement(READ, 0.75) });
+        let Some(endpoint) = fixture.sent_to(request).first().copied() else { continue };
         let observed = LoadReport::default();
         let result = AttemptResult {
             request,
@@ -100,9 +111,9 @@
             observed,
             report: None,
         };
-        world.router.on_attempt_result(world.now, &result, &mut world.book);
-        world.pass(0.04);
+        fixture.router.on_attempt_result(fixture.now, &result, &mut fixture.book);
+        fixture.pass(0.04);
     }
-    let placed = (0..50).filter(|_| !world.ask_and_place(READ).is_empty()).count();
-    assert_eq!(placed == 50, open, "{placed} of 50 reads were placed");
+    let placed = (0..50).filter(|_| !fixture.ask_and_place(READ).is_empty()).count();
+    assert_eq!(placed == 50, stays_open, "{placed} of 50 reads were placed");
 }
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoints that drain or are gone, and rules that are checked again as an attempt goes out.
+//! Endpoints that are draining or removed, and the rules that are checked again when an attempt is sent.
 
 use ottersill_routing::interface::*;
 use rstest::rstest;
@@ -9,45 +9,49 @@
 
 #[rstest]
 #[case::draining(EndpointState::Draining, false, false)]
-#[case::gone(EndpointState::Removed, false, false)]
-#[case::gone_does_not_bind(EndpointState::Removed, true, true)]
-#[case::draining_binds_anyway(EndpointState::Draining, true, false)]
-fn drains_are_kept(#[case] state: EndpointState, #[case] only_draining_excludes: bool, #[case] still: bool) {
-    let mut world = World::new(RoutingConfig { only_draining_excludes, ..terms(false) });
-    world.report(0, Primary, 0.0);
-    world.report(1, Replica, 0.0);
-    world.list(1, state, None);
-    let read = world.ask(READ);
-    assert_eq!(world.sent_to(read) == [1], still);
+#[case::removed(EndpointState::Removed, false, false)]
+#[case::removed_where_only_draining_excludes(EndpointState::Removed, true, true)]
+#[case::draining_where_only_draining_excludes(EndpointState::Draining, true, false)]
+fn excluded_endpoints_are_sent_no_requests(
+    #[case] state: EndpointState,
+    #[case] only_draining_excludes: bool,
+    #[case] is_sent: bool,
+) {
+    let mut fixture = World::new(RoutingConfig { only_draining_excludes, ..terms(false) });
+    fixture.report(0, Primary, 0.0);
+    fixture.report(1, Replica, 0.0);
+    fixture.list(1, state, None);
+    let read = fixture.ask(READ);
+    assert_eq!(fixture.sent_to(read) == [1], is_sent);
 }
 
-/// Rules 2, 3 and 5 hold when an execution goes out, which may be some time after it was chosen.
+/// Rules 2, 3 and 5 hold when an attempt is sent, which may be some time after its endpoint was selected.
 #[rstest]
 #[case::at_once(READ, false, 0.0, None, true)]
 #[case::drains(READ, false, 0.0, Some(EndpointState::Draining), false)]
-#[case::is_gone(READ, false, 0.0, Some(EndpointState::Removed), false)]
+#[case::is_removed(READ, false, 0.0, Some(EndpointState::Removed), false)]
 #[case::data_too_old(READ, false, 1.1, None, false)]
-#[case::data_too_old_where_members_check(READ, true, 1.1, None, true)]
+#[case::data_too_old_where_endpoints_check(READ, true, 1.1, None, true)]
 #[case::any_data(REPORT, false, 1.1, None, true)]
-#[case::repeat_in_its_window(MARKED, false, 0.4, None, true)]
-#[case::repeat_after_its_window(MARKED, false, 0.6, None, false)]
-fn what_was_chosen_goes_out_by_the_rules_of_then(
+#[case::retry_in_its_window(MARKED, false, 0.4, None, true)]
+#[case::retry_after_its_window(MARKED, false, 0.6, None, false)]
+fn the_rules_are_checked_again_when_an_attempt_is_sent(
     #[case] workload: usize,
     #[case] checks: bool,
-    #[case] later: f64,
-    #[case] told: Option<EndpointState>,
-    #[case] may: bool,
+    #[case] delay_seconds: f64,
+    #[case] new_state: Option<EndpointState>,
+    #[case] is_allowed: bool,
 ) {
-    let mut world = World::settled(checks, [0.0; 3]);
-    let request = world.ask_with(workload, 2.0);
-    let mut endpoint = world.sent_to(request)[0];
+    let mut fixture = World::settled(checks, [0.0; 3]);
+    let request = fixture.ask_with(workload, 2.0);
+    let mut endpoint = fixture.sent_to(request)[0];
     if workload == MARKED {
-        // It may have run once, and is on its way again.
-        world.end(request, endpoint, AttemptOutcome::Error, Some(Primary));
-        endpoint = world.sent_to(request)[1];
+        // The first attempt may have run, and a retry is in flight.
+        fixture.end(request, endpoint, AttemptOutcome::Error, Some(Primary));
+        endpoint = fixture.sent_to(request)[1];
     }
-    told.into_iter().for_each(|state| world.list(endpoint, state, None));
-    world.now += later;
-    assert_eq!(world.router.may_send_attempt(world.now, request, endpoint), may);
-    assert_eq!(world.router.may_send_health_check(endpoint), told.is_none());
+    new_state.into_iter().for_each(|state| fixture.list(endpoint, state, None));
+    fixture.now += delay_seconds;
+    assert_eq!(fixture.router.may_send_attempt(fixture.now, request, endpoint), is_allowed);
+    assert_eq!(fixture.router.may_send_health_check(endpoint), new_state.is_none());
 }
--- a/crates/routing/tests/decisions/health_checks.rs
+++ b/crates/routing/tests/decisions/health_checks.rs
@@ -1,4 +1,4 @@
-//! When endpoints are checked, and what a check tells.
+//! When endpoints are health-checked, and what the result of a health check changes.
 
 use ottersill_routing::interface::*;
 use rstest::rstest;
@@ -9,65 +9,71 @@
 
 #[rstest]
 #[case::all_send_reports(true, 0)]
-#[case::one_is_silent(false, 1)]
-fn polling_stops_once_all_report(#[case] all: bool, #[case] least: usize) {
-    let mut world = World::new(terms(false));
+#[case::one_sends_none(false, 1)]
+fn polling_stops_once_all_report(#[case] all: bool, #[case] min_checks: usize) {
+    let mut fixture = World::new(terms(false));
     (0..if all { 4 } else { 3 }).for_each(|endpoint| {
-        world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
+        fixture.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
-    world.book.0.clear();
-    world.pass(0.4);
-    world.now += 0.8;
+    fixture.book.0.clear();
+    fixture.pass(0.4);
+    fixture.now += 0.8;
     (0..if all { 4 } else { 3 }).for_each(|endpoint| {
-        world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
+        fixture.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
-    world.pass(0.1);
-    assert!(world.count(Done::Probe(0)) >= least);
-    assert!(all == (world.count(Done::Probe(0)) == 0));
+    fixture.pass(0.1);
+    assert!(fixture.count(Done::Probe(0)) >= min_checks);
+    assert!(all == (fixture.count(Done::Probe(0)) == 0));
 }
 
-/// A probe that this router had no descriptor for was taken for one that was answered, and cleared its member.
+/// Guards against a wrong readmission: a health check for which this router had no descriptor was treated as answered, and
+/// its endpoint was no longer ejected.
 #[rstest]
 #[case::never_sent(AttemptOutcome::NeverSent, false)]
 #[case::answered(AttemptOutcome::Completed, true)]
-fn a_probe_that_was_not_sent_clears_nobody(#[case] outcome: AttemptOutcome, #[case] clears: bool) {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    let lost = world.ask(READ);
-    world.now += 1.0;
-    world.end(lost, 1, AttemptOutcome::ConnectFailed, None);
-    world.pass(1.2);
-    world.book.0.clear();
-    world.router.on_health_check(
-        world.now,
+fn a_health_check_that_was_not_sent_readmits_no_endpoint(
+    #[case] outcome: AttemptOutcome,
+    #[case] readmits: bool,
+) {
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    let lost = fixture.ask(READ);
+    fixture.now += 1.0;
+    fixture.end(lost, 1, AttemptOutcome::ConnectFailed, None);
+    fixture.pass(1.2);
+    fixture.book.0.clear();
+    fixture.router.on_health_check(
+        fixture.now,
         1,
         outcome,
-        LoadReport { lsn: Some(world.now), ..LoadReport::default() },
-        &mut world.book,
+        LoadReport { lsn: Some(fixture.now), ..LoadReport::default() },
+        &mut fixture.book,
     );
-    let read = world.ask(READ);
-    assert_eq!(world.sent_to(read) == [1], clears);
+    let read = fixture.ask(READ);
+    assert_eq!(fixture.sent_to(read) == [1], readmits);
 }
 
-/// Found at full size: hundreds of routers probed each host every second, seven probes for each statement.
+/// Guards against too many health checks: each of hundreds of routers checked each endpoint every second, which made seven
+/// health checks for each request.
 #[rstest]
-#[case::nothing_asked(0, 4)]
+#[case::no_requests(0, 4)]
 #[case::some_reads(20, 9)]
-fn probes_follow_statements(#[case] reads: usize, #[case] most: usize) {
-    let mut world = World::new(RoutingConfig { reports: ReportSource::WithHealthChecks, ..terms(true) });
+fn health_checks_are_funded_by_requests(#[case] reads: usize, #[case] max_checks: usize) {
+    let mut fixture = World::new(RoutingConfig { reports: ReportSource::WithHealthChecks, ..terms(true) });
     for round in 0..500 {
-        world.pass(0.02);
-        let probed: Vec<usize> = (0..4).filter(|endpoint| world.count(Done::Probe(*endpoint)) > 0).collect();
-        probed
+        fixture.pass(0.02);
+        let checked: Vec<usize> =
+            (0..4).filter(|endpoint| fixture.count(Done::Probe(*endpoint)) > 0).collect();
+        checked
             .into_iter()
-            .for_each(|endpoint| world.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0));
+            .for_each(|member| fixture.report(member, if member == 0 { Primary } else { Replica }, 0.0));
         if reads > 0 && round % (500 / reads) == 0 {
-            let read = world.ask(READ);
-            world
+            let read = fixture.ask(READ);
+            fixture
                 .sent_to(read)
                 .into_iter()
-                .for_each(|endpoint| world.end(read, endpoint, AttemptOutcome::Completed, None));
+                .for_each(|endpoint| fixture.end(read, endpoint, AttemptOutcome::Completed, None));
         }
     }
-    let probes = (0..4).map(|endpoint| world.count(Done::Probe(endpoint))).sum::<usize>();
-    assert!((4..=most).contains(&probes), "{probes}");
+    let checks = (0..4).map(|endpoint| fixture.count(Done::Probe(endpoint))).sum::<usize>();
+    assert!((4..=max_checks).contains(&checks), "{checks}");
 }
--- a/crates/routing/tests/decisions/main.rs
+++ b/crates/routing/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! What a router decides, by behaviour: each test drives one `Router` by its public calls and looks at what it asks of its
-//! transport.
+//! Tests of the router's decisions, by behaviour: each test drives one `Router` through its public API and checks the calls
+//! that the router makes to its transport.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/routing/tests/decisions/outlier.rs
+++ b/crates/routing/tests/decisions/outlier.rs
@@ -1,4 +1,4 @@
-//! When an endpoint is ejected, and when it comes back.
+//! When an endpoint is ejected, and when it is readmitted.
 
 use ottersill_routing::interface::*;
 use rstest::rstest;
@@ -7,92 +7,99 @@
 
 use Role::Replica;
 
-/// Found in the first incidents: a hung member answers probes, so only executions tell of it.
+/// A hung endpoint still answers health checks, so only attempts reveal that it hangs.
 #[test]
-fn a_hung_member_is_left_out_and_its_reads_go_elsewhere() {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    let reads: Vec<usize> = (0..4).map(|_| world.ask_with(READ, 0.75)).collect();
-    assert!(reads.iter().all(|read| world.sent_to(*read) == [1]));
+fn a_hung_endpoint_is_ejected_and_its_reads_are_retried_elsewhere() {
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    let reads: Vec<usize> = (0..4).map(|_| fixture.ask_with(READ, 0.75)).collect();
+    assert!(reads.iter().all(|read| fixture.sent_to(*read) == [1]));
     for _ in 0..10 {
-        world.pass(0.02);
-        (1..4).for_each(|endpoint| world.report(endpoint, Replica, 0.0));
+        fixture.pass(0.02);
+        (1..4).for_each(|endpoint| fixture.report(endpoint, Replica, 0.0));
     }
-    assert_eq!(world.count(Done::Cancel(reads[0])), 1);
-    world.end(reads[0], 1, AttemptOutcome::Cancelled, None);
-    assert_ne!(world.sent_to(reads[0])[1], 1);
-    let next = world.ask(READ);
-    assert_ne!(world.sent_to(next), [1]);
+    assert_eq!(fixture.count(Done::Cancel(reads[0])), 1);
+    fixture.end(reads[0], 1, AttemptOutcome::Cancelled, None);
+    assert_ne!(fixture.sent_to(reads[0])[1], 1);
+    let next = fixture.ask(READ);
+    assert_ne!(fixture.sent_to(next), [1]);
 }
 
-/// Found in an incident: a router that had stalled took every member for silent, then for cold, and sent nothing.
+/// Guards against a stall of the router that ejects endpoints: after it, the router treated every endpoint as silent, then
+/// as warming, and sent nothing.
 #[rstest]
 #[case::router_stalled(0.8, 0.0, true)]
-#[case::member_silent(0.0, 0.8, false)]
-fn a_stall_of_the_router_tells_nothing_of_members(
-    #[case] stall: f64,
-    #[case] wait: f64,
-    #[case] trusted: bool,
+#[case::endpoint_silent(0.0, 0.8, false)]
+fn a_stall_of_the_router_ejects_no_endpoint(
+    #[case] stall_seconds: f64,
+    #[case] wait_seconds: f64,
+    #[case] is_used: bool,
 ) {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    let reads: Vec<usize> = (0..4).map(|_| world.ask_with(READ, 0.75)).collect();
-    assert!(reads.iter().all(|read| world.sent_to(*read) == [1]));
-    world.now += stall;
-    world.pass(wait + 0.02);
-    world.end(reads[0], 1, AttemptOutcome::TimedOut, None);
-    world.report(1, Replica, 0.0);
-    let next = world.ask(READ);
-    assert_eq!(world.sent_to(next) == [1], trusted);
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    let reads: Vec<usize> = (0..4).map(|_| fixture.ask_with(READ, 0.75)).collect();
+    assert!(reads.iter().all(|read| fixture.sent_to(*read) == [1]));
+    fixture.now += stall_seconds;
+    fixture.pass(wait_seconds + 0.02);
+    fixture.end(reads[0], 1, AttemptOutcome::TimedOut, None);
+    fixture.report(1, Replica, 0.0);
+    let next = fixture.ask(READ);
+    assert_eq!(fixture.sent_to(next) == [1], is_used);
 }
 
-/// Found at full size: a connect that failed, or an answer that was lost, was taken for a restart, and the
-/// member was eased in as cold. Only a probe that is not answered tells of an absence.
+/// Guards against a needless slow start: a failed connection, or a lost answer, was treated as a restart, and the endpoint
+/// warmed up again. Only an unanswered health check shows that the process is gone.
 #[rstest]
-#[case::refused_under_a_cap(AttemptOutcome::ConnectFailed, AttemptOutcome::Completed, true)]
+#[case::connection_refused_by_a_cap(AttemptOutcome::ConnectFailed, AttemptOutcome::Completed, true)]
 #[case::answer_reset(AttemptOutcome::Reset, AttemptOutcome::Refused, true)]
-#[case::away(AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, false)]
-fn only_absence_makes_a_member_cold(
+#[case::unreachable(AttemptOutcome::ConnectFailed, AttemptOutcome::TimedOut, false)]
+fn only_an_unreachable_endpoint_warms_up_again(
     #[case] outcome: AttemptOutcome,
-    #[case] probe: AttemptOutcome,
-    #[case] warm: bool,
+    #[case] health_check: AttemptOutcome,
+    #[case] stays_warm: bool,
 ) {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    let read = world.ask(READ);
-    world.end(read, 1, outcome, None);
-    world.router.on_health_check(world.now, 1, probe, LoadReport::default(), &mut world.book);
-    world.report(1, Replica, 0.0);
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    let read = fixture.ask(READ);
+    fixture.end(read, 1, outcome, None);
+    fixture.router.on_health_check(fixture.now, 1, health_check, LoadReport::default(), &mut fixture.book);
+    fixture.report(1, Replica, 0.0);
     let sent = (0..40).filter(|_| {
-        let read = world.ask(READ);
-        let there = world.sent_to(read) == [1];
-        world
+        let read = fixture.ask(READ);
+        let is_sent_there = fixture.sent_to(read) == [1];
+        fixture
             .sent_to(read)
             .into_iter()
-            .for_each(|endpoint| world.end(read, endpoint, AttemptOutcome::Completed, None));
-        there
+            .for_each(|endpoint| fixture.end(read, endpoint, AttemptOutcome::Completed, None));
+        is_sent_there
     });
-    assert_eq!(sent.count() > 30, warm);
+    assert_eq!(sent.count() > 30, stays_warm);
 }
 
-/// Found at full size: one lost answer made a member a suspect, though it answered everything else.
+/// Guards against the ejection of an endpoint because of one lost answer, although it answers everything else.
 #[rstest]
 #[case::one_lost(1, true)]
 #[case::all_silent(3, false)]
-fn one_lost_answer_is_no_silence(#[case] lost: usize, #[case] trusted: bool) {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    (0..lost).for_each(|_| assert_eq!([1], *world.ask_and_place(READ)));
-    world.pass(0.5);
-    assert_eq!(world.ask_and_place(READ) == [1], trusted);
+fn one_lost_answer_ejects_no_endpoint(#[case] lost: usize, #[case] is_used: bool) {
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    (0..lost).for_each(|_| assert_eq!([1], *fixture.ask_and_place(READ)));
+    fixture.pass(0.5);
+    assert_eq!(fixture.ask_and_place(READ) == [1], is_used);
 }
 
-/// Found with squeezed connections: one that was refused made a suspect of a member that answers others.
+/// Guards against the ejection of an endpoint because of one refused connection: where connections are capped, some are
+/// refused by an endpoint that answers others.
 #[rstest]
-#[case::answered_lately(0.1, true)]
+#[case::answered_recently(0.1, true)]
 #[case::answered_long_ago(2.0, false)]
-fn a_refused_connection_weighs_little_against_an_answer(#[case] since: f64, #[case] trusted: bool) {
-    let mut world = World::settled(true, [0.0, 9.0, 9.0]);
-    for (wait, outcome) in [(since, AttemptOutcome::Completed), (0.0, AttemptOutcome::ConnectFailed)] {
-        let read = world.ask(READ);
-        world.end(read, 1, outcome, None);
-        world.now += wait;
+fn a_refused_connection_after_a_recent_answer_ejects_no_endpoint(
+    #[case] seconds_since_answer: f64,
+    #[case] is_used: bool,
+) {
+    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    for (wait, outcome) in
+        [(seconds_since_answer, AttemptOutcome::Completed), (0.0, AttemptOutcome::ConnectFailed)]
+    {
+        let read = fixture.ask(READ);
+        fixture.end(read, 1, outcome, None);
+        fixture.now += wait;
     }
-    assert_eq!(world.ask_and_place(READ) == [1], trusted);
+    assert_eq!(fixture.ask_and_place(READ) == [1], is_used);
 }
--- a/crates/routing/tests/decisions/selection.rs
+++ b/crates/routing/tests/decisions/selection.rs
@@ -1,20 +1,20 @@
-//! Which of the endpoints that may serve a request does.
+//! Which of the eligible endpoints is selected for a request.
 
 use crate::common::*;
 
 #[test]
-fn reads_spread_by_executions_in_flight() {
-    let mut world = World::settled(false, [0.0; 3]);
-    let mut hosts: Vec<usize> = (0..6).map(|_| world.ask(READ)).collect();
-    hosts = hosts.into_iter().map(|request| world.sent_to(request)[0]).collect();
-    hosts.sort_unstable();
-    assert_eq!(hosts, [1, 1, 2, 2, 3, 3]);
+fn reads_are_balanced_by_attempts_in_flight() {
+    let mut fixture = World::settled(false, [0.0; 3]);
+    let mut endpoints: Vec<usize> = (0..6).map(|_| fixture.ask(READ)).collect();
+    endpoints = endpoints.into_iter().map(|request| fixture.sent_to(request)[0]).collect();
+    endpoints.sort_unstable();
+    assert_eq!(endpoints, [1, 1, 2, 2, 3, 3]);
 }
 
-/// Found in an incident: long reads spread evenly stopped the log on every replica.
+/// Guards against long reads that stop the replication log on every replica because they are spread evenly.
 #[test]
-fn long_reads_stay_together_on_the_member_furthest_behind() {
-    let mut world = World::settled(true, [0.0, 0.4, 0.1]);
-    let reports: Vec<usize> = (0..4).map(|_| world.ask(REPORT)).collect();
-    assert!(reports.into_iter().all(|report| world.sent_to(report) == [2]));
+fn long_reads_share_the_replica_that_lags_most() {
+    let mut fixture = World::settled(true, [0.0, 0.4, 0.1]);
+    let reports: Vec<usize> = (0..4).map(|_| fixture.ask(REPORT)).collect();
+    assert!(reports.into_iter().all(|report| fixture.sent_to(report) == [2]));
 }
