--- a/crates/routing/tests/common/settings.rs
+++ b/crates/routing/tests/common/settings.rs
@@ -3,7 +3,7 @@
 use ottersill_routing::interface::*;
 
 /// Settings of a workload in which an answer after the SLO time has no value. Times are in seconds.
-pub fn request_class(
+pub fn workload_settings(
     consistency: Consistency,
     effect: Effect,
     priority_weight: f64,
--- a/crates/routing/tests/decisions/consistency.rs
+++ b/crates/routing/tests/decisions/consistency.rs
@@ -17,10 +17,10 @@
     #[case] lags: [f64; 3],
     #[case] expected: &[usize],
 ) {
-    let mut fixture = World::settled(checks, lags);
-    let read = fixture.ask(READ);
-    fixture.pass(0.06);
-    assert_eq!(fixture.sent_to(read), expected);
+    let mut simulation = Simulation::with_reports(checks, lags);
+    let read = simulation.send_request(READ);
+    simulation.advance(0.06);
+    assert_eq!(simulation.sent_to(read), expected);
 }
 
 /// What happens between a session's write and its read.
@@ -58,18 +58,18 @@
 #[case::stale_endpoint_joins(Event::StaleEndpointJoins, false)]
 #[case::many_sessions_write(Event::ManySessionsWrite, false)]
 fn a_session_sees_its_own_writes(#[case] event: Event, #[case] is_sent: bool) {
-    let mut config = RoutingConfig { must_remember_writes: true, ..terms(false) };
+    let mut config = RoutingConfig { must_remember_writes: true, ..config(false) };
     config.workloads[READ].consistency = Consistency::Session;
-    let mut fixture = World::new(config);
-    fixture.report(0, Primary, 0.0);
+    let mut simulation = Simulation::new(config);
+    simulation.report(0, Primary, 0.0);
     // The group has one replica, which lags by a second.
-    fixture.list(2, EndpointState::Removed, None);
-    fixture.list(3, EndpointState::Removed, None);
-    fixture.report(1, Replica, 1.0);
-    let ask = |fixture: &mut World, workload, session| {
-        fixture.ask_for(Request { session: Some(session), ..statement(workload, 2.0) })
+    simulation.update_endpoint(2, EndpointState::Removed, None);
+    simulation.update_endpoint(3, EndpointState::Removed, None);
+    simulation.report(1, Replica, 1.0);
+    let send_request = |simulation: &mut Simulation, workload, session| {
+        simulation.send(Request { session: Some(session), ..request(workload, 2.0) })
     };
-    let end = |fixture: &mut World, write, outcome, lsn| {
+    let end_attempt = |simulation: &mut Simulation, write, outcome, lsn| {
         let observed = LoadReport { role: Some(Primary), lsn, utilization: None };
         let closed = outcome == AttemptOutcome::Completed;
         let result = AttemptResult {
@@ -81,51 +81,53 @@
             observed,
             report: None,
         };
-        fixture.router.on_attempt_result(fixture.now, &result, &mut fixture.book);
+        simulation.router.on_attempt_result(simulation.now, &result, &mut simulation.transport);
     };
-    let write = ask(&mut fixture, MARKED, 77);
-    assert_eq!(fixture.sent_to(write), [0]);
-    let now = fixture.now;
+    let write = send_request(&mut simulation, DEDUPLICATED_WRITE, 77);
+    assert_eq!(simulation.sent_to(write), [0]);
+    let now = simulation.now;
     match event {
-        Event::CommitStated(ago) => end(&mut fixture, write, AttemptOutcome::Completed, Some(now - ago)),
-        Event::CommitNotStated => end(&mut fixture, write, AttemptOutcome::Completed, None),
-        Event::MayHaveRun => end(&mut fixture, write, AttemptOutcome::Error, None),
+        Event::CommitStated(ago) => {
+            end_attempt(&mut simulation, write, AttemptOutcome::Completed, Some(now - ago));
+        }
+        Event::CommitNotStated => end_attempt(&mut simulation, write, AttemptOutcome::Completed, None),
+        Event::MayHaveRun => end_attempt(&mut simulation, write, AttemptOutcome::Error, None),
         Event::InFlight => {}
         Event::NeverRan => {
             // Its client is gone, so it is not retried.
-            fixture.router.on_client_gone(write);
-            end(&mut fixture, write, AttemptOutcome::Refused, None);
+            simulation.router.on_client_gone(write);
+            end_attempt(&mut simulation, write, AttemptOutcome::Refused, None);
         }
         Event::AnsweredOutOfOrder => {
-            let later = ask(&mut fixture, MARKED, 77);
-            end(&mut fixture, later, AttemptOutcome::Completed, Some(now - 0.5));
-            end(&mut fixture, write, AttemptOutcome::Completed, Some(now - 1.5));
+            let later = send_request(&mut simulation, DEDUPLICATED_WRITE, 77);
+            end_attempt(&mut simulation, later, AttemptOutcome::Completed, Some(now - 0.5));
+            end_attempt(&mut simulation, write, AttemptOutcome::Completed, Some(now - 1.5));
         }
         Event::StaleEndpointJoins => {
-            end(&mut fixture, write, AttemptOutcome::Completed, Some(now));
-            fixture.now += 0.1;
-            (1..4).for_each(|endpoint| fixture.report(endpoint, Replica, 0.0));
-            fixture.pass(0.1);
-            fixture.list(1, EndpointState::Removed, None);
-            fixture.list(4, EndpointState::Ready, None);
-            fixture.report(4, Replica, 1.5);
+            end_attempt(&mut simulation, write, AttemptOutcome::Completed, Some(now));
+            simulation.now += 0.1;
+            (1..4).for_each(|endpoint| simulation.report(endpoint, Replica, 0.0));
+            simulation.advance(0.1);
+            simulation.update_endpoint(1, EndpointState::Removed, None);
+            simulation.update_endpoint(4, EndpointState::Ready, None);
+            simulation.report(4, Replica, 1.5);
         }
         Event::ManySessionsWrite => {
-            end(&mut fixture, write, AttemptOutcome::Completed, Some(now));
+            end_attempt(&mut simulation, write, AttemptOutcome::Completed, Some(now));
             for session in 0..10_001 {
-                let other = ask(&mut fixture, MARKED, 1000 + session);
-                end(&mut fixture, other, AttemptOutcome::Completed, Some(now));
+                let other = send_request(&mut simulation, DEDUPLICATED_WRITE, 1000 + session);
+                end_attempt(&mut simulation, other, AttemptOutcome::Completed, Some(now));
             }
-            fixture.pass(0.04);
+            simulation.advance(0.04);
         }
     }
-    let read = ask(&mut fixture, READ, 77);
+    let read = send_request(&mut simulation, READ, 77);
     let replica = if matches!(event, Event::StaleEndpointJoins) { 4 } else { 1 };
-    fixture.pass(0.02);
-    assert_eq!(fixture.sent_to(read).contains(&replica), is_sent, "{:?}", fixture.sent_to(read));
+    simulation.advance(0.02);
+    assert_eq!(simulation.sent_to(read).contains(&replica), is_sent, "{:?}", simulation.sent_to(read));
     // The read is sent to no endpoint but this replica and the primary. A read that accepts data from a second ago is a
     // different case.
-    assert!(fixture.sent_to(read).iter().all(|endpoint| *endpoint == replica || *endpoint == 0));
+    assert!(simulation.sent_to(read).iter().all(|endpoint| *endpoint == replica || *endpoint == 0));
 }
 
 /// Invariant: no stale read. The staleness bound is one second, and endpoints do not check it.
@@ -133,25 +135,25 @@
 #[case(0.9, true)]
 #[case(1.1, false)]
 fn a_read_is_sent_only_within_its_staleness_bound(#[case] lag: f64, #[case] is_sent: bool) {
-    let mut fixture = World::settled(false, [lag; 3]);
-    fixture.list(0, EndpointState::Removed, None);
-    let read = fixture.ask(READ);
-    fixture.pass(0.08);
-    assert_eq!(!fixture.sent_to(read).is_empty(), is_sent);
+    let mut simulation = Simulation::with_reports(false, [lag; 3]);
+    simulation.update_endpoint(0, EndpointState::Removed, None);
+    let read = simulation.send_request(READ);
+    simulation.advance(0.08);
+    assert_eq!(!simulation.sent_to(read).is_empty(), is_sent);
 }
 
 /// Guards against late reads: each read tried the most advanced replica again, although it had rejected earlier ones, and
 /// lost time there.
 #[test]
 fn an_endpoint_that_rejected_a_read_is_used_again_once_it_reports_its_position() {
-    let mut fixture = World::settled(true, [1.5, 2.0, 2.0]);
-    let first = fixture.ask(READ);
-    fixture.end(first, 1, AttemptOutcome::WrongEndpoint, Some(Replica));
-    let second = fixture.ask(READ);
-    assert_ne!(fixture.sent_to(second), [1]);
-    fixture.report(1, Replica, 1.4);
-    let third = fixture.ask(READ);
-    assert_eq!(fixture.sent_to(third), [1]);
+    let mut simulation = Simulation::with_reports(true, [1.5, 2.0, 2.0]);
+    let first = simulation.send_request(READ);
+    simulation.end_attempt(first, 1, AttemptOutcome::WrongEndpoint, Some(Replica));
+    let second = simulation.send_request(READ);
+    assert_ne!(simulation.sent_to(second), [1]);
+    simulation.report(1, Replica, 1.4);
+    let third = simulation.send_request(READ);
+    assert_eq!(simulation.sent_to(third), [1]);
 }
 
 /// Guards against reads that all go to the primary: where endpoints answer reads from whatever data they hold, a router that
@@ -161,38 +163,39 @@
 #[case::it_lags(Some(1.5), &[0])]
 #[case::no_answer(None, &[0])]
 fn a_waiting_read_has_a_replica_checked(#[case] lag: Option<f64>, #[case] expected: &[usize]) {
-    let mut fixture = World::settled(false, [0.0; 3]);
+    let mut simulation = Simulation::with_reports(false, [0.0; 3]);
     // The budget of health checks is spent, none is in flight, and the last reports are too old.
     for _ in 0..100 {
-        fixture.pass(0.02);
-        for done in std::mem::take(&mut fixture.book.0) {
-            if let Done::Probe(endpoint) = done {
-                fixture.router.on_health_check(
-                    fixture.now,
+        simulation.advance(0.02);
+        for call in std::mem::take(&mut simulation.transport.0) {
+            if let TransportCall::StartHealthCheck(endpoint) = call {
+                simulation.router.on_health_check(
+                    simulation.now,
                     endpoint,
                     AttemptOutcome::Refused,
                     LoadReport::default(),
-                    &mut fixture.book,
+                    &mut simulation.transport,
                 );
             }
         }
     }
-    fixture.pass(0.3);
-    fixture.book.0.clear();
-    let read = fixture.ask(READ);
-    assert_eq!(fixture.sent_to(read), []);
+    simulation.advance(0.3);
+    simulation.transport.0.clear();
+    let read = simulation.send_request(READ);
+    assert_eq!(simulation.sent_to(read), []);
     for _ in 0..4 {
-        let checked: Vec<usize> =
-            (1..4).filter(|endpoint| fixture.count(Done::Probe(*endpoint)) > 0).collect();
+        let checked: Vec<usize> = (1..4)
+            .filter(|endpoint| simulation.count(TransportCall::StartHealthCheck(*endpoint)) > 0)
+            .collect();
         assert!(
-            fixture.count(Done::Probe(0)) == 0,
+            simulation.count(TransportCall::StartHealthCheck(0)) == 0,
             "the primary needs no check, as its data are always fresh"
         );
         if let Some(lag) = lag {
-            checked.iter().for_each(|endpoint| fixture.report(*endpoint, Replica, lag));
+            checked.iter().for_each(|endpoint| simulation.report(*endpoint, Replica, lag));
         }
-        fixture.pass(0.02);
+        simulation.advance(0.02);
     }
-    let sent = fixture.sent_to(read);
+    let sent = simulation.sent_to(read);
     assert!(sent.len() == 1 && expected.contains(&sent[0]), "{sent:?}");
 }
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -17,12 +17,12 @@
     #[case] only_draining_excludes: bool,
     #[case] is_sent: bool,
 ) {
-    let mut fixture = World::new(RoutingConfig { only_draining_excludes, ..terms(false) });
-    fixture.report(0, Primary, 0.0);
-    fixture.report(1, Replica, 0.0);
-    fixture.list(1, state, None);
-    let read = fixture.ask(READ);
-    assert_eq!(fixture.sent_to(read) == [1], is_sent);
+    let mut simulation = Simulation::new(RoutingConfig { only_draining_excludes, ..config(false) });
+    simulation.report(0, Primary, 0.0);
+    simulation.report(1, Replica, 0.0);
+    simulation.update_endpoint(1, state, None);
+    let read = simulation.send_request(READ);
+    assert_eq!(simulation.sent_to(read) == [1], is_sent);
 }
 
 /// Rules 2, 3 and 5 hold when an attempt is sent, which may be some time after its endpoint was selected.
@@ -32,9 +32,9 @@
 #[case::is_removed(READ, false, 0.0, Some(EndpointState::Removed), false)]
 #[case::data_too_old(READ, false, 1.1, None, false)]
 #[case::data_too_old_where_endpoints_check(READ, true, 1.1, None, true)]
-#[case::any_data(REPORT, false, 1.1, None, true)]
-#[case::retry_in_its_window(MARKED, false, 0.4, None, true)]
-#[case::retry_after_its_window(MARKED, false, 0.6, None, false)]
+#[case::any_data(LONG_READ, false, 1.1, None, true)]
+#[case::retry_in_its_window(DEDUPLICATED_WRITE, false, 0.4, None, true)]
+#[case::retry_after_its_window(DEDUPLICATED_WRITE, false, 0.6, None, false)]
 fn the_rules_are_checked_again_when_an_attempt_is_sent(
     #[case] workload: usize,
     #[case] checks: bool,
@@ -42,16 +42,16 @@
     #[case] new_state: Option<EndpointState>,
     #[case] is_allowed: bool,
 ) {
-    let mut fixture = World::settled(checks, [0.0; 3]);
-    let request = fixture.ask_with(workload, 2.0);
-    let mut endpoint = fixture.sent_to(request)[0];
-    if workload == MARKED {
+    let mut simulation = Simulation::with_reports(checks, [0.0; 3]);
+    let request = simulation.send_request_with_time_left(workload, 2.0);
+    let mut endpoint = simulation.sent_to(request)[0];
+    if workload == DEDUPLICATED_WRITE {
         // The first attempt may have run, and a retry is in flight.
-        fixture.end(request, endpoint, AttemptOutcome::Error, Some(Primary));
-        endpoint = fixture.sent_to(request)[1];
+        simulation.end_attempt(request, endpoint, AttemptOutcome::Error, Some(Primary));
+        endpoint = simulation.sent_to(request)[1];
     }
-    new_state.into_iter().for_each(|state| fixture.list(endpoint, state, None));
-    fixture.now += delay_seconds;
-    assert_eq!(fixture.router.may_send_attempt(fixture.now, request, endpoint), is_allowed);
-    assert_eq!(fixture.router.may_send_health_check(endpoint), new_state.is_none());
+    new_state.into_iter().for_each(|state| simulation.update_endpoint(endpoint, state, None));
+    simulation.now += delay_seconds;
+    assert_eq!(simulation.router.may_send_attempt(simulation.now, request, endpoint), is_allowed);
+    assert_eq!(simulation.router.may_send_health_check(endpoint), new_state.is_none());
 }
--- a/crates/routing/tests/decisions/health_checks.rs
+++ b/crates/routing/tests/decisions/health_checks.rs
@@ -11,19 +11,19 @@
 #[case::all_send_reports(true, 0)]
 #[case::one_sends_none(false, 1)]
 fn polling_stops_once_all_report(#[case] all: bool, #[case] min_checks: usize) {
-    let mut fixture = World::new(terms(false));
+    let mut simulation = Simulation::new(config(false));
     (0..if all { 4 } else { 3 }).for_each(|endpoint| {
-        fixture.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
+        simulation.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
-    fixture.book.0.clear();
-    fixture.pass(0.4);
-    fixture.now += 0.8;
+    simulation.transport.0.clear();
+    simulation.advance(0.4);
+    simulation.now += 0.8;
     (0..if all { 4 } else { 3 }).for_each(|endpoint| {
-        fixture.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
+        simulation.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
-    fixture.pass(0.1);
-    assert!(fixture.count(Done::Probe(0)) >= min_checks);
-    assert!(all == (fixture.count(Done::Probe(0)) == 0));
+    simulation.advance(0.1);
+    assert!(simulation.count(TransportCall::StartHealthCheck(0)) >= min_checks);
+    assert!(all == (simulation.count(TransportCall::StartHealthCheck(0)) == 0));
 }
 
 /// Guards against a wrong readmission: a health check for which this router had no descriptor was treated as answered, and
@@ -35,21 +35,21 @@
     #[case] outcome: AttemptOutcome,
     #[case] readmits: bool,
 ) {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
-    let lost = fixture.ask(READ);
-    fixture.now += 1.0;
-    fixture.end(lost, 1, AttemptOutcome::ConnectFailed, None);
-    fixture.pass(1.2);
-    fixture.book.0.clear();
-    fixture.router.on_health_check(
-        fixture.now,
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
+    let lost = simulation.send_request(READ);
+    simulation.now += 1.0;
+    simulation.end_attempt(lost, 1, AttemptOutcome::ConnectFailed, None);
+    simulation.advance(1.2);
+    simulation.transport.0.clear();
+    simulation.router.on_health_check(
+        simulation.now,
         1,
         outcome,
-        LoadReport { lsn: Some(fixture.now), ..LoadReport::default() },
-        &mut fixture.book,
+        LoadReport { lsn: Some(simulation.now), ..LoadReport::default() },
+        &mut simulation.transport,
     );
-    let read = fixture.ask(READ);
-    assert_eq!(fixture.sent_to(read) == [1], readmits);
+    let read = simulation.send_request(READ);
+    assert_eq!(simulation.sent_to(read) == [1], readmits);
 }
 
 /// Guards against too many health checks: each of hundreds of routers checked each endpoint every second, which made seven
@@ -58,22 +58,25 @@
 #[case::no_requests(0, 4)]
 #[case::some_reads(20, 9)]
 fn health_checks_are_funded_by_requests(#[case] reads: usize, #[case] max_checks: usize) {
-    let mut fixture = World::new(RoutingConfig { reports: ReportSource::WithHealthChecks, ..terms(true) });
+    let mut simulation =
+        Simulation::new(RoutingConfig { reports: ReportSource::WithHealthChecks, ..config(true) });
     for round in 0..500 {
-        fixture.pass(0.02);
-        let checked: Vec<usize> =
-            (0..4).filter(|endpoint| fixture.count(Done::Probe(*endpoint)) > 0).collect();
+        simulation.advance(0.02);
+        let checked: Vec<usize> = (0..4)
+            .filter(|endpoint| simulation.count(TransportCall::StartHealthCheck(*endpoint)) > 0)
+            .collect();
         checked
             .into_iter()
-            .for_each(|member| fixture.report(member, if member == 0 { Primary } else { Replica }, 0.0));
+            .for_each(|member| simulation.report(member, if member == 0 { Primary } else { Replica }, 0.0));
         if reads > 0 && round % (500 / reads) == 0 {
-            let read = fixture.ask(READ);
-            fixture
+            let read = simulation.send_request(READ);
+            simulation
                 .sent_to(read)
                 .into_iter()
-                .for_each(|endpoint| fixture.end(read, endpoint, AttemptOutcome::Completed, None));
+                .for_each(|endpoint| simulation.end_attempt(read, endpoint, AttemptOutcome::Completed, None));
         }
     }
-    let checks = (0..4).map(|endpoint| fixture.count(Done::Probe(endpoint))).sum::<usize>();
+    let checks =
+        (0..4).map(|endpoint| simulation.count(TransportCall::StartHealthCheck(endpoint))).sum::<usize>();
     assert!((4..=max_checks).contains(&checks), "{checks}");
 }
--- a/crates/routing/tests/decisions/outlier.rs
+++ b/crates/routing/tests/decisions/outlier.rs
@@ -10,18 +10,18 @@
 /// A hung endpoint still answers health checks, so only attempts reveal that it hangs.
 #[test]
 fn a_hung_endpoint_is_ejected_and_its_reads_are_retried_elsewhere() {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
-    let reads: Vec<usize> = (0..4).map(|_| fixture.ask_with(READ, 0.75)).collect();
-    assert!(reads.iter().all(|read| fixture.sent_to(*read) == [1]));
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
+    let reads: Vec<usize> = (0..4).map(|_| simulation.send_request_with_time_left(READ, 0.75)).collect();
+    assert!(reads.iter().all(|read| simulation.sent_to(*read) == [1]));
     for _ in 0..10 {
-        fixture.pass(0.02);
-        (1..4).for_each(|endpoint| fixture.report(endpoint, Replica, 0.0));
+        simulation.advance(0.02);
+        (1..4).for_each(|endpoint| simulation.report(endpoint, Replica, 0.0));
     }
-    assert_eq!(fixture.count(Done::Cancel(reads[0])), 1);
-    fixture.end(reads[0], 1, AttemptOutcome::Cancelled, None);
-    assert_ne!(fixture.sent_to(reads[0])[1], 1);
-    let next = fixture.ask(READ);
-    assert_ne!(fixture.sent_to(next), [1]);
+    assert_eq!(simulation.count(TransportCall::CancelAttempt(reads[0])), 1);
+    simulation.end_attempt(reads[0], 1, AttemptOutcome::Cancelled, None);
+    assert_ne!(simulation.sent_to(reads[0])[1], 1);
+    let next = simulation.send_request(READ);
+    assert_ne!(simulation.sent_to(next), [1]);
 }
 
 /// Guards against a stall of the router that ejects endpoints: after it, the router treated every endpoint as silent, then
@@ -34,15 +34,15 @@
     #[case] wait_seconds: f64,
     #[case] is_used: bool,
 ) {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
-    let reads: Vec<usize> = (0..4).map(|_| fixture.ask_with(READ, 0.75)).collect();
-    assert!(reads.iter().all(|read| fixture.sent_to(*read) == [1]));
-    fixture.now += stall_seconds;
-    fixture.pass(wait_seconds + 0.02);
-    fixture.end(reads[0], 1, AttemptOutcome::TimedOut, None);
-    fixture.report(1, Replica, 0.0);
-    let next = fixture.ask(READ);
-    assert_eq!(fixture.sent_to(next) == [1], is_used);
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
+    let reads: Vec<usize> = (0..4).map(|_| simulation.send_request_with_time_left(READ, 0.75)).collect();
+    assert!(reads.iter().all(|read| simulation.sent_to(*read) == [1]));
+    simulation.now += stall_seconds;
+    simulation.advance(wait_seconds + 0.02);
+    simulation.end_attempt(reads[0], 1, AttemptOutcome::TimedOut, None);
+    simulation.report(1, Replica, 0.0);
+    let next = simulation.send_request(READ);
+    assert_eq!(simulation.sent_to(next) == [1], is_used);
 }
 
 /// Guards against a needless slow start: a failed connection, or a lost answer, was treated as a restart, and the endpoint
@@ -56,18 +56,24 @@
     #[case] health_check: AttemptOutcome,
     #[case] stays_warm: bool,
 ) {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
-    let read = fixture.ask(READ);
-    fixture.end(read, 1, outcome, None);
-    fixture.router.on_health_check(fixture.now, 1, health_check, LoadReport::default(), &mut fixture.book);
-    fixture.report(1, Replica, 0.0);
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
+    let read = simulation.send_request(READ);
+    simulation.end_attempt(read, 1, outcome, None);
+    simulation.router.on_health_check(
+        simulation.now,
+        1,
+        health_check,
+        LoadReport::default(),
+        &mut simulation.transport,
+    );
+    simulation.report(1, Replica, 0.0);
     let sent = (0..40).filter(|_| {
-        let read = fixture.ask(READ);
-        let is_sent_there = fixture.sent_to(read) == [1];
-        fixture
+        let read = simulation.send_request(READ);
+        let is_sent_there = simulation.sent_to(read) == [1];
+        simulation
             .sent_to(read)
             .into_iter()
-            .for_each(|endpoint| fixture.end(read, endpoint, AttemptOutcome::Completed, None));
+            .for_each(|endpoint| simulation.end_attempt(read, endpoint, AttemptOutcome::Completed, None));
         is_sent_there
     });
     assert_eq!(sent.count() > 30, stays_warm);
@@ -78,10 +84,10 @@
 #[case::one_lost(1, true)]
 #[case::all_silent(3, false)]
 fn one_lost_answer_ejects_no_endpoint(#[case] lost: usize, #[case] is_used: bool) {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
-    (0..lost).for_each(|_| assert_eq!([1], *fixture.ask_and_place(READ)));
-    fixture.pass(0.5);
-    assert_eq!(fixture.ask_and_place(READ) == [1], is_used);
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
+    (0..lost).for_each(|_| assert_eq!([1], *simulation.send_and_get_endpoints(READ)));
+    simulation.advance(0.5);
+    assert_eq!(simulation.send_and_get_endpoints(READ) == [1], is_used);
 }
 
 /// Guards against the ejection of an endpoint because of one refused connection: where connections are capped, some are
@@ -93,13 +99,13 @@
     #[case] seconds_since_answer: f64,
     #[case] is_used: bool,
 ) {
-    let mut fixture = World::settled(true, [0.0, 9.0, 9.0]);
+    let mut simulation = Simulation::with_reports(true, [0.0, 9.0, 9.0]);
     for (wait, outcome) in
         [(seconds_since_answer, AttemptOutcome::Completed), (0.0, AttemptOutcome::ConnectFailed)]
     {
-        let read = fixture.ask(READ);
-        fixture.end(read, 1, outcome, None);
-        fixture.now += wait;
+        let read = simulation.send_request(READ);
+        simulation.end_attempt(read, 1, outcome, None);
+        simulation.now += wait;
     }
-    assert_eq!(fixture.ask_and_place(READ) == [1], is_used);
+    assert_eq!(simulation.send_and_get_endpoints(READ) == [1], is_used);
 }
--- a/crates/routing/tests/decisions/primary.rs
+++ b/crates/routing/tests/decisions/primary.rs
@@ -20,12 +20,12 @@
     #[case] reports: &[(usize, Role, f64)],
     #[case] expected: Option<usize>,
 ) {
-    let mut fixture = World::new(terms(true));
+    let mut simulation = Simulation::new(config(true));
     for (endpoint, role, age) in reports {
-        fixture.report(*endpoint, *role, *age);
+        simulation.report(*endpoint, *role, *age);
     }
-    let write = fixture.ask(WRITE);
-    assert_eq!(fixture.sent_to(write).first().copied(), expected);
+    let write = simulation.send_request(WRITE);
+    assert_eq!(simulation.sent_to(write).first().copied(), expected);
 }
 
 #[rstest]
@@ -38,44 +38,49 @@
     #[case] role: Option<Role>,
     #[case] stays_primary: bool,
 ) {
-    let mut fixture = World::settled(false, [0.0; 3]);
-    let write = fixture.ask(WRITE);
-    fixture.pass(0.3);
-    fixture.book.0.clear();
-    fixture.end(write, 0, outcome, role);
-    let next = fixture.ask(WRITE);
-    assert_eq!(fixture.sent_to(next) == [0], stays_primary);
-    fixture.pass(0.26);
-    assert_eq!(fixture.count(Done::Probe(0)) > 0, !stays_primary, "{:?}", fixture.book.0);
+    let mut simulation = Simulation::with_reports(false, [0.0; 3]);
+    let write = simulation.send_request(WRITE);
+    simulation.advance(0.3);
+    simulation.transport.0.clear();
+    simulation.end_attempt(write, 0, outcome, role);
+    let next = simulation.send_request(WRITE);
+    assert_eq!(simulation.sent_to(next) == [0], stays_primary);
+    simulation.advance(0.26);
+    assert_eq!(
+        simulation.count(TransportCall::StartHealthCheck(0)) > 0,
+        !stays_primary,
+        "{:?}",
+        simulation.transport.0
+    );
 }
 
 /// Guards against a primary that is cleared because of load: a loaded primary let single reads time out, and was no longer
 /// treated as the primary each time.
 #[test]
 fn a_time_out_at_a_primary_that_answers_others_does_not_clear_it() {
-    let mut fixture = World::settled(true, [0.0; 3]);
-    let (slow, quick) = (fixture.ask(WRITE), fixture.ask(WRITE));
-    fixture.pass(0.1);
-    fixture.end(quick, 0, AttemptOutcome::Completed, Some(Primary));
-    fixture.end(slow, 0, AttemptOutcome::TimedOut, None);
-    let next = fixture.ask(WRITE);
-    assert_eq!(fixture.sent_to(next), [0]);
+    let mut simulation = Simulation::with_reports(true, [0.0; 3]);
+    let (slow, quick) = (simulation.send_request(WRITE), simulation.send_request(WRITE));
+    simulation.advance(0.1);
+    simulation.end_attempt(quick, 0, AttemptOutcome::Completed, Some(Primary));
+    simulation.end_attempt(slow, 0, AttemptOutcome::TimedOut, None);
+    let next = simulation.send_request(WRITE);
+    assert_eq!(simulation.sent_to(next), [0]);
 }
 
 #[rstest]
 #[case::primary_appears(true)]
 #[case::none_in_time(false)]
 fn writes_wait_for_a_primary(#[case] appears: bool) {
-    let mut fixture = World::new(terms(true));
-    let write = fixture.ask(WRITE);
-    fixture.pass(0.2);
-    assert_eq!((fixture.sent_to(write).len(), fixture.count(Done::Reject(write))), (0, 0));
+    let mut simulation = Simulation::new(config(true));
+    let write = simulation.send_request(WRITE);
+    simulation.advance(0.2);
+    assert_eq!((simulation.sent_to(write).len(), simulation.count(TransportCall::Reject(write))), (0, 0));
     if appears {
-        fixture.report(2, Primary, 0.0);
+        simulation.report(2, Primary, 0.0);
     }
-    fixture.pass(0.4);
-    assert_eq!(fixture.sent_to(write).len(), usize::from(appears));
-    assert_eq!(fixture.count(Done::Reject(write)), usize::from(!appears));
+    simulation.advance(0.4);
+    assert_eq!(simulation.sent_to(write).len(), usize::from(appears));
+    assert_eq!(simulation.count(TransportCall::Reject(write)), usize::from(!appears));
 }
 
 /// A primary that reports its role in the answer rejected the text of the request; it is still the primary.
@@ -84,9 +89,9 @@
 #[case::now_a_replica(Some(Replica), false)]
 #[case::no_role_reported(None, false)]
 fn a_primary_that_rejects_a_text_stays_the_primary(#[case] role: Option<Role>, #[case] stays_primary: bool) {
-    let mut fixture = World::settled(true, [0.0; 3]);
-    let request = fixture.ask_for(Request { may_write: true, ..statement(READ, 0.75) });
-    fixture.end(request, 0, AttemptOutcome::ReadOnly, role);
-    let write = fixture.ask(WRITE);
-    assert_eq!(fixture.sent_to(write) == [0], stays_primary);
+    let mut simulation = Simulation::with_reports(true, [0.0; 3]);
+    let request = simulation.send(Request { may_write: true, ..request(READ, 0.75) });
+    simulation.end_attempt(request, 0, AttemptOutcome::ReadOnly, role);
+    let write = simulation.send_request(WRITE);
+    assert_eq!(simulation.sent_to(write) == [0], stays_primary);
 }
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -2,7 +2,7 @@
 
 use ottersill_routing::interface::*;
 
-use crate::settings::{request_class, routing_config};
+use crate::settings::{routing_config, workload_settings};
 use crate::simulation::{Change, Scenario};
 
 const SHORT_READ: usize = 0;
@@ -20,16 +20,22 @@
 pub fn workloads() -> Vec<WorkloadSettings> {
     let deduplicated = |within, window| Effect::Deduplicated { within, window };
     vec![
-        request_class(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
-        request_class(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
-        request_class(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
-        request_class(Consistency::Primary, deduplicated(DeduplicationScope::Group, 0.5), 4.0, 0.6, 2.0),
-        request_class(Consistency::Session, Effect::Idempotent, 2.0, 0.3, 0.8),
-        request_class(Consistency::Fresh, Effect::Idempotent, 5.0, 0.4, 1.0),
-        request_class(Consistency::Primary, Effect::Idempotent, 3.0, 0.5, 1.5),
-        request_class(Consistency::Primary, deduplicated(DeduplicationScope::Site, 1.0), 4.0, 0.6, 2.0),
-        request_class(Consistency::Primary, deduplicated(DeduplicationScope::Everywhere, 2.0), 4.0, 0.6, 2.0),
-        request_class(Consistency::Any, Effect::Idempotent, 1.0, 0.25, 0.6),
+        workload_settings(Consistency::Bounded(1.0), Effect::Idempotent, 3.0, 0.3, 0.75),
+        workload_settings(Consistency::Any, Effect::Idempotent, 6.0, 3.0, 6.0),
+        workload_settings(Consistency::Primary, Effect::NonIdempotent, 4.0, 0.6, 2.0),
+        workload_settings(Consistency::Primary, deduplicated(DeduplicationScope::Group, 0.5), 4.0, 0.6, 2.0),
+        workload_settings(Consistency::Session, Effect::Idempotent, 2.0, 0.3, 0.8),
+        workload_settings(Consistency::Fresh, Effect::Idempotent, 5.0, 0.4, 1.0),
+        workload_settings(Consistency::Primary, Effect::Idempotent, 3.0, 0.5, 1.5),
+        workload_settings(Consistency::Primary, deduplicated(DeduplicationScope::Site, 1.0), 4.0, 0.6, 2.0),
+        workload_settings(
+            Consistency::Primary,
+            deduplicated(DeduplicationScope::Everywhere, 2.0),
+            4.0,
+            0.6,
+            2.0,
+        ),
+        workload_settings(Consistency::Any, Effect::Idempotent, 1.0, 0.25, 0.6),
     ]
 }
 
--- a/crates/routing/tests/facade.rs
+++ b/crates/routing/tests/facade.rs
@@ -2,17 +2,20 @@
 
 mod common;
 
-use common::{READ, WRITE, listed, statement, terms};
+use common::{READ, WRITE, config, endpoint_update, request};
 use ottersill_routing::facade::{Decision, Facade, PickRequest, RoutingAction, RoutingEvent};
 use ottersill_routing::interface::*;
 use rstest::rstest;
 
 /// A facade with two endpoints, of which those in `reports` have reported their role at the start.
 fn facade(reports: &[(usize, Role)]) -> Facade {
-    let mut facade = Facade::start(100.0, terms(true));
+    let mut facade = Facade::start(100.0, config(true));
     facade.report(
         100.0,
-        RoutingEvent::EndpointList(&[listed(0, EndpointState::Ready), listed(1, EndpointState::Ready)]),
+        RoutingEvent::EndpointList(&[
+            endpoint_update(0, EndpointState::Ready),
+            endpoint_update(1, EndpointState::Ready),
+        ]),
     );
     for (endpoint, role) in reports {
         report_role(&mut facade, 100.0, *endpoint, *role);
@@ -27,7 +30,7 @@
         .report(now, RoutingEvent::HealthCheckEnded { endpoint, outcome: AttemptOutcome::Completed, report });
 }
 
-fn end(facade: &mut Facade, now: f64, request: usize, endpoint: usize, outcome: AttemptOutcome) {
+fn end_attempt(facade: &mut Facade, now: f64, request: usize, endpoint: usize, outcome: AttemptOutcome) {
     let observed = LoadReport::default();
     facade.report(
         now,
@@ -49,13 +52,13 @@
     #[case] expected: Decision,
 ) {
     let mut facade = facade(reports);
-    assert_eq!(facade.pick(100.0, PickRequest::New(statement(workload, 0.75))).1, expected);
+    assert_eq!(facade.pick(100.0, PickRequest::New(request(workload, 0.75))).1, expected);
 }
 
 #[test]
 fn a_waiting_request_is_named_once_it_can_be_dispatched() {
     let mut facade = facade(&BOTH_REPORT[1..]);
-    let (request, decision) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
+    let (request, decision) = facade.pick(100.0, PickRequest::New(request(WRITE, 2.0)));
     assert_eq!(decision, Decision::Wait);
     facade.tick(100.0);
     report_role(&mut facade, 100.1, 0, Role::Primary);
@@ -74,7 +77,7 @@
 #[test]
 fn a_request_that_waits_too_long_is_named_and_rejected() {
     let mut facade = facade(&[]);
-    let (request, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.2)));
+    let (request, _) = facade.pick(100.0, PickRequest::New(request(READ, 0.2)));
     let mut now = 100.0;
     let is_named = (0..20).any(|_| {
         now = facade.wake_at();
@@ -92,9 +95,9 @@
     #[case] stays_in_use: bool,
 ) {
     let mut facade = facade(&BOTH_REPORT);
-    let (first, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
-    end(&mut facade, 100.01, first, 1, outcome);
-    let (second, _) = facade.pick(100.02, PickRequest::New(statement(READ, 0.75)));
+    let (first, _) = facade.pick(100.0, PickRequest::New(request(READ, 0.75)));
+    end_attempt(&mut facade, 100.01, first, 1, outcome);
+    let (second, _) = facade.pick(100.02, PickRequest::New(request(READ, 0.75)));
     assert_eq!(second != first, stays_in_use);
 }
 
@@ -102,12 +105,12 @@
 #[test]
 fn the_index_of_an_abandoned_request_is_free_once_its_last_attempt_has_ended() {
     let mut facade = facade(&BOTH_REPORT);
-    let (abandoned, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
+    let (abandoned, _) = facade.pick(100.0, PickRequest::New(request(READ, 0.75)));
     facade.report(100.01, RoutingEvent::ClientGone(abandoned));
-    let (second, _) = facade.pick(100.02, PickRequest::New(statement(READ, 0.75)));
+    let (second, _) = facade.pick(100.02, PickRequest::New(request(READ, 0.75)));
     assert_ne!(second, abandoned);
-    end(&mut facade, 100.03, abandoned, 1, AttemptOutcome::Completed);
-    let (third, _) = facade.pick(100.04, PickRequest::New(statement(READ, 0.75)));
+    end_attempt(&mut facade, 100.03, abandoned, 1, AttemptOutcome::Completed);
+    let (third, _) = facade.pick(100.04, PickRequest::New(request(READ, 0.75)));
     assert_eq!(third, abandoned);
     assert_eq!(facade.invariant_violations(), 0);
 }
@@ -117,13 +120,13 @@
 #[test]
 fn a_client_that_disconnects_before_the_pick_leaves_no_attempt_in_flight() {
     let mut facade = facade(&BOTH_REPORT[1..]);
-    let (request, _) = facade.pick(100.0, PickRequest::New(statement(WRITE, 2.0)));
+    let (abandoned, _) = facade.pick(100.0, PickRequest::New(request(WRITE, 2.0)));
     report_role(&mut facade, 100.1, 0, Role::Primary);
-    facade.report(100.1, RoutingEvent::ClientGone(request));
+    facade.report(100.1, RoutingEvent::ClientGone(abandoned));
     facade.tick(100.1);
-    let (next, decision) = facade.pick(100.1, PickRequest::New(statement(WRITE, 2.0)));
-    assert_eq!((next, decision), (request, Decision::Dispatch { endpoint: 0, timeout: 0.0 }));
-    end(&mut facade, 100.2, next, 0, AttemptOutcome::Completed);
+    let (next, decision) = facade.pick(100.1, PickRequest::New(request(WRITE, 2.0)));
+    assert_eq!((next, decision), (abandoned, Decision::Dispatch { endpoint: 0, timeout: 0.0 }));
+    end_attempt(&mut facade, 100.2, next, 0, AttemptOutcome::Completed);
     assert_eq!(facade.invariant_violations(), 0);
 }
 
@@ -132,9 +135,9 @@
 #[cfg_attr(debug_assertions, should_panic(expected = "ends once"))]
 fn a_second_end_of_an_attempt_is_an_invariant_violation() {
     let mut facade = facade(&BOTH_REPORT);
-    let (request, _) = facade.pick(100.0, PickRequest::New(statement(READ, 0.75)));
-    end(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
-    end(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
+    let (request, _) = facade.pick(100.0, PickRequest::New(request(READ, 0.75)));
+    end_attempt(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
+    end_attempt(&mut facade, 100.1, request, 1, AttemptOutcome::Completed);
     assert_eq!(facade.invariant_violations(), 1);
 }
 
@@ -142,8 +145,9 @@
 /// before it was measured is unknown.
 #[test]
 fn positions_from_before_a_clock_step_are_not_used() {
-    let mut facade = Facade::start(100.0, terms(false));
-    let update = |endpoint, group| EndpointUpdate { group, ..listed(endpoint, EndpointState::Ready) };
+    let mut facade = Facade::start(100.0, config(false));
+    let update =
+        |endpoint, group| EndpointUpdate { group, ..endpoint_update(endpoint, EndpointState::Ready) };
     facade
         .report(100.0, RoutingEvent::EndpointList(&[update(0, 0), update(1, 0), update(2, 1), update(3, 2)]));
     for (endpoint, role, lsn) in [
@@ -156,13 +160,13 @@
         let outcome = AttemptOutcome::Completed;
         facade.report(100.0, RoutingEvent::HealthCheckEnded { endpoint, outcome, report });
     }
-    let decide_read = |facade: &mut Facade, now| facade.pick(now, PickRequest::New(statement(READ, 0.75))).1;
+    let decide_read = |facade: &mut Facade, now| facade.pick(now, PickRequest::New(request(READ, 0.75))).1;
     let at_replica = Decision::Dispatch { endpoint: 1, timeout: 0.0 };
     assert_eq!(decide_read(&mut facade, 100.0), at_replica);
     for round in 0..9 {
         let now = 100.0 + 0.1 * f64::from(round);
         for (endpoint, group) in [(2, 1), (3, 2)] {
-            let write = Request { group, ..statement(WRITE, 2.0) };
+            let write = Request { group, ..request(WRITE, 2.0) };
             let (request, decision) = facade.pick(now, PickRequest::New(write));
             assert_eq!(decision, Decision::Dispatch { endpoint, timeout: 0.0 });
             let observed = LoadReport { role: Some(Role::Primary), lsn: Some(now + 4.0), utilization: None };
@@ -180,9 +184,9 @@
 /// measured clock offset.
 #[test]
 fn a_forgotten_endpoint_stays_forgotten_once_the_clock_offset_is_known() {
-    let mut facade = Facade::start(100.0, terms(false));
-    let removed = EndpointUpdate { started_at: Some(50.0), ..listed(1, EndpointState::Removed) };
-    facade.report(100.0, RoutingEvent::EndpointList(&[listed(0, EndpointState::Ready), removed]));
+    let mut facade = Facade::start(100.0, config(false));
+    let removed = EndpointUpdate { started_at: Some(50.0), ..endpoint_update(1, EndpointState::Removed) };
+    facade.report(100.0, RoutingEvent::EndpointList(&[endpoint_update(0, EndpointState::Ready), removed]));
     assert_eq!(facade.forget_endpoints(200.0, &[1]), [1]);
     report_role(&mut facade, 200.0, 0, Role::Primary);
     assert!(facade.forgettable_endpoints(400.0).is_empty());
--- a/crates/routing/tests/scale.rs
+++ b/crates/routing/tests/scale.rs
@@ -13,7 +13,7 @@
 use ottersill_routing::Router;
 use ottersill_routing::interface::*;
 use rustix::time::{ClockId, clock_gettime};
-use settings::{request_class, routing_config};
+use settings::{routing_config, workload_settings};
 
 const GROUP_SIZE: usize = 5;
 /// Steps of the simulation in a second.
@@ -32,10 +32,10 @@
 const START_SECONDS: f64 = 1000.0;
 
 fn config(routers: usize) -> RoutingConfig {
-    let class = |consistency, effect| request_class(consistency, effect, 3.0, 0.3, 1.0);
+    let workload = |consistency, effect| workload_settings(consistency, effect, 3.0, 0.3, 1.0);
     let workloads = vec![
-        class(Consistency::Bounded(10.0), Effect::Idempotent),
-        class(Consistency::Primary, Effect::NonIdempotent),
+        workload(Consistency::Bounded(10.0), Effect::Idempotent),
+        workload(Consistency::Primary, Effect::NonIdempotent),
     ];
     RoutingConfig { routers, site: None, must_remember_writes: true, ..routing_config(workloads) }
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use common::{MARKED, READ, terms};
+use common::{DEDUPLICATED_WRITE, READ, config};
 use ottersill_routing::Router;
 use ottersill_routing::interface::*;
 
@@ -120,7 +120,7 @@
             warmup_seconds: random.between(3.0, 6.0),
             overload_multiple: random.between(2.0, 3.0),
             overload_seconds: random.between(0.8, 1.5),
-            ..terms(true)
+            ..config(true)
         };
         let initial_allowance = (random.between(3.0_f64.ln(), 400.0_f64.ln())).exp();
         let capacity = initial_allowance
@@ -502,7 +502,7 @@
         let rate: f64 = self.scenario.offered.iter().sum();
         let gap = -self.random.unit().ln() / rate;
         self.schedule(gap, Event::Arrival);
-        let workload = if self.random.chance(WRITE_FRACTION) { MARKED } else { READ };
+        let workload = if self.random.chance(WRITE_FRACTION) { DEDUPLICATED_WRITE } else { READ };
         let router = draw_index(&mut self.random, &self.router_sums);
         let group = draw_index(&mut self.random, &self.group_sums);
         self.offered += usize::from(group == 0 && self.now >= self.scenario.cold_start_at());
