--- a/crates/ottersill/tests/support/faults.rs
+++ b/crates/ottersill/tests/support/faults.rs
@@ -1,12 +1,12 @@
-//! System calls of a router that fail on schedule, by the library of `crates/syscall-faults`.
+//! Injects failures into the system calls of a router on a schedule, with the library of `crates/syscall-faults`.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Faults for one router; none occurs before `arm`.
+/// The fault schedule of one router. No fault occurs before `arm`.
 pub struct Faults {
     pub schedule: String,
-    /// Exists while faults occur, and names those that did.
+    /// File that exists while faults are armed. The library appends the faults that have occurred to it.
     pub armed: PathBuf,
 }
 
@@ -19,9 +19,9 @@
     }
 
     pub fn environment(&self) -> [(&'static str, String); 3] {
-        let test = std::env::current_exe().expect("this test's path");
+        let test = std::env::current_exe().expect("path of the test binary is unknown");
         let library = test.with_file_name("libsyscall_faults.so");
-        assert!(library.exists(), "{}", library.display());
+        assert!(library.exists(), "missing library: {}", library.display());
         [
             ("LD_PRELOAD", library.display().to_string()),
             ("SYSCALL_FAULTS", self.schedule.clone()),
@@ -30,10 +30,10 @@
     }
 
     pub fn arm(&self) {
-        std::fs::write(&self.armed, "").expect("a file");
+        std::fs::write(&self.armed, "").expect("file that arms the faults could not be written");
     }
 
-    /// The faults that have occurred, as `accept4 EPROTO` or `recv@client ETIMEDOUT`.
+    /// Returns the faults that have occurred, such as `accept4 EPROTO` or `recv@client ETIMEDOUT`.
     pub fn occurred(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.armed).unwrap_or_default();
         text.lines().map(str::to_string).collect()
@@ -41,7 +41,7 @@
 
     pub fn disarm(&self) -> Vec<String> {
         let occurred = self.occurred();
-        // It may be gone already.
+        // The file may have been removed already.
         let _ = std::fs::remove_file(&self.armed);
         occurred
     }
--- a/crates/ottersill/tests/support/machine.rs
+++ b/crates/ottersill/tests/support/machine.rs
@@ -1,28 +1,28 @@
-//! Notices when the machine holds up what runs on it. A bound by the clock says what the router may take; a machine that stands still
-//! for a second is no fault of its.
+//! Detects stalls of the whole machine, so that tests can subtract them from elapsed times: a time bound limits what the router may
+//! take, and a machine that stalls for a second is not a fault of the router.
 
 use std::sync::{Mutex, Once, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// How long the watching thread sleeps at a time.
-const STEP: Duration = Duration::from_millis(5);
-/// Less than this is the usual delay of a thread that wakes.
-const USUAL_DELAY: Duration = Duration::from_millis(10);
+const SLEEP_INTERVAL: Duration = Duration::from_millis(5);
+/// A thread that wakes up late by less than this is not counted as stalled.
+const USUAL_WAKE_DELAY: Duration = Duration::from_millis(10);
 
-/// When the watching thread woke too late, and since when it was due.
+/// Each stall: when the watching thread was due to wake, and when it woke.
 static STALLS: Mutex<Vec<(Instant, Instant)>> = Mutex::new(Vec::new());
 
-/// Watches from now on, as long as this process lives.
+/// Starts the watching thread, which runs until the process ends.
 pub fn watch() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| {
         thread::spawn(|| {
             loop {
-                let due = Instant::now() + STEP;
-                thread::sleep(STEP);
+                let due = Instant::now() + SLEEP_INTERVAL;
+                thread::sleep(SLEEP_INTERVAL);
                 let woken = Instant::now();
-                if woken > due + USUAL_DELAY {
+                if woken > due + USUAL_WAKE_DELAY {
                     STALLS.lock().unwrap_or_else(PoisonError::into_inner).push((due, woken));
                 }
             }
@@ -30,23 +30,23 @@
     });
 }
 
-/// Whether the machine stood still between two moments.
+/// Returns whether the machine stalled between two instants.
 pub fn stood_still(from: Instant, to: Instant) -> bool {
     own_time(from, to) < to.saturating_duration_since(from)
 }
 
-/// The time from one moment to another, less that for which the machine stood still between them.
+/// Returns the time between two instants, without the time for which the machine was stalled.
 pub fn own_time(from: Instant, to: Instant) -> Duration {
-    // One that has just ended may not be noted yet.
-    thread::sleep(2 * STEP + USUAL_DELAY);
+    // A stall that has just ended may not be recorded yet.
+    thread::sleep(2 * SLEEP_INTERVAL + USUAL_WAKE_DELAY);
     let stalls = STALLS.lock().unwrap_or_else(PoisonError::into_inner);
     let within =
         |(due, woken): &(Instant, Instant)| (*woken).min(to).saturating_duration_since((*due).max(from));
-    let stood_still: Duration = stalls.iter().map(within).sum();
-    to.saturating_duration_since(from).saturating_sub(stood_still)
+    let stalled: Duration = stalls.iter().map(within).sum();
+    to.saturating_duration_since(from).saturating_sub(stalled)
 }
 
-/// The same up to now.
+/// Returns the time from an instant until now, without the time for which the machine was stalled.
 pub fn own_time_since(from: Instant) -> Duration {
     own_time(from, Instant::now())
 }
