--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -1,4 +1,4 @@
-//! How long clients keep their connections, and what happens where descriptors or memory run short.
+//! How long clients keep their connections, and what happens when descriptors or memory run short.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -8,158 +8,167 @@
 use ottersill_testkit::stand_in::{Behaviour, Client, message};
 use rstest::rstest;
 
-use crate::fixture::{PATIENCE, poll, read, read_as, service, service_within, write};
+use crate::fixture::{PATIENCE, read, read_as, service, service_with_memory, wait_until, write};
 use crate::support::machine::own_time_since;
 
-/// Found on sockets with 64 descriptors: turned-away clients were reset before they had read their rejection.
+/// Guards against rejected clients whose connection is reset before they have read the rejection, seen with a limit of 64
+/// descriptors.
 #[test]
-fn running_out_of_descriptors_ends_in_answers() {
+fn clients_are_answered_when_descriptors_run_out() {
     let service = service(26);
-    service.all(Behaviour::NeverAnswers);
-    let ask = |number| {
-        let mut client = Client::connect(service.router.at).expect("a connection");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.send(&read_as(number, 500)).expect("a query");
+    service.set_all_behaviours(Behaviour::NeverAnswers);
+    let send_read = |number| {
+        let mut client = Client::connect(service.router.at).expect("connection failed");
+        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        client.send(&read_as(number, 500)).expect("query could not be sent");
         client
     };
-    let mut clients: Vec<Client> = (0..30).map(ask).collect();
+    let mut clients: Vec<Client> = (0..30).map(send_read).collect();
     let answers: Vec<String> = clients.iter_mut().map(Client::next_row_or_error).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     drop(clients);
-    service.all(Behaviour::Replica);
-    poll("served again", || {
+    service.set_all_behaviours(Behaviour::Replica);
+    wait_until("requests are served again", || {
         service.client().query(&read(2000)).is_ok_and(|answer| answer.starts_with("row:"))
     });
 }
 
-/// Long statements that no host answers, and more of them sent ahead: what is stored has a bound.
+/// Long statements that no endpoint answers, with more of them pipelined behind: the memory that they take must be bounded.
 #[test]
 fn memory_is_bounded_under_long_statements() {
-    let service = service_within(1024, 32);
-    service.all(Behaviour::NeverAnswers);
+    let service = service_with_memory(1024, 32);
+    service.set_all_behaviours(Behaviour::NeverAnswers);
     let long = write("9f", 9000).replace("76616c7565", &"61".repeat(65536));
-    let ask = |number| {
+    let send_writes = |number| {
         let mut client = service.client();
         let long = long.replace("id=5d", &format!("id=e{number:x}"));
-        // One that was turned away meanwhile takes no more.
+        // A client that was rejected meanwhile can send no more.
         let _ = (0..3).try_for_each(|_| client.send(&long));
         client
     };
-    let clients: Vec<Client> = (0..400).map(ask).collect();
+    let clients: Vec<Client> = (0..400).map(send_writes).collect();
     thread::sleep(Duration::from_millis(300));
     drop(clients);
-    service.all(Behaviour::Replica);
-    poll("served again", || {
+    service.set_all_behaviours(Behaviour::Replica);
+    wait_until("requests are served again", || {
         service.client().query(&read(2000)).is_ok_and(|answer| answer.starts_with("row:"))
     });
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", service.router.process.id())).expect("a status");
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", service.router.process.id()))
+        .expect("process status unavailable");
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("no peak memory in the process status");
     let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
     assert!(peak < 32 << 10, "{peak} kB");
 }
 
-/// Connections that send nothing must not keep others out for good.
+/// Guards against connections that send nothing and keep other clients out permanently.
 #[test]
-fn silent_clients_make_room() {
+fn silent_connections_make_room_for_clients() {
     let service = service(26);
     let silent: Vec<Client> =
-        (0..30).map(|_| Client::connect(service.router.at).expect("a connection")).collect();
-    poll("served", || {
-        let mut client = Client::connect(service.router.at).expect("a connection");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.send(&read(2000)).expect("a query");
+        (0..30).map(|_| Client::connect(service.router.at).expect("connection failed")).collect();
+    wait_until("a request is served", || {
+        let mut client = Client::connect(service.router.at).expect("connection failed");
+        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        client.send(&read(2000)).expect("query could not be sent");
         client.next_row_or_error().starts_with("row:")
     });
     drop(silent);
 }
 
-/// Clients that connect and say nothing, or stop halfway, are owed an error or a close within three seconds.
+/// A client that connects and sends nothing, or stops in the middle of a message, gets an error or a close within three seconds.
 #[rstest]
 #[case::nothing(b"", "")]
 #[case::half_a_startup(b"\0\0\0\x25\0\x03", "C08P01")]
 #[case::no_query(b"\0\0\0\x08\0\x03\0\0", "")]
 #[case::half_a_query(b"\0\0\0\x08\0\x03\0\0Q\0\0\0\x20SELECT", "C08P01")]
-fn who_says_nothing_whole_is_closed(#[case] bytes: &[u8], #[case] expected: &str) {
+fn a_client_without_a_complete_message_is_closed(#[case] bytes: &[u8], #[case] expected: &str) {
     let service = service(1024);
     let started = Instant::now();
-    let mut client = Client { socket: TcpStream::connect(service.router.at).expect("a connection") };
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    client.socket.write_all(bytes).expect("bytes");
-    let words = client.next_row_or_error();
+    let mut client = Client { socket: TcpStream::connect(service.router.at).expect("connection failed") };
+    client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+    client.socket.write_all(bytes).expect("bytes could not be sent");
+    let reply = client.next_row_or_error();
     let took = own_time_since(started);
     assert!(took < Duration::from_secs(3), "{took:?}");
-    assert!(if expected.is_empty() { !words.starts_with('C') } else { words == expected }, "{words}");
+    assert!(if expected.is_empty() { !reply.starts_with('C') } else { reply == expected }, "{reply}");
 }
 
-/// One that has asked and idles makes room; one whose statement comes in pieces, or is in hand, does not.
+/// An idle client that has sent requests is closed to make room. A client whose statement is partly received or in flight is not.
 #[test]
-fn who_has_asked_and_idles_is_closed() {
+fn only_idle_clients_are_closed() {
     let service = service(1024);
     let (mut idle, mut slow, mut busy) = (service.client(), service.client(), service.client());
     for client in [&mut idle, &mut slow, &mut busy] {
-        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
+        assert!(client.query(&read(2000)).expect("no answer").starts_with("row:"));
     }
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
-    busy.send(&write("af", 2000)).expect("a query");
+    busy.send(&write("af", 2000)).expect("query could not be sent");
     let whole = message(b'Q', format!("{}\0", read(2000)).as_bytes());
     thread::sleep(Duration::from_millis(1500));
-    slow.socket.write_all(&whole[..9]).expect("a part");
-    assert!(idle.receive_message().is_err(), "it ends");
-    slow.socket.write_all(&whole[9..]).expect("the rest");
-    assert_eq!(slow.read_answer().expect("an answer"), "row:value SELECT 1");
-    assert_eq!(busy.read_answer().expect("an answer"), "C40003");
+    slow.socket.write_all(&whole[..9]).expect("first part could not be sent");
+    assert!(idle.receive_message().is_err(), "the idle connection is still open");
+    slow.socket.write_all(&whole[9..]).expect("rest could not be sent");
+    assert_eq!(slow.read_answer().expect("no answer"), "row:value SELECT 1");
+    assert_eq!(busy.read_answer().expect("no answer"), "C40003");
 }
 
-/// Found on a recorded day: clients that ask once and stay held all the connections that clients may hold.
+/// Guards against clients that send one request, stay connected and so use up the connection limit.
 #[test]
-fn clients_that_ask_once_and_stay_leave_room_to_others() {
+fn the_longest_idle_clients_are_closed_first() {
     let service = service(80);
-    let mut stays = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..30 {
         let mut client = service.client();
-        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
-        stays.push(client);
+        assert!(client.query(&read(2000)).expect("no answer").starts_with("row:"));
+        idle.push(client);
     }
-    // Before the others are looked at: that may take longer than it may idle.
-    let last = stays.last_mut().expect("a client");
-    assert!(last.query(&read(2000)).expect("an answer").starts_with("row:"));
-    let patience = Some(Duration::from_millis(500));
-    stays.iter().for_each(|client| client.socket.set_read_timeout(patience).expect("a time-out"));
+    // The last client sends first, as checking the others may take longer than the idle time.
+    let last = idle.last_mut().expect("no client");
+    assert!(last.query(&read(2000)).expect("no answer").starts_with("row:"));
+    let timeout = Some(Duration::from_millis(500));
+    idle.iter()
+        .for_each(|client| client.socket.set_read_timeout(timeout).expect("read timeout could not be set"));
     let is_closed =
         |client: &mut Client| client.receive_message().is_err_and(|e| e.kind() == ErrorKind::UnexpectedEof);
-    let closed: Vec<bool> = stays.iter_mut().take(8).map(is_closed).collect();
-    assert!(closed.iter().all(|closed| *closed), "the longest idle go first: {closed:?}");
+    let closed: Vec<bool> = idle.iter_mut().take(8).map(is_closed).collect();
+    assert!(
+        closed.iter().all(|closed| *closed),
+        "one of the longest idle clients is still connected: {closed:?}"
+    );
 }
 
-/// Found on the same day: a crowd that says nothing cost the others, who idle for longer, their connections.
+/// Guards against many silent connections that cost clients which have sent requests, and have been idle for longer, their
+/// connections.
 #[test]
-fn silent_clients_go_before_those_that_have_asked() {
+fn silent_connections_are_closed_before_those_that_have_sent_requests() {
     let service = service(80);
-    let mut asked = service.client();
-    assert!(asked.query(&read(2000)).expect("an answer").starts_with("row:"));
+    let mut active = service.client();
+    assert!(active.query(&read(2000)).expect("no answer").starts_with("row:"));
     let connect = |_| {
         thread::sleep(Duration::from_millis(10));
-        TcpStream::connect(service.router.at).expect("a connection")
+        TcpStream::connect(service.router.at).expect("connection failed")
     };
-    let crowd: Vec<TcpStream> = (0..80).map(connect).collect();
-    assert!(asked.query(&read(2000)).expect("its connection is kept").starts_with("row:"));
-    drop(crowd);
+    let silent_connections: Vec<TcpStream> = (0..80).map(connect).collect();
+    assert!(active.query(&read(2000)).expect("connection was closed").starts_with("row:"));
+    drop(silent_connections);
 }
 
-/// Guards against a router that was held up while a crowd came: all of the crowd was new to it then, and it closed clients that
-/// had asked in place of those that said nothing.
+/// Guards against a router that is stalled while many connections arrive: they were all new to it then, and it closed clients that
+/// had sent requests instead of silent ones.
 #[rstest]
-#[case::for_a_moment(40, 55, Duration::from_millis(10))]
-#[case::all_the_while(0, 80, Duration::ZERO)]
-fn a_silent_crowd_of_a_stopped_router_costs_no_client_its_connection(
+#[case::stopped_briefly(40, 55, Duration::from_millis(10))]
+#[case::stopped_throughout(0, 80, Duration::ZERO)]
+fn silent_connections_to_a_stopped_router_cost_no_client_its_connection(
     #[case] stopped_before: usize,
     #[case] continued_before: usize,
     #[case] gap: Duration,
 ) {
     let service = service(80);
-    let mut asked = service.client();
-    assert!(asked.query(&read(2000)).expect("an answer").starts_with("row:"));
+    let mut active = service.client();
+    assert!(active.query(&read(2000)).expect("no answer").starts_with("row:"));
     let connect = |number| {
         if number == stopped_before {
             service.router.signal("-STOP");
@@ -168,28 +177,28 @@
             service.router.signal("-CONT");
         }
         thread::sleep(gap);
-        TcpStream::connect(service.router.at).expect("a connection")
+        TcpStream::connect(service.router.at).expect("connection failed")
     };
-    let crowd: Vec<TcpStream> = (0..80).map(connect).collect();
+    let silent_connections: Vec<TcpStream> = (0..80).map(connect).collect();
     service.router.signal("-CONT");
-    // A request that was there when the crowd is accepted would be read first.
+    // A request that is there when the silent connections are accepted would be read first.
     thread::sleep(Duration::from_millis(200));
-    assert!(asked.query(&read(2000)).expect("its connection is kept").starts_with("row:"));
-    drop(crowd);
+    assert!(active.query(&read(2000)).expect("connection was closed").starts_with("row:"));
+    drop(silent_connections);
 }
 
-/// Guards against taking a client for a silent one whose first request came while the router was held up: what is there is read
-/// before anybody is closed.
+/// Guards against treating a client as silent whose first request arrived while the router was stalled: received data is read
+/// before any connection is closed.
 #[test]
-fn a_request_that_came_to_a_stopped_router_is_read_before_the_silent_go() {
+fn a_request_sent_to_a_stopped_router_is_read_before_silent_connections_are_closed() {
     let service = service(80);
     let mut client = service.client();
     thread::sleep(Duration::from_millis(300));
     service.router.signal("-STOP");
-    let crowd: Vec<TcpStream> =
-        (0..80).map(|_| TcpStream::connect(service.router.at).expect("a connection")).collect();
-    client.send(&read(2000)).expect("a query");
+    let silent_connections: Vec<TcpStream> =
+        (0..80).map(|_| TcpStream::connect(service.router.at).expect("connection failed")).collect();
+    client.send(&read(2000)).expect("query could not be sent");
     service.router.signal("-CONT");
-    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
-    drop(crowd);
+    assert_eq!(client.read_answer().expect("no answer"), "row:value SELECT 1");
+    drop(silent_connections);
 }
--- a/crates/ottersill/tests/service/discovery.rs
+++ b/crates/ottersill/tests/service/discovery.rs
@@ -1,39 +1,39 @@
-//! What the router does with what discovery says, and without it.
+//! How the router follows the discovery service, and serves without it.
 
-use crate::fixture::{poll, read, service};
+use crate::fixture::{read, service, wait_until};
 
 #[test]
-fn a_host_that_leaves_gets_nothing_new() {
+fn a_leaving_endpoint_gets_no_new_requests() {
     let service = service(1024);
     service.store.set_health(1, "leaving");
     let mut client = service.client();
-    poll("told", || {
+    wait_until("the endpoint update takes effect", || {
         let before = service.store.received(1).len();
-        (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("an answer").starts_with("row:")));
+        (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("no answer").starts_with("row:")));
         service.store.received(1).len() == before
     });
 }
 
-/// Some agents end the connection with each answer: news must come all the same.
+/// Some discovery agents close the connection after each answer. Updates must arrive all the same.
 #[test]
-fn a_discovery_that_closes_is_watched_on() {
+fn updates_arrive_from_a_discovery_that_closes_each_connection() {
     let service = service(1024);
     service.store.close_discovery_connections();
     for health in ["leaving", "active", "leaving"] {
         service.store.set_health(1, health);
         let mut client = service.client();
-        poll("told", || {
+        wait_until("the endpoint update takes effect", || {
             let before = service.store.received(1).len();
-            (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("an answer").starts_with("row:")));
+            (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("no answer").starts_with("row:")));
             (service.store.received(1).len() == before) == (health == "leaving")
         });
     }
 }
 
 #[test]
-fn silent_discovery_stops_nothing() {
+fn requests_are_served_while_discovery_is_silent() {
     let service = service(1024);
     service.store.set_discovery_silent(true);
     let mut client = service.client();
-    (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("an answer").starts_with("row:")));
+    (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("no answer").starts_with("row:")));
 }
--- a/crates/ottersill/tests/service/fixture.rs
+++ b/crates/ottersill/tests/service/fixture.rs
@@ -1,4 +1,4 @@
-//! The program between clients and a stand-in store.
+//! Starts a stand-in store and a router process for the tests of this folder.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -11,20 +11,23 @@
 use crate::support::machine::stood_still;
 use crate::support::{self, Router};
 
+/// Time limit of each answer and each condition that a test waits for.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
-/// Requests that a router may refuse as it starts on a machine that stands still, so that hosts seem silent; none otherwise.
-const MAX_REFUSED_AT_START: usize = 3;
+/// Number of requests that the router may reject while it starts if the machine stalls meanwhile, which makes endpoints seem
+/// silent. Without a stall none may be rejected.
+const MAX_REJECTED_AT_START: usize = 3;
 
 /// A stand-in store and a router that knows the roles of its endpoints.
 pub struct Service {
     pub store: StandInStore,
     pub router: Router,
-    /// Requests that it was sent by then.
-    pub asked: usize,
+    /// Number of requests sent to the router while the fixture started.
+    pub requests_sent: usize,
 }
 
-pub fn poll(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until the condition holds, and panics after `PATIENCE`.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
         assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
@@ -32,12 +35,13 @@
     }
 }
 
-pub fn store() -> (StandInStore, SocketAddr) {
+/// Starts a stand-in store with three endpoints and its discovery service.
+pub fn start_store() -> (StandInStore, SocketAddr) {
     let store = StandInStore::default();
     for _ in 0..3 {
-        store.add_endpoint("127.0.0.1:0").expect("a host");
+        store.add_endpoint("127.0.0.1:0").expect("endpoint did not start");
     }
-    let discovery = store.add_discovery("127.0.0.1:0").expect("discovery");
+    let discovery = store.add_discovery("127.0.0.1:0").expect("discovery service did not start");
     (store, discovery)
 }
 
@@ -45,13 +49,14 @@
     support::config_text(discovery, &[])
 }
 
-/// A primary and two replicas behind a router that knows their roles.
+/// Starts a primary, two replicas and a router that knows their roles.
 pub fn service(sockets: usize) -> Service {
-    service_within(sockets, 192)
+    service_with_memory(sockets, 192)
 }
 
-pub fn service_within(sockets: usize, memory_mb: u64) -> Service {
-    let (store, discovery) = store();
+/// Does the same with a memory limit for the router.
+pub fn service_with_memory(sockets: usize, memory_mb: u64) -> Service {
+    let (store, discovery) = start_store();
     let text = support::config_text(
         discovery,
         &[
@@ -60,65 +65,76 @@
         ],
     );
     let router = Router::spawn(&text, None).until_ready();
-    let mut service = Service { store, router, asked: 0 };
+    let mut service = Service { store, router, requests_sent: 0 };
     let mut client = service.client();
     let (started, mut served) = (Instant::now(), 0);
     while served < 31 {
         let query = if served < 30 { read(2000) } else { write("1f", 2000) };
-        let answer = client.query(&query).expect("an answer");
-        service.asked += 1;
+        let answer = client.query(&query).expect("no answer");
+        service.requests_sent += 1;
         match answer.as_str() {
             "row: SELECT 1" | "row:value INSERT 0 1" => served += 1,
-            refused => {
-                assert!(refused.starts_with("C53300") && stood_still(started, Instant::now()), "{refused}");
+            rejection => {
+                assert!(
+                    rejection.starts_with("C53300") && stood_still(started, Instant::now()),
+                    "{rejection}"
+                );
             }
         }
-        assert!(service.asked - served <= MAX_REFUSED_AT_START, "{answer}");
+        assert!(service.requests_sent - served <= MAX_REJECTED_AT_START, "{answer}");
     }
-    assert!(service.router.process.try_wait().expect("a state").is_none());
+    assert!(service.router.process.try_wait().expect("process state unavailable").is_none());
     service
 }
 
 impl Service {
+    /// Connects a client and reads the greeting.
     pub fn client(&self) -> Client {
-        let mut client = Client::connect(self.router.at).expect("a connection");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.read_answer().expect("a greeting");
+        let mut client = Client::connect(self.router.at).expect("connection failed");
+        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        client.read_answer().expect("no greeting");
         client
     }
 
-    pub fn all(&self, behaviour: Behaviour) {
-        (0..self.store.endpoint_count()).for_each(|host| self.store.set_behaviour(host, behaviour));
+    /// Sets the behaviour of all endpoints.
+    pub fn set_all_behaviours(&self, behaviour: Behaviour) {
+        (0..self.store.endpoint_count()).for_each(|endpoint| self.store.set_behaviour(endpoint, behaviour));
     }
 
-    pub fn taken(&self) -> usize {
-        (0..self.store.endpoint_count()).map(|host| self.store.received(host).len()).sum()
+    /// Number of statements that all endpoints have received.
+    pub fn received_count(&self) -> usize {
+        (0..self.store.endpoint_count()).map(|endpoint| self.store.received(endpoint).len()).sum()
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.router.process.id().to_string();
-        let sent = Command::new("kill").args([name, &id]).status().expect("kill");
+        let sent = Command::new("kill").args([name, &id]).status().expect("kill could not be run");
         assert!(sent.success());
     }
 
+    /// Waits until the router exits, and returns its exit code and the rest of its log.
     pub fn exit(&mut self) -> (Option<i32>, String) {
-        poll("an exit", || self.router.process.try_wait().expect("a state").is_some());
-        let status = self.router.process.wait().expect("a status");
+        wait_until("the router exits", || {
+            self.router.process.try_wait().expect("process state unavailable").is_some()
+        });
+        let status = self.router.process.wait().expect("exit status unavailable");
         let mut log = String::new();
-        self.router.log.read_to_string(&mut log).expect("the log");
+        self.router.log.read_to_string(&mut log).expect("log could not be read");
         (status.code(), log)
     }
 }
 
+/// A read statement with this time left.
 pub fn read(left_ms: u32) -> String {
     format!("SELECT content FROM kv WHERE name = '1f' /* id=5c,c=get,d={left_ms},cluster=1 */")
 }
 
-/// The same under another id, as each client gives its own.
+/// The same read under another id, as each client uses its own ids.
 pub fn read_as(number: u32, left_ms: u32) -> String {
     read(left_ms).replace("id=5c", &format!("id=e{number:x}"))
 }
 
+/// A write statement with this key and this time left.
 pub fn write(key: &str, left_ms: u32) -> String {
     let hex = "76616c7565";
     format!(
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starting, reloading and stopping the program.
+//! Starting, reloading and stopping the router.
 
 use std::process::Command;
 use std::thread;
@@ -7,59 +7,59 @@
 use ottersill_testkit::stand_in::{Behaviour, Client};
 use rstest::rstest;
 
-use crate::fixture::{PATIENCE, config_text, poll, read, read_as, service, store, write};
+use crate::fixture::{PATIENCE, config_text, read, read_as, service, start_store, wait_until, write};
 
-/// A statement sent ahead counts as taken too: closing after the one in hand would lose it.
+/// Guards against closing a connection after the statement in flight, which loses the statements pipelined behind it.
 #[test]
-fn sigterm_answers_what_was_sent_ahead() {
+fn sigterm_answers_pipelined_statements() {
     let mut service = service(1024);
     let mut client = service.client();
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
-    client.send(&write("6f", 900)).expect("a query");
-    client.send(&read(2000)).expect("a query");
+    client.send(&write("6f", 900)).expect("query could not be sent");
+    client.send(&read(2000)).expect("query could not be sent");
     service.signal("-TERM");
-    assert_eq!(client.read_answer().expect("an answer"), "C40003");
-    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
-    assert!(client.receive_message().is_err(), "the connection ends");
+    assert_eq!(client.read_answer().expect("no answer"), "C40003");
+    assert_eq!(client.read_answer().expect("no answer"), "row:value SELECT 1");
+    assert!(client.receive_message().is_err(), "the connection is still open");
     assert_eq!(service.exit().0, Some(0));
 }
 
-/// Those who wait at the door for want of descriptors have sent their statements, which count as taken.
+/// Clients that wait in the listen backlog for lack of descriptors have sent their statements, which have to be answered.
 #[test]
-fn sigterm_answers_a_crowd_at_the_door() {
+fn sigterm_answers_clients_in_the_listen_backlog() {
     let mut service = service(26);
-    service.all(Behaviour::NeverAnswers);
-    let ask = |number| {
-        let mut client = Client::connect(service.router.at).expect("a connection");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        client.send(&read_as(number, 1500)).expect("a query");
+    service.set_all_behaviours(Behaviour::NeverAnswers);
+    let send_read = |number| {
+        let mut client = Client::connect(service.router.at).expect("connection failed");
+        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        client.send(&read_as(number, 1500)).expect("query could not be sent");
         client
     };
-    let mut clients: Vec<Client> = (0..36).map(ask).collect();
+    let mut clients: Vec<Client> = (0..36).map(send_read).collect();
     service.signal("-TERM");
     let answers: Vec<String> = clients.iter_mut().map(Client::next_row_or_error).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
     assert_eq!(service.exit().0, Some(0));
 }
 
-/// Clients still come for a while after SIGTERM, and what was taken in is answered.
+/// The router accepts clients for a while after SIGTERM, and answers all statements that it has received.
 #[test]
-fn sigterm_answers_what_was_taken_and_exits() {
+fn sigterm_answers_received_statements_and_exits() {
     let mut service = service(1024);
     let (mut waiting, mut idle) = (service.client(), service.client());
-    service.all(Behaviour::NeverAnswers);
-    waiting.send(&read(1200)).expect("a query");
+    service.set_all_behaviours(Behaviour::NeverAnswers);
+    waiting.send(&read(1200)).expect("query could not be sent");
     service.signal("-TERM");
     let mut late = service.client();
-    let answer = late.query(&read_as(1, 100)).expect("an answer");
+    let answer = late.query(&read_as(1, 100)).expect("no answer");
     assert!(answer.starts_with("C53300"), "{answer}");
-    assert!(idle.receive_message().is_err(), "what idles is closed");
-    assert!(waiting.read_answer().expect("an answer").starts_with("C53300"));
+    assert!(idle.receive_message().is_err(), "the idle connection is still open");
+    assert!(waiting.read_answer().expect("no answer").starts_with("C53300"));
     let (code, log) = service.exit();
     assert_eq!(code, Some(0));
     assert!(
         log.contains("shutdown requested")
-            && log.contains(&format!(" statements={} ", service.asked + 2))
+            && log.contains(&format!(" statements={} ", service.requests_sent + 2))
             && log.contains("invariant_violations_total=0"),
         "{log}"
     );
@@ -75,83 +75,88 @@
     assert_eq!(log.matches("counters: ").count(), 2, "{log}");
 }
 
-/// What came while the router stood still is read before anything is held against its time.
+/// After a stall the router reads what arrived meanwhile before it checks any timeouts.
 #[test]
-fn a_router_that_stood_still_goes_on() {
+fn a_request_sent_to_a_stopped_router_is_served() {
     let service = service(1024);
     let mut client = service.client();
     service.signal("-STOP");
-    client.send(&read(2000)).expect("a query");
+    client.send(&read(2000)).expect("query could not be sent");
     thread::sleep(Duration::from_millis(300));
     service.signal("-CONT");
-    assert_eq!(client.read_answer().expect("an answer"), "row:value SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer"), "row:value SELECT 1");
 }
 
 #[rstest]
 #[case::missing(None, "NODE_CONFIG: environment variable not found")]
 #[case::no_file(Some("/nonexistent/charter.json"), "No such file")]
-fn a_charter_that_is_not_there_ends_it_with_one_line(#[case] path: Option<&str>, #[case] says: &str) {
+fn a_missing_configuration_is_reported_in_one_line(#[case] path: Option<&str>, #[case] reason: &str) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ottersill"));
     command.env_remove("NODE_CONFIG");
     if let Some(path) = path {
         command.env("NODE_CONFIG", path);
     }
-    let done = command.output().expect("it runs");
-    let told = String::from_utf8_lossy(&done.stderr);
-    assert!(done.status.code() == Some(1) && told.lines().count() == 1 && told.contains(says), "{told}");
+    let done = command.output().expect("router did not run");
+    let stderr = String::from_utf8_lossy(&done.stderr);
+    assert!(
+        done.status.code() == Some(1) && stderr.lines().count() == 1 && stderr.contains(reason),
+        "{stderr}"
+    );
 }
 
-/// The operators' file names another discovery: what that one lists counts from then on, and no statement notices.
+/// After a reload with another discovery address the router uses the lists of that discovery service only, and no statement fails.
 #[rstest]
-#[case::whole(&[])]
+#[case::complete(&[])]
 #[case::half_written_at_first(&["{\"name\":\"toy-router\",\"lis"])]
 #[case::wrong_at_first(&["{}", ""])]
-fn sighup_moves_to_the_discovery_that_the_file_names(#[case] before: &[&str]) {
+fn sighup_switches_to_the_discovery_in_the_configuration(#[case] written_before: &[&str]) {
     let mut service = service(1024);
     let mut waiting = service.client();
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
-    waiting.send(&write("6f", 1500)).expect("a query");
-    let (other, discovery) = store();
-    for text in before {
-        std::fs::write(&service.router.config, text).expect("a configuration");
+    waiting.send(&write("6f", 1500)).expect("query could not be sent");
+    let (other, discovery) = start_store();
+    for text in written_before {
+        std::fs::write(&service.router.config, text).expect("configuration could not be written");
         service.signal("-HUP");
         thread::sleep(Duration::from_millis(50));
     }
-    std::fs::write(&service.router.config, config_text(discovery)).expect("a configuration");
-    if before.is_empty() {
-        // Several in a row ask for the same.
+    std::fs::write(&service.router.config, config_text(discovery))
+        .expect("configuration could not be written");
+    if written_before.is_empty() {
+        // Repeated signals request the same reload.
         (0..3).for_each(|_| service.signal("-HUP"));
     }
     let mut client = service.client();
-    poll("moved", || {
-        assert!(client.query(&read(2000)).expect("an answer").starts_with("row:"));
-        (0..3).any(|host| !other.received(host).is_empty())
+    wait_until("an endpoint of the other discovery is used", || {
+        assert!(client.query(&read(2000)).expect("no answer").starts_with("row:"));
+        (0..3).any(|endpoint| !other.received(endpoint).is_empty())
     });
-    // What the old one says counts no more.
+    // The old discovery has no effect any more.
     service.store.set_health(1, "leaving");
     other.set_health(2, "left");
-    poll("told", || {
+    wait_until("the update of the new discovery takes effect", || {
         let before = other.received(2).len();
-        (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("an answer").starts_with("row:")));
+        (0..20).for_each(|_| assert!(client.query(&read(2000)).expect("no answer").starts_with("row:")));
         other.received(2).len() == before
     });
-    assert_eq!(waiting.read_answer().expect("an answer"), "C40003");
+    assert_eq!(waiting.read_answer().expect("no answer"), "C40003");
     service.signal("-TERM");
     let (code, log) = service.exit();
     assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{log}");
-    assert_eq!(log.contains("configuration not reloaded"), !before.is_empty(), "{log}");
+    assert_eq!(log.contains("configuration not reloaded"), !written_before.is_empty(), "{log}");
 }
 
-/// Other routers may be restarting as well: half the time that a stop has goes to whom is there, and to whom comes.
+/// Other routers may be restarting at the same time: for half of the time that a shutdown has, the router serves the clients that
+/// are connected and accepts new ones.
 #[test]
-fn sigterm_lets_clients_come_and_go_on_for_a_while() {
+fn clients_are_accepted_and_served_for_a_while_after_sigterm() {
     let mut service = service(1024);
     let mut client = service.client();
     let started = Instant::now();
     service.signal("-TERM");
     while started.elapsed() < Duration::from_millis(900) {
-        assert_eq!(client.query(&read(2000)).expect("an answer"), "row:value SELECT 1");
-        assert_eq!(service.client().query(&read(2000)).expect("an answer"), "row:value SELECT 1");
+        assert_eq!(client.query(&read(2000)).expect("no answer"), "row:value SELECT 1");
+        assert_eq!(service.client().query(&read(2000)).expect("no answer"), "row:value SELECT 1");
         thread::sleep(Duration::from_millis(20));
     }
     while client.query(&read(2000)).is_ok() {}
--- a/crates/ottersill/tests/service/main.rs
+++ b/crates/ottersill/tests/service/main.rs
@@ -1,4 +1,4 @@
-//! Whole statements over loopback: the program itself between a client and a stand-in store.
+//! End-to-end tests over loopback: the router process between clients and a stand-in store.
 
 mod classification;
 mod client_protocol;
