--- a/crates/ottersill/tests/connection_close.rs
+++ b/crates/ottersill/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! The end of a client connection that the router ends: nothing is read after it, so what crosses it may be sent again, and all
-//! that was read is answered.
+//! How the router closes a client connection: it reads nothing after it has shut the connection for writing, so a client may safely
+//! resend a query that crosses the shutdown, and it answers everything that it has read.
 
 mod support;
 
@@ -13,134 +13,146 @@
 use support::machine::own_time_since;
 use support::*;
 
-/// Why the router ends a connection.
+/// Why the router closes a connection.
 #[derive(Clone, Copy, Debug)]
-enum Why {
+enum CloseReason {
     Idle,
     NeverUsed,
     Drain,
     Fatal,
 }
 
-/// Waits until the router has shut the connection for writing; all that it said before has been read.
-fn until_shut(client: &Client) {
+/// Waits until the router has shut the connection for writing. The test must have read everything that the router sent before.
+fn wait_until_shut(client: &Client) {
     let peeked = loop {
         match client.socket.peek(&mut [0; 1]) {
-            // A process that was stopped and goes on.
+            // The call is interrupted when a stopped process continues.
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             peeked => break peeked,
         }
     };
-    assert_eq!(peeked.expect("an end"), 0, "something is unread");
+    assert_eq!(peeked.expect("peek failed"), 0, "the client has unread bytes");
 }
 
 fn query(text: &str) -> Vec<u8> {
     message(b'Q', format!("{text}\0").as_bytes())
 }
 
-/// The router read what came after its own end, and neither answered it nor sent it on: a lost request.
+/// Guards against a lost request: the router read a query that arrived after it had shut the connection, and neither answered the
+/// query nor sent it on.
 #[rstest]
-#[case::idle(Why::Idle)]
-#[case::never_used(Why::NeverUsed)]
-#[case::drain(Why::Drain)]
-#[case::fatal(Why::Fatal)]
-fn a_query_that_crosses_the_end_stays_unread(#[case] why: Why) {
+#[case::idle(CloseReason::Idle)]
+#[case::never_used(CloseReason::NeverUsed)]
+#[case::drain(CloseReason::Drain)]
+#[case::fatal(CloseReason::Fatal)]
+fn a_query_that_crosses_the_shutdown_stays_unread(#[case] reason: CloseReason) {
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
-    match why {
-        Why::Idle => {
-            client.send(&read(7, 2000)).expect("a query");
+    match reason {
+        CloseReason::Idle => {
+            client.send(&read(7, 2000)).expect("query could not be sent");
             fixture.replica.next_statement().answer("first");
-            assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
+            assert_eq!(client.read_answer().expect("no answer"), "row:first SELECT 1");
         }
-        Why::NeverUsed => {}
-        Why::Drain => fixture.router.signal("-TERM"),
-        Why::Fatal => {
-            client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense");
+        CloseReason::NeverUsed => {}
+        CloseReason::Drain => fixture.router.signal("-TERM"),
+        CloseReason::Fatal => {
+            client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("invalid message could not be sent");
             assert_eq!(client.next_row_or_error(), "C08P01");
         }
     }
-    until_shut(&client);
-    client.send(&read(8, 2000)).expect("a query that crosses");
+    wait_until_shut(&client);
+    client.send(&read(8, 2000)).expect("query could not be sent");
     thread::sleep(Duration::from_millis(200));
-    let at = client.socket.local_addr().expect("an address");
+    let at = client.socket.local_addr().expect("no address");
     until_unread_at_router(fixture.router.at, at);
-    // With the client's end the connection is done with, in order.
-    client.socket.shutdown(Shutdown::Write).expect("an end");
-    assert_eq!(client.receive_message().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    // Once the client closes as well, the connection ends without a reset.
+    client.socket.shutdown(Shutdown::Write).expect("shutdown failed");
+    assert_eq!(
+        client.receive_message().expect_err("connection is still open").kind(),
+        ErrorKind::UnexpectedEof
+    );
     until_closed(fixture.router.at, at);
-    assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none(), "it was sent on");
+    assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none(), "the query was sent on");
 }
 
-/// A client that goes on sending and never ends: its connection is closed all the same.
+/// The connection of a client that keeps sending and never closes is closed all the same.
 #[test]
-fn a_shut_connection_is_closed_though_its_client_stays() {
+fn a_shut_connection_is_closed_if_its_client_does_not_close() {
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
-    client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("nonsense");
+    client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("invalid message could not be sent");
     assert_eq!(client.next_row_or_error(), "C08P01");
-    until_shut(&client);
-    client.send(&read(8, 2000)).expect("a query that crosses");
+    wait_until_shut(&client);
+    client.send(&read(8, 2000)).expect("query could not be sent");
     let began = Instant::now();
-    let at = client.socket.local_addr().expect("an address");
+    let at = client.socket.local_addr().expect("no address");
     until_closed(fixture.router.at, at);
     let took = own_time_since(began);
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
 
-/// Half a query behind one whose answer takes a while: it had three seconds from that answer on, not from when it stopped.
+/// Guards against a late time-out of half a query that follows a query whose answer takes a while: its three seconds were counted
+/// from that answer, not from the last byte received.
 #[rstest]
 #[case::soon(250)]
 #[case::late(1500)]
-fn a_client_that_stops_halfway_behind_an_answer_gets_its_error_in_time(#[case] answered_after_ms: u64) {
+fn half_a_query_behind_a_slow_answer_times_out_on_time(#[case] answered_after_ms: u64) {
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
     let half = &query(&read(8, 8000))[..30];
     let began = Instant::now();
-    client.socket.write_all(&[&query(&read(7, 8000)), half].concat()).expect("one query and a half");
+    client.socket.write_all(&[&query(&read(7, 8000)), half].concat()).expect("queries could not be sent");
     let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(answered_after_ms));
     first.answer("first");
-    assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer"), "row:first SELECT 1");
     assert_eq!(client.next_row_or_error(), "C08P01");
-    // Three seconds less what a router may be held up.
+    // Three seconds, minus the time for which a router may be stalled.
     let took = own_time_since(began);
     assert!(took < Duration::from_millis(2850), "{took:?}");
 }
 
-/// A query of which a part has been read when the router begins to end its connections: the rest was read and dropped.
+/// Guards against a lost request: of a query that was partly read when the router began to close its connections, the rest was read
+/// and dropped.
 #[test]
-fn a_query_half_read_at_the_drain_is_answered() {
+fn a_query_partly_read_when_draining_begins_is_answered() {
     let fixture = Fixture::start(&[]);
     let (idle, mut slow) = (fixture.router.client(), fixture.router.client());
     let whole = query(&read(8, 2000));
     fixture.router.signal("-TERM");
-    slow.socket.write_all(&whole[..30]).expect("a part");
-    until_shut(&idle);
+    slow.socket.write_all(&whole[..30]).expect("first part could not be sent");
+    wait_until_shut(&idle);
     thread::sleep(Duration::from_millis(100));
-    slow.socket.write_all(&whole[30..]).expect("the rest");
+    slow.socket.write_all(&whole[30..]).expect("rest could not be sent");
     fixture.replica.next_statement().answer("whole");
-    assert_eq!(slow.read_answer().expect("an answer"), "row:whole SELECT 1");
+    assert_eq!(slow.read_answer().expect("no answer"), "row:whole SELECT 1");
 }
 
-/// No place is left for a client that has sent two queries at once: the first was rejected with the end of the connection, and
-/// the second, read with it, was dropped.
+/// Guards against a lost request of a client that sends two queries at once while the router has no room for it: the first was
+/// rejected and ended the connection, and the second, which was read with it, was dropped.
 #[test]
-fn each_query_of_a_client_for_whom_there_is_no_room_is_rejected() {
+fn each_pipelined_query_of_a_rejected_client_is_answered() {
     let fixture = Fixture::start(&[LONG, LATE, ("\"sockets\": 1024", "\"sockets\": 26")]);
-    let ask = |number| {
+    let send_read = |number| {
         let mut client = fixture.router.client();
-        client.send(&read(number, 8000)).expect("a query");
+        client.send(&read(number, 8000)).expect("query could not be sent");
         client
     };
-    let busy: Vec<Client> = (0x10..0x13).map(ask).collect();
+    let busy: Vec<Client> = (0x10..0x13).map(send_read).collect();
     thread::sleep(Duration::from_millis(200));
-    let mut client = Client::connect(fixture.router.at).expect("a connection");
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    client.socket.write_all(&[query(&read(7, 2000)), query(&read(8, 2000))].concat()).expect("two queries");
-    assert_eq!(client.read_answer().expect("a greeting"), "");
-    assert_eq!(client.read_answer().expect("an answer to the first"), "C53300");
+    let mut client = Client::connect(fixture.router.at).expect("connection failed");
+    client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+    client
+        .socket
+        .write_all(&[query(&read(7, 2000)), query(&read(8, 2000))].concat())
+        .expect("queries could not be sent");
+    assert_eq!(client.read_answer().expect("no greeting"), "");
+    assert_eq!(client.read_answer().expect("no answer to the first query"), "C53300");
     assert_eq!(client.next_row_or_error(), "C53300");
-    assert_eq!(client.receive_message().expect_err("the end").kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(
+        client.receive_message().expect_err("connection is still open").kind(),
+        ErrorKind::UnexpectedEof
+    );
     drop(busy);
 }
--- a/crates/ottersill/tests/deadlines.rs
+++ b/crates/ottersill/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time left that a statement tells its host (`d`) is at most what its client has, with 0.15 s of slack.
+//! The time left that the router sends to an endpoint with a statement (`d`) exceeds what the client has left by at most 0.15 s.
 
 mod support;
 
@@ -15,135 +15,143 @@
 use socket2::{Domain, Socket, Type};
 use support::*;
 
+/// By how much the time left that is sent to an endpoint may exceed the client's.
 const SLACK: Duration = Duration::from_millis(150);
-/// Of the slack, what is left to the way to the host when a router was held up for as long as it may be.
-const WAY: Duration = Duration::from_millis(30);
+/// How much of the slack has to remain for the transfer to the endpoint if the router was stalled for as long as it may be.
+const TRANSFER_ALLOWANCE: Duration = Duration::from_millis(30);
 
-/// The time left that the host was told.
-fn told(arrival: &ReceivedStatement) -> Duration {
-    let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split([',', ' ']).next()?.parse().ok());
-    Duration::from_millis(told.expect("a time left"))
+/// Returns the time left that the endpoint received with the statement.
+fn time_left(arrival: &ReceivedStatement) -> Duration {
+    let left = arrival.text.rsplit(",d=").next().and_then(|d| d.split([',', ' ']).next()?.parse().ok());
+    Duration::from_millis(left.expect("no time left in the comment"))
 }
 
-/// By how much this exceeds what the client, which sent it at that time, had left as it came.
+/// Returns by how much the time left that the endpoint received exceeds what the client had left on arrival. The client sent the
+/// statement at `sent` with `had_ms` left.
 fn excess(arrival: &ReceivedStatement, sent: Instant, had_ms: u64) -> Duration {
     let waited = arrival.received_at.saturating_duration_since(sent);
-    (told(arrival) + waited).saturating_sub(Duration::from_millis(had_ms))
+    (time_left(arrival) + waited).saturating_sub(Duration::from_millis(had_ms))
 }
 
-/// Passes a connection on, in small segments and with small buffers, and stops to pass on what goes to the host while told so:
-/// a long statement is then written in parts.
-struct NarrowPath {
+/// A proxy in front of an endpoint with small segments and small buffers. While `blocked` is set it does not forward what the router
+/// sends, so the router writes a long statement in parts.
+struct NarrowProxy {
     at: SocketAddr,
     blocked: Arc<AtomicBool>,
 }
 
-impl NarrowPath {
-    fn start(host: SocketAddr) -> NarrowPath {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        // With segments this small the other side's buffer holds half of the longest statement.
-        socket.set_tcp_mss(100).expect("small segments");
-        socket.set_recv_buffer_size(2048).expect("a small buffer");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("an address");
-        socket.listen(64).expect("a listener");
+impl NarrowProxy {
+    fn start(endpoint: SocketAddr) -> NarrowProxy {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket could not be opened");
+        // With segments this small the send buffer of the router holds half of the longest statement.
+        socket.set_tcp_mss(100).expect("segment size could not be set");
+        socket.set_recv_buffer_size(2048).expect("buffer size could not be set");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind failed");
+        socket.listen(64).expect("listen failed");
         let listener = TcpListener::from(socket);
-        let at = listener.local_addr().expect("an address");
+        let at = listener.local_addr().expect("no address");
         let blocked = Arc::new(AtomicBool::new(false));
-        let kept = Arc::clone(&blocked);
+        let shared = Arc::clone(&blocked);
         thread::spawn(move || {
             for router in listener.incoming().flatten() {
-                let host = TcpStream::connect(host).expect("a connection");
-                let back = (host.try_clone().expect("the same"), router.try_clone().expect("the same"));
-                let blocked = Arc::clone(&kept);
-                thread::spawn(move || pass_on(router, host, &blocked));
-                thread::spawn(move || pass_on(back.0, back.1, &AtomicBool::new(false)));
+                let endpoint = TcpStream::connect(endpoint).expect("connection failed");
+                let reverse = (
+                    endpoint.try_clone().expect("socket could not be cloned"),
+                    router.try_clone().expect("socket could not be cloned"),
+                );
+                let blocked = Arc::clone(&shared);
+                thread::spawn(move || forward(router, endpoint, &blocked));
+                thread::spawn(move || forward(reverse.0, reverse.1, &AtomicBool::new(false)));
             }
         });
-        NarrowPath { at, blocked }
+        NarrowProxy { at, blocked }
     }
 }
 
-fn pass_on(mut from: TcpStream, mut to: TcpStream, blocked: &AtomicBool) {
-    let mut space = [0; 4096];
-    to.set_nodelay(true).expect("no delay");
+fn forward(mut from: TcpStream, mut to: TcpStream, blocked: &AtomicBool) {
+    let mut buffer = [0; 4096];
+    to.set_nodelay(true).expect("TCP_NODELAY could not be set");
     loop {
         while blocked.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(1));
         }
-        match from.read(&mut space) {
-            Ok(bytes) if bytes > 0 && to.write_all(&space[..bytes]).is_ok() => {}
-            // It ends with either side.
+        match from.read(&mut buffer) {
+            Ok(bytes) if bytes > 0 && to.write_all(&buffer[..bytes]).is_ok() => {}
+            // Ends when either side closes.
             _ => return to.shutdown(std::net::Shutdown::Write).unwrap_or_default(),
         }
     }
 }
 
-/// A long write that is stuck halfway to its primary.
-fn half_written() -> (Fixture, NarrowPath, ottersill_testkit::stand_in::Client, Instant) {
-    let discovery = ScriptedDiscovery::start().expect("discovery");
-    let (primary, replica) =
-        (ScriptedEndpoint::start(true).expect("a host"), ScriptedEndpoint::start(false).expect("a host"));
-    let path = NarrowPath::start(primary.address);
+/// Starts a fixture with a long write of which the router could write only a part to the primary. Returns the time of sending too.
+fn partly_written() -> (Fixture, NarrowProxy, ottersill_testkit::stand_in::Client, Instant) {
+    let discovery = ScriptedDiscovery::start().expect("discovery service did not start");
+    let (primary, replica) = (
+        ScriptedEndpoint::start(true).expect("endpoint did not start"),
+        ScriptedEndpoint::start(false).expect("endpoint did not start"),
+    );
+    let proxy = NarrowProxy::start(primary.address);
     let router = Router::spawn(&config_text(discovery.address, &[LONG, LATE]), None);
-    let hosts = [("one", path.at, "active"), ("two", replica.address, "active")];
-    discovery.serve_list(1, &endpoint_list(1, &hosts));
+    let endpoints = [("one", proxy.at, "active"), ("two", replica.address, "active")];
+    discovery.serve_list(1, &endpoint_list(1, &endpoints));
     let fixture = Fixture { primary, replica, discovery, router: router.until_ready() };
     let mut client = fixture.router.client();
-    client.send(&write(1, 9000)).expect("a query");
+    client.send(&write(1, 9000)).expect("query could not be sent");
     fixture.primary.next_statement().answer("first");
-    assert_eq!(client.read_answer().expect("an answer"), "row:first INSERT 0 1");
-    path.blocked.store(true, Ordering::Relaxed);
+    assert_eq!(client.read_answer().expect("no answer"), "row:first INSERT 0 1");
+    proxy.blocked.store(true, Ordering::Relaxed);
     let long = write(7, 3000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
     let sent = Instant::now();
-    client.send(&long).expect("a long query");
-    (fixture, path, client, sent)
+    client.send(&long).expect("query could not be sent");
+    (fixture, proxy, client, sent)
 }
 
-/// What was not written at once went out later, with the time that was left at first.
+/// Guards against sending an outdated time left: the part of a statement that could not be written at once went out later with the
+/// time that was left at first.
 #[test]
-fn a_statement_written_in_parts_tells_what_is_left_by_then() {
-    let (fixture, path, mut client, sent) = half_written();
+fn a_statement_written_in_parts_carries_the_current_time_left() {
+    let (fixture, proxy, mut client, sent) = partly_written();
     thread::sleep(Duration::from_millis(700));
-    path.blocked.store(false, Ordering::Relaxed);
+    proxy.blocked.store(false, Ordering::Relaxed);
     let arrival = fixture.primary.next_statement();
     let excess = excess(&arrival, sent, 3000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("whole");
-    assert_eq!(client.read_answer().expect("an answer"), "row:whole INSERT 0 1");
+    assert_eq!(client.read_answer().expect("no answer"), "row:whole INSERT 0 1");
 }
 
-/// Its client closes while a part of it is written: the rest is not, so that it never begins.
+/// The client closes when a part of its statement is written. The rest is not written, so the statement never begins to run.
 #[test]
-fn a_statement_written_in_parts_does_not_begin_for_a_client_that_is_gone() {
-    let (fixture, path, client, _) = half_written();
+fn a_partly_written_statement_of_a_closed_client_does_not_run() {
+    let (fixture, proxy, client, _) = partly_written();
     thread::sleep(Duration::from_millis(100));
-    let gone = client.socket.local_addr().expect("an address");
+    let client_address = client.socket.local_addr().expect("no address");
     drop(client);
-    until("the router sees the end", || router_side(fixture.router.at, gone).is_none());
-    path.blocked.store(false, Ordering::Relaxed);
+    until("the router closes the connection", || router_side(fixture.router.at, client_address).is_none());
+    proxy.blocked.store(false, Ordering::Relaxed);
     assert!(fixture.primary.next_within(Duration::from_millis(500)).is_none());
 }
 
-/// The query lay in the router's buffer while the router stood still, which it can't know. Its time was counted from the reading
-/// of it, which used up the slack: nothing was left for the way to the host.
+/// The query arrives while the router is stalled, which the router can't know. Its time was counted from when it was read, which used
+/// up the slack and left nothing for the transfer to the endpoint.
 #[test]
-fn a_query_that_came_while_the_router_was_held_up_tells_no_more_than_is_left() {
+fn a_query_that_arrives_while_the_router_is_stalled_stays_within_the_slack() {
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
     fixture.router.signal("-STOP");
-    client.send(&read(7, 2000)).expect("a query");
+    client.send(&read(7, 2000)).expect("query could not be sent");
     thread::sleep(SLACK);
     fixture.router.signal("-CONT");
     let arrival = fixture.replica.next_statement();
-    let excess = (told(&arrival) + SLACK).saturating_sub(Duration::from_millis(2000));
-    assert!(excess + WAY <= SLACK, "{excess:?}");
+    let excess = (time_left(&arrival) + SLACK).saturating_sub(Duration::from_millis(2000));
+    assert!(excess + TRANSFER_ALLOWANCE <= SLACK, "{excess:?}");
     arrival.answer("served");
-    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer"), "row:served SELECT 1");
 }
 
-/// The connection comes up late: the time that this took is subtracted. Right already.
+/// The time that a slow connection takes to be established is subtracted.
 #[test]
-fn a_statement_on_a_late_connection_tells_what_is_left() {
+fn a_statement_on_a_slow_connection_carries_the_current_time_left() {
     let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let sent = Instant::now();
     let client = fixture.read_on_its_way(7, 8000);
@@ -155,13 +163,13 @@
     drop(client);
 }
 
-/// The first host fails after a while, and the next one is told what is left by then. Right already.
+/// The first endpoint fails after a while, and the next one receives the time that is left by then.
 #[test]
-fn a_retry_tells_what_is_left() {
+fn a_retry_carries_the_current_time_left() {
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
     let sent = Instant::now();
-    client.send(&read(7, 8000)).expect("a query");
+    client.send(&read(7, 8000)).expect("query could not be sent");
     let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(500));
     first.fail("53300");
@@ -169,5 +177,5 @@
     let excess = excess(&arrival, sent, 8000);
     assert!(excess <= SLACK, "{excess:?}");
     arrival.answer("served");
-    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer"), "row:served SELECT 1");
 }
--- a/crates/ottersill/tests/reused_index.rs
+++ b/crates/ottersill/tests/reused_index.rs
@@ -1,6 +1,6 @@
-//! An endpoint leaves and its index is used for another one, while connections to the old one are still there: nothing goes
-//! to the old one by them. The index is free at once, without the usual retention, where more endpoints have left than are
-//! listed. None of this was possible before; the tests fail where connections are not asked for before the index is freed.
+//! An endpoint leaves and its index is reused for another one while connections to the old endpoint are still open: no statement may
+//! be sent to the old endpoint on them. The index is free at once, without the usual retention time, if more endpoints have left than
+//! are listed. The tests fail if the router frees an index without checking for connections of its endpoint.
 
 mod support;
 
@@ -12,42 +12,43 @@
 use rstest::rstest;
 use support::*;
 
-/// Long enough for a statement that was sent to be there.
-const ARRIVAL: Duration = Duration::from_millis(100);
-/// Reads until a new endpoint must have been sent one.
+/// Time within which a statement arrives that was sent.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of reads of which a new endpoint must have received at least one.
 const MAX_READS: u32 = 100;
-/// An endpoint of another replica set.
-const OTHER: &str = "other";
+/// Name of an endpoint of another replica set.
+const OTHER_GROUP_ENDPOINT: &str = "other";
 
-/// What is open to the endpoint that leaves.
+/// The connection that is open to the leaving endpoint.
 #[derive(Clone, Copy, Debug)]
-enum Open {
-    /// A connection that carries nothing.
+enum OpenConnection {
+    /// A connection without a statement.
     Idle,
-    /// A connection that was not greeted yet, and whose statement went elsewhere as the endpoint left.
+    /// A connection on which the endpoint has not greeted yet; its statement was sent to another endpoint when this one left.
     Ungreeted,
 }
 
 fn list(version: u64, endpoints: &[(&str, SocketAddr)]) -> String {
     let entry = |(name, at): &(&str, SocketAddr)| {
-        let group = if *name == OTHER { 2 } else { 1 };
+        let group = if *name == OTHER_GROUP_ENDPOINT { 2 } else { 1 };
         format!(r#"{{"host":"{name}","dial":"{at}","site":"here","block":{group},"health":"active"}}"#)
     };
     let entries: Vec<String> = endpoints.iter().map(entry).collect();
     format!(r#"{{"seq":{version},"whole":true,"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// Lists of which the second lacks the replica, `two`, and [`OTHER`], so that two have left and one is listed.
-fn let_replica_leave(fixture: &Fixture) {
+/// Serves two lists, of which the second lacks the replica `two` and [`OTHER_GROUP_ENDPOINT`], so that two
+/// endpoints have left and one is listed.
+fn remove_replica(fixture: &Fixture) {
     let (one, two) = (("one", fixture.primary.address), ("two", fixture.replica.address));
-    let other = (OTHER, SocketAddr::from(([127, 0, 0, 1], 1)));
+    let other = (OTHER_GROUP_ENDPOINT, SocketAddr::from(([127, 0, 0, 1], 1)));
     fixture.discovery.next_call().answer(&list(2, &[one, two, other]));
     fixture.discovery.next_call().answer(&list(3, &[one]));
 }
 
-/// Lists another replica, which gets a free index.
-fn list_another(fixture: &Fixture, version: u64) -> ScriptedEndpoint {
-    let another = ScriptedEndpoint::start(false).expect("an endpoint");
+/// Starts another replica and serves a list with it. It gets a free index.
+fn add_replica(fixture: &Fixture, version: u64) -> ScriptedEndpoint {
+    let another = ScriptedEndpoint::start(false).expect("endpoint did not start");
     fixture
         .discovery
         .next_call()
@@ -55,52 +56,57 @@
     another
 }
 
-/// Reads until the new replica is sent one, which has to be known as a replica for that. The old one is sent none.
-fn read_until_sent_to(fixture: &Fixture, another: &ScriptedEndpoint, client: &mut Client) {
+/// Sends reads until the new replica receives one, for which the router has to know its role. The old replica must receive none.
+fn read_until_received_by(fixture: &Fixture, another: &ScriptedEndpoint, client: &mut Client) {
     for number in 100..100 + MAX_READS {
-        client.send(&read(number, 2000)).expect("a query");
-        let at_another = another.next_within(ARRIVAL);
+        client.send(&read(number, 2000)).expect("query could not be sent");
+        let at_another = another.next_within(ARRIVAL_TIMEOUT);
         let is_at_another = at_another.is_some();
-        match at_another.or_else(|| fixture.primary.next_within(ARRIVAL)) {
+        match at_another.or_else(|| fixture.primary.next_within(ARRIVAL_TIMEOUT)) {
             Some(statement) => statement.answer("there"),
-            None => assert!(fixture.replica.next_within(ARRIVAL).is_none(), "it has left"),
+            None => assert!(
+                fixture.replica.next_within(ARRIVAL_TIMEOUT).is_none(),
+                "the old replica received a statement"
+            ),
         }
-        assert_eq!(client.read_answer().expect("an answer"), "row:there SELECT 1");
+        assert_eq!(client.read_answer().expect("no answer"), "row:there SELECT 1");
         if is_at_another {
             return;
         }
     }
-    panic!("the new replica gets nothing");
+    panic!("the new replica received no read");
 }
 
 #[rstest]
-fn nothing_goes_to_the_old_endpoint_by_its_connections(#[values(Open::Idle, Open::Ungreeted)] open: Open) {
+fn no_statement_is_sent_on_connections_to_the_old_endpoint(
+    #[values(OpenConnection::Idle, OpenConnection::Ungreeted)] open: OpenConnection,
+) {
     let fixture = Fixture::start(&[PATIENT]);
-    let on_its_way = matches!(open, Open::Ungreeted).then(|| fixture.read_on_its_way(7, 2000));
-    let_replica_leave(&fixture);
-    if let Some(mut client) = on_its_way {
+    let waiting_client = matches!(open, OpenConnection::Ungreeted).then(|| fixture.read_on_its_way(7, 2000));
+    remove_replica(&fixture);
+    if let Some(mut client) = waiting_client {
         fixture.primary.next_statement().answer("elsewhere");
-        assert_eq!(client.read_answer().expect("an answer"), "row:elsewhere SELECT 1");
+        assert_eq!(client.read_answer().expect("no answer"), "row:elsewhere SELECT 1");
     }
-    let another = list_another(&fixture, 4);
+    let another = add_replica(&fixture, 4);
     fixture.replica.resume_greeting();
-    read_until_sent_to(&fixture, &another, &mut fixture.router.client());
-    assert!(fixture.replica.next_within(ARRIVAL).is_none(), "it has left");
+    read_until_received_by(&fixture, &another, &mut fixture.router.client());
+    assert!(fixture.replica.next_within(ARRIVAL_TIMEOUT).is_none(), "the old replica received a statement");
 }
 
-/// The attempt ends at the endpoint that it was sent to, whose index stands for that one until then.
+/// An attempt ends at the endpoint that it was sent to, whose index is not reused until then.
 #[test]
 fn an_attempt_in_flight_keeps_the_index() {
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
-    client.send(&read(7, 9000)).expect("a query");
+    client.send(&read(7, 9000)).expect("query could not be sent");
     let in_flight = fixture.replica.next_statement();
-    let_replica_leave(&fixture);
-    let another = list_another(&fixture, 4);
-    read_until_sent_to(&fixture, &another, &mut fixture.router.client());
+    remove_replica(&fixture);
+    let another = add_replica(&fixture, 4);
+    read_until_received_by(&fixture, &another, &mut fixture.router.client());
     in_flight.answer("late");
-    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
-    let third = list_another(&fixture, 5);
-    read_until_sent_to(&fixture, &third, &mut fixture.router.client());
-    assert!(fixture.replica.next_within(ARRIVAL).is_none(), "it has left");
+    assert_eq!(client.read_answer().expect("no answer"), "row:late SELECT 1");
+    let third = add_replica(&fixture, 5);
+    read_until_received_by(&fixture, &third, &mut fixture.router.client());
+    assert!(fixture.replica.next_within(ARRIVAL_TIMEOUT).is_none(), "the old replica received a statement");
 }
--- a/crates/ottersill/tests/reload_in_succession.rs
+++ b/crates/ottersill/tests/successive_reloads.rs
@@ -1,4 +1,4 @@
-//! New configurations in quick succession, to discoveries that are slow.
+//! Reloads in quick succession that switch between slow discovery services.
 
 mod support;
 
@@ -9,33 +9,37 @@
 use support::machine::own_time_since;
 use support::*;
 
-/// What the last one tells counts as told so long after SIGHUP.
-const TOLD: Duration = Duration::from_secs(4);
+/// Time limit from the last SIGHUP until the list of the last discovery service is in use.
+const LIST_TIMEOUT: Duration = Duration::from_secs(4);
 
+/// Number of open descriptors of the router.
 fn descriptors(router: &Router) -> usize {
-    let open = std::fs::read_dir(format!("/proc/{}/fd", router.process.id())).expect("descriptors");
+    let open = std::fs::read_dir(format!("/proc/{}/fd", router.process.id()))
+        .expect("descriptors could not be listed");
     open.count()
 }
 
-/// Ten SIGHUPs in a second, each naming the other one of two discoveries, both of which take calls and say nothing at first: the
-/// last one named is heard in time, nothing of the other one counts, and no connection is left over. Right already.
+/// Ten SIGHUPs within a second, which alternate between two discovery services. Both accept calls and do not answer at first. The
+/// list of the last one must be in use in time, the list of the other one must have no effect, and no connection may remain open.
 #[test]
-fn ten_configurations_in_a_second_end_with_the_last() {
+fn the_last_of_ten_reloads_in_a_second_applies() {
     let fixture = Fixture::start(&[]);
-    let discoveries =
-        [ScriptedDiscovery::start().expect("discovery"), ScriptedDiscovery::start().expect("discovery")];
-    let text = std::fs::read_to_string(&fixture.router.config).expect("a configuration");
+    let discoveries = [
+        ScriptedDiscovery::start().expect("discovery service did not start"),
+        ScriptedDiscovery::start().expect("discovery service did not start"),
+    ];
+    let text = std::fs::read_to_string(&fixture.router.config).expect("configuration could not be read");
     let before = descriptors(&fixture.router);
     for round in 0..10 {
         let at = discoveries[round % 2].address.to_string();
         std::fs::write(&fixture.router.config, text.replace(&fixture.discovery.address.to_string(), &at))
-            .expect("a configuration");
+            .expect("configuration could not be written");
         fixture.router.signal("-HUP");
         thread::sleep(Duration::from_millis(100));
     }
     let [other, last] = &discoveries;
-    let asked = Instant::now();
-    // Calls made before the last signal are closed by now, or answered for nothing.
+    let signalled = Instant::now();
+    // Calls made before the last signal are closed by now, or their answers are ignored.
     let stale: Vec<_> = std::iter::from_fn(|| other.next_within(Duration::from_millis(1))).collect();
     for call in stale {
         call.answer(&fixture.endpoint_list(7, "leaving", "active"));
@@ -43,14 +47,14 @@
     thread::sleep(Duration::from_millis(1500));
     let calls: Vec<_> = std::iter::from_fn(|| last.next_within(Duration::from_millis(1))).collect();
     assert!(!calls.is_empty());
-    // All of them: those given up are closed.
+    // Answers all calls; those that the router has given up are closed.
     calls.into_iter().for_each(|call| call.answer(&fixture.endpoint_list(1, "active", "leaving")));
-    let next = last.next_within(TOLD).expect("it asks for what is newer");
+    let next = last.next_within(LIST_TIMEOUT).expect("router did not ask for a newer list");
     assert!(next.request_line.contains("since=1"), "{}", next.request_line);
-    let took = own_time_since(asked);
-    assert!(took < TOLD, "{took:?}");
+    let took = own_time_since(signalled);
+    assert!(took < LIST_TIMEOUT, "{took:?}");
     fixture.read_avoids_the_draining_replica();
-    // The client's, and those to hosts that were opened meanwhile.
+    // One connection of the client, and those to endpoints that were opened meanwhile.
     let after = descriptors(&fixture.router);
     assert!(after <= before + 4, "{before}, {after}");
 }
