--- a/crates/ottersill/tests/audit_file.rs
+++ b/crates/ottersill/tests/audit_file.rs
@@ -1,40 +1,40 @@
-//! The form of the lines that a router writes to its audit file: files of earlier releases are read by later ones.
+//! The format of the lines that a router writes to its audit file: later releases have to read the files of earlier ones.
 
 use std::path::Path;
 
 use ottersill_testkit::audit;
 use ottersill_testkit::cluster::{Cluster, ClusterPlan};
 
-/// The line with each number in it written as 0.
+/// Returns the line with each number replaced by 0.
 fn without_numbers(line: &str) -> String {
     let mut text = String::new();
     let mut in_number = false;
-    let mut before = ' ';
+    let mut previous = ' ';
     for character in line.chars() {
-        let goes_on = in_number && (character.is_ascii_digit() || ".e-".contains(character));
-        // Digits within a name are no number.
-        let starts = character.is_ascii_digit() && !before.is_ascii_alphabetic() && !in_number;
+        let continues = in_number && (character.is_ascii_digit() || ".e-".contains(character));
+        // Digits within a name are not a number.
+        let starts = character.is_ascii_digit() && !previous.is_ascii_alphabetic() && !in_number;
         if starts {
             text.push('0');
         }
-        in_number = goes_on || starts;
+        in_number = continues || starts;
         if !in_number {
             text.push(character);
         }
-        before = character;
+        previous = character;
     }
     text
 }
 
-/// Guards against: renamed types or fields that change what is stored.
+/// Guards against renamed types or fields that change the stored format.
 #[test]
-fn each_kind_of_line_has_this_form() {
+fn each_kind_of_line_keeps_its_format() {
     let settings = include_str!("../../../example/router.json");
     let plan = ClusterPlan { routers: 1, voters: 1, ..ClusterPlan::default() };
-    let mut cluster =
-        Cluster::new(plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), settings).expect("a cluster");
-    cluster.start_all().expect("a router");
-    assert!(cluster.wait_until(|cluster| cluster.is_ready(0)), "ready");
+    let mut cluster = Cluster::new(plan, Path::new(env!("CARGO_BIN_EXE_ottersill")), settings)
+        .expect("cluster was not set up");
+    cluster.start_all().expect("router did not start");
+    assert!(cluster.wait_until(|cluster| cluster.is_ready(0)), "the router is not ready");
     cluster.start_load(4, 0);
     let file = cluster.folder.join(format!("{}.audit", cluster.routers[0].name));
     let text = || std::fs::read_to_string(&file).unwrap_or_default();
@@ -52,10 +52,10 @@
         assert!(cluster.wait_until(is_written), "{line} is not among\n{}", text());
     }
     cluster.stop_load();
-    assert!(!audit::parse_audit_file(&text()).expect("lines").entries.is_empty());
+    assert!(!audit::parse_audit_file(&text()).expect("audit lines do not parse").entries.is_empty());
 }
 
-/// Lines of an earlier release, as they were written.
+/// Reads lines as an earlier release wrote them.
 #[test]
 fn lines_of_an_earlier_release_are_read() {
     let text = concat!(
@@ -64,7 +64,7 @@
         r#"{"at":1764672000.5,"process":"r0","incarnation":1764671999123456,"what":"take","budget":"probes","subject":0}"#,
         "\n",
     );
-    let entries = audit::parse_audit_file(text).expect("entries").entries;
+    let entries = audit::parse_audit_file(text).expect("audit lines do not parse").entries;
     assert_eq!(entries.len(), 2);
     assert_eq!(entries[0].until, Some([(11, 1_764_672_001.25), (1, 1_764_672_003.5)]));
     assert_eq!((entries[1].what.as_str(), entries[1].incarnation), ("take", 1_764_671_999_123_456));
--- a/crates/ottersill/tests/crossings.rs
+++ b/crates/ottersill/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! Events that cross: a client's end, a list, a window, a close, each at the instant at which it used to go wrong. Where two
-//! events have to be found in one turn the router is stopped while both come. Each was seen to fail before its mend, but for
-//! those that say so.
+//! Races between events: a client's disconnect, an endpoint list, a deduplication window or a close that comes at the instant
+//! at which it was once handled wrongly. Where the router has to find two events in one iteration of its event loop, it is
+//! suspended with SIGSTOP until both have arrived.
 
 mod support;
 
@@ -16,87 +16,87 @@
 use support::machine::own_time_since;
 use support::*;
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
+enum Disconnect {
     Closes,
     Terminates,
     Resets,
     HalfCloses,
 }
 
-fn go(mut client: Client, how: Goes) -> Option<Client> {
+fn disconnect(mut client: Client, how: Disconnect) -> Option<Client> {
     match how {
-        Goes::Closes => None,
-        Goes::Terminates => {
-            client.socket.write_all(b"X\0\0\0\x04").expect("a message");
+        Disconnect::Closes => None,
+        Disconnect::Terminates => {
+            client.socket.write_all(b"X\0\0\0\x04").expect("sending Terminate failed");
             None
         }
-        Goes::Resets => {
+        Disconnect::Resets => {
             let zero = Some(Duration::ZERO);
-            rustix::net::sockopt::set_socket_linger(&client.socket, zero).expect("a linger");
+            rustix::net::sockopt::set_socket_linger(&client.socket, zero).expect("setting SO_LINGER failed");
             None
         }
-        Goes::HalfCloses => {
-            client.socket.shutdown(std::net::Shutdown::Write).expect("an end");
+        Disconnect::HalfCloses => {
+            client.socket.shutdown(std::net::Shutdown::Write).expect("closing the sending side failed");
             Some(client)
         }
     }
 }
 
-/// The connection comes up and the client goes, and the router finds both in one turn: lines are read before clients, and
-/// what the line was opened for went out to nobody.
+/// Guards against sending a statement whose client has disconnected: the backend connection comes up and the client
+/// disconnects in the same iteration of the event loop, and backend connections are read before clients.
 #[rstest]
-#[case::closes(Goes::Closes)]
-#[case::terminates(Goes::Terminates)]
-#[case::resets(Goes::Resets)]
-#[case::half_closes(Goes::HalfCloses)]
-fn a_first_execution_does_not_begin_for_a_client_that_is_gone(#[case] how: Goes) {
+#[case::closes(Disconnect::Closes)]
+#[case::terminates(Disconnect::Terminates)]
+#[case::resets(Disconnect::Resets)]
+#[case::half_closes(Disconnect::HalfCloses)]
+fn no_first_attempt_is_sent_for_a_disconnected_client(#[case] how: Disconnect) {
     let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let client = fixture.read_on_its_way(7, 8000);
     fixture.router.signal("-STOP");
-    let gone = client.socket.local_addr().expect("an address");
-    let left = go(client, how);
-    until_the_end_is_there(fixture.router.at, gone);
+    let client_address = client.socket.local_addr().expect("socket has no local address");
+    let half_open = disconnect(client, how);
+    until_the_end_is_there(fixture.router.at, client_address);
     fixture.replica.resume_greeting();
     until_unread_from(fixture.replica.address);
     fixture.router.signal("-CONT");
     fixture.next_read_is_the_first_to_come();
-    drop(left);
+    drop(half_open);
 }
 
-/// The same between two executions: the first is turned away, and the second went to the next host.
+/// The same between two attempts: the endpoint rejects or fails the first one, and the retry must not be sent to the next endpoint.
 #[rstest]
-#[case::turned_away("53300")]
+#[case::rejected("53300")]
 #[case::failed("XX000")]
-#[case::too_far_behind("72000")]
-fn a_further_execution_does_not_begin_for_a_client_that_is_gone(#[case] code: &str) {
+#[case::too_stale("72000")]
+fn no_retry_is_sent_for_a_disconnected_client(#[case] code: &str) {
     let fixture = Fixture::start(&[LONG, LATE]);
     let mut client = fixture.router.client();
-    client.send(&read(7, 8000)).expect("a query");
+    client.send(&read(7, 8000)).expect("sending the query failed");
     let first = fixture.replica.next_statement();
     fixture.router.signal("-STOP");
     first.fail(code);
     until_unread_from(fixture.replica.address);
-    let gone = client.socket.local_addr().expect("an address");
+    let client_address = client.socket.local_addr().expect("socket has no local address");
     drop(client);
-    until_the_end_is_there(fixture.router.at, gone);
+    until_the_end_is_there(fixture.router.at, client_address);
     fixture.router.signal("-CONT");
     let mut next = fixture.router.client();
-    next.send(&write(8, 8000)).expect("a query");
+    next.send(&write(8, 8000)).expect("sending the query failed");
     let arrival = fixture.primary.next_statement();
     assert!(arrival.text.contains("id=b8"), "{}", arrival.text);
     arrival.answer("next");
-    assert_eq!(next.read_answer().expect("an answer"), "row:next INSERT 0 1");
+    assert_eq!(next.read_answer().expect("no answer from the router"), "row:next INSERT 0 1");
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
 }
 
-/// A client that has sent more ahead than is read ahead: its end lies behind that, and was not seen before its statement
-/// went out.
+/// Guards against sending the statement of a disconnected client that has pipelined more than the router reads ahead: the end of
+/// the connection lies behind the unread data.
 #[rstest]
-#[case::a_message_that_is_not_whole(400_000, 300_000)]
+#[case::incomplete_message(400_000, 300_000)]
 #[case::many_statements(0, 600_000)]
-fn the_end_of_a_client_that_sent_much_ahead_is_seen(#[case] declared: usize, #[case] sent: usize) {
+fn disconnect_behind_pipelined_data_is_detected(#[case] declared: usize, #[case] sent: usize) {
     let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let mut client = fixture.read_on_its_way(7, 8000);
     let ahead = if declared > 0 {
@@ -107,8 +107,8 @@
     } else {
         message(b'Q', format!("{}\0", read(9, 8000)).as_bytes()).repeat(sent / 80)
     };
-    // It takes as long as the system's buffers need; the rest is not for the router to read.
-    client.socket.set_nonblocking(true).expect("no waiting");
+    // Fills the socket buffers of the system; the router reads only a part of it.
+    client.socket.set_nonblocking(true).expect("setting the socket to non-blocking failed");
     let mut at = 0;
     let started = Instant::now();
     while at < ahead.len() && started.elapsed() < Duration::from_millis(300) {
@@ -118,135 +118,146 @@
         }
     }
     assert!(at > 200_000, "{at}");
-    let gone = client.socket.local_addr().expect("an address");
+    let client_address = client.socket.local_addr().expect("socket has no local address");
     drop(client);
-    until("the router sees the end", || router_side(fixture.router.at, gone).is_none());
+    until("the router closes the disconnected client", || {
+        router_side(fixture.router.at, client_address).is_none()
+    });
     fixture.replica.resume_greeting();
     fixture.next_read_is_the_first_to_come();
 }
 
-/// What a client has sent ahead counts as taken: all of it is answered in its order, however much it is. Where it was more than
-/// four long statements it was dropped as a flood, and the client dismissed (herd+pipeline).
+/// Guards against closing a client for the amount that it pipelines: every pipelined statement is accepted and answered in order.
+/// More than four long statements were once treated as a flood, and the client was closed.
 #[rstest]
 #[case::some(3, 192)]
-#[case::some_where_memory_is_short(3, 2)]
+#[case::some_with_little_memory(3, 2)]
 #[case::more_than_is_read_ahead(40, 192)]
-fn all_that_is_sent_ahead_is_answered(#[case] long_ones: usize, #[case] memory_mb: usize) {
+fn all_pipelined_statements_are_answered(#[case] long_statements: usize, #[case] memory_mb: usize) {
     let memory = format!("\"memory_mb\": {memory_mb}");
     let fixture = Fixture::start(&[LONG, LATE, ("\"memory_mb\": 192", &memory)]);
     let mut client = fixture.router.client();
-    client.send(&read(7, 8000)).expect("a query");
+    client.send(&read(7, 8000)).expect("sending the query failed");
     let first = fixture.replica.next_statement();
     let long = |number| write(number, 8000).replace("\\x61", &format!("\\x{}", "61".repeat(65_000)));
-    let mut ahead = client.socket.try_clone().expect("the same connection");
+    let mut ahead = client.socket.try_clone().expect("cloning the socket failed");
     let sender = thread::spawn(move || {
-        for number in 0..long_ones {
+        for number in 0..long_statements {
             let text = format!("{}\0", long(0x100 + number as u32));
-            ahead.write_all(&message(b'Q', text.as_bytes())).expect("it is taken");
+            ahead.write_all(&message(b'Q', text.as_bytes())).expect("sending the pipelined statement failed");
         }
     });
-    // All that is read ahead has been read once another client, of a later turn, is served.
+    // Once another client is served in a later iteration of the event loop, the router has read all that it reads ahead.
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(fixture.router.client().query("").expect("an answer"), "empty");
+    assert_eq!(fixture.router.client().query("").expect("no answer from the router"), "empty");
     first.answer("late");
-    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
-    for number in 0..long_ones {
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:late SELECT 1");
+    for number in 0..long_statements {
         let arrival = fixture.primary.next_statement();
-        assert!(arrival.text.contains(&format!("id=b{:x},", 0x100 + number)), "in its order");
+        assert!(arrival.text.contains(&format!("id=b{:x},", 0x100 + number)), "out of order");
         arrival.answer("late");
-        assert_eq!(client.read_answer().expect("an answer"), "row:late INSERT 0 1");
+        assert_eq!(client.read_answer().expect("no answer from the router"), "row:late INSERT 0 1");
     }
-    client.send(&read(8, 8000)).expect("a query");
+    client.send(&read(8, 8000)).expect("sending the query failed");
     fixture.replica.next_statement().answer("late");
-    assert_eq!(client.read_answer().expect("an answer"), "row:late SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:late SELECT 1");
     drop(client);
-    sender.join().expect("all is sent");
+    sender.join().expect("sender thread panicked");
 }
 
-/// A client that sends two statements at once.
-fn both(fixture: &Fixture, first: &str, second: &str) -> Client {
+/// Connects a client and sends two statements in one write.
+fn client_with_two_statements(fixture: &Fixture, first: &str, second: &str) -> Client {
     let mut client = fixture.router.client();
     let of = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
-    client.socket.write_all(&[of(first), of(second)].concat()).expect("two queries");
+    client.socket.write_all(&[of(first), of(second)].concat()).expect("sending both queries failed");
     client
 }
 
-/// The second's time went on while the first was in hand; the host was told the whole of it once more.
+/// Guards against restarting the deadline of a pipelined statement: its time passes while the first one is in flight, so the
+/// endpoint must be sent the remaining time, not the full time.
 #[test]
-fn a_statement_sent_ahead_has_what_is_left_of_its_time() {
+fn pipelined_statement_is_sent_with_its_remaining_time() {
     let fixture = Fixture::start(&[LONG, LATE]);
-    let mut client = both(&fixture, &read(7, 3000), &read(8, 3000));
+    let mut client = client_with_two_statements(&fixture, &read(7, 3000), &read(8, 3000));
     let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(800));
     first.answer("first");
-    assert_eq!(client.read_answer().expect("an answer"), "row:first SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:first SELECT 1");
     let second = fixture.replica.next_statement();
-    let left = second.text.split(",d=").nth(1).and_then(|d| d.split(',').next()?.parse::<u32>().ok());
-    assert!(left.is_some_and(|left| left <= 2200), "{}", second.text);
+    let left_ms = second.text.split(",d=").nth(1).and_then(|d| d.split(',').next()?.parse::<u32>().ok());
+    assert!(left_ms.is_some_and(|left_ms| left_ms <= 2200), "{}", second.text);
     second.answer("second");
-    assert_eq!(client.read_answer().expect("an answer"), "row:second SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:second SELECT 1");
 }
 
-/// The first waited for its own time, eight seconds, with the second behind it, which waits for one: both were due by then, as
-/// no answer overtakes another.
+/// Guards against a late answer for a pipelined statement with a short deadline: answers keep their order, so a first statement
+/// with a deadline of 8 s has to end by the deadline of the second one, 1 s.
 #[rstest]
 #[case::a_read(&read(7, 8000))]
 #[case::a_write(&write(7, 8000))]
-fn a_statement_makes_way_for_one_that_can_wait_less(#[case] first: &str) {
+fn pipelined_statements_end_by_the_earliest_deadline(#[case] first: &str) {
     let fixture = Fixture::start(&[LONG, LATE]);
-    let began = Instant::now();
-    let mut client = both(&fixture, first, &read(8, 1000));
-    let answers = [client.read_answer().expect("an answer"), client.read_answer().expect("an answer")];
-    let took = own_time_since(began);
+    let started = Instant::now();
+    let mut client = client_with_two_statements(&fixture, first, &read(8, 1000));
+    let answers = [
+        client.read_answer().expect("no answer from the router"),
+        client.read_answer().expect("no answer from the router"),
+    ];
+    let took = own_time_since(started);
     assert!(answers.iter().all(|answer| answer.starts_with('C')), "{answers:?}");
-    // Half a second late an answer earns nothing, later it is none.
+    // An answer that is half a second late is worth nothing; a later one counts as missing.
     assert!(took < Duration::from_millis(1500), "{took:?}");
 }
 
-/// A host begins to drain while the connection to it comes up: what it was opened for went out all the same, however late.
+/// Guards against sending a statement to an endpoint that began to drain, or left, while the connection to it was coming up.
 #[rstest]
 #[case::drains("leaving")]
-#[case::is_gone("left")]
-fn nothing_goes_out_to_a_host_that_drains_by_now(#[case] health: &str) {
+#[case::has_left("left")]
+fn no_statement_is_sent_to_an_endpoint_that_began_to_drain(#[case] health: &str) {
     let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
     let mut client = fixture.read_on_its_way(7, 8000);
     fixture.discovery.serve_list(2, &fixture.endpoint_list(2, "active", health));
-    // It has taken the list in when it asks again; a read without a replica falls to the primary.
-    let asked_again = fixture.discovery.next_call();
+    // The router has applied the list when it calls discovery again; without a replica the primary serves reads.
+    let next_call = fixture.discovery.next_call();
     let at_primary = fixture.primary.next_statement();
     fixture.replica.resume_greeting();
     assert!(fixture.replica.next_within(Duration::from_millis(200)).is_none());
     at_primary.answer("elsewhere");
-    assert_eq!(client.read_answer().expect("an answer"), "row:elsewhere SELECT 1");
-    drop(asked_again);
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:elsewhere SELECT 1");
+    drop(next_call);
 }
 
-/// The primary drops repeats for 300 ms. One that was chosen in time went out when its connection had come up, whenever.
+/// The primary deduplicates retries for 300 ms. Guards against a retry that is chosen within that window and sent after it, once
+/// its connection has come up.
 #[test]
-fn a_repeat_goes_out_within_its_window_only() {
-    let marked = (
+fn write_is_not_retried_after_its_deduplication_window() {
+    let deduplicated = (
         "\"effect\": \"side_effect\", \"group\": \"all\", \"window_ms\": 0",
         "\"effect\": \"token\", \
                    \"group\": \"cell\", \"window_ms\": 300",
     );
-    let fixture = Fixture::start(&[PATIENT, LONG, marked]);
+    let fixture = Fixture::start(&[PATIENT, LONG, deduplicated]);
     let mut client = fixture.router.client();
-    client.send(&write(7, 8000)).expect("a query");
+    client.send(&write(7, 8000)).expect("sending the query failed");
     let first = fixture.primary.next_statement();
-    let began = first.received_at;
+    let started = first.received_at;
     fixture.primary.pause_greeting_and_close_idle();
     first.fail_and_close("XX000");
     fixture.primary.wait_for_connections(1);
-    thread::sleep(Duration::from_millis(400).saturating_sub(began.elapsed()));
+    thread::sleep(Duration::from_millis(400).saturating_sub(started.elapsed()));
     fixture.primary.resume_greeting();
-    assert!(fixture.primary.next_within(Duration::from_millis(300)).is_none(), "after {:?}", began.elapsed());
-    assert_eq!(client.read_answer().expect("an answer"), "C40003");
+    assert!(
+        fixture.primary.next_within(Duration::from_millis(300)).is_none(),
+        "after {:?}",
+        started.elapsed()
+    );
+    assert_eq!(client.read_answer().expect("no answer from the router"), "C40003");
 }
 
-/// Data may be a second old when it is sent. The replica was that fresh when it was chosen, and its connection came up
-/// later; hosts of this customer answer from whatever they have.
+/// The staleness bound is one second at the time of sending. Guards against a read that is sent to a replica which met the bound when
+/// it was chosen, but not when its connection came up; these endpoints answer reads without checking their own staleness.
 #[test]
-fn a_read_goes_out_while_the_data_is_fresh_only() {
+fn read_is_not_sent_to_a_replica_that_became_stale() {
     let fixture = Fixture::start(&[
         PATIENT,
         LONG,
@@ -255,145 +266,156 @@
         ("\"when_behind\": \"wait\"", "\"when_behind\": \"none\""),
     ]);
     fixture.replica.freeze_position();
-    let stood_at = Instant::now();
+    let frozen_at = Instant::now();
     let mut client = fixture.read_on_its_way(7, 8000);
-    thread::sleep(Duration::from_millis(1300).saturating_sub(stood_at.elapsed()));
+    thread::sleep(Duration::from_millis(1300).saturating_sub(frozen_at.elapsed()));
     fixture.replica.resume_greeting();
-    // The primary stands at the present.
+    // The primary is always current.
     let arrival = fixture.primary.next_statement();
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
     arrival.answer("fresh");
-    assert_eq!(client.read_answer().expect("an answer"), "row:fresh SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:fresh SELECT 1");
 }
 
-/// A client that takes in little at a time, so that most of a long answer stays on the router's side until it reads.
-fn narrow_client(at: SocketAddr) -> Client {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(2048).expect("a small buffer");
-    socket.connect(&at.into()).expect("a connection");
+/// A client with a small receive buffer, so that most of a long answer stays on the router's side until the client reads.
+fn client_with_small_receive_buffer(at: SocketAddr) -> Client {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creating the socket failed");
+    socket.set_recv_buffer_size(2048).expect("setting the receive buffer size failed");
+    socket.connect(&at.into()).expect("connecting failed");
     let mut client = Client { socket: socket.into() };
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    client.socket.write_all(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0").expect("a startup");
-    client.read_answer().expect("a greeting");
+    client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    client
+        .socket
+        .write_all(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0")
+        .expect("sending the startup message failed");
+    client.read_answer().expect("no greeting from the router");
     client
 }
 
-/// The router ends a connection that rests, and a statement crosses. Closed at once, the connection was reset by that, and
-/// what the client had not taken in yet of its last answer was lost.
+/// The router ends an idle connection while a statement is on its way. Guards against closing the socket at once: the arriving
+/// statement would then reset the connection, and the part of the last answer that the client has not read would be lost.
 #[rstest]
-#[case::has_stood_idle(false, false, 0)]
-#[case::has_stood_idle_and_the_client_is_slow(false, false, 1500)]
-#[case::has_stood_idle_and_the_client_ends_first(false, true, 300)]
-#[case::retires(true, false, 0)]
-fn an_end_takes_no_answer_with_it(
-    #[case] retires: bool,
+#[case::idle(false, false, 0)]
+#[case::idle_with_slow_client(false, false, 1500)]
+#[case::idle_with_client_ending_first(false, true, 300)]
+#[case::shuts_down(true, false, 0)]
+fn closing_a_connection_loses_no_answer(
+    #[case] shuts_down: bool,
     #[case] client_ends: bool,
     #[case] reads_after_ms: u64,
 ) {
     let fixture = Fixture::start(&[]);
-    let mut client = narrow_client(fixture.router.at);
-    client.send(&read(7, 2000)).expect("a query");
+    let mut client = client_with_small_receive_buffer(fixture.router.at);
+    client.send(&read(7, 2000)).expect("sending the query failed");
     let value = "kept".repeat(16_000);
     fixture.replica.next_statement().answer(&value);
-    if retires {
+    if shuts_down {
         fixture.router.signal("-TERM");
     }
-    // FIN_WAIT1: the end waits behind what the client has not taken in.
-    let at = client.socket.local_addr().expect("an address");
-    until("the router ends it", || router_side(fixture.router.at, at).as_deref() == Some("04"));
-    client.send(&read(8, 2000)).expect("a query that crosses");
+    // "04" is FIN_WAIT1: the FIN is queued behind the data that the client has not read.
+    let at = client.socket.local_addr().expect("socket has no local address");
+    until("the router ends the connection", || router_side(fixture.router.at, at).as_deref() == Some("04"));
+    client.send(&read(8, 2000)).expect("sending the second query failed");
     if client_ends {
-        client.socket.shutdown(std::net::Shutdown::Write).expect("an end");
+        client.socket.shutdown(std::net::Shutdown::Write).expect("closing the sending side failed");
     }
     thread::sleep(Duration::from_millis(reads_after_ms));
-    assert_eq!(client.read_answer().expect("the whole answer"), format!("row:{value} SELECT 1"));
-    let end = client.receive_message().expect_err("and then the end");
+    assert_eq!(
+        client.read_answer().expect("the answer did not arrive complete"),
+        format!("row:{value} SELECT 1")
+    );
+    let end = client.receive_message().expect_err("a message follows the answer");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof, "{end}");
     assert!(
         fixture.replica.next_within(Duration::from_millis(50)).is_none(),
-        "what comes after the end is not sent on"
+        "a statement that arrives after the end was forwarded"
     );
 }
 
-/// A second SIGTERM, and a SIGHUP, while it stops: all that was taken is answered, and it ends as it would have.
+/// Guards against a second SIGTERM or a SIGHUP that cuts a shutdown short: every accepted statement is answered, and the exit
+/// status stays 0.
 #[test]
-fn a_stop_is_not_hurried() {
+fn further_signals_do_not_shorten_the_shutdown() {
     let mut fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
-    client.send(&read(7, 2000)).expect("a query");
+    client.send(&read(7, 2000)).expect("sending the query failed");
     let arrival = fixture.replica.next_statement();
     for name in ["-TERM", "-HUP", "-TERM"] {
         fixture.router.signal(name);
-        assert_eq!(fixture.router.client().query("").expect("an answer"), "empty");
+        assert_eq!(fixture.router.client().query("").expect("no answer from the router"), "empty");
     }
     arrival.answer("taken");
-    assert_eq!(client.read_answer().expect("an answer"), "row:taken SELECT 1");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:taken SELECT 1");
     let started = Instant::now();
-    while fixture.router.process.try_wait().expect("a state").is_none() {
-        assert!(started.elapsed() < PATIENCE, "it ends");
+    while fixture.router.process.try_wait().expect("waiting for the router failed").is_none() {
+        assert!(started.elapsed() < PATIENCE, "the router does not exit");
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(fixture.router.process.wait().expect("a status").code(), Some(0));
+    assert_eq!(fixture.router.process.wait().expect("waiting for the router failed").code(), Some(0));
 }
 
-/// The system gives fewer descriptors than the settings say. Accepting failed, and nothing told again of who was at the door.
+/// The descriptor limit of the system is below that of the settings. Guards against a client that stays in the listen backlog after
+/// accepting has failed, since no further event announces it.
 #[test]
-fn who_waits_at_the_door_is_let_in_once_a_descriptor_is_free() {
-    let discovery = ScriptedDiscovery::start().expect("discovery");
-    let host = ScriptedEndpoint::start(true).expect("a host");
+fn waiting_client_is_accepted_once_a_descriptor_is_free() {
+    let discovery = ScriptedDiscovery::start().expect("discovery did not start");
+    let host = ScriptedEndpoint::start(true).expect("endpoint did not start");
     let router = Router::spawn(&config_text(discovery.address, &[]), Some(24));
     discovery.serve_list(1, &endpoint_list(1, &[("one", host.address, "active")]));
     let router = router.until_ready();
-    let mut crowd: Vec<Client> = Vec::new();
+    let mut connected: Vec<Client> = Vec::new();
     let full = loop {
-        let mut client = Client::connect(router.at).expect("a connection");
-        client.socket.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
+        let mut client = Client::connect(router.at).expect("connecting failed");
+        client
+            .socket
+            .set_read_timeout(Some(Duration::from_millis(500)))
+            .expect("setting the read timeout failed");
         match client.read_answer() {
-            Ok(_) => crowd.push(client),
+            Ok(_) => connected.push(client),
             Err(_) => break client,
         }
-        assert!(crowd.len() < 24, "the limit is not in force");
+        assert!(connected.len() < 24, "the limit is not in force");
     };
-    let mut waits = full;
-    waits.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    crowd.clear();
-    waits.read_answer().expect("a greeting");
+    let mut waiting = full;
+    waiting.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    connected.clear();
+    waiting.read_answer().expect("no greeting from the router");
 }
 
-/// A customer whose connections may take four seconds: what the page gives a silent client went by that, and each client was
-/// closed as it came.
+/// A connect timeout of 4 s. Guards against deriving the time allowed to a silent client from it, by which every client was closed
+/// as soon as it connected.
 #[test]
-fn a_long_time_for_connections_closes_no_client() {
+fn long_connect_timeout_closes_no_client() {
     let fixture = Fixture::start(&[("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 4000")]);
     let mut client = fixture.router.client();
     thread::sleep(Duration::from_millis(500));
-    client.send(&read(7, 2000)).expect("a query");
+    client.send(&read(7, 2000)).expect("sending the query failed");
     fixture.replica.next_statement().answer("served");
-    assert_eq!(client.read_answer().expect("an answer"), "row:served SELECT 1");
-    let mut silent = TcpStream::connect(fixture.router.at).expect("a connection");
-    silent.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "row:served SELECT 1");
+    let mut silent = TcpStream::connect(fixture.router.at).expect("connecting failed");
+    silent.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
     let started = Instant::now();
     let _ = silent.read(&mut [0; 1]);
     let took = own_time_since(started);
     assert!(took < Duration::from_secs(3), "{took:?}");
-    // A stop takes its time from the same figures.
+    // The time of a shutdown is derived from the same settings.
     fixture.router.signal("-TERM");
     let mut last = fixture.router.client();
-    last.send(&read(8, 2000)).expect("a query");
+    last.send(&read(8, 2000)).expect("sending the query failed");
     fixture.replica.next_statement().answer("served still");
-    assert_eq!(last.read_answer().expect("an answer"), "row:served still SELECT 1");
+    assert_eq!(last.read_answer().expect("no answer from the router"), "row:served still SELECT 1");
 }
 
-/// Half an answer and a reset is no answer, and a write that may have run is not sent again.
+/// Guards against forwarding a part of an answer that ends in a reset, and against retrying a write that may have run.
 #[rstest]
 #[case::nothing(0)]
-#[case::half_a_description(12)]
-#[case::no_completion(60)]
-fn half_an_answer_reaches_no_client(#[case] bytes: usize) {
+#[case::within_the_row_description(12)]
+#[case::before_the_completion(60)]
+fn partial_answer_is_not_forwarded(#[case] bytes: usize) {
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
-    client.send(&write(7, 2000)).expect("a query");
+    client.send(&write(7, 2000)).expect("sending the query failed");
     fixture.primary.next_statement().answer_partly_and_reset("half", bytes);
-    assert_eq!(client.read_answer().expect("an answer"), "C40003");
+    assert_eq!(client.read_answer().expect("no answer from the router"), "C40003");
     assert!(fixture.primary.next_within(Duration::from_millis(100)).is_none());
 }
--- a/crates/ottersill/tests/fleet_command.rs
+++ b/crates/ottersill/tests/fleet_command.rs
@@ -1,4 +1,4 @@
-//! What `ottersill fleet` prints when it has no answer to print: one line with the address and the reason.
+//! The output of `ottersill fleet` when the router gives no usable answer: one line with the address and the reason.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -7,18 +7,22 @@
 
 use rstest::rstest;
 
-/// What the command writes to standard output and to standard error, when it fails.
+/// Runs the command, which has to fail, and returns its standard output and standard error.
 fn failing_output(at: SocketAddr) -> (String, String) {
     let arguments = ["fleet", "--at", &at.to_string(), "budgets"];
-    let done = Command::new(env!("CARGO_BIN_EXE_ottersill")).args(arguments).output().expect("it runs");
-    assert_eq!(done.status.code(), Some(1));
-    (String::from_utf8(done.stdout).expect("UTF-8"), String::from_utf8(done.stderr).expect("UTF-8"))
+    let result =
+        Command::new(env!("CARGO_BIN_EXE_ottersill")).args(arguments).output().expect("command did not run");
+    assert_eq!(result.status.code(), Some(1));
+    (
+        String::from_utf8(result.stdout).expect("output is not UTF-8"),
+        String::from_utf8(result.stderr).expect("output is not UTF-8"),
+    )
 }
 
 #[test]
-fn nobody_listens() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+fn refused_connection_is_reported() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding the listener failed");
+    let at = listener.local_addr().expect("socket has no local address");
     drop(listener);
     let expected = format!("ottersill: {at}: Connection refused (os error 111)\n");
     assert_eq!(failing_output(at), (String::new(), expected));
@@ -27,17 +31,21 @@
 #[rstest]
 #[case::refused("{\"fault\":\"unknown\"}", "fault=\"unknown\"\n", "the router has no answer to that")]
 #[case::malformed("here", "", "{at}: expected value at line 1 column 1")]
-fn answers_that_are_none(#[case] answer: &'static str, #[case] output: &str, #[case] error: &str) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+fn fault_and_malformed_answers_are_reported(
+    #[case] answer: &'static str,
+    #[case] output: &str,
+    #[case] error: &str,
+) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding the listener failed");
+    let at = listener.local_addr().expect("socket has no local address");
     let router = thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("no connection from the command");
         let mut question = String::new();
-        BufReader::new(&stream).read_line(&mut question).expect("a question");
-        writeln!(stream, "{answer}").expect("an answer goes out");
+        BufReader::new(&stream).read_line(&mut question).expect("reading the request failed");
+        writeln!(stream, "{answer}").expect("sending the answer failed");
         question
     });
     let expected = format!("ottersill: {}\n", error.replace("{at}", &at.to_string()));
     assert_eq!(failing_output(at), (output.to_string(), expected));
-    assert_eq!(router.join().expect("no panic"), "budgets\n");
+    assert_eq!(router.join().expect("router thread panicked"), "budgets\n");
 }
--- a/crates/ottersill/tests/fleet_faults.rs
+++ b/crates/ottersill/tests/fleet_faults.rs
@@ -1,5 +1,5 @@
-//! Members of a fleet whose files or datagrams fail. The audit file is all that a router writes beside its log: a disk that takes
-//! nothing for a while, or a kill in the middle of a line, costs lines that are counted, and no decision.
+//! Members of a fleet whose files or datagrams fail. The audit file is the only file that a router writes besides its log: a full disk,
+//! or a kill in the middle of a line, loses lines, which are counted, and affects no decision.
 
 mod support;
 
@@ -12,26 +12,30 @@
 use ottersill_testkit::cluster::{Cluster, ClusterPlan};
 use support::faults::Faults;
 
-/// Three routers, of which `r1` runs with these faults.
-fn rig_with(faults: &Faults) -> (Cluster, PathBuf) {
+/// Starts three routers, of which `r1` runs with these faults.
+fn start_cluster(faults: &Faults) -> (Cluster, PathBuf) {
     let variables: String =
         faults.environment().iter().map(|(name, value)| format!("export {name}='{value}'; ")).collect();
     let program = faults.armed.with_extension("sh");
-    let run = format!(
+    let script = format!(
         "#!/bin/sh\ncase \"$NODE_CONFIG\" in */r1.json) {variables};; esac\nexec {} \"$@\"\n",
         env!("CARGO_BIN_EXE_ottersill")
     );
-    std::fs::write(&program, run).expect("a program");
-    std::fs::set_permissions(&program, PermissionsExt::from_mode(0o700)).expect("a program");
+    std::fs::write(&program, script).expect("preparing the start script failed");
+    std::fs::set_permissions(&program, PermissionsExt::from_mode(0o700))
+        .expect("preparing the start script failed");
     let plan = ClusterPlan { routers: 3, ..ClusterPlan::default() };
-    let charter = include_str!("../../../example/router.json");
-    let mut cluster = Cluster::new(plan, Path::new(&program), charter).expect("a cluster");
-    cluster.start_all().expect("routers");
-    assert!(cluster.wait_until(|cluster| (0..3).all(|index| cluster.is_ready(index))), "all ready");
+    let settings = include_str!("../../../example/router.json");
+    let mut cluster = Cluster::new(plan, Path::new(&program), settings).expect("cluster was not set up");
+    cluster.start_all().expect("routers did not start");
+    assert!(
+        cluster.wait_until(|cluster| (0..3).all(|index| cluster.is_ready(index))),
+        "not all routers are ready"
+    );
     (cluster, program)
 }
 
-fn unwritten(cluster: &Cluster) -> u64 {
+fn unwritten_lines(cluster: &Cluster) -> u64 {
     cluster.query(1, "counters").first().and_then(|counts| counts["unwritten"].as_u64()).unwrap_or(0)
 }
 
@@ -39,11 +43,11 @@
     thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-/// The reader used to give up at a line that a full disk had cut, as the next one was written behind it.
+/// Guards against an audit file that cannot be read after the disk was full: a line is cut, and the next one must not be appended to it.
 #[test]
-fn a_full_disk_costs_lines_of_the_audit_and_no_decision() {
+fn full_disk_loses_audit_lines_only() {
     let faults = Faults::new("file:1:SHORT;file:2-20:ENOSPC;file:21-40:EIO".to_string());
-    let (mut cluster, program) = rig_with(&faults);
+    let (mut cluster, program) = start_cluster(&faults);
     cluster.start_load(6, 8);
     sleep(3.5);
     faults.arm();
@@ -52,51 +56,50 @@
     let before = cluster.answers()[1];
     sleep(1.0);
     assert!(cluster.answers()[1].completed > before.completed, "{before:?}");
-    assert_eq!(unwritten(&cluster), 39);
+    assert_eq!(unwritten_lines(&cluster), 39);
     let answers = cluster.stop_load();
     assert!(
         answers.iter().all(|answered| answered.malformed == 0 && answered.connections_broken == 0),
         "{answers:?}"
     );
-    // What was done meanwhile is in no line; that no more was done than may be is seen at the hosts.
-    assert!(
-        (0..cluster.store.endpoint_count())
-            .all(|host| cluster.store.peak_concurrency(host) as u64 <= cluster.plan.attempts_per_endpoint)
-    );
-    let records = cluster.audit_records().expect("audit files");
+    // What happened meanwhile is not in the audit file; the endpoints show that the limit was kept.
+    assert!((0..cluster.store.endpoint_count()).all(|endpoint| cluster.store.peak_concurrency(endpoint)
+        as u64
+        <= cluster.plan.attempts_per_endpoint));
+    let records = cluster.audit_records().expect("audit files cannot be read");
     assert_eq!(records.torn, 1);
     let _ = std::fs::remove_file(program);
 }
 
-/// The process that follows goes on in the same file: its first line used to be written behind the torn one.
+/// The next process appends to the same file. Guards against its first line being written behind the torn one.
 #[test]
-fn a_kill_within_a_line_costs_that_line() {
+fn kill_within_an_audit_line_loses_that_line_only() {
     let faults = Faults::new("file:30:KILL".to_string());
-    let (mut cluster, program) = rig_with(&faults);
+    let (mut cluster, program) = start_cluster(&faults);
     cluster.start_load(6, 8);
     sleep(3.0);
     faults.arm();
     assert!(cluster.wait_until(|_| !faults.occurred().is_empty()));
     faults.disarm();
     cluster.kill(1);
-    cluster.start(1).expect("a router");
+    cluster.start(1).expect("router did not start");
     assert!(cluster.wait_until(|cluster| cluster.is_ready(1)));
     sleep(4.5);
     cluster.stop_load();
-    let verdict = cluster.audit().expect("audit files");
+    let verdict = cluster.audit().expect("audit files cannot be read");
     assert_eq!(verdict.torn, 1);
     assert!(verdict.violations.is_empty(), "{:?}", &verdict.violations[..verdict.violations.len().min(5)]);
     let _ = std::fs::remove_file(program);
 }
 
-/// Every other datagram fails at one of three members, in the ways that Linux documents: what is lost is asked for again, and no
-/// more is spent than there is. Right already.
+/// Every other datagram fails at one of three members, in the ways that Linux documents: lost requests are repeated, and no more units
+/// are acquired than there are.
 #[test]
-fn datagrams_that_fail_cost_a_member_nothing_for_good() {
+fn member_recovers_from_failing_datagrams() {
     let reads = "recvdatagram:1-/5:ENOMEM;recvdatagram:2-/5:EHOSTUNREACH;recvdatagram:3-/5:EINTR";
     let writes = "sendto:1-/8:EPERM;sendto:2-/8:ENOBUFS;sendto:3-/8:EINTR;sendto:4-/8:ENETUNREACH";
     let faults = Faults::new(format!("{reads};{writes}"));
-    let (mut cluster, program) = rig_with(&faults);
+    let (mut cluster, program) = start_cluster(&faults);
     cluster.start_load(6, 8);
     sleep(3.5);
     faults.arm();
@@ -111,19 +114,20 @@
         answers.iter().all(|answered| answered.malformed == 0 && answered.connections_broken == 0),
         "{answers:?}"
     );
-    let verdict = cluster.audit().expect("audit files");
+    let verdict = cluster.audit().expect("audit files cannot be read");
     assert!(verdict.violations.is_empty(), "{:?}", &verdict.violations[..verdict.violations.len().min(5)]);
     let _ = std::fs::remove_file(program);
 }
 
-/// Lines that end too early are passed over and counted; anything else that is no entry is an error as before.
+/// Lines that end too early are skipped and counted; any other line that is no entry is an error.
 #[test]
-fn the_reader_tells_torn_lines_from_nonsense() {
-    let whole =
+fn audit_reader_distinguishes_torn_from_invalid_lines() {
+    let complete =
         "{\"at\":1.5,\"process\":\"r\",\"incarnation\":1,\"what\":\"take\",\"budget\":\"b\",\"subject\":0}";
-    let cut = &whole[..40];
-    let records = audit::parse_audit_file(&format!("{whole}\n{cut}\n{whole}\n{cut}")).expect("records");
+    let cut = &complete[..40];
+    let records = audit::parse_audit_file(&format!("{complete}\n{cut}\n{complete}\n{cut}"))
+        .expect("audit lines do not parse");
     assert_eq!((records.entries.len(), records.torn), (2, 2));
-    assert!(audit::parse_audit_file(&format!("{cut}{whole}\n")).is_err());
+    assert!(audit::parse_audit_file(&format!("{cut}{complete}\n")).is_err());
     assert!(audit::parse_audit_file("no entry\n").is_err());
 }
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A stop while nothing that was sent to the hosts comes back.
+//! Shutdown of the router while endpoints do not answer, and the deadlines and exit status that it keeps.
 
 mod support;
 
@@ -11,58 +11,59 @@
 use support::machine::{own_time, own_time_since, stood_still};
 use support::*;
 
-/// From SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
-const KILLED_AFTER: Duration = Duration::from_millis(2700);
-/// What arrives later than this after SIGTERM may be left unanswered by the SIGKILL.
-const OWED_UNTIL: Duration = Duration::from_millis(700);
+/// Time from SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
+const SIGKILL_AFTER: Duration = Duration::from_millis(2700);
+/// Requests that arrive later than this after SIGTERM may be left unanswered because of the SIGKILL.
+const ANSWERS_REQUIRED_UNTIL: Duration = Duration::from_millis(700);
 
-/// Hosts hang through the whole of a shutdown, and clients go on on their connections until these are closed: each query that
-/// came in time has its answer before the router may be killed. Right already.
+/// Endpoints hang during the whole shutdown, and clients keep sending on their connections until these are closed: each query that
+/// arrived in time is answered before the router may be killed.
 #[test]
-fn hosts_that_hang_through_a_stop_leave_no_query_unanswered() {
-    // On a machine that stands still meanwhile too few may ask in time; what these tell is held against the rules all the same.
-    while !hang_through_a_stop() {}
+fn queries_are_answered_when_endpoints_hang_during_shutdown() {
+    // If the machine stalls, too few clients may send in time, and the test is repeated; the checks apply to every run.
+    while !shut_down_with_hanging_endpoints() {}
 }
 
-/// True if enough clients asked in time, which only a machine that stood still may prevent.
-fn hang_through_a_stop() -> bool {
+/// Returns true if enough clients sent in time, which only a stall of the machine may prevent.
+fn shut_down_with_hanging_endpoints() -> bool {
     let mut fixture = Fixture::start(&[]);
-    let told_at = Instant::now();
+    let signalled_at = Instant::now();
     fixture.router.signal("-TERM");
     let at = fixture.router.at;
     let client = |number: u32| {
         thread::spawn(move || {
-            let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("a connection");
-            client.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-            client.read_answer().expect("a greeting");
+            let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("connecting failed");
+            client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+            client.read_answer().expect("no greeting from the router");
             thread::sleep(Duration::from_millis(u64::from(number) * 60));
-            let mut asked = Vec::new();
+            let mut requests = Vec::new();
             for round in 0.. {
                 let sent = Instant::now();
                 let answer = client.query(&read(number * 0x1000 + round, 2000));
-                asked.push((sent, Instant::now(), answer.is_ok()));
+                requests.push((sent, Instant::now(), answer.is_ok()));
                 if answer.is_err() {
                     break;
                 }
             }
-            asked
+            requests
         })
     };
     let clients: Vec<_> = (1..=10).map(client).collect();
-    let asked: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
-    let owed = asked.iter().filter(|(sent, ..)| *sent < told_at + OWED_UNTIL);
-    for (sent, ended, answered) in owed.clone() {
-        let (sent, ended) = (*sent - told_at, own_time(told_at, *ended));
-        assert!(*answered && ended < KILLED_AFTER, "sent at {sent:?}, ended at {ended:?}: {answered}");
+    let requests: Vec<_> =
+        clients.into_iter().flat_map(|client| client.join().expect("client thread panicked")).collect();
+    let required = requests.iter().filter(|(sent, ..)| *sent < signalled_at + ANSWERS_REQUIRED_UNTIL);
+    for (sent, ended, answered) in required.clone() {
+        let (sent, ended) = (*sent - signalled_at, own_time(signalled_at, *ended));
+        assert!(*answered && ended < SIGKILL_AFTER, "sent at {sent:?}, ended at {ended:?}: {answered}");
     }
-    let are_enough = owed.count() >= 10;
-    assert!(are_enough || stood_still(told_at, told_at + OWED_UNTIL));
-    until("it ends", || fixture.router.state() == "Z");
-    assert_eq!(fixture.router.process.wait().expect("a status").code(), Some(0));
-    are_enough
+    let has_enough_requests = required.count() >= 10;
+    assert!(has_enough_requests || stood_still(signalled_at, signalled_at + ANSWERS_REQUIRED_UNTIL));
+    until("the router exits", || fixture.router.state() == "Z");
+    assert_eq!(fixture.router.process.wait().expect("waiting for the router failed").code(), Some(0));
+    has_enough_requests
 }
 
-/// A few milliseconds are left, and the host drops the query without a word: its client has an answer all the same. Right already.
+/// A query has a deadline of a few milliseconds, and the endpoint drops it without an answer: its client gets an answer all the same.
 #[rstest]
 #[case::one(1)]
 #[case::five(5)]
@@ -70,35 +71,38 @@
 fn a_query_with_little_time_left_is_answered(#[case] left_ms: u32) {
     let fixture = Fixture::start(&[]);
     let mut client = fixture.router.client();
-    let began = Instant::now();
-    let answer = client.query(&read(7, left_ms)).expect("an answer");
+    let started = Instant::now();
+    let answer = client.query(&read(7, left_ms)).expect("no answer from the router");
     assert!(answer.starts_with('C'), "{answer}");
-    let took = own_time_since(began);
+    let took = own_time_since(started);
     assert!(took < Duration::from_millis(u64::from(left_ms) + 500), "{took:?}");
-    // If it went out, the host was told no more than there was.
+    // If the query was sent, the endpoint was given no more time than was left.
     if let Some(arrival) = fixture.replica.next_within(Duration::from_millis(50)) {
-        let told = arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse::<u32>().ok());
-        assert!(told.is_some_and(|told| told <= left_ms), "{}", arrival.text);
+        let sent_ms =
+            arrival.text.rsplit(",d=").next().and_then(|d| d.split(',').next()?.parse::<u32>().ok());
+        assert!(sent_ms.is_some_and(|sent_ms| sent_ms <= left_ms), "{}", arrival.text);
     }
-    let end = client.receive_message().expect_err("the connection goes on until it is idle");
+    let end = client
+        .receive_message()
+        .expect_err("the router sent a message instead of closing the idle connection");
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
 }
 
-/// Signals that come while the program ends, up to its last instruction, change nothing of how it ended. Once the loop was over
-/// they were unblocked, and a SIGTERM then killed it, as its status said.
+/// Signals that arrive while the program exits, up to its last instruction, do not change its exit status. Guards against unblocking
+/// them after the event loop has ended, when a SIGTERM would kill the process.
 #[test]
-fn signals_that_come_as_it_ends_do_not_kill_it() {
+fn signals_during_exit_do_not_change_the_exit_status() {
     let mut fixture = Fixture::start(&[]);
     let process = Pid::from_child(&fixture.router.process);
     let started = Instant::now();
     let status = loop {
         for _ in 0..100 {
-            kill_process(process, Signal::TERM).expect("a signal");
+            kill_process(process, Signal::TERM).expect("sending the signal failed");
         }
-        if let Some(status) = fixture.router.process.try_wait().expect("a status") {
+        if let Some(status) = fixture.router.process.try_wait().expect("waiting for the router failed") {
             break status;
         }
-        assert!(started.elapsed() < PATIENCE, "it goes on");
+        assert!(started.elapsed() < PATIENCE, "the router does not exit");
     };
     assert_eq!(status.code(), Some(0), "{status:?}");
 }
--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -1,4 +1,4 @@
-//! Files of an earlier version are taken by this one: a fleet file, and an audit file to which the router appends.
+//! Files of an earlier version are accepted by this one: a fleet file, and an audit file to which the router appends.
 
 mod support;
 
@@ -16,11 +16,11 @@
 
 /// `deploy/fleet.textproto` at commit 5872259.
 const STORED_FLEET: &str = include_str!("data/fleet-0.1.0.textproto");
-/// What a router of that commit wrote.
+/// An audit file written by a router of that commit.
 const STORED_AUDIT: &str = include_str!("../../testkit/tests/data/audit-0.1.0.jsonl");
 const MEMBERS: [&str; 3] = ["a", "b", "c"];
 
-/// The three members of the stored fleet file, on an address of their own.
+/// The three members of the stored fleet file, on an IP address of their own.
 struct Members {
     folder: PathBuf,
     routers: Vec<Router>,
@@ -28,7 +28,7 @@
 
 impl Drop for Members {
     fn drop(&mut self) {
-        // Before their files go.
+        // The routers have to exit before their files are removed.
         self.routers.clear();
         let _ = fs::remove_dir_all(&self.folder);
     }
@@ -37,13 +37,13 @@
 impl Members {
     fn start() -> Members {
         let folder = std::env::temp_dir().join(format!("ottersill-stored-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
+        fs::create_dir_all(&folder).expect("creating the folder failed");
         let key = folder.join("fleet.key");
-        fs::write(&key, "known to the members of this test only").expect("a key");
-        fs::set_permissions(&key, fs::Permissions::from_mode(0o600)).expect("a mode");
+        fs::write(&key, "known to the members of this test only").expect("writing the key failed");
+        fs::set_permissions(&key, fs::Permissions::from_mode(0o600)).expect("setting the file mode failed");
         let store = StandInStore::default();
-        store.add_endpoint("127.0.0.1:0").expect("an endpoint");
-        let discovery = store.add_discovery("127.0.0.1:0").expect("discovery");
+        store.add_endpoint("127.0.0.1:0").expect("endpoint did not start");
+        let discovery = store.add_discovery("127.0.0.1:0").expect("discovery did not start");
         let mut members = Members { folder, routers: Vec::new() };
         for name in MEMBERS {
             let router = members.start_member(name, discovery);
@@ -52,21 +52,21 @@
         members
     }
 
-    /// Starts one with a stored audit file, to go on with.
+    /// Starts a member with a stored audit file, to which it appends.
     fn start_member(&self, name: &str, discovery: SocketAddr) -> Router {
         let (config, fleet) = (self.path(name, "json"), self.path(name, "textproto"));
         let text = config_text(discovery, &[("\"toy-router\"", &format!("\"{name}\""))]);
-        fs::write(&config, text).expect("a configuration");
-        fs::write(self.audit_file(name), STORED_AUDIT).expect("an audit file");
+        fs::write(&config, text).expect("reading or writing the configuration failed");
+        fs::write(self.audit_file(name), STORED_AUDIT).expect("writing the audit file failed");
         let text = STORED_FLEET
             .replace("127.0.0.1:", &format!("{}:", own_ip()))
             .replace("target/fleet.key", &self.folder.join("fleet.key").display().to_string());
         let audit = format!("audit_file: \"{}\"\n", self.audit_file(name).display());
-        fs::write(&fleet, text + &audit).expect("a fleet file");
+        fs::write(&fleet, text + &audit).expect("writing the fleet file failed");
         let mut command = Command::new(env!("CARGO_BIN_EXE_ottersill"));
         command.arg("--fleet").arg(&fleet).env("NODE_CONFIG", &config);
-        let mut process = command.stdout(Stdio::piped()).spawn().expect("a router");
-        let log = BufReader::new(process.stdout.take().expect("a log"));
+        let mut process = command.stdout(Stdio::piped()).spawn().expect("router did not start");
+        let log = BufReader::new(process.stdout.take().expect("standard output is not captured"));
         Router { process, at: control(0), log, config }.until_ready()
     }
 
@@ -86,10 +86,10 @@
 }
 
 fn control(member: usize) -> SocketAddr {
-    format!("{}:{}", own_ip(), 7421 + member).parse().expect("an address")
+    format!("{}:{}", own_ip(), 7421 + member).parse().expect("control address does not parse")
 }
 
-/// Whether each of the stored file's budgets is there with its size.
+/// Whether the member has each budget of the stored fleet file with its total.
 fn has_stored_budgets(member: usize) -> bool {
     let lines = query(control(member), "budgets");
     let has = |budget: &str, units: u64| {
@@ -102,36 +102,39 @@
         && has("executions at each cold host", 30)
 }
 
-fn hears_all_members(member: usize) -> bool {
+fn sees_all_members(member: usize) -> bool {
     let lines = query(control(member), "members");
     lines.iter().filter(|line| line["presence"] == "Here").count() == MEMBERS.len()
 }
 
-/// Sends a statement, without which no member asks for a share, and tells whether this member has one.
-fn has_a_share(member: usize, router: &Router) -> bool {
-    // It is rejected while there is no share.
-    router.client().query(&read(1, 500)).expect("an answer");
+/// Sends a statement, without which no member requests units, and returns whether this member has leased units.
+fn has_leased_units(member: usize, router: &Router) -> bool {
+    // The statement is rejected while the member has no units.
+    router.client().query(&read(1, 500)).expect("no answer from the router");
     query(control(member), "budgets").iter().any(|line| line["leased"].as_u64() > Some(0))
 }
 
 fn read_text(path: &Path) -> String {
-    fs::read_to_string(path).expect("a file")
+    fs::read_to_string(path).expect("file cannot be read or written")
 }
 
 #[test]
-fn an_old_fleet_file_and_an_old_audit_file_are_taken() {
+fn fleet_and_audit_files_of_an_earlier_version_are_accepted() {
     let members = Members::start();
     for (index, name) in MEMBERS.into_iter().enumerate() {
-        until("the stored budgets are there", || has_stored_budgets(index));
-        until("all members are heard", || hears_all_members(index));
+        until("the member has the stored budgets", || has_stored_budgets(index));
+        until("the member sees all members", || sees_all_members(index));
         let appended = || read_text(&members.audit_file(name)).len() > STORED_AUDIT.len();
         until("lines are appended", appended);
     }
-    until("the first member has a share", || has_a_share(0, &members.routers[0]));
+    until("the first member has leased units", || has_leased_units(0, &members.routers[0]));
     for name in MEMBERS {
         let text = read_text(&members.audit_file(name));
-        assert!(text.starts_with(STORED_AUDIT), "what was there stays\n{text}");
-        let whole_lines = &text[..=text.rfind('\n').expect("a line")];
-        assert!(audit::parse_audit_file(whole_lines).is_ok(), "old and new lines are read alike\n{text}");
+        assert!(text.starts_with(STORED_AUDIT), "the stored lines were changed\n{text}");
+        let complete_lines = &text[..=text.rfind('\n').expect("no complete line")];
+        assert!(
+            audit::parse_audit_file(complete_lines).is_ok(),
+            "old and new lines cannot be read together\n{text}"
+        );
     }
 }
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -1,5 +1,5 @@
-//! Calls that fail by a seed, under load: every request gets exactly one answer in its time, nothing takes effect twice, and
-//! all is well again once nothing fails any more. A dozen seeds; `SYSCALL_FAULT_SEEDS` asks for more.
+//! System calls that fail at random from a seed, under load: every request gets exactly one answer in time, no write takes effect
+//! twice, and the router serves again once the faults end. Runs a dozen seeds; `SYSCALL_FAULT_SEEDS` sets another number.
 
 mod support;
 
@@ -17,67 +17,67 @@
 use support::{Router, config_text};
 
 const SEEDS: u64 = 12;
-/// Routers at a time.
-const BESIDE: usize = 4;
+/// Routers that run in parallel.
+const PARALLEL_ROUTERS: usize = 4;
 const CLIENTS: usize = 6;
-/// How long calls fail.
-const TROUBLE: Duration = Duration::from_millis(2500);
-/// How long clients wait, and what the protocol page adds to that.
+/// How long system calls fail.
+const FAULT_DURATION: Duration = Duration::from_millis(2500);
+/// The deadline of each request, and what the protocol page adds to it.
 const DEADLINE_MS: u64 = 1500;
-const SLACK: Duration = Duration::from_millis(500);
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// What became of requests.
+/// The outcomes of requests.
 #[derive(Debug, Default)]
 struct Tally {
-    /// By the answer's first word.
+    /// Number of answers by kind: "row", or the first characters of another answer.
     answers: BTreeMap<String, usize>,
-    /// Connections that ended instead of an answer.
-    broken: usize,
-    faults: Vec<String>,
+    /// Number of connections that ended before an answer.
+    connections_ended: usize,
+    violations: Vec<String>,
 }
 
-/// One connection's requests; an error where it ended before an answer.
-fn converse(router: SocketAddr, until: Instant, tally: &Mutex<Tally>) -> std::io::Result<()> {
+/// Sends requests on one connection until a point in time; returns an error if the connection ends before an answer.
+fn send_requests(router: SocketAddr, until: Instant, tally: &Mutex<Tally>) -> std::io::Result<()> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let mut client = Client::connect(router)?;
-    client.socket.set_read_timeout(Some(Duration::from_millis(DEADLINE_MS) + 4 * SLACK))?;
+    client.socket.set_read_timeout(Some(Duration::from_millis(DEADLINE_MS) + 4 * ANSWER_SLACK))?;
     client.read_answer()?;
     while Instant::now() < until {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let told = format!("/* id=e{number:x},c=CLASS,d={DEADLINE_MS},cluster=1 */");
+        let comment = format!("/* id=e{number:x},c=CLASS,d={DEADLINE_MS},cluster=1 */");
         let text = if number % 4 == 0 {
-            let told = told.replace("CLASS", "put");
+            let comment = comment.replace("CLASS", "put");
             format!(
-                "INSERT INTO kv (name, content) VALUES ('k{number}', '\\x{number:08x}') RETURNING content {told}"
+                "INSERT INTO kv (name, content) VALUES ('k{number}', '\\x{number:08x}') RETURNING content {comment}"
             )
         } else {
-            format!("SELECT content FROM kv WHERE name = 'k' {}", told.replace("CLASS", "get"))
+            format!("SELECT content FROM kv WHERE name = 'k' {}", comment.replace("CLASS", "get"))
         };
         let sent = Instant::now();
         let answer = client.query(&text)?;
-        let bound = Duration::from_millis(DEADLINE_MS) + SLACK;
+        let bound = Duration::from_millis(DEADLINE_MS) + ANSWER_SLACK;
         let mut took = sent.elapsed();
         if took > bound {
             took = own_time_since(sent);
         }
-        let mut tally = tally.lock().expect("a tally");
+        let mut tally = tally.lock().expect("tally lock is poisoned");
         if took > bound {
-            tally.faults.push(format!("{took:?}: {text}"));
+            tally.violations.push(format!("{took:?}: {text}"));
         }
         let outcome = if answer.starts_with("row:") { "row" } else { &answer[..answer.len().min(6)] };
         *tally.answers.entry(outcome.to_string()).or_default() += 1;
         drop(tally);
         thread::sleep(Duration::from_millis(5));
     }
-    // A second answer would be read in place of this one.
+    // A surplus answer would be read in place of this one.
     let last = client.query("")?;
     if last != "empty" {
-        tally.lock().expect("a tally").faults.push(format!("a second answer: {last}"));
+        tally.lock().expect("tally lock is poisoned").violations.push(format!("got a second answer: {last}"));
     }
     Ok(())
 }
 
-fn play(seed: u64) -> Result<String, String> {
+fn run_seed(seed: u64) -> Result<String, String> {
     let store = StandInStore::default();
     for _ in 0..3 {
         store.add_endpoint("127.0.0.1:0").map_err(|e| e.to_string())?;
@@ -89,71 +89,79 @@
     let router = Router::spawn_in(&config_text(discovery, &[]), None, &faults.environment()).until_ready();
     let tally = Mutex::new(Tally::default());
     faults.arm();
-    let until = Instant::now() + TROUBLE;
+    let until = Instant::now() + FAULT_DURATION;
     thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(|| {
                 while Instant::now() < until {
-                    if converse(router.at, until, &tally).is_err() {
-                        tally.lock().expect("a tally").broken += 1;
+                    if send_requests(router.at, until, &tally).is_err() {
+                        tally.lock().expect("tally lock is poisoned").connections_ended += 1;
                     }
                 }
             });
         }
     });
     let occurred = faults.disarm();
-    let mut tally = tally.into_inner().expect("a tally");
-    // A client's connection breaks only where the system says that it is broken.
-    let breaks = |fault: &&String| {
+    let mut tally = tally.into_inner().expect("tally lock is poisoned");
+    // A client connection may end only where a system call on it has failed.
+    let failed_calls = |fault: &&String| {
         let (call, error) = fault.split_once(' ').unwrap_or_default();
         matches!(call, "recv@client" | "sendmsg@client") && !matches!(error, "EINTR" | "SHORT")
     };
-    let breaks = occurred.iter().filter(breaks).count();
-    if tally.broken > breaks {
-        tally.faults.push(format!("{} connections ended, {breaks} calls said so", tally.broken));
+    let failed_calls = occurred.iter().filter(failed_calls).count();
+    if tally.connections_ended > failed_calls {
+        tally.violations.push(format!(
+            "{} connections ended, but only {failed_calls} client calls failed",
+            tally.connections_ended
+        ));
     }
-    let executed: Vec<_> = (0..store.endpoint_count()).flat_map(|host| store.executions(host)).collect();
-    tally.faults.extend(duplicate_writes(&executed));
-    let after = Mutex::new(Tally::default());
+    let executed: Vec<_> =
+        (0..store.endpoint_count()).flat_map(|endpoint| store.executions(endpoint)).collect();
+    tally.violations.extend(duplicate_writes(&executed));
+    let recovery = Mutex::new(Tally::default());
     let recovered = (0..50).any(|_| {
         thread::sleep(Duration::from_millis(100));
-        let before = after.lock().expect("a tally").answers.get("row").copied();
-        let served = converse(router.at, Instant::now() + Duration::from_millis(50), &after).is_ok();
-        served && after.lock().expect("a tally").answers.get("row").copied() > before
+        let before = recovery.lock().expect("tally lock is poisoned").answers.get("row").copied();
+        let served = send_requests(router.at, Instant::now() + Duration::from_millis(50), &recovery).is_ok();
+        served && recovery.lock().expect("tally lock is poisoned").answers.get("row").copied() > before
     });
     if !recovered {
-        tally.faults.push(format!("not served 5 s later: {after:?}"));
+        tally.violations.push(format!("not served 5 s after the faults: {recovery:?}"));
     }
     router.signal("-TERM");
     let (count, answers) = (occurred.len(), &tally.answers);
-    let summary = format!("seed {seed}: {count} faults, {answers:?}, {} of {breaks} broken", tally.broken);
+    let summary = format!(
+        "seed {seed}: {count} faults, {answers:?}, {} connections ended, {failed_calls} client calls failed",
+        tally.connections_ended
+    );
     let (log, status) = router.end();
     if !status.success() || !log.contains("invariant_violations_total=0") {
-        tally.faults.push(format!("{status:?}: {}", log.lines().last().unwrap_or_default()));
+        tally.violations.push(format!("{status:?}: {}", log.lines().last().unwrap_or_default()));
     }
-    if tally.faults.is_empty() { Ok(summary) } else { Err(format!("{summary}: {:?}", tally.faults)) }
+    if tally.violations.is_empty() { Ok(summary) } else { Err(format!("{summary}: {:?}", tally.violations)) }
 }
 
 #[test]
-fn every_request_gets_one_answer_whatever_fails() {
-    let asked = std::env::var("SYSCALL_FAULT_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
-    let seeds: u64 = asked.unwrap_or(SEEDS);
+fn every_request_gets_one_answer_under_system_call_faults() {
+    let seeds_from_environment =
+        std::env::var("SYSCALL_FAULT_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
+    let seeds: u64 = seeds_from_environment.unwrap_or(SEEDS);
     let next = AtomicU64::new(1);
-    let broken = Mutex::new(Vec::new());
+    let failures = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..BESIDE {
+        for _ in 0..PARALLEL_ROUTERS {
             scope.spawn(|| {
                 while let Some(seed) =
                     Some(next.fetch_add(1, Ordering::Relaxed)).filter(|seed| *seed <= seeds)
                 {
-                    match play(seed) {
+                    match run_seed(seed) {
                         Ok(summary) => println!("{summary}"),
-                        Err(fault) => broken.lock().expect("a list").push(fault),
+                        Err(failure) => failures.lock().expect("list lock is poisoned").push(failure),
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner().expect("a list");
-    assert!(broken.is_empty(), "{} of {seeds}:\n{}", broken.len(), broken.join("\n"));
+    let failures = failures.into_inner().expect("list lock is poisoned");
+    assert!(failures.is_empty(), "{} of {seeds} seeds failed:\n{}", failures.len(), failures.join("\n"));
 }
--- a/crates/ottersill/tests/timers.rs
+++ b/crates/ottersill/tests/timers.rs
@@ -1,56 +1,56 @@
-//! What falls due by time, and never a moment before it: the owner of one that is early sets it anew for the same time,
-//! and the turn that it came due in never ends.
+//! A timer expires at its time and never a moment earlier. Guards against an iteration of the event loop that never ends: the owner of a
+//! timer that expires early sets it again for the same time.
 
 use ottersill::timers::{Timer, Timers};
 use rstest::rstest;
 
-/// Unix time, where neighbouring floats lie a quarter of a microsecond apart.
-const AT: f64 = 1_796_141_061.114_000_9;
+/// A Unix time in seconds, where neighbouring floats lie a quarter of a microsecond apart.
+const AT_UNIX_SECONDS: f64 = 1_796_141_061.114_000_9;
 
 #[rstest]
-#[case::the_float_before(AT.next_down(), false)]
-#[case::in_the_same_microsecond(AT - 4e-7, false)]
-#[case::long_before(AT - 2.0, false)]
-#[case::then(AT, true)]
-#[case::the_float_after(AT.next_up(), true)]
-#[case::late(AT + 1.0, true)]
-fn due_from_its_time_on(#[case] now: f64, #[case] due: bool) {
+#[case::the_float_before(AT_UNIX_SECONDS.next_down(), false)]
+#[case::in_the_same_microsecond(AT_UNIX_SECONDS - 4e-7, false)]
+#[case::long_before(AT_UNIX_SECONDS - 2.0, false)]
+#[case::at_its_time(AT_UNIX_SECONDS, true)]
+#[case::the_float_after(AT_UNIX_SECONDS.next_up(), true)]
+#[case::late(AT_UNIX_SECONDS + 1.0, true)]
+fn timer_expires_from_its_time_on(#[case] now: f64, #[case] due: bool) {
     let mut timers = Timers::default();
-    timers.set(AT, Timer::Client(3));
-    assert_eq!(timers.next_at(), Some(AT), "the time is kept as it was given");
+    timers.set(AT_UNIX_SECONDS, Timer::Client(3));
+    assert_eq!(timers.next_at(), Some(AT_UNIX_SECONDS), "the time was changed");
     assert_eq!(timers.expired(now), due.then_some(Timer::Client(3)));
 }
 
-/// A client's timer is set when its connection idles, to the end of that, and looked at when it comes due.
+/// The timer of an idle client connection is set to the end of its idle time, and the client is checked when the timer expires.
 #[rstest]
-fn a_turn_ends_whenever_the_loop_wakes(#[values(0, 1, 2, 3, 4, 5, 6, 7)] floats_early: u32) {
-    let mut now = AT;
+fn iteration_ends_when_the_loop_wakes_early(#[values(0, 1, 2, 3, 4, 5, 6, 7)] floats_early: u32) {
+    let mut now = AT_UNIX_SECONDS;
     (0..floats_early).for_each(|_| now = now.next_down());
     let mut timers = Timers::default();
-    timers.set(AT, Timer::Client(0));
-    let mut looks = 0;
+    timers.set(AT_UNIX_SECONDS, Timer::Client(0));
+    let mut expirations = 0;
     while let Some(Timer::Client(_)) = timers.expired(now) {
-        looks += 1;
-        assert!(looks < 10, "the turn goes on for ever");
-        if AT > now {
-            timers.set(AT, Timer::Client(0));
+        expirations += 1;
+        assert!(expirations < 10, "the iteration does not end");
+        if AT_UNIX_SECONDS > now {
+            timers.set(AT_UNIX_SECONDS, Timer::Client(0));
         }
     }
-    assert_eq!(looks, u32::from(floats_early == 0), "its owner finds it due when it is told so");
+    assert_eq!(expirations, u32::from(floats_early == 0), "expired timers");
 }
 
 #[test]
-fn in_order_of_time_and_each_once() {
+fn timers_expire_in_order_and_once() {
     let mut timers = Timers::default();
-    let later = timers.set(AT + 2.0, Timer::Backend(1));
-    timers.set(AT + 1.0, Timer::Discovery);
-    timers.set(AT, Timer::Listener);
-    timers.set(AT, Timer::Backend(0));
+    let later = timers.set(AT_UNIX_SECONDS + 2.0, Timer::Backend(1));
+    timers.set(AT_UNIX_SECONDS + 1.0, Timer::Discovery);
+    timers.set(AT_UNIX_SECONDS, Timer::Listener);
+    timers.set(AT_UNIX_SECONDS, Timer::Backend(0));
     timers.clear(Some(later));
-    let mut found = Vec::new();
-    while let Some(timer) = timers.expired(AT + 9.0) {
-        found.push(timer);
+    let mut expired = Vec::new();
+    while let Some(timer) = timers.expired(AT_UNIX_SECONDS + 9.0) {
+        expired.push(timer);
     }
-    assert_eq!(found, [Timer::Backend(0), Timer::Listener, Timer::Discovery]);
+    assert_eq!(expired, [Timer::Backend(0), Timer::Listener, Timer::Discovery]);
     assert_eq!(timers.next_at(), None);
 }
--- a/crates/ottersill/tests/trouble.rs
+++ b/crates/ottersill/tests/trouble.rs
@@ -1,4 +1,4 @@
-//! Trouble at the hosts or with other clients, and a stop in the middle of it: no request goes without its one final answer.
+//! Failures of endpoints or floods of other clients, with a shutdown in the middle: every request gets exactly one final answer.
 
 #[path = "service/fixture.rs"]
 #[allow(dead_code, reason = "the other users of the fixture need more of it")]
@@ -18,138 +18,148 @@
 use support::machine::own_time;
 use support::may_have_read_all;
 
-/// How long each of them waits for an answer.
-const TIME_LEFT_MS: u32 = 1000;
-/// From SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
-const KILLED_AFTER: Duration = Duration::from_millis(2700);
-/// What arrives later than this after SIGTERM may be left unanswered by the SIGKILL.
-const OWED_UNTIL: Duration = Duration::from_millis(700);
-/// Descriptors of a router that is to run out of them.
-const FEW: usize = 60;
+/// Deadline of each request.
+const DEADLINE_MS: u32 = 1000;
+/// Time from SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
+const SIGKILL_AFTER: Duration = Duration::from_millis(2700);
+/// Requests that arrive later than this after SIGTERM may be left unanswered because of the SIGKILL.
+const ANSWERS_REQUIRED_UNTIL: Duration = Duration::from_millis(700);
+/// Descriptor limit of a router that is to run out of descriptors.
+const FEW_DESCRIPTORS: usize = 60;
 
-/// What other clients do meanwhile.
+/// What other clients do at the same time.
 #[derive(Clone, Copy)]
-enum Others {
+enum OtherClients {
     Nothing,
-    /// Send many requests ahead, read nothing, and leave.
+    /// Pipeline many requests, read nothing, and disconnect.
     Flood,
-    /// Hold as many connections as they get, and say nothing.
-    Crowd,
-    FloodAndCrowd,
+    /// Hold as many connections as they can open, and send nothing.
+    IdleConnections,
+    FloodAndIdleConnections,
 }
 
-/// Each of these costs a request at most its row. Clients ask all the while, one request after the other: each has one final answer, in its time, also if the router is
-/// told to stop meanwhile, and before it may be killed. Right already.
+/// Each of these failures costs a request at most its row. Clients send one request after the other throughout: each gets one final
+/// answer, in time, also if the router receives SIGTERM meanwhile, and before it may be killed.
 #[rstest]
-#[case::flood(1024, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], Others::Flood)]
-#[case::spoilt_answers(1024, 6, [Behaviour::CorruptsRow; 3], Others::Nothing)]
-#[case::babble(1024, 6, [Behaviour::SendsInvalidMessage; 3], Others::Nothing)]
-#[case::resets(1024, 6, [Behaviour::ResetsConnection; 3], Others::Nothing)]
-#[case::silent_crowd(FEW, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], Others::Crowd)]
-#[case::more_clients_than_descriptors(FEW, 40, [Behaviour::NeverAnswers; 3], Others::Nothing)]
+#[case::flood(1024, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], OtherClients::Flood)]
+#[case::corrupt_rows(1024, 6, [Behaviour::CorruptsRow; 3], OtherClients::Nothing)]
+#[case::invalid_messages(1024, 6, [Behaviour::SendsInvalidMessage; 3], OtherClients::Nothing)]
+#[case::resets(1024, 6, [Behaviour::ResetsConnection; 3], OtherClients::Nothing)]
+#[case::idle_connections(FEW_DESCRIPTORS, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], OtherClients::IdleConnections)]
+#[case::more_clients_than_descriptors(FEW_DESCRIPTORS, 40, [Behaviour::NeverAnswers; 3], OtherClients::Nothing)]
 #[case::all_at_once(
-    FEW,
+    FEW_DESCRIPTORS,
     40,
     [Behaviour::CorruptsRow, Behaviour::ResetsConnection, Behaviour::NeverAnswers],
-    Others::FloodAndCrowd
+    OtherClients::FloodAndIdleConnections
 )]
-fn each_request_is_answered_through(
+fn each_request_gets_one_answer_in_time(
     #[case] descriptors: usize,
     #[case] clients: u32,
-    #[case] hosts: [Behaviour; 3],
-    #[case] others: Others,
+    #[case] endpoints: [Behaviour; 3],
+    #[case] others: OtherClients,
 ) {
     let mut service = service(descriptors);
     let at = service.router.at;
-    let over = Arc::new(AtomicBool::new(false));
-    let askers: Vec<JoinHandle<Vec<Asked>>> =
-        (0..clients).map(|number| ask_until(number, at, &over)).collect();
-    for (host, behaviour) in hosts.into_iter().enumerate() {
-        service.store.set_behaviour(host, behaviour);
+    let is_over = Arc::new(AtomicBool::new(false));
+    let senders: Vec<JoinHandle<Vec<RequestOutcome>>> =
+        (0..clients).map(|number| send_requests_until(number, at, &is_over)).collect();
+    for (endpoint, behaviour) in endpoints.into_iter().enumerate() {
+        service.store.set_behaviour(endpoint, behaviour);
     }
-    let others = start(others, at, &over);
+    let others = start_other_clients(others, at, &is_over);
     thread::sleep(Duration::from_millis(500));
-    let told_at = Instant::now();
+    let signalled_at = Instant::now();
     service.signal("-TERM");
-    thread::sleep(OWED_UNTIL);
-    over.store(true, Ordering::Relaxed);
-    let asked: Vec<Asked> = askers.into_iter().flat_map(|asker| asker.join().expect("a client")).collect();
-    others.into_iter().for_each(|other| other.join().expect("another client"));
-    let owed: Vec<&Asked> = asked.iter().filter(|asked| asked.sent_at < told_at + OWED_UNTIL).collect();
-    assert!(owed.len() >= clients as usize);
-    for asked in owed {
-        assert_eq!(asked.answers, 1, "{asked:?}");
-        // The second is for a machine that is busy.
-        let due = asked.sent_at + Duration::from_millis(u64::from(TIME_LEFT_MS) + 1000);
-        let in_time = asked.answered_at < due.min(told_at + KILLED_AFTER) || {
-            let took = own_time(asked.sent_at, asked.answered_at);
-            let since_told = own_time(told_at.min(asked.answered_at), asked.answered_at);
-            took < due - asked.sent_at && since_told < KILLED_AFTER
+    thread::sleep(ANSWERS_REQUIRED_UNTIL);
+    is_over.store(true, Ordering::Relaxed);
+    let requests: Vec<RequestOutcome> =
+        senders.into_iter().flat_map(|sender| sender.join().expect("client thread panicked")).collect();
+    others.into_iter().for_each(|other| other.join().expect("thread of another client panicked"));
+    let required: Vec<&RequestOutcome> =
+        requests.iter().filter(|request| request.sent_at < signalled_at + ANSWERS_REQUIRED_UNTIL).collect();
+    assert!(required.len() >= clients as usize);
+    for request in required {
+        assert_eq!(request.answers, 1, "{request:?}");
+        // The extra second allows for a busy machine.
+        let due = request.sent_at + Duration::from_millis(u64::from(DEADLINE_MS) + 1000);
+        let in_time = request.answered_at < due.min(signalled_at + SIGKILL_AFTER) || {
+            let took = own_time(request.sent_at, request.answered_at);
+            let since_signal = own_time(signalled_at.min(request.answered_at), request.answered_at);
+            took < due - request.sent_at && since_signal < SIGKILL_AFTER
         };
-        assert!(in_time, "{asked:?}");
+        assert!(in_time, "{request:?}");
     }
-    ends_in_order(&mut service);
+    assert_clean_exit(&mut service);
 }
 
-fn ends_in_order(service: &mut Service) {
+fn assert_clean_exit(service: &mut Service) {
     let (code, log) = service.exit();
     assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{code:?}\n{log}");
 }
 
-/// A request, and what became of it.
+/// A request and its outcome.
 #[derive(Debug)]
 #[allow(dead_code, reason = "the text is for the message of a failure")]
-struct Asked {
+struct RequestOutcome {
     text: String,
     sent_at: Instant,
     answered_at: Instant,
     answers: usize,
 }
 
-fn ask_until(number: u32, at: SocketAddr, over: &Arc<AtomicBool>) -> JoinHandle<Vec<Asked>> {
-    let over = Arc::clone(over);
+fn send_requests_until(
+    number: u32,
+    at: SocketAddr,
+    is_over: &Arc<AtomicBool>,
+) -> JoinHandle<Vec<RequestOutcome>> {
+    let is_over = Arc::clone(is_over);
     thread::spawn(move || {
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         let mut client = None;
         for round in 0.. {
-            if over.load(Ordering::Relaxed) {
+            if is_over.load(Ordering::Relaxed) {
                 break;
             }
             let id = number * 0x10_0000 + round;
             let text = match round % 2 {
-                0 => read_as(id, TIME_LEFT_MS),
-                _ => write("1f", TIME_LEFT_MS).replace("id=5d", &format!("id=e{id:x}")),
+                0 => read_as(id, DEADLINE_MS),
+                _ => write("1f", DEADLINE_MS).replace("id=5d", &format!("id=e{id:x}")),
             };
-            let Some((sent_at, answers)) = ask_once(&mut client, at, &text) else { break };
-            asked.push(Asked { text, sent_at, answered_at: Instant::now(), answers });
+            let Some((sent_at, answers)) = send_until_read(&mut client, at, &text) else { break };
+            requests.push(RequestOutcome { text, sent_at, answered_at: Instant::now(), answers });
         }
-        asked
+        requests
     })
 }
 
-/// Asks on the client's connection, or on a new one; gives when the request was sent and how many final answers came. One that crosses the end of its
-/// connection lies unread at the router and is sent again, as the protocol page has it. None if nobody can connect any more.
-fn ask_once(kept: &mut Option<Client>, at: SocketAddr, text: &str) -> Option<(Instant, usize)> {
+/// Sends a request on the client's connection, or on a new one; returns when it was sent and how many final answers arrived. A request
+/// that crosses the end of its connection stays unread at the router and is sent again, as the protocol page allows. Returns None if
+/// no connection can be opened any more.
+fn send_until_read(kept: &mut Option<Client>, at: SocketAddr, text: &str) -> Option<(Instant, usize)> {
     loop {
         let mut client = match kept.take() {
             Some(client) => client,
             None => {
-                // Nobody comes again at once for ever; the system would have to remember all these connections.
+                // Limits the rate of new connections, as the system keeps state of each one for a while.
                 thread::sleep(Duration::from_millis(20));
                 connect(at).ok()?
             }
         };
-        let from = client.socket.local_addr().expect("an address");
+        let from = client.socket.local_addr().expect("socket has no local address");
         let sent = client.send(text);
         let sent_at = Instant::now();
-        let heard = sent.and_then(|()| final_answers(&mut client));
-        match heard {
+        let result = sent.and_then(|()| final_answers(&mut client));
+        match result {
             Ok((answers, is_open)) => {
                 *kept = Some(client).filter(|_| is_open);
                 return Some((sent_at, answers));
             }
             Err(error) => {
-                assert!(error.kind() != io::ErrorKind::WouldBlock, "neither an answer nor an end: {text}");
+                assert!(
+                    error.kind() != io::ErrorKind::WouldBlock,
+                    "neither an answer nor the end of the connection: {text}"
+                );
                 if was_read(at, from) {
                     return Some((sent_at, 0));
                 }
@@ -164,7 +174,7 @@
     Ok(client)
 }
 
-/// Whether a request whose connection was ended was read before; what was written may take a while to be there.
+/// Whether the router read a request before it ended the connection. Written data may take a while to arrive, so it checks repeatedly.
 fn was_read(router: SocketAddr, client: SocketAddr) -> bool {
     (0..20).all(|_| {
         thread::sleep(Duration::from_millis(5));
@@ -172,13 +182,14 @@
     })
 }
 
-/// Reads up to ReadyForQuery, or to the end behind an answer: how many rows and errors came, and whether the connection goes on.
+/// Reads up to ReadyForQuery, or to the end of the connection after an answer; returns how many rows and errors arrived, and whether the
+/// connection stays open.
 fn final_answers(client: &mut Client) -> io::Result<(usize, bool)> {
     let mut answers = 0;
     let mut greeted = false;
     loop {
         match client.receive_message() {
-            // The greeting of a new connection ends in this too.
+            // The greeting of a new connection ends in ReadyForQuery too.
             Ok((b'R', _)) => greeted = true,
             Ok((b'Z', _)) if greeted && answers == 0 => greeted = false,
             Ok((b'Z', _)) => return Ok((answers, true)),
@@ -190,29 +201,33 @@
     }
 }
 
-fn start(others: Others, at: SocketAddr, over: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
-    let spawn = |what: fn(SocketAddr, &AtomicBool)| {
-        let over = Arc::clone(over);
-        thread::spawn(move || what(at, &over))
+fn start_other_clients(
+    others: OtherClients,
+    at: SocketAddr,
+    is_over: &Arc<AtomicBool>,
+) -> Vec<JoinHandle<()>> {
+    let spawn = |run: fn(SocketAddr, &AtomicBool)| {
+        let is_over = Arc::clone(is_over);
+        thread::spawn(move || run(at, &is_over))
     };
     match others {
-        Others::Nothing => Vec::new(),
-        Others::Flood => vec![spawn(flood), spawn(flood)],
-        Others::Crowd => vec![spawn(crowd)],
-        Others::FloodAndCrowd => vec![spawn(flood), spawn(crowd)],
+        OtherClients::Nothing => Vec::new(),
+        OtherClients::Flood => vec![spawn(flood), spawn(flood)],
+        OtherClients::IdleConnections => vec![spawn(open_idle_connections)],
+        OtherClients::FloodAndIdleConnections => vec![spawn(flood), spawn(open_idle_connections)],
     }
 }
 
-fn flood(at: SocketAddr, over: &AtomicBool) {
+fn flood(at: SocketAddr, is_over: &AtomicBool) {
     for round in 0.. {
-        if over.load(Ordering::Relaxed) {
+        if is_over.load(Ordering::Relaxed) {
             return;
         }
         let Ok(mut client) = connect(at) else { return };
         for number in 0..200 {
             let id = 0x1000_0000 + round * 200 + number;
-            // It may be closed before it has sent all.
-            if client.send(&read_as(id, TIME_LEFT_MS)).is_err() {
+            // The router may close the connection before everything is sent.
+            if client.send(&read_as(id, DEADLINE_MS)).is_err() {
                 break;
             }
         }
@@ -220,9 +235,9 @@
     }
 }
 
-fn crowd(at: SocketAddr, over: &AtomicBool) {
+fn open_idle_connections(at: SocketAddr, is_over: &AtomicBool) {
     let mut held = Vec::new();
-    while !over.load(Ordering::Relaxed) && held.len() < 400 {
+    while !is_over.load(Ordering::Relaxed) && held.len() < 400 {
         let Ok(socket) = TcpStream::connect(at) else { return };
         held.push(socket);
         thread::sleep(Duration::from_millis(3));
