--- a/crates/ottersill/tests/discovery_watch.rs
+++ b/crates/ottersill/tests/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery under failures: a new endpoint list is applied in time, whichever calls were refused, truncated or
-//! abandoned before.
+//! The watch on discovery under failures: a new endpoint list is applied in time, whichever calls were refused,
+//! truncated or abandoned before.
 
 mod support;
 
@@ -23,14 +23,16 @@
     Silent,
     Resets,
     Closes,
-    /// Sends a list in which the endpoint drains and that ends in the middle; holds a header, and whether the connection is reset.
+    /// Sends a list in which the endpoint drains and that ends in the middle; holds a header, and whether the
+    /// connection is reset.
     Truncates(&'static str, bool),
     Refuses,
 }
 
-/// No part of a truncated list is applied, whether it has no length or comes in chunks and whether the connection is closed or reset.
-/// Whichever calls fail before, an update counts as delivered within six seconds; also where discovery answers later than calls
-/// follow each other, or this test is stalled as it answers, so that the router has abandoned the call by then.
+/// No part of a truncated list is applied, whether it has no length or comes in chunks and whether the connection is
+/// closed or reset. Whichever calls fail before, an update counts as delivered within six seconds; also where discovery
+/// answers later than calls follow each other, or this test is stalled as it answers, so that the router has abandoned
+/// the call by then.
 #[rstest]
 #[case::silent(&[CallFailure::Silent])]
 #[case::silent_twice(&[CallFailure::Silent, CallFailure::Silent])]
@@ -76,8 +78,8 @@
     let mut call = fixture.discovery.next_within(MAX_UPDATE_DELAY).expect("no further call to discovery");
     // No truncated list has advanced the version.
     assert!(!call.request_line.contains("since=2"), "{}", call.request_line);
-    // A call may be abandoned before it is answered, so the next one is answered too. Once the router has read an answer, it asks for
-    // newer lists.
+    // A call may be abandoned before it is answered, so the next one is answered too. Once the router has read an
+    // answer, it asks for newer lists.
     while !call.request_line.contains("since=2") {
         let drains = drains.clone();
         thread::spawn(move || {
@@ -102,8 +104,9 @@
     assert!(next.request_line.contains("since=2"), "{}", next.request_line);
 }
 
-/// Guards against learning of draining endpoints after their drain grace: discovery is down for some seconds and answers no call that
-/// arrived meanwhile. With one call each second, drains were known 0.8 s late, while attempts may be sent for 0.25 s.
+/// Guards against learning of draining endpoints after their drain grace: discovery is down for some seconds and
+/// answers no call that arrived meanwhile. With one call each second, drains were known 0.8 s late, while attempts may
+/// be sent for 0.25 s.
 #[test]
 fn unanswered_calls_follow_each_other_within_the_drain_grace() {
     let fixture = Fixture::start(&[]);
@@ -117,8 +120,8 @@
     }
 }
 
-/// Guards against abandoning an earlier call: discovery was down and then answers the call that has been open for longest, and its
-/// list has to be applied at once.
+/// Guards against abandoning an earlier call: discovery was down and then answers the call that has been open for
+/// longest, and its list has to be applied at once.
 #[test]
 fn late_answer_to_an_earlier_call_is_applied() {
     let fixture = Fixture::start(&[]);
@@ -130,8 +133,8 @@
     drop(next);
 }
 
-/// The router is switched by SIGHUP to a discovery that accepts connections and sends nothing at first; its list has to be
-/// delivered within four seconds of the signal.
+/// The router is switched by SIGHUP to a discovery that accepts connections and sends nothing at first; its list has to
+/// be delivered within four seconds of the signal.
 #[test]
 fn list_of_a_new_discovery_that_is_silent_at_first_is_applied_in_time() {
     let fixture = Fixture::start(&[]);
@@ -160,8 +163,8 @@
     assert!(started.elapsed() > Duration::from_millis(300), "{:?}", started.elapsed());
 }
 
-/// Idle clients hold every connection that clients may hold, and the watch breaks. Guards against a router without a descriptor left
-/// to connect to discovery, or to an endpoint for a statement.
+/// Idle clients hold every connection that clients may hold, and the watch breaks. Guards against a router without a
+/// descriptor left to connect to discovery, or to an endpoint for a statement.
 #[test]
 fn idle_clients_do_not_block_discovery() {
     let discovery = ScriptedDiscovery::start().expect("discovery did not start");
@@ -191,8 +194,8 @@
     drop((idle_clients, silent));
 }
 
-/// A router that starts while discovery is down, and without an earlier list, is ready within ten seconds and rejects statements at
-/// once, as they were never sent.
+/// A router that starts while discovery is down, and without an earlier list, is ready within ten seconds and rejects
+/// statements at once, as they were never sent.
 #[test]
 fn router_without_a_list_is_ready_and_rejects_statements() {
     let discovery = ScriptedDiscovery::start().expect("discovery did not start");
--- a/crates/ottersill/tests/event_races.rs
+++ b/crates/ottersill/tests/event_races.rs
@@ -1,6 +1,6 @@
-//! Races between events: a client's disconnect, an endpoint list, a deduplication window or a close that comes at the instant
-//! at which it was once handled wrongly. Where the router has to find two events in one iteration of its event loop, it is
-//! suspended with SIGSTOP until both have arrived.
+//! Races between events: a client's disconnect, an endpoint list, a deduplication window or a close that comes at the
+//! instant at which it was once handled wrongly. Where the router has to find two events in one iteration of its event
+//! loop, it is suspended with SIGSTOP until both have arrived.
 
 mod support;
 
@@ -65,7 +65,8 @@
     drop(half_open);
 }
 
-/// The same between two attempts: the endpoint rejects or fails the first one, and the retry must not be sent to the next endpoint.
+/// The same between two attempts: the endpoint rejects or fails the first one, and the retry must not be sent to the
+/// next endpoint.
 #[rstest]
 #[case::rejected("53300")]
 #[case::failed("XX000")]
@@ -91,8 +92,8 @@
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none());
 }
 
-/// Guards against sending the statement of a disconnected client that has pipelined more than the router reads ahead: the end of
-/// the connection lies behind the unread data.
+/// Guards against sending the statement of a disconnected client that has pipelined more than the router reads ahead:
+/// the end of the connection lies behind the unread data.
 #[rstest]
 #[case::incomplete_message(400_000, 300_000)]
 #[case::many_statements(0, 600_000)]
@@ -127,8 +128,8 @@
     fixture.next_read_is_the_first_to_come();
 }
 
-/// Guards against closing a client for the amount that it pipelines: every pipelined statement is accepted and answered in order.
-/// More than four long statements were once treated as a flood, and the client was closed.
+/// Guards against closing a client for the amount that it pipelines: every pipelined statement is accepted and answered
+/// in order. More than four long statements were once treated as a flood, and the client was closed.
 #[rstest]
 #[case::some(3, 192)]
 #[case::some_with_little_memory(3, 2)]
@@ -173,8 +174,8 @@
     client
 }
 
-/// Guards against restarting the deadline of a pipelined statement: its time passes while the first one is in flight, so the
-/// endpoint must be sent the remaining time, not the full time.
+/// Guards against restarting the deadline of a pipelined statement: its time passes while the first one is in flight,
+/// so the endpoint must be sent the remaining time, not the full time.
 #[test]
 fn pipelined_statement_is_sent_with_its_remaining_time() {
     let fixture = Fixture::start(&[LONG, LATE]);
@@ -190,8 +191,8 @@
     assert_eq!(client.read_answer().expect("no answer from the router"), "row:second SELECT 1");
 }
 
-/// Guards against a late answer for a pipelined statement with a short deadline: answers keep their order, so a first statement
-/// with a deadline of 8 s has to end by the deadline of the second one, 1 s.
+/// Guards against a late answer for a pipelined statement with a short deadline: answers keep their order, so a first
+/// statement with a deadline of 8 s has to end by the deadline of the second one, 1 s.
 #[rstest]
 #[case::a_read(&read(7, 8000))]
 #[case::a_write(&write(7, 8000))]
@@ -209,7 +210,8 @@
     assert!(took < Duration::from_millis(1500), "{took:?}");
 }
 
-/// Guards against sending a statement to an endpoint that began to drain, or left, while the connection to it was coming up.
+/// Guards against sending a statement to an endpoint that began to drain, or left, while the connection to it was
+/// coming up.
 #[rstest]
 #[case::drains("leaving")]
 #[case::has_left("left")]
@@ -227,8 +229,8 @@
     drop(next_call);
 }
 
-/// The primary deduplicates retries for 300 ms. Guards against a retry that is chosen within that window and sent after it, once
-/// its connection has come up.
+/// The primary deduplicates retries for 300 ms. Guards against a retry that is chosen within that window and sent after
+/// it, once its connection has come up.
 #[test]
 fn write_is_not_retried_after_its_deduplication_window() {
     let deduplicated = (
@@ -254,8 +256,9 @@
     assert_eq!(client.read_answer().expect("no answer from the router"), "C40003");
 }
 
-/// The staleness bound is one second at the time of sending. Guards against a read that is sent to a replica which met the bound when
-/// it was chosen, but not when its connection came up; these endpoints answer reads without checking their own staleness.
+/// The staleness bound is one second at the time of sending. Guards against a read that is sent to a replica which met
+/// the bound when it was chosen, but not when its connection came up; these endpoints answer reads without checking
+/// their own staleness.
 #[test]
 fn read_is_not_sent_to_a_replica_that_became_stale() {
     let fixture = Fixture::start(&[
@@ -292,8 +295,9 @@
     client
 }
 
-/// The router ends an idle connection while a statement is on its way. Guards against closing the socket at once: the arriving
-/// statement would then reset the connection, and the part of the last answer that the client has not read would be lost.
+/// The router ends an idle connection while a statement is on its way. Guards against closing the socket at once: the
+/// arriving statement would then reset the connection, and the part of the last answer that the client has not read
+/// would be lost.
 #[rstest]
 #[case::idle(false, false, 0)]
 #[case::idle_with_slow_client(false, false, 1500)]
@@ -332,8 +336,8 @@
     );
 }
 
-/// Guards against a second SIGTERM or a SIGHUP that cuts a shutdown short: every accepted statement is answered, and the exit
-/// status stays 0.
+/// Guards against a second SIGTERM or a SIGHUP that cuts a shutdown short: every accepted statement is answered, and
+/// the exit status stays 0.
 #[test]
 fn further_signals_do_not_shorten_the_shutdown() {
     let mut fixture = Fixture::start(&[]);
@@ -354,8 +358,8 @@
     assert_eq!(fixture.router.process.wait().expect("waiting for the router failed").code(), Some(0));
 }
 
-/// The descriptor limit of the system is below that of the settings. Guards against a client that stays in the listen backlog after
-/// accepting has failed, since no further event announces it.
+/// The descriptor limit of the system is below that of the settings. Guards against a client that stays in the listen
+/// backlog after accepting has failed, since no further event announces it.
 #[test]
 fn waiting_client_is_accepted_once_a_descriptor_is_free() {
     let discovery = ScriptedDiscovery::start().expect("discovery did not start");
@@ -382,8 +386,8 @@
     waiting.read_answer().expect("no greeting from the router");
 }
 
-/// A connect timeout of 4 s. Guards against deriving the time allowed to a silent client from it, by which every client was closed
-/// as soon as it connected.
+/// A connect timeout of 4 s. Guards against deriving the time allowed to a silent client from it, by which every client
+/// was closed as soon as it connected.
 #[test]
 fn long_connect_timeout_closes_no_client() {
     let fixture = Fixture::start(&[("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 4000")]);
--- a/crates/ottersill/tests/failures_during_shutdown.rs
+++ b/crates/ottersill/tests/failures_during_shutdown.rs
@@ -1,4 +1,5 @@
-//! Failures of endpoints or floods of other clients, with a shutdown in the middle: every request gets exactly one final answer.
+//! Failures of endpoints or floods of other clients, with a shutdown in the middle: every request gets exactly one
+//! final answer.
 
 #[path = "service/fixture.rs"]
 #[allow(dead_code, reason = "the other users of the fixture need more of it")]
@@ -38,14 +39,19 @@
     FloodAndIdleConnections,
 }
 
-/// Each of these failures costs a request at most its row. Clients send one request after the other throughout: each gets one final
-/// answer, in time, also if the router receives SIGTERM meanwhile, and before it may be killed.
+/// Each of these failures costs a request at most its row. Clients send one request after the other throughout: each
+/// gets one final answer, in time, also if the router receives SIGTERM meanwhile, and before it may be killed.
 #[rstest]
 #[case::flood(1024, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], OtherClients::Flood)]
 #[case::corrupt_rows(1024, 6, [Behaviour::CorruptsRow; 3], OtherClients::Nothing)]
 #[case::invalid_messages(1024, 6, [Behaviour::SendsInvalidMessage; 3], OtherClients::Nothing)]
 #[case::resets(1024, 6, [Behaviour::ResetsConnection; 3], OtherClients::Nothing)]
-#[case::idle_connections(FEW_DESCRIPTORS, 6, [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica], OtherClients::IdleConnections)]
+#[case::idle_connections(
+    FEW_DESCRIPTORS,
+    6,
+    [Behaviour::Primary, Behaviour::Replica, Behaviour::Replica],
+    OtherClients::IdleConnections
+)]
 #[case::more_clients_than_descriptors(FEW_DESCRIPTORS, 40, [Behaviour::NeverAnswers; 3], OtherClients::Nothing)]
 #[case::all_at_once(
     FEW_DESCRIPTORS,
@@ -133,9 +139,9 @@
     })
 }
 
-/// Sends a request on the client's connection, or on a new one; returns when it was sent and how many final answers arrived. A request
-/// that crosses the end of its connection stays unread at the router and is sent again, as the protocol page allows. Returns None if
-/// no connection can be opened any more.
+/// Sends a request on the client's connection, or on a new one; returns when it was sent and how many final answers
+/// arrived. A request that crosses the end of its connection stays unread at the router and is sent again, as the
+/// protocol page allows. Returns None if no connection can be opened any more.
 fn send_until_read(kept: &mut Option<Client>, at: SocketAddr, text: &str) -> Option<(Instant, usize)> {
     loop {
         let mut client = match kept.take() {
@@ -174,7 +180,8 @@
     Ok(client)
 }
 
-/// Whether the router read a request before it ended the connection. Written data may take a while to arrive, so it checks repeatedly.
+/// Whether the router read a request before it ended the connection. Written data may take a while to arrive, so it
+/// checks repeatedly.
 fn was_read(router: SocketAddr, client: SocketAddr) -> bool {
     (0..20).all(|_| {
         thread::sleep(Duration::from_millis(5));
@@ -182,8 +189,8 @@
     })
 }
 
-/// Reads up to ReadyForQuery, or to the end of the connection after an answer; returns how many rows and errors arrived, and whether the
-/// connection stays open.
+/// Reads up to ReadyForQuery, or to the end of the connection after an answer; returns how many rows and errors
+/// arrived, and whether the connection stays open.
 fn final_answers(client: &mut Client) -> io::Result<(usize, bool)> {
     let mut answers = 0;
     let mut greeted = false;
--- a/crates/ottersill/tests/fleet.rs
+++ b/crates/ottersill/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of router processes with faults between them: the sum of the units that all of them hold, by their audit files and by
-//! what the endpoints saw, never exceeds the total of a budget, and the units that are available are used.
+//! Fleets of router processes with faults between them: the sum of the units that all of them hold, by their audit
+//! files and by what the endpoints saw, never exceeds the total of a budget, and the units that are available are used.
 
 use std::path::Path;
 use std::thread;
@@ -272,8 +272,8 @@
     assert_audit_is_clean(&cluster);
 }
 
-/// Runs the number of fault schedules given by `OTTERSILL_SCHEDULES`, 6 by default, in each of four rows, which may run in
-/// parallel.
+/// Runs the number of fault schedules given by `OTTERSILL_SCHEDULES`, 6 by default, in each of four rows, which may run
+/// in parallel.
 #[rstest]
 fn seeded_fault_schedules_violate_no_budget(#[values(0, 1, 2, 3)] row: u64) {
     let count = std::env::var("OTTERSILL_SCHEDULES").ok().and_then(|text| text.parse().ok()).unwrap_or(6);
@@ -417,8 +417,8 @@
     assert_audit_is_clean(&cluster);
 }
 
-/// Guards against an audit that finds nothing: it has to report the records of the routers once they are changed as if a lease had
-/// not been waited out, and once the totals are halved.
+/// Guards against an audit that finds nothing: it has to report the records of the routers once they are changed as if
+/// a lease had not been waited out, and once the totals are halved.
 #[test]
 fn audit_detects_a_lease_that_was_not_waited_out() {
     let mut cluster = start_cluster(ClusterPlan {
--- a/crates/ottersill/tests/fleet_faults.rs
+++ b/crates/ottersill/tests/fleet_faults.rs
@@ -1,5 +1,5 @@
-//! Members of a fleet whose files or datagrams fail. The audit file is the only file that a router writes besides its log: a full disk,
-//! or a kill in the middle of a line, loses lines, which are counted, and affects no decision.
+//! Members of a fleet whose files or datagrams fail. The audit file is the only file that a router writes besides its
+//! log: a full disk, or a kill in the middle of a line, loses lines, which are counted, and affects no decision.
 
 mod support;
 
@@ -43,7 +43,8 @@
     thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-/// Guards against an audit file that cannot be read after the disk was full: a line is cut, and the next one must not be appended to it.
+/// Guards against an audit file that cannot be read after the disk was full: a line is cut, and the next one must not
+/// be appended to it.
 #[test]
 fn full_disk_loses_audit_lines_only() {
     let faults = Faults::new("file:1:SHORT;file:2-20:ENOSPC;file:21-40:EIO".to_string());
@@ -92,8 +93,8 @@
     let _ = std::fs::remove_file(program);
 }
 
-/// Every other datagram fails at one of three members, in the ways that Linux documents: lost requests are repeated, and no more units
-/// are acquired than there are.
+/// Every other datagram fails at one of three members, in the ways that Linux documents: lost requests are repeated,
+/// and no more units are acquired than there are.
 #[test]
 fn member_recovers_from_failing_datagrams() {
     let reads = "recvdatagram:1-/5:ENOMEM;recvdatagram:2-/5:EHOSTUNREACH;recvdatagram:3-/5:EINTR";
--- a/crates/ottersill/tests/large_lists.rs
+++ b/crates/ottersill/tests/large_lists.rs
@@ -1,4 +1,5 @@
-//! Faulty endpoint lists with thousands of entries, read by the built program: none delays a statement, or fills the memory or the log.
+//! Faulty endpoint lists with thousands of entries, read by the built program: none delays a statement, or fills the
+//! memory or the log.
 
 mod support;
 
@@ -14,8 +15,8 @@
 const LIST_COUNT: usize = 40;
 /// Number of lists after which the baseline of the memory is taken.
 const BASELINE_LISTS: usize = 10;
-/// Limit of the memory growth over the remaining lists, in kB. Replica sets and a hash of each endpoint name are kept, which is
-/// 200 kB a list; keeping everything known of each endpoint took 2,300 kB a list.
+/// Limit of the memory growth over the remaining lists, in kB. Replica sets and a hash of each endpoint name are kept,
+/// which is 200 kB a list; keeping everything known of each endpoint took 2,300 kB a list.
 const MAX_GROWTH_KB: u64 = 12_000;
 /// Deadline of each statement, in milliseconds; processing a list must not take that long.
 const DEADLINE_MS: u32 = 1000;
@@ -69,8 +70,8 @@
     }
 }
 
-/// Waits for the next statement at either endpoint. The primary serves reads too where answers of the replica have been late, as on a
-/// busy machine.
+/// Waits for the next statement at either endpoint. The primary serves reads too where answers of the replica have been
+/// late, as on a busy machine.
 fn next_at_either(fixture: &Fixture) -> ReceivedStatement {
     let started = Instant::now();
     while started.elapsed() < PATIENCE {
@@ -101,8 +102,8 @@
         .expect("counter is not a number")
 }
 
-/// Guards against a log line for each entry of each list, by which most of these lines and other log lines were dropped, and against
-/// memory that grows with each endpoint name.
+/// Guards against a log line for each entry of each list, by which most of these lines and other log lines were
+/// dropped, and against memory that grows with each endpoint name.
 #[rstest]
 fn faulty_lists_delay_no_statement_and_fill_no_memory(
     #[values(Fault::DuplicateEndpoint, Fault::ReplacesAll, Fault::Flaps, Fault::Unchanged, Fault::Truncated)]
--- a/crates/ottersill/tests/mixed_workload.rs
+++ b/crates/ottersill/tests/mixed_workload.rs
@@ -1,5 +1,6 @@
-//! What estimates by statement fingerprint gain in routing decisions: one workload with cheap and heavy statements, the facade and the
-//! fingerprint cache over endpoints that queue, on a simulated clock. Each seed is run twice, with the estimates and without them.
+//! What estimates by statement fingerprint gain in routing decisions: one workload with cheap and heavy statements, the
+//! facade and the fingerprint cache over endpoints that queue, on a simulated clock. Each seed is run twice, with the
+//! estimates and without them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/ottersill/tests/scale.rs
+++ b/crates/ottersill/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Compares the resources that a router needs with 1,024 endpoints to those with 64 under the same traffic. Work is counted, as
-//! elapsed time on a shared machine is not meaningful. The bounds are those of large deployments
+//! Compares the resources that a router needs with 1,024 endpoints to those with 64 under the same traffic. Work is
+//! counted, as elapsed time on a shared machine is not meaningful. The bounds are those of large deployments
 //! (`ottersill_testkit::scale::Quantity::growth`); each has a test case of its own, and all use one pair of runs.
 
 use std::path::Path;
@@ -38,8 +38,8 @@
     assert!(row.is_within, "\n{row}");
 }
 
-/// Guards against runs that count nothing: the counters of the router and those of the endpoints have to agree, and the whole planned
-/// load has to have been sent.
+/// Guards against runs that count nothing: the counters of the router and those of the endpoints have to agree, and the
+/// whole planned load has to have been sent.
 #[test]
 fn both_runs_did_what_was_planned() {
     for (run, endpoints) in
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -16,8 +16,8 @@
 /// Requests that arrive later than this after SIGTERM may be left unanswered because of the SIGKILL.
 const ANSWERS_REQUIRED_UNTIL: Duration = Duration::from_millis(700);
 
-/// Endpoints hang during the whole shutdown, and clients keep sending on their connections until these are closed: each query that
-/// arrived in time is answered before the router may be killed.
+/// Endpoints hang during the whole shutdown, and clients keep sending on their connections until these are closed: each
+/// query that arrived in time is answered before the router may be killed.
 #[test]
 fn queries_are_answered_when_endpoints_hang_during_shutdown() {
     // If the machine stalls, too few clients may send in time, and the test is repeated; the checks apply to every run.
@@ -63,7 +63,8 @@
     has_enough_requests
 }
 
-/// A query has a deadline of a few milliseconds, and the endpoint drops it without an answer: its client gets an answer all the same.
+/// A query has a deadline of a few milliseconds, and the endpoint drops it without an answer: its client gets an answer
+/// all the same.
 #[rstest]
 #[case::one(1)]
 #[case::five(5)]
@@ -88,8 +89,8 @@
     assert_eq!(end.kind(), ErrorKind::UnexpectedEof);
 }
 
-/// Signals that arrive while the program exits, up to its last instruction, do not change its exit status. Guards against unblocking
-/// them after the event loop has ended, when a SIGTERM would kill the process.
+/// Signals that arrive while the program exits, up to its last instruction, do not change its exit status. Guards
+/// against unblocking them after the event loop has ended, when a SIGTERM would kill the process.
 #[test]
 fn signals_during_exit_do_not_change_the_exit_status() {
     let mut fixture = Fixture::start(&[]);
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -1,5 +1,6 @@
-//! System calls that fail in the ways that Linux documents: what clients see of it, and that no endpoint is held responsible for
-//! a shortage on the router's machine. The faults come from the library in `crates/syscall-faults`, which is loaded into the program.
+//! System calls that fail in the ways that Linux documents: what clients see of it, and that no endpoint is held
+//! responsible for a shortage on the router's machine. The faults come from the library in `crates/syscall-faults`,
+//! which is loaded into the program.
 
 mod support;
 
@@ -13,7 +14,8 @@
 use support::machine::own_time_since;
 use support::*;
 
-/// Starts the usual fixture with faults that are not armed yet; `PRIMARY` and `REPLICA` in the schedule represent the endpoints' ports.
+/// Starts the usual fixture with faults that are not armed yet; `PRIMARY` and `REPLICA` in the schedule represent the
+/// endpoints' ports.
 fn faulty_fixture(schedule: &str) -> (Fixture, Faults) {
     let mut faults = Faults::new(schedule.to_string());
     let spawn = |text: &str, primary: &ScriptedEndpoint, replica: &ScriptedEndpoint| {
@@ -83,8 +85,8 @@
     }
 }
 
-/// `accept` returns network errors that were pending on a connection; they concern that connection alone. Guards against a pause
-/// of 0.25 s for the connections behind it.
+/// `accept` returns network errors that were pending on a connection; they concern that connection alone. Guards
+/// against a pause of 0.25 s for the connections behind it.
 #[test]
 fn accept_continues_with_the_next_connection() {
     let errors = [
@@ -113,8 +115,9 @@
     assert_eq!(counter(&log, "accepts_failed"), 2 * errors.len() as u64);
 }
 
-/// Where the machine lacks the resources for another connection, clients wait in the listen backlog, the event loop does not spin,
-/// and the failures are counted. An error of single connections that never ends must not make it spin either.
+/// Where the machine lacks the resources for another connection, clients wait in the listen backlog, the event loop
+/// does not spin, and the failures are counted. An error of single connections that never ends must not make it spin
+/// either.
 #[rstest]
 #[case::resource_shortage("accept4:1:EMFILE;accept4:2:ENFILE;accept4:3:ENOBUFS;accept4:4:ENOMEM", 4, 4)]
 #[case::endless_connection_error("accept4:1-99:EOPNOTSUPP", 99, 3)]
@@ -127,8 +130,8 @@
     assert_eq!(counter(&shut_down(fixture), "accepts_failed"), fault_count as u64);
 }
 
-/// Options that are set on an accepted connection are useful, but not required. Guards against closing the connection when setting one
-/// fails. `fcntl` is no longer called here, as `accept4` sets the same flag.
+/// Options that are set on an accepted connection are useful, but not required. Guards against closing the connection
+/// when setting one fails. `fcntl` is no longer called here, as `accept4` sets the same flag.
 #[rstest]
 #[case::no_delay("setsockopt@client:1-:ENOPROTOOPT", true)]
 #[case::not_blocking("fcntl@client:1-:EPERM", false)]
@@ -139,8 +142,8 @@
     assert_eq!(!faults.disarm().is_empty(), occurs);
 }
 
-/// A client whose socket cannot be registered with epoll at all is closed within the time allowed to misbehaving clients, and
-/// delays nobody after that.
+/// A client whose socket cannot be registered with epoll at all is closed within the time allowed to misbehaving
+/// clients, and delays nobody after that.
 #[test]
 fn client_that_cannot_be_registered_with_epoll_is_closed_in_time() {
     let (fixture, faults) = armed_fixture("epoll_ctl@client:1-:ENOSPC");
@@ -158,9 +161,10 @@
     assert_eq!(counter(&shut_down(fixture), "client_connections_unwatched"), 1);
 }
 
-/// Whatever resource the machine lacks for a connection, the statement is rejected, as it had no effect, and no endpoint is ejected.
-/// Once the shortage is over, the same endpoint serves at once. Guards against errors other than `EADDRNOTAVAIL`, `ENOBUFS`,
-/// `EMFILE` and the like, such as those of registering with epoll, that eject the endpoints.
+/// Whatever resource the machine lacks for a connection, the statement is rejected, as it had no effect, and no
+/// endpoint is ejected. Once the shortage is over, the same endpoint serves at once. Guards against errors other than
+/// `EADDRNOTAVAIL`, `ENOBUFS`, `EMFILE` and the like, such as those of registering with epoll, that eject the
+/// endpoints.
 #[rstest]
 #[case::no_port("connect:1-:EADDRNOTAVAIL")]
 #[case::no_route("connect:1-:ENETUNREACH")]
@@ -182,8 +186,9 @@
     assert_eq!(counter(&shut_down(fixture), "attempts_connect_failed"), 0);
 }
 
-/// An error that persists for one endpoint while others can be reached makes that endpoint unreachable, and reads go elsewhere. Guards
-/// against `EADDRNOTAVAIL` and similar errors that never count. A refusal by the endpoint itself counts at once.
+/// An error that persists for one endpoint while others can be reached makes that endpoint unreachable, and reads go
+/// elsewhere. Guards against `EADDRNOTAVAIL` and similar errors that never count. A refusal by the endpoint itself
+/// counts at once.
 #[rstest]
 #[case::no_route("connect@REPLICA:1-:ENETUNREACH")]
 #[case::no_port("connect@REPLICA:1-:EADDRNOTAVAIL")]
@@ -208,8 +213,8 @@
     assert!(counter(&shut_down(fixture), "attempts_connect_failed") > 0);
 }
 
-/// Every attempt fails at once, at every endpoint: the statement is rejected in time, after as many attempts as the settings allow
-/// (8), and between statements connections are opened for health checks only.
+/// Every attempt fails at once, at every endpoint: the statement is rejected in time, after as many attempts as the
+/// settings allow (8), and between statements connections are opened for health checks only.
 #[rstest]
 #[case::refused("connect:1-:ECONNREFUSED")]
 #[case::broken("sendmsg@backend:1-:EPIPE")]
@@ -224,8 +229,8 @@
     assert!(occurred <= 2 * 8 + 30, "{occurred}");
 }
 
-/// An idle connection that was reset or timed out is detected by the last check before its use: another one is opened, and no
-/// statement is lost.
+/// An idle connection that was reset or timed out is detected by the last check before its use: another one is opened,
+/// and no statement is lost.
 #[rstest]
 #[case::reset("recv@REPLICA:1:ECONNRESET")]
 #[case::timed_out("recv@REPLICA:1:ETIMEDOUT")]
@@ -253,8 +258,8 @@
     assert_eq!(counter(&shut_down(fixture), "attempts_connect_failed"), 0);
 }
 
-/// Interrupted calls are repeated, and data transferred byte by byte arrives complete. Guards against counting an interrupted `connect`
-/// as a failure of the endpoint.
+/// Interrupted calls are repeated, and data transferred byte by byte arrives complete. Guards against counting an
+/// interrupted `connect` as a failure of the endpoint.
 #[rstest]
 #[case::interrupted(
     "accept4:1-/2:EINTR;connect:1-/2:EINTR;recv:1-/2:EINTR;sendmsg:1-/2:EINTR;epoll_wait:1-/2:EINTR;poll:1-/2:EINTR;\
@@ -277,8 +282,8 @@
     assert_eq!((counter(&log, "attempts"), counter(&log, "attempts_completed")), (12, 12));
 }
 
-/// A broken connection is reported by one of several errors. A read is retried and gets one answer; a write whose connection broke
-/// after it was sent may have run, and is aborted.
+/// A broken connection is reported by one of several errors. A read is retried and gets one answer; a write whose
+/// connection broke after it was sent may have run, and is aborted.
 #[rstest]
 #[case::timed_out("recv@REPLICA:1:ETIMEDOUT")]
 #[case::unreachable("recv@REPLICA:1:EHOSTUNREACH")]
@@ -337,8 +342,9 @@
     shut_down(fixture);
 }
 
-/// A log that cannot be written delays nothing. Guards against lines that are lost without being counted: they wait until they can be
-/// written and continue where they were cut. Where nobody reads any more, they are dropped and counted.
+/// A log that cannot be written delays nothing. Guards against lines that are lost without being counted: they wait
+/// until they can be written and continue where they were cut. Where nobody reads any more, they are dropped and
+/// counted.
 #[rstest]
 #[case::disk_full("stdout:1:SHORT;stdout:2-:ENOSPC", 2)]
 #[case::disk_fails("stdout:1:SHORT;stdout:2-:EIO", 2)]
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -1,5 +1,6 @@
-//! System calls that fail at random from a seed, under load: every request gets exactly one answer in time, no write takes effect
-//! twice, and the router serves again once the faults end. Runs a dozen seeds; `SYSCALL_FAULT_SEEDS` sets another number.
+//! System calls that fail at random from a seed, under load: every request gets exactly one answer in time, no write
+//! takes effect twice, and the router serves again once the faults end. Runs a dozen seeds; `SYSCALL_FAULT_SEEDS` sets
+//! another number.
 
 mod support;
 
--- a/crates/ottersill/tests/timers.rs
+++ b/crates/ottersill/tests/timers.rs
@@ -1,5 +1,5 @@
-//! A timer expires at its time and never a moment earlier. Guards against an iteration of the event loop that never ends: the owner of a
-//! timer that expires early sets it again for the same time.
+//! A timer expires at its time and never a moment earlier. Guards against an iteration of the event loop that never
+//! ends: the owner of a timer that expires early sets it again for the same time.
 
 use ottersill::timers::{Timer, Timers};
 use rstest::rstest;
@@ -21,7 +21,8 @@
     assert_eq!(timers.expired(now), due.then_some(Timer::Client(3)));
 }
 
-/// The timer of an idle client connection is set to the end of its idle time, and the client is checked when the timer expires.
+/// The timer of an idle client connection is set to the end of its idle time, and the client is checked when the timer
+/// expires.
 #[rstest]
 fn iteration_ends_when_the_loop_wakes_early(#[values(0, 1, 2, 3, 4, 5, 6, 7)] floats_early: u32) {
     let mut now = AT_UNIX_SECONDS;
--- a/crates/ottersill/tests/wrong_clock.rs
+++ b/crates/ottersill/tests/wrong_clock.rs
@@ -1,5 +1,5 @@
-//! A router on a machine whose clock is wrong. The tests shift the clocks of the store, of discovery and of the clients instead of
-//! the machine's clock.
+//! A router on a machine whose clock is wrong. The tests shift the clocks of the store, of discovery and of the clients
+//! instead of the machine's clock.
 
 mod support;
 
@@ -40,8 +40,8 @@
     store
 }
 
-/// Starts a router, writes, reads 60 times in 3 s, and writes again. A session read requires a commit of one second ago by the
-/// store's clock.
+/// Starts a router, writes, reads 60 times in 3 s, and writes again. A session read requires a commit of one second ago
+/// by the store's clock.
 fn send_requests(store: &StandInStore, reads: &str, shift_ms: i64) -> Outcome {
     let discovery = store.add_discovery("127.0.0.1:0").expect("discovery did not start");
     let class_read = format!("\"class_read\": [\"{reads}\", \"write\"]");
@@ -92,8 +92,8 @@
         .expect("counter is not a number")
 }
 
-/// Guards against treating all replication positions as implausible where the router's clock is behind, and all data as stale where
-/// it is ahead.
+/// Guards against treating all replication positions as implausible where the router's clock is behind, and all data as
+/// stale where it is ahead.
 #[rstest]
 #[case::clocks_agree(0, 40)]
 #[case::the_router_is_an_hour_behind(HOUR_MS, 25)]
@@ -108,8 +108,8 @@
     assert!(outcome.at_replicas >= at_replicas && outcome.health_checks <= 30, "{outcome:?}");
 }
 
-/// Guards against sending the full load to a replica that has just started: it warms up for 10 s, and by its size it would get a
-/// quarter of the reads.
+/// Guards against sending the full load to a replica that has just started: it warms up for 10 s, and by its size it
+/// would get a quarter of the reads.
 #[rstest]
 #[case::clocks_agree(0)]
 #[case::the_router_is_an_hour_behind(HOUR_MS)]
@@ -122,8 +122,8 @@
     assert!(outcome.at_first_replica <= 9 && outcome.health_checks <= 30, "{outcome:?}");
 }
 
-/// The clock of one endpoint is wrong, and the router's is not: the other endpoints serve the reads, and the lagging replica serves no
-/// read of data that may be too old.
+/// The clock of one endpoint is wrong, and the router's is not: the other endpoints serve the reads, and the lagging
+/// replica serves no read of data that may be too old.
 #[rstest]
 #[case::a_replica_ahead(LAGGING, HOUR_MS, 40)]
 #[case::a_replica_behind(LAGGING, -HOUR_MS, 40)]
