--- a/crates/ottersill/tests/connection_close.rs
+++ b/crates/ottersill/tests/connection_close.rs
@@ -10,7 +10,7 @@
 
 use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
-use support::machine::own_time_since;
+use support::machine::time_without_stalls_since;
 use support::*;
 
 /// Why the router closes a connection.
@@ -64,15 +64,15 @@
     wait_until_shut(&client);
     client.send(&read(8, 2000)).expect("query could not be sent");
     thread::sleep(Duration::from_millis(200));
-    let at = client.socket.local_addr().expect("no address");
-    until_unread_at_router(fixture.router.at, at);
+    let client_address = client.socket.local_addr().expect("no address");
+    wait_until_unread_at_router(fixture.router.address, client_address);
     // Once the client closes as well, the connection ends without a reset.
     client.socket.shutdown(Shutdown::Write).expect("shutdown failed");
     assert_eq!(
         client.receive_message().expect_err("connection is still open").kind(),
         ErrorKind::UnexpectedEof
     );
-    until_closed(fixture.router.at, at);
+    wait_until_closed(fixture.router.address, client_address);
     assert!(fixture.replica.next_within(Duration::from_millis(50)).is_none(), "the query was sent on");
 }
 
@@ -86,9 +86,9 @@
     wait_until_shut(&client);
     client.send(&read(8, 2000)).expect("query could not be sent");
     let began = Instant::now();
-    let at = client.socket.local_addr().expect("no address");
-    until_closed(fixture.router.at, at);
-    let took = own_time_since(began);
+    let client_address = client.socket.local_addr().expect("no address");
+    wait_until_closed(fixture.router.address, client_address);
+    let took = time_without_stalls_since(began);
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
 
@@ -98,7 +98,7 @@
 #[case::soon(250)]
 #[case::late(1500)]
 fn half_a_query_behind_a_slow_answer_times_out_on_time(#[case] answered_after_ms: u64) {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let mut client = fixture.router.client();
     let half = &query(&read(8, 8000))[..30];
     let began = Instant::now();
@@ -109,7 +109,7 @@
     assert_eq!(client.read_answer().expect("no answer"), "row:first SELECT 1");
     assert_eq!(client.next_row_or_error(), "C08P01");
     // Three seconds, minus the time for which a router may be stalled.
-    let took = own_time_since(began);
+    let took = time_without_stalls_since(began);
     assert!(took < Duration::from_millis(2850), "{took:?}");
 }
 
@@ -133,7 +133,8 @@
 /// rejected and ended the connection, and the second, which was read with it, was dropped.
 #[test]
 fn each_pipelined_query_of_a_rejected_client_is_answered() {
-    let fixture = Fixture::start(&[LONG, LATE, ("\"sockets\": 1024", "\"sockets\": 26")]);
+    let fixture =
+        Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME, ("\"sockets\": 1024", "\"sockets\": 26")]);
     let send_read = |number| {
         let mut client = fixture.router.client();
         client.send(&read(number, 8000)).expect("query could not be sent");
@@ -141,8 +142,8 @@
     };
     let busy: Vec<Client> = (0x10..0x13).map(send_read).collect();
     thread::sleep(Duration::from_millis(200));
-    let mut client = Client::connect(fixture.router.at).expect("connection failed");
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+    let mut client = Client::connect(fixture.router.address).expect("connection failed");
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
     client
         .socket
         .write_all(&[query(&read(7, 2000)), query(&read(8, 2000))].concat())
--- a/crates/ottersill/tests/deadlines.rs
+++ b/crates/ottersill/tests/deadlines.rs
@@ -91,10 +91,11 @@
         ScriptedEndpoint::start(false).expect("endpoint did not start"),
     );
     let proxy = NarrowProxy::start(primary.address);
-    let router = Router::spawn(&config_text(discovery.address, &[LONG, LATE]), None);
+    let router =
+        Router::spawn(&config_text(discovery.address, &[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]), None);
     let endpoints = [("one", proxy.at, "active"), ("two", replica.address, "active")];
     discovery.serve_list(1, &endpoint_list(1, &endpoints));
-    let fixture = Fixture { primary, replica, discovery, router: router.until_ready() };
+    let fixture = Fixture { primary, replica, discovery, router: router.wait_until_ready() };
     let mut client = fixture.router.client();
     client.send(&write(1, 9000)).expect("query could not be sent");
     fixture.primary.next_statement().answer("first");
@@ -127,7 +128,9 @@
     thread::sleep(Duration::from_millis(100));
     let client_address = client.socket.local_addr().expect("no address");
     drop(client);
-    until("the router closes the connection", || router_side(fixture.router.at, client_address).is_none());
+    wait_until("the router closes the connection", || {
+        router_socket_state(fixture.router.address, client_address).is_none()
+    });
     proxy.blocked.store(false, Ordering::Relaxed);
     assert!(fixture.primary.next_within(Duration::from_millis(500)).is_none());
 }
@@ -152,9 +155,9 @@
 /// The time that a slow connection takes to be established is subtracted.
 #[test]
 fn a_statement_on_a_slow_connection_carries_the_current_time_left() {
-    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT, LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let sent = Instant::now();
-    let client = fixture.read_on_its_way(7, 8000);
+    let client = fixture.read_waiting_for_connection(7, 8000);
     thread::sleep(Duration::from_millis(500));
     fixture.replica.resume_greeting();
     let arrival = fixture.replica.next_statement();
@@ -166,7 +169,7 @@
 /// The first endpoint fails after a while, and the next one receives the time that is left by then.
 #[test]
 fn a_retry_carries_the_current_time_left() {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let mut client = fixture.router.client();
     let sent = Instant::now();
     client.send(&read(7, 8000)).expect("query could not be sent");
--- a/crates/ottersill/tests/discovery_watch.rs
+++ b/crates/ottersill/tests/discovery_watch.rs
@@ -10,7 +10,7 @@
 use ottersill_testkit::scripted_peer::{ScriptedDiscovery, ScriptedEndpoint, endpoint_list};
 use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
-use support::machine::{own_time, own_time_since};
+use support::machine::{time_without_stalls, time_without_stalls_since};
 use support::*;
 
 /// The time that the service page allows from when discovery has an update to when the update counts as delivered.
@@ -88,9 +88,9 @@
         });
         call = fixture.discovery.next_within(MAX_UPDATE_DELAY).expect("no further call to discovery");
     }
-    let update_delay = own_time(started, call.received_at);
+    let update_delay = time_without_stalls(started, call.received_at);
     assert!(update_delay < MAX_UPDATE_DELAY, "{update_delay:?}");
-    fixture.read_avoids_the_draining_replica();
+    fixture.assert_read_avoids_draining_replica();
 }
 
 /// A complete list without a length is applied as soon as discovery ends the connection.
@@ -113,7 +113,7 @@
     let mut silent = vec![fixture.discovery.next_call(), fixture.discovery.next_call()];
     for _ in 0..10 {
         let next = fixture.discovery.next_call();
-        let gap = own_time(silent.last().expect("no earlier call").received_at, next.received_at);
+        let gap = time_without_stalls(silent.last().expect("no earlier call").received_at, next.received_at);
         // Half of the grace, as the machine may be busy.
         assert!(gap < Duration::from_millis(250), "{gap:?}");
         silent.push(next);
@@ -147,7 +147,7 @@
     fixture.router.signal("-HUP");
     let silent = [other.next_call(), other.next_call()];
     other.serve_list(1, &fixture.endpoint_list(1, "active", "leaving"));
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_secs(4), "{took:?}");
     assert!(other.next_call().request_line.contains("since=1"));
     drop(silent);
@@ -173,9 +173,9 @@
     let router = Router::spawn(&text, Some(40));
     let endpoints = [("one", endpoint.address, "active")];
     discovery.serve_list(1, &endpoint_list(1, &endpoints));
-    let router = router.until_ready();
+    let router = router.wait_until_ready();
     let idle_clients: Vec<TcpStream> =
-        (0..60).map(|_| TcpStream::connect(router.at).expect("connecting failed")).collect();
+        (0..60).map(|_| TcpStream::connect(router.address).expect("connecting failed")).collect();
     for _ in 0..3 {
         discovery.next_call().reset();
     }
@@ -186,8 +186,8 @@
     assert!(descriptors <= 40, "{descriptors}");
     discovery.serve_list(2, &endpoint_list(2, &endpoints));
     assert!(discovery.next_call().request_line.contains("since=2"));
-    let mut client = Client::connect(router.at).expect("connecting failed");
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    let mut client = Client::connect(router.address).expect("connecting failed");
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
     client.send(&write(7, 2000)).expect("sending the query failed");
     endpoint.next_statement().answer("served");
     assert_eq!(client.next_row_or_error(), "row:served");
@@ -200,8 +200,8 @@
 fn router_without_a_list_is_ready_and_rejects_statements() {
     let discovery = ScriptedDiscovery::start().expect("discovery did not start");
     let started = Instant::now();
-    let router = Router::spawn(&config_text(discovery.address, &[]), None).until_ready();
-    let took = own_time_since(started);
+    let router = Router::spawn(&config_text(discovery.address, &[]), None).wait_until_ready();
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_secs(10), "{took:?}");
     let mut client = router.client();
     assert_eq!(client.query(&read(7, 2000)).expect("no answer from the router"), "C53300 D500");
--- a/crates/ottersill/tests/event_races.rs
+++ b/crates/ottersill/tests/event_races.rs
@@ -13,7 +13,7 @@
 use ottersill_testkit::stand_in::{Client, message};
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
-use support::machine::own_time_since;
+use support::machine::time_without_stalls_since;
 use support::*;
 
 /// How a client disconnects.
@@ -52,16 +52,16 @@
 #[case::resets(Disconnect::Resets)]
 #[case::half_closes(Disconnect::HalfCloses)]
 fn no_first_attempt_is_sent_for_a_disconnected_client(#[case] how: Disconnect) {
-    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
-    let client = fixture.read_on_its_way(7, 8000);
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT, LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
+    let client = fixture.read_waiting_for_connection(7, 8000);
     fixture.router.signal("-STOP");
     let client_address = client.socket.local_addr().expect("socket has no local address");
     let half_open = disconnect(client, how);
-    until_the_end_is_there(fixture.router.at, client_address);
+    wait_until_end_received(fixture.router.address, client_address);
     fixture.replica.resume_greeting();
-    until_unread_from(fixture.replica.address);
+    wait_until_unread_from(fixture.replica.address);
     fixture.router.signal("-CONT");
-    fixture.next_read_is_the_first_to_come();
+    fixture.assert_next_statement_is_a_new_read();
     drop(half_open);
 }
 
@@ -72,16 +72,16 @@
 #[case::failed("XX000")]
 #[case::too_stale("72000")]
 fn no_retry_is_sent_for_a_disconnected_client(#[case] code: &str) {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("sending the query failed");
     let first = fixture.replica.next_statement();
     fixture.router.signal("-STOP");
     first.fail(code);
-    until_unread_from(fixture.replica.address);
+    wait_until_unread_from(fixture.replica.address);
     let client_address = client.socket.local_addr().expect("socket has no local address");
     drop(client);
-    until_the_end_is_there(fixture.router.at, client_address);
+    wait_until_end_received(fixture.router.address, client_address);
     fixture.router.signal("-CONT");
     let mut next = fixture.router.client();
     next.send(&write(8, 8000)).expect("sending the query failed");
@@ -98,8 +98,8 @@
 #[case::incomplete_message(400_000, 300_000)]
 #[case::many_statements(0, 600_000)]
 fn disconnect_behind_pipelined_data_is_detected(#[case] declared: usize, #[case] sent: usize) {
-    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
-    let mut client = fixture.read_on_its_way(7, 8000);
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT, LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
+    let mut client = fixture.read_waiting_for_connection(7, 8000);
     let ahead = if declared > 0 {
         let mut part = vec![b'Q'];
         part.extend((declared as u32).to_be_bytes());
@@ -121,11 +121,11 @@
     assert!(at > 200_000, "{at}");
     let client_address = client.socket.local_addr().expect("socket has no local address");
     drop(client);
-    until("the router closes the disconnected client", || {
-        router_side(fixture.router.at, client_address).is_none()
+    wait_until("the router closes the disconnected client", || {
+        router_socket_state(fixture.router.address, client_address).is_none()
     });
     fixture.replica.resume_greeting();
-    fixture.next_read_is_the_first_to_come();
+    fixture.assert_next_statement_is_a_new_read();
 }
 
 /// Guards against closing a client for the amount that it pipelines: every pipelined statement is accepted and answered
@@ -136,7 +136,7 @@
 #[case::more_than_is_read_ahead(40, 192)]
 fn all_pipelined_statements_are_answered(#[case] long_statements: usize, #[case] memory_mb: usize) {
     let memory = format!("\"memory_mb\": {memory_mb}");
-    let fixture = Fixture::start(&[LONG, LATE, ("\"memory_mb\": 192", &memory)]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME, ("\"memory_mb\": 192", &memory)]);
     let mut client = fixture.router.client();
     client.send(&read(7, 8000)).expect("sending the query failed");
     let first = fixture.replica.next_statement();
@@ -178,7 +178,7 @@
 /// so the endpoint must be sent the remaining time, not the full time.
 #[test]
 fn pipelined_statement_is_sent_with_its_remaining_time() {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let mut client = client_with_two_statements(&fixture, &read(7, 3000), &read(8, 3000));
     let first = fixture.replica.next_statement();
     thread::sleep(Duration::from_millis(800));
@@ -197,14 +197,14 @@
 #[case::a_read(&read(7, 8000))]
 #[case::a_write(&write(7, 8000))]
 fn pipelined_statements_end_by_the_earliest_deadline(#[case] first: &str) {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let started = Instant::now();
     let mut client = client_with_two_statements(&fixture, first, &read(8, 1000));
     let answers = [
         client.read_answer().expect("no answer from the router"),
         client.read_answer().expect("no answer from the router"),
     ];
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(answers.iter().all(|answer| answer.starts_with('C')), "{answers:?}");
     // An answer that is half a second late is worth nothing; a later one counts as missing.
     assert!(took < Duration::from_millis(1500), "{took:?}");
@@ -216,8 +216,8 @@
 #[case::drains("leaving")]
 #[case::has_left("left")]
 fn no_statement_is_sent_to_an_endpoint_that_began_to_drain(#[case] health: &str) {
-    let fixture = Fixture::start(&[PATIENT, LONG, LATE]);
-    let mut client = fixture.read_on_its_way(7, 8000);
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT, LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
+    let mut client = fixture.read_waiting_for_connection(7, 8000);
     fixture.discovery.serve_list(2, &fixture.endpoint_list(2, "active", health));
     // The router has applied the list when it calls discovery again; without a replica the primary serves reads.
     let next_call = fixture.discovery.next_call();
@@ -238,7 +238,7 @@
         "\"effect\": \"token\", \
                    \"group\": \"cell\", \"window_ms\": 300",
     );
-    let fixture = Fixture::start(&[PATIENT, LONG, deduplicated]);
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT, LONG_STATEMENT_TIMEOUT, deduplicated]);
     let mut client = fixture.router.client();
     client.send(&write(7, 8000)).expect("sending the query failed");
     let first = fixture.primary.next_statement();
@@ -262,15 +262,15 @@
 #[test]
 fn read_is_not_sent_to_a_replica_that_became_stale() {
     let fixture = Fixture::start(&[
-        PATIENT,
-        LONG,
-        LATE,
+        LONG_CONNECT_TIMEOUT,
+        LONG_STATEMENT_TIMEOUT,
+        LONG_SLO_TIME,
         ("\"oldest_data_ms\": [3000, 0]", "\"oldest_data_ms\": [1000, 0]"),
         ("\"when_behind\": \"wait\"", "\"when_behind\": \"none\""),
     ]);
     fixture.replica.freeze_position();
     let frozen_at = Instant::now();
-    let mut client = fixture.read_on_its_way(7, 8000);
+    let mut client = fixture.read_waiting_for_connection(7, 8000);
     thread::sleep(Duration::from_millis(1300).saturating_sub(frozen_at.elapsed()));
     fixture.replica.resume_greeting();
     // The primary is always current.
@@ -286,7 +286,7 @@
     socket.set_recv_buffer_size(2048).expect("setting the receive buffer size failed");
     socket.connect(&at.into()).expect("connecting failed");
     let mut client = Client { socket: socket.into() };
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
     client
         .socket
         .write_all(b"\0\0\0\x25\0\x03\0\0user\0backend\0database\0store\0\0")
@@ -309,7 +309,7 @@
     #[case] reads_after_ms: u64,
 ) {
     let fixture = Fixture::start(&[]);
-    let mut client = client_with_small_receive_buffer(fixture.router.at);
+    let mut client = client_with_small_receive_buffer(fixture.router.address);
     client.send(&read(7, 2000)).expect("sending the query failed");
     let value = "kept".repeat(16_000);
     fixture.replica.next_statement().answer(&value);
@@ -318,7 +318,9 @@
     }
     // "04" is FIN_WAIT1: the FIN is queued behind the data that the client has not read.
     let at = client.socket.local_addr().expect("socket has no local address");
-    until("the router ends the connection", || router_side(fixture.router.at, at).as_deref() == Some("04"));
+    wait_until("the router ends the connection", || {
+        router_socket_state(fixture.router.address, at).as_deref() == Some("04")
+    });
     client.send(&read(8, 2000)).expect("sending the second query failed");
     if client_ends {
         client.socket.shutdown(std::net::Shutdown::Write).expect("closing the sending side failed");
@@ -352,7 +354,7 @@
     assert_eq!(client.read_answer().expect("no answer from the router"), "row:taken SELECT 1");
     let started = Instant::now();
     while fixture.router.process.try_wait().expect("waiting for the router failed").is_none() {
-        assert!(started.elapsed() < PATIENCE, "the router does not exit");
+        assert!(started.elapsed() < TIMEOUT, "the router does not exit");
         thread::sleep(Duration::from_millis(10));
     }
     assert_eq!(fixture.router.process.wait().expect("waiting for the router failed").code(), Some(0));
@@ -366,10 +368,10 @@
     let host = ScriptedEndpoint::start(true).expect("endpoint did not start");
     let router = Router::spawn(&config_text(discovery.address, &[]), Some(24));
     discovery.serve_list(1, &endpoint_list(1, &[("one", host.address, "active")]));
-    let router = router.until_ready();
+    let router = router.wait_until_ready();
     let mut connected: Vec<Client> = Vec::new();
     let full = loop {
-        let mut client = Client::connect(router.at).expect("connecting failed");
+        let mut client = Client::connect(router.address).expect("connecting failed");
         client
             .socket
             .set_read_timeout(Some(Duration::from_millis(500)))
@@ -381,7 +383,7 @@
         assert!(connected.len() < 24, "the limit is not in force");
     };
     let mut waiting = full;
-    waiting.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    waiting.socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
     connected.clear();
     waiting.read_answer().expect("no greeting from the router");
 }
@@ -396,11 +398,11 @@
     client.send(&read(7, 2000)).expect("sending the query failed");
     fixture.replica.next_statement().answer("served");
     assert_eq!(client.read_answer().expect("no answer from the router"), "row:served SELECT 1");
-    let mut silent = TcpStream::connect(fixture.router.at).expect("connecting failed");
-    silent.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    let mut silent = TcpStream::connect(fixture.router.address).expect("connecting failed");
+    silent.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
     let started = Instant::now();
     let _ = silent.read(&mut [0; 1]);
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_secs(3), "{took:?}");
     // The time of a shutdown is derived from the same settings.
     fixture.router.signal("-TERM");
--- a/crates/ottersill/tests/failures_during_shutdown.rs
+++ b/crates/ottersill/tests/failures_during_shutdown.rs
@@ -13,10 +13,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use fixture::{PATIENCE, Service, read_as, service, write};
+use fixture::{Service, TIMEOUT, read_with_id, start_service, write};
 use ottersill_testkit::stand_in::{Behaviour, Client};
 use rstest::rstest;
-use support::machine::own_time;
+use support::machine::time_without_stalls;
 use support::may_have_read_all;
 
 /// Deadline of each request.
@@ -65,15 +65,15 @@
     #[case] endpoints: [Behaviour; 3],
     #[case] others: OtherClients,
 ) {
-    let mut service = service(descriptors);
-    let at = service.router.at;
+    let mut service = start_service(descriptors);
+    let address = service.router.address;
     let is_over = Arc::new(AtomicBool::new(false));
     let senders: Vec<JoinHandle<Vec<RequestOutcome>>> =
-        (0..clients).map(|number| send_requests_until(number, at, &is_over)).collect();
+        (0..clients).map(|number| send_requests_until(number, address, &is_over)).collect();
     for (endpoint, behaviour) in endpoints.into_iter().enumerate() {
         service.store.set_behaviour(endpoint, behaviour);
     }
-    let others = start_other_clients(others, at, &is_over);
+    let others = start_other_clients(others, address, &is_over);
     thread::sleep(Duration::from_millis(500));
     let signalled_at = Instant::now();
     service.signal("-TERM");
@@ -90,8 +90,9 @@
         // The extra second allows for a busy machine.
         let due = request.sent_at + Duration::from_millis(u64::from(DEADLINE_MS) + 1000);
         let in_time = request.answered_at < due.min(signalled_at + SIGKILL_AFTER) || {
-            let took = own_time(request.sent_at, request.answered_at);
-            let since_signal = own_time(signalled_at.min(request.answered_at), request.answered_at);
+            let took = time_without_stalls(request.sent_at, request.answered_at);
+            let since_signal =
+                time_without_stalls(signalled_at.min(request.answered_at), request.answered_at);
             took < due - request.sent_at && since_signal < SIGKILL_AFTER
         };
         assert!(in_time, "{request:?}");
@@ -100,7 +101,7 @@
 }
 
 fn assert_clean_exit(service: &mut Service) {
-    let (code, log) = service.exit();
+    let (code, log) = service.wait_for_exit();
     assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{code:?}\n{log}");
 }
 
@@ -116,7 +117,7 @@
 
 fn send_requests_until(
     number: u32,
-    at: SocketAddr,
+    address: SocketAddr,
     is_over: &Arc<AtomicBool>,
 ) -> JoinHandle<Vec<RequestOutcome>> {
     let is_over = Arc::clone(is_over);
@@ -129,10 +130,10 @@
             }
             let id = number * 0x10_0000 + round;
             let text = match round % 2 {
-                0 => read_as(id, DEADLINE_MS),
+                0 => read_with_id(id, DEADLINE_MS),
                 _ => write("1f", DEADLINE_MS).replace("id=5d", &format!("id=e{id:x}")),
             };
-            let Some((sent_at, answers)) = send_until_read(&mut client, at, &text) else { break };
+            let Some((sent_at, answers)) = send_until_read(&mut client, address, &text) else { break };
             requests.push(RequestOutcome { text, sent_at, answered_at: Instant::now(), answers });
         }
         requests
@@ -142,14 +143,14 @@
 /// Sends a request on the client's connection, or on a new one; returns when it was sent and how many final answers
 /// arrived. A request that crosses the end of its connection stays unread at the router and is sent again, as the
 /// protocol page allows. Returns None if no connection can be opened any more.
-fn send_until_read(kept: &mut Option<Client>, at: SocketAddr, text: &str) -> Option<(Instant, usize)> {
+fn send_until_read(kept: &mut Option<Client>, address: SocketAddr, text: &str) -> Option<(Instant, usize)> {
     loop {
         let mut client = match kept.take() {
             Some(client) => client,
             None => {
                 // Limits the rate of new connections, as the system keeps state of each one for a while.
                 thread::sleep(Duration::from_millis(20));
-                connect(at).ok()?
+                connect(address).ok()?
             }
         };
         let from = client.socket.local_addr().expect("socket has no local address");
@@ -166,7 +167,7 @@
                     error.kind() != io::ErrorKind::WouldBlock,
                     "neither an answer nor the end of the connection: {text}"
                 );
-                if was_read(at, from) {
+                if was_read(address, from) {
                     return Some((sent_at, 0));
                 }
             }
@@ -174,9 +175,9 @@
     }
 }
 
-fn connect(at: SocketAddr) -> io::Result<Client> {
-    let client = Client::connect(at)?;
-    client.socket.set_read_timeout(Some(PATIENCE))?;
+fn connect(address: SocketAddr) -> io::Result<Client> {
+    let client = Client::connect(address)?;
+    client.socket.set_read_timeout(Some(TIMEOUT))?;
     Ok(client)
 }
 
@@ -210,12 +211,12 @@
 
 fn start_other_clients(
     others: OtherClients,
-    at: SocketAddr,
+    address: SocketAddr,
     is_over: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
     let spawn = |run: fn(SocketAddr, &AtomicBool)| {
         let is_over = Arc::clone(is_over);
-        thread::spawn(move || run(at, &is_over))
+        thread::spawn(move || run(address, &is_over))
     };
     match others {
         OtherClients::Nothing => Vec::new(),
@@ -225,16 +226,16 @@
     }
 }
 
-fn flood(at: SocketAddr, is_over: &AtomicBool) {
+fn flood(address: SocketAddr, is_over: &AtomicBool) {
     for round in 0.. {
         if is_over.load(Ordering::Relaxed) {
             return;
         }
-        let Ok(mut client) = connect(at) else { return };
+        let Ok(mut client) = connect(address) else { return };
         for number in 0..200 {
             let id = 0x1000_0000 + round * 200 + number;
             // The router may close the connection before everything is sent.
-            if client.send(&read_as(id, DEADLINE_MS)).is_err() {
+            if client.send(&read_with_id(id, DEADLINE_MS)).is_err() {
                 break;
             }
         }
@@ -242,10 +243,10 @@
     }
 }
 
-fn open_idle_connections(at: SocketAddr, is_over: &AtomicBool) {
+fn open_idle_connections(address: SocketAddr, is_over: &AtomicBool) {
     let mut held = Vec::new();
     while !is_over.load(Ordering::Relaxed) && held.len() < 400 {
-        let Ok(socket) = TcpStream::connect(at) else { return };
+        let Ok(socket) = TcpStream::connect(address) else { return };
         held.push(socket);
         thread::sleep(Duration::from_millis(3));
     }
--- a/crates/ottersill/tests/large_lists.rs
+++ b/crates/ottersill/tests/large_lists.rs
@@ -74,14 +74,14 @@
 /// late, as on a busy machine.
 fn next_at_either(fixture: &Fixture) -> ReceivedStatement {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < TIMEOUT {
         for endpoint in [&fixture.replica, &fixture.primary] {
             if let Some(statement) = endpoint.next_within(Duration::from_millis(5)) {
                 return statement;
             }
         }
     }
-    panic!("no statement arrived within {PATIENCE:?}");
+    panic!("no statement arrived within {TIMEOUT:?}");
 }
 
 fn resident_kb(router: &Router) -> u64 {
@@ -137,7 +137,7 @@
     drop((client, next_call));
     let Fixture { router, .. } = fixture;
     router.signal("-TERM");
-    let (log, _) = router.end();
+    let (log, _) = router.wait_for_exit();
     assert_eq!(counter(&log, "log_lines_dropped"), 0);
     assert!(log.lines().filter(|line| line.contains(" INFO endpoint ")).count() <= 2 * LIST_COUNT, "{log}");
     assert_eq!(counter(&log, "invariant_violations_total"), 0);
--- a/crates/ottersill/tests/requests_after_idle_period.rs
+++ b/crates/ottersill/tests/requests_after_idle_period.rs
@@ -28,7 +28,7 @@
     #[case] stopped: bool,
 ) {
     // A health check whose connection is closed may cost the primary its role. The write then waits until its role is observed again.
-    let fixture = Fixture::start(&[&[LONG, LATE], settings].concat());
+    let fixture = Fixture::start(&[&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME], settings].concat());
     let (mut reader, mut writer) = (fixture.router.client(), fixture.router.client());
     if stopped {
         fixture.router.signal("-STOP");
--- a/crates/ottersill/tests/reused_index.rs
+++ b/crates/ottersill/tests/reused_index.rs
@@ -81,8 +81,9 @@
 fn no_statement_is_sent_on_connections_to_the_old_endpoint(
     #[values(OpenConnection::Idle, OpenConnection::Ungreeted)] open: OpenConnection,
 ) {
-    let fixture = Fixture::start(&[PATIENT]);
-    let waiting_client = matches!(open, OpenConnection::Ungreeted).then(|| fixture.read_on_its_way(7, 2000));
+    let fixture = Fixture::start(&[LONG_CONNECT_TIMEOUT]);
+    let waiting_client =
+        matches!(open, OpenConnection::Ungreeted).then(|| fixture.read_waiting_for_connection(7, 2000));
     remove_replica(&fixture);
     if let Some(mut client) = waiting_client {
         fixture.primary.next_statement().answer("elsewhere");
@@ -97,7 +98,7 @@
 /// An attempt ends at the endpoint that it was sent to, whose index is not reused until then.
 #[test]
 fn an_attempt_in_flight_keeps_the_index() {
-    let fixture = Fixture::start(&[LONG, LATE]);
+    let fixture = Fixture::start(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
     let mut client = fixture.router.client();
     client.send(&read(7, 9000)).expect("query could not be sent");
     let in_flight = fixture.replica.next_statement();
--- a/crates/ottersill/tests/service/classification.rs
+++ b/crates/ottersill/tests/service/classification.rs
@@ -6,8 +6,8 @@
 use ottersill_testkit::stand_in::Behaviour;
 use rstest::rstest;
 
-use crate::fixture::{Service, read, read_as, service, service_with_memory, wait_until};
-use crate::support::machine::own_time_since;
+use crate::fixture::{Service, read, read_with_id, start_service, start_service_with_memory, wait_until};
+use crate::support::machine::time_without_stalls_since;
 
 fn read_of(text: &str, number: u32) -> String {
     format!("{text} /* id=f{number:x},c=get,d=400,cluster=1 */")
@@ -26,7 +26,7 @@
 #[case::locks("SELECT content FROM kv WHERE name = '1f' FOR UPDATE")]
 #[case::hidden_comment("SELECT nextval('1f /* id=1,c=get,d=400,cluster=1 */')")]
 fn a_statement_that_may_write_goes_to_the_primary_and_is_not_sent_again(#[case] text: &str) {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     let before = received_by_endpoint(&service);
     for number in 0..5 {
@@ -49,7 +49,7 @@
 #[case::call("SELECT pg_advisory_lock(1)")]
 #[case::several("SELECT 1; DELETE FROM kv WHERE name = '1f'")]
 fn statements_that_need_a_session_are_refused(#[case] text: &str) {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     let before = service.received_count();
     assert_eq!(client.query(&read_of(text, 1)).expect("no answer"), "C0A000");
@@ -60,14 +60,15 @@
 /// A view can hide a write from the classification. A replica then refuses the statement, and must still get all other reads.
 #[test]
 fn a_replica_that_refuses_a_hidden_write_still_gets_reads() {
-    let service = service(1024);
+    let service = start_service(1024);
     service.store.add_view_with_side_effects("sly_view");
     let mut client = service.client();
     // On a busy machine a replica that answered slowly at first gets few reads for a while.
     wait_until("each replica gets reads", || {
         let before = received_by_endpoint(&service);
-        (0..40)
-            .for_each(|n| assert!(client.query(&read_as(n, 2000)).expect("no answer").starts_with("row:")));
+        (0..40).for_each(|n| {
+            assert!(client.query(&read_with_id(n, 2000)).expect("no answer").starts_with("row:"));
+        });
         let after = received_by_endpoint(&service);
         (1..3).all(|endpoint| after[endpoint] - before[endpoint] > 5)
     });
@@ -79,7 +80,8 @@
         );
     }
     let before = received_by_endpoint(&service);
-    (0..40).for_each(|n| assert!(client.query(&read_as(n, 2000)).expect("no answer").starts_with("row:")));
+    (0..40)
+        .for_each(|n| assert!(client.query(&read_with_id(n, 2000)).expect("no answer").starts_with("row:")));
     let after = received_by_endpoint(&service);
     assert!((1..3).all(|endpoint| after[endpoint] - before[endpoint] > 5), "{before:?} {after:?}");
     // The router has recorded that this shape writes, and sends it to no replica.
@@ -94,7 +96,7 @@
 /// cache must stay within its memory budget.
 #[test]
 fn a_flood_of_new_shapes_delays_no_other_client() {
-    let mut service = service_with_memory(1024, 32);
+    let mut service = start_service_with_memory(1024, 32);
     let mut reader = service.client();
     let mut client = service.client();
     let flood = thread::spawn(move || {
@@ -112,14 +114,14 @@
         let started = Instant::now();
         assert!(reader.query(&read(2000)).expect("no answer").starts_with("row:"));
         let took = started.elapsed();
-        slowest = slowest.max(if took < MAX_READ_TIME { took } else { own_time_since(started) });
+        slowest = slowest.max(if took < MAX_READ_TIME { took } else { time_without_stalls_since(started) });
     }
     let sent = flood.join().expect("flooding client failed");
     // An idle machine reaches some thousand; a busy one with sixty other tests running reached 225.
     assert!(sent > 100, "only {sent} shapes were sent");
     assert!(slowest < MAX_READ_TIME, "{slowest:?}");
     service.signal("-TERM");
-    let (_, log) = service.exit();
+    let (_, log) = service.wait_for_exit();
     let line = log
         .lines()
         .find(|line| line.contains(" fingerprint cache "))
--- a/crates/ottersill/tests/service/client_protocol.rs
+++ b/crates/ottersill/tests/service/client_protocol.rs
@@ -7,13 +7,13 @@
 use ottersill_testkit::stand_in::{Behaviour, Client, message};
 use rstest::rstest;
 
-use crate::fixture::{PATIENCE, read, service, wait_until, write};
+use crate::fixture::{TIMEOUT, read, start_service, wait_until, write};
 
 #[test]
 fn pipelined_queries_sent_byte_by_byte_are_answered_in_order() {
-    let service = service(1024);
-    let mut client = Client::connect(service.router.at).expect("connection failed");
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+    let service = start_service(1024);
+    let mut client = Client::connect(service.router.address).expect("connection failed");
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
     for query in [&write("4f", 2000), "", &read(2000), "SELECT 1"] {
         for byte in message(b'Q', format!("{query}\0").as_bytes()) {
             client.socket.write_all(&[byte]).expect("byte could not be sent");
@@ -27,7 +27,7 @@
 #[case::length_out_of_bounds(b"Q\x7f\xff\xff\xff", "08P01")]
 #[case::extended_protocol(b"P\0\0\0\x08\0\0\0\0", "0A000")]
 fn an_invalid_message_gets_an_error_and_ends_the_connection(#[case] bytes: &[u8], #[case] code: &str) {
-    let service = service(1024);
+    let service = start_service(1024);
     let (mut invalid, mut other) = (service.client(), service.client());
     invalid.socket.write_all(bytes).expect("bytes could not be sent");
     let (tag, body) = invalid.receive_message().expect("no error message");
@@ -39,7 +39,7 @@
 /// A client that keeps sending after a fatal error must still be able to read that error.
 #[test]
 fn a_fatal_error_can_be_read_by_a_client_that_keeps_sending() {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     client.socket.write_all(b"Q\x7f\xff\xff\xff").expect("bytes could not be sent");
     for _ in 0..50 {
@@ -54,7 +54,7 @@
 #[case::unknown_workload("SELECT 1 /* id=1,c=none,d=9,cluster=1 */", "C42704")]
 #[case::unknown_cluster("SELECT 1 /* id=1,c=get,d=9,cluster=77 */", "C42704")]
 fn an_invalid_query_gets_an_error_and_the_session_continues(#[case] query: &str, #[case] expected: &str) {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     assert_eq!(client.query(query).expect("no answer"), expected);
     assert!(client.query(&read(2000)).expect("no answer").starts_with("row:"));
@@ -63,7 +63,7 @@
 /// Sent on, the statement would be taken for a second attempt of the one in flight.
 #[test]
 fn a_statement_with_an_id_in_flight_is_refused() {
-    let service = service(1024);
+    let service = start_service(1024);
     let (mut first, mut second) = (service.client(), service.client());
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
     first.send(&write("bf", 700)).expect("query could not be sent");
--- a/crates/ottersill/tests/service/connection_limits.rs
+++ b/crates/ottersill/tests/service/connection_limits.rs
@@ -8,19 +8,21 @@
 use ottersill_testkit::stand_in::{Behaviour, Client, message};
 use rstest::rstest;
 
-use crate::fixture::{PATIENCE, read, read_as, service, service_with_memory, wait_until, write};
-use crate::support::machine::own_time_since;
+use crate::fixture::{
+    TIMEOUT, read, read_with_id, start_service, start_service_with_memory, wait_until, write,
+};
+use crate::support::machine::time_without_stalls_since;
 
 /// Guards against rejected clients whose connection is reset before they have read the rejection, seen with a limit of 64
 /// descriptors.
 #[test]
 fn clients_are_answered_when_descriptors_run_out() {
-    let service = service(26);
+    let service = start_service(26);
     service.set_all_behaviours(Behaviour::NeverAnswers);
     let send_read = |number| {
-        let mut client = Client::connect(service.router.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
-        client.send(&read_as(number, 500)).expect("query could not be sent");
+        let mut client = Client::connect(service.router.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
+        client.send(&read_with_id(number, 500)).expect("query could not be sent");
         client
     };
     let mut clients: Vec<Client> = (0..30).map(send_read).collect();
@@ -36,7 +38,7 @@
 /// Long statements that no endpoint answers, with more of them pipelined behind: the memory that they take must be bounded.
 #[test]
 fn memory_is_bounded_under_long_statements() {
-    let service = service_with_memory(1024, 32);
+    let service = start_service_with_memory(1024, 32);
     service.set_all_behaviours(Behaviour::NeverAnswers);
     let long = write("9f", 9000).replace("76616c7565", &"61".repeat(65536));
     let send_writes = |number| {
@@ -66,12 +68,12 @@
 /// Guards against connections that send nothing and keep other clients out permanently.
 #[test]
 fn silent_connections_make_room_for_clients() {
-    let service = service(26);
+    let service = start_service(26);
     let silent: Vec<Client> =
-        (0..30).map(|_| Client::connect(service.router.at).expect("connection failed")).collect();
+        (0..30).map(|_| Client::connect(service.router.address).expect("connection failed")).collect();
     wait_until("a request is served", || {
-        let mut client = Client::connect(service.router.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        let mut client = Client::connect(service.router.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
         client.send(&read(2000)).expect("query could not be sent");
         client.next_row_or_error().starts_with("row:")
     });
@@ -85,13 +87,14 @@
 #[case::no_query(b"\0\0\0\x08\0\x03\0\0", "")]
 #[case::half_a_query(b"\0\0\0\x08\0\x03\0\0Q\0\0\0\x20SELECT", "C08P01")]
 fn a_client_without_a_complete_message_is_closed(#[case] bytes: &[u8], #[case] expected: &str) {
-    let service = service(1024);
+    let service = start_service(1024);
     let started = Instant::now();
-    let mut client = Client { socket: TcpStream::connect(service.router.at).expect("connection failed") };
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+    let mut client =
+        Client { socket: TcpStream::connect(service.router.address).expect("connection failed") };
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
     client.socket.write_all(bytes).expect("bytes could not be sent");
     let reply = client.next_row_or_error();
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_secs(3), "{took:?}");
     assert!(if expected.is_empty() { !reply.starts_with('C') } else { reply == expected }, "{reply}");
 }
@@ -99,7 +102,7 @@
 /// An idle client that has sent requests is closed to make room. A client whose statement is partly received or in flight is not.
 #[test]
 fn only_idle_clients_are_closed() {
-    let service = service(1024);
+    let service = start_service(1024);
     let (mut idle, mut slow, mut busy) = (service.client(), service.client(), service.client());
     for client in [&mut idle, &mut slow, &mut busy] {
         assert!(client.query(&read(2000)).expect("no answer").starts_with("row:"));
@@ -118,7 +121,7 @@
 /// Guards against clients that send one request, stay connected and so use up the connection limit.
 #[test]
 fn the_longest_idle_clients_are_closed_first() {
-    let service = service(80);
+    let service = start_service(80);
     let mut idle = Vec::new();
     for _ in 0..30 {
         let mut client = service.client();
@@ -144,12 +147,12 @@
 /// connections.
 #[test]
 fn silent_connections_are_closed_before_those_that_have_sent_requests() {
-    let service = service(80);
+    let service = start_service(80);
     let mut active = service.client();
     assert!(active.query(&read(2000)).expect("no answer").starts_with("row:"));
     let connect = |_| {
         thread::sleep(Duration::from_millis(10));
-        TcpStream::connect(service.router.at).expect("connection failed")
+        TcpStream::connect(service.router.address).expect("connection failed")
     };
     let silent_connections: Vec<TcpStream> = (0..80).map(connect).collect();
     assert!(active.query(&read(2000)).expect("connection was closed").starts_with("row:"));
@@ -166,7 +169,7 @@
     #[case] continued_before: usize,
     #[case] gap: Duration,
 ) {
-    let service = service(80);
+    let service = start_service(80);
     let mut active = service.client();
     assert!(active.query(&read(2000)).expect("no answer").starts_with("row:"));
     let connect = |number| {
@@ -177,7 +180,7 @@
             service.router.signal("-CONT");
         }
         thread::sleep(gap);
-        TcpStream::connect(service.router.at).expect("connection failed")
+        TcpStream::connect(service.router.address).expect("connection failed")
     };
     let silent_connections: Vec<TcpStream> = (0..80).map(connect).collect();
     service.router.signal("-CONT");
@@ -191,12 +194,12 @@
 /// before any connection is closed.
 #[test]
 fn a_request_sent_to_a_stopped_router_is_read_before_silent_connections_are_closed() {
-    let service = service(80);
+    let service = start_service(80);
     let mut client = service.client();
     thread::sleep(Duration::from_millis(300));
     service.router.signal("-STOP");
     let silent_connections: Vec<TcpStream> =
-        (0..80).map(|_| TcpStream::connect(service.router.at).expect("connection failed")).collect();
+        (0..80).map(|_| TcpStream::connect(service.router.address).expect("connection failed")).collect();
     client.send(&read(2000)).expect("query could not be sent");
     service.router.signal("-CONT");
     assert_eq!(client.read_answer().expect("no answer"), "row:value SELECT 1");
--- a/crates/ottersill/tests/service/fixture.rs
+++ b/crates/ottersill/tests/service/fixture.rs
@@ -8,11 +8,11 @@
 
 use ottersill_testkit::stand_in::{Behaviour, Client, StandInStore};
 
-use crate::support::machine::stood_still;
+use crate::support::machine::stalled;
 use crate::support::{self, Router};
 
 /// Time limit of each answer and each condition that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Number of requests that the router may reject while it starts if the machine stalls meanwhile, which makes endpoints seem
 /// silent. Without a stall none may be rejected.
@@ -26,11 +26,11 @@
     pub requests_sent: usize,
 }
 
-/// Waits until the condition holds, and panics after `PATIENCE`.
+/// Waits until the condition holds, and panics after `TIMEOUT`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        assert!(started.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -50,12 +50,12 @@
 }
 
 /// Starts a primary, two replicas and a router that knows their roles.
-pub fn service(sockets: usize) -> Service {
-    service_with_memory(sockets, 192)
+pub fn start_service(sockets: usize) -> Service {
+    start_service_with_memory(sockets, 192)
 }
 
 /// Does the same with a memory limit for the router.
-pub fn service_with_memory(sockets: usize, memory_mb: u64) -> Service {
+pub fn start_service_with_memory(sockets: usize, memory_mb: u64) -> Service {
     let (store, discovery) = start_store();
     let text = support::config_text(
         discovery,
@@ -64,7 +64,7 @@
             ("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}")),
         ],
     );
-    let router = Router::spawn(&text, None).until_ready();
+    let router = Router::spawn(&text, None).wait_until_ready();
     let mut service = Service { store, router, requests_sent: 0 };
     let mut client = service.client();
     let (started, mut served) = (Instant::now(), 0);
@@ -75,10 +75,7 @@
         match answer.as_str() {
             "row: SELECT 1" | "row:value INSERT 0 1" => served += 1,
             rejection => {
-                assert!(
-                    rejection.starts_with("C53300") && stood_still(started, Instant::now()),
-                    "{rejection}"
-                );
+                assert!(rejection.starts_with("C53300") && stalled(started, Instant::now()), "{rejection}");
             }
         }
         assert!(service.requests_sent - served <= MAX_REJECTED_AT_START, "{answer}");
@@ -90,8 +87,8 @@
 impl Service {
     /// Connects a client and reads the greeting.
     pub fn client(&self) -> Client {
-        let mut client = Client::connect(self.router.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        let mut client = Client::connect(self.router.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
         client.read_answer().expect("no greeting");
         client
     }
@@ -113,7 +110,7 @@
     }
 
     /// Waits until the router exits, and returns its exit code and the rest of its log.
-    pub fn exit(&mut self) -> (Option<i32>, String) {
+    pub fn wait_for_exit(&mut self) -> (Option<i32>, String) {
         wait_until("the router exits", || {
             self.router.process.try_wait().expect("process state unavailable").is_some()
         });
@@ -130,7 +127,7 @@
 }
 
 /// The same read under another id, as each client uses its own ids.
-pub fn read_as(number: u32, left_ms: u32) -> String {
+pub fn read_with_id(number: u32, left_ms: u32) -> String {
     read(left_ms).replace("id=5c", &format!("id=e{number:x}"))
 }
 
--- a/crates/ottersill/tests/service/lifecycle.rs
+++ b/crates/ottersill/tests/service/lifecycle.rs
@@ -7,12 +7,14 @@
 use ottersill_testkit::stand_in::{Behaviour, Client};
 use rstest::rstest;
 
-use crate::fixture::{PATIENCE, config_text, read, read_as, service, start_store, wait_until, write};
+use crate::fixture::{
+    TIMEOUT, config_text, read, read_with_id, start_service, start_store, wait_until, write,
+};
 
 /// Guards against closing a connection after the statement in flight, which loses the statements pipelined behind it.
 #[test]
 fn sigterm_answers_pipelined_statements() {
-    let mut service = service(1024);
+    let mut service = start_service(1024);
     let mut client = service.client();
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
     client.send(&write("6f", 900)).expect("query could not be sent");
@@ -21,41 +23,41 @@
     assert_eq!(client.read_answer().expect("no answer"), "C40003");
     assert_eq!(client.read_answer().expect("no answer"), "row:value SELECT 1");
     assert!(client.receive_message().is_err(), "the connection is still open");
-    assert_eq!(service.exit().0, Some(0));
+    assert_eq!(service.wait_for_exit().0, Some(0));
 }
 
 /// Clients that wait in the listen backlog for lack of descriptors have sent their statements, which have to be answered.
 #[test]
 fn sigterm_answers_clients_in_the_listen_backlog() {
-    let mut service = service(26);
+    let mut service = start_service(26);
     service.set_all_behaviours(Behaviour::NeverAnswers);
     let send_read = |number| {
-        let mut client = Client::connect(service.router.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
-        client.send(&read_as(number, 1500)).expect("query could not be sent");
+        let mut client = Client::connect(service.router.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
+        client.send(&read_with_id(number, 1500)).expect("query could not be sent");
         client
     };
     let mut clients: Vec<Client> = (0..36).map(send_read).collect();
     service.signal("-TERM");
     let answers: Vec<String> = clients.iter_mut().map(Client::next_row_or_error).collect();
     assert!(answers.iter().all(|answer| answer == "C53300"), "{answers:?}");
-    assert_eq!(service.exit().0, Some(0));
+    assert_eq!(service.wait_for_exit().0, Some(0));
 }
 
 /// The router accepts clients for a while after SIGTERM, and answers all statements that it has received.
 #[test]
 fn sigterm_answers_received_statements_and_exits() {
-    let mut service = service(1024);
+    let mut service = start_service(1024);
     let (mut waiting, mut idle) = (service.client(), service.client());
     service.set_all_behaviours(Behaviour::NeverAnswers);
     waiting.send(&read(1200)).expect("query could not be sent");
     service.signal("-TERM");
     let mut late = service.client();
-    let answer = late.query(&read_as(1, 100)).expect("no answer");
+    let answer = late.query(&read_with_id(1, 100)).expect("no answer");
     assert!(answer.starts_with("C53300"), "{answer}");
     assert!(idle.receive_message().is_err(), "the idle connection is still open");
     assert!(waiting.read_answer().expect("no answer").starts_with("C53300"));
-    let (code, log) = service.exit();
+    let (code, log) = service.wait_for_exit();
     assert_eq!(code, Some(0));
     assert!(
         log.contains("shutdown requested")
@@ -67,18 +69,18 @@
 
 #[test]
 fn counters_are_printed_on_request() {
-    let mut service = service(1024);
+    let mut service = start_service(1024);
     service.signal("-USR1");
     thread::sleep(Duration::from_millis(100));
     service.signal("-TERM");
-    let (_, log) = service.exit();
+    let (_, log) = service.wait_for_exit();
     assert_eq!(log.matches("counters: ").count(), 2, "{log}");
 }
 
 /// After a stall the router reads what arrived meanwhile before it checks any timeouts.
 #[test]
 fn a_request_sent_to_a_stopped_router_is_served() {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     service.signal("-STOP");
     client.send(&read(2000)).expect("query could not be sent");
@@ -110,7 +112,7 @@
 #[case::half_written_at_first(&["{\"name\":\"toy-router\",\"lis"])]
 #[case::wrong_at_first(&["{}", ""])]
 fn sighup_switches_to_the_discovery_in_the_configuration(#[case] written_before: &[&str]) {
-    let mut service = service(1024);
+    let mut service = start_service(1024);
     let mut waiting = service.client();
     service.store.set_behaviour(0, Behaviour::NeverAnswers);
     waiting.send(&write("6f", 1500)).expect("query could not be sent");
@@ -141,7 +143,7 @@
     });
     assert_eq!(waiting.read_answer().expect("no answer"), "C40003");
     service.signal("-TERM");
-    let (code, log) = service.exit();
+    let (code, log) = service.wait_for_exit();
     assert!(code == Some(0) && log.contains("invariant_violations_total=0"), "{log}");
     assert_eq!(log.contains("configuration not reloaded"), !written_before.is_empty(), "{log}");
 }
@@ -150,7 +152,7 @@
 /// are connected and accepts new ones.
 #[test]
 fn clients_are_accepted_and_served_for_a_while_after_sigterm() {
-    let mut service = service(1024);
+    let mut service = start_service(1024);
     let mut client = service.client();
     let started = Instant::now();
     service.signal("-TERM");
@@ -160,5 +162,5 @@
         thread::sleep(Duration::from_millis(20));
     }
     while client.query(&read(2000)).is_ok() {}
-    assert_eq!(service.exit().0, Some(0));
+    assert_eq!(service.wait_for_exit().0, Some(0));
 }
--- a/crates/ottersill/tests/service/statements_and_failures.rs
+++ b/crates/ottersill/tests/service/statements_and_failures.rs
@@ -6,12 +6,12 @@
 use ottersill_testkit::stand_in::Behaviour;
 use rstest::rstest;
 
-use crate::fixture::{read, service, write};
-use crate::support::machine::own_time_since;
+use crate::fixture::{read, start_service, write};
+use crate::support::machine::time_without_stalls_since;
 
 #[test]
 fn statements_are_forwarded_unchanged_except_for_the_time_left() {
-    let service = service(1024);
+    let service = start_service(1024);
     assert_eq!(service.client().query(&read(2000)).expect("no answer"), "row:value SELECT 1");
     let digits = |text: &str| {
         let from = text.find(",d=").expect("no time left in the comment") + 3;
@@ -37,7 +37,7 @@
     #[case] of_write: &str,
     #[case] of_read: &str,
 ) {
-    let service = service(1024);
+    let service = start_service(1024);
     service.set_all_behaviours(behaviour);
     let mut client = service.client();
     let before = service.received_count();
@@ -53,7 +53,7 @@
 /// No statement is sent before an endpoint has greeted, so even a write that must not run twice may be retried.
 #[test]
 fn an_endpoint_that_never_greets_has_run_nothing() {
-    let service = service(1024);
+    let service = start_service(1024);
     service.set_all_behaviours(Behaviour::ClosesAfterAnswer);
     let mut client = service.client();
     for query in [write("8f", 2000), read(2000), read(2000), read(2000)] {
@@ -73,19 +73,19 @@
     #[case] query: String,
     #[case] expected: &str,
 ) {
-    let service = service(1024);
+    let service = start_service(1024);
     service.set_all_behaviours(Behaviour::NeverAnswers);
     let started = Instant::now();
     let answer = service.client().query(&query).expect("no answer");
     assert!(answer.starts_with(expected), "{answer}");
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_millis(2000), "{took:?}");
 }
 
 /// Guards against using an idle connection that its endpoint has closed: a write sent on it would end in a reset.
 #[test]
 fn connections_closed_by_endpoints_are_not_used() {
-    let service = service(1024);
+    let service = start_service(1024);
     service.set_all_behaviours(Behaviour::ClosesAfterAnswer);
     let mut client = service.client();
     for _ in 0..8 {
@@ -97,7 +97,7 @@
 
 #[test]
 fn the_longest_value_is_written_and_read() {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     let query = write("7f", 2000).replace("76616c7565", &"61".repeat(65536));
     let expected = format!("row:{} ", "a".repeat(65536));
@@ -108,7 +108,7 @@
 /// The length field of a row is wrong. The write may have run, and the primary keeps its role.
 #[test]
 fn corrupt_answers_are_not_forwarded() {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     service.store.set_behaviour(0, Behaviour::CorruptsRow);
     let before = service.store.received(0).len();
@@ -127,7 +127,7 @@
 /// Guards against taking a duplicate of an answer for the answer to the next statement.
 #[test]
 fn a_duplicated_answer_is_not_used_for_the_next_statement() {
-    let service = service(1024);
+    let service = start_service(1024);
     let mut client = service.client();
     service.set_all_behaviours(Behaviour::AnswersTwice);
     for number in 0..20 {
--- a/crates/ottersill/tests/shutdown.rs
+++ b/crates/ottersill/tests/shutdown.rs
@@ -8,7 +8,7 @@
 
 use rstest::rstest;
 use rustix::process::{Pid, Signal, kill_process};
-use support::machine::{own_time, own_time_since, stood_still};
+use support::machine::{stalled, time_without_stalls, time_without_stalls_since};
 use support::*;
 
 /// Time from SIGTERM to the earliest SIGKILL, for a longest deadline of 2 s.
@@ -29,11 +29,12 @@
     let mut fixture = Fixture::start(&[]);
     let signalled_at = Instant::now();
     fixture.router.signal("-TERM");
-    let at = fixture.router.at;
+    let address = fixture.router.address;
     let client = |number: u32| {
         thread::spawn(move || {
-            let mut client = ottersill_testkit::stand_in::Client::connect(at).expect("connecting failed");
-            client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+            let mut client =
+                ottersill_testkit::stand_in::Client::connect(address).expect("connecting failed");
+            client.socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
             client.read_answer().expect("no greeting from the router");
             thread::sleep(Duration::from_millis(u64::from(number) * 60));
             let mut requests = Vec::new();
@@ -53,12 +54,12 @@
         clients.into_iter().flat_map(|client| client.join().expect("client thread panicked")).collect();
     let required = requests.iter().filter(|(sent, ..)| *sent < signalled_at + ANSWERS_REQUIRED_UNTIL);
     for (sent, ended, answered) in required.clone() {
-        let (sent, ended) = (*sent - signalled_at, own_time(signalled_at, *ended));
+        let (sent, ended) = (*sent - signalled_at, time_without_stalls(signalled_at, *ended));
         assert!(*answered && ended < SIGKILL_AFTER, "sent at {sent:?}, ended at {ended:?}: {answered}");
     }
     let has_enough_requests = required.count() >= 10;
-    assert!(has_enough_requests || stood_still(signalled_at, signalled_at + ANSWERS_REQUIRED_UNTIL));
-    until("the router exits", || fixture.router.state() == "Z");
+    assert!(has_enough_requests || stalled(signalled_at, signalled_at + ANSWERS_REQUIRED_UNTIL));
+    wait_until("the router exits", || fixture.router.state() == "Z");
     assert_eq!(fixture.router.process.wait().expect("waiting for the router failed").code(), Some(0));
     has_enough_requests
 }
@@ -75,7 +76,7 @@
     let started = Instant::now();
     let answer = client.query(&read(7, left_ms)).expect("no answer from the router");
     assert!(answer.starts_with('C'), "{answer}");
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < Duration::from_millis(u64::from(left_ms) + 500), "{took:?}");
     // If the query was sent, the endpoint was given no more time than was left.
     if let Some(arrival) = fixture.replica.next_within(Duration::from_millis(50)) {
@@ -103,7 +104,7 @@
         if let Some(status) = fixture.router.process.try_wait().expect("waiting for the router failed") {
             break status;
         }
-        assert!(started.elapsed() < PATIENCE, "the router does not exit");
+        assert!(started.elapsed() < TIMEOUT, "the router does not exit");
     };
     assert_eq!(status.code(), Some(0), "{status:?}");
 }
--- a/crates/ottersill/tests/stalled_iteration.rs
+++ b/crates/ottersill/tests/stalled_iteration.rs
@@ -23,7 +23,7 @@
 struct Fixture {
     events: Reactor,
     event_loop: EventLoop,
-    at: SocketAddr,
+    address: SocketAddr,
     primary: ScriptedEndpoint,
     replica: ScriptedEndpoint,
 }
@@ -36,7 +36,8 @@
             ScriptedEndpoint::start(false).expect("endpoint did not start"),
         );
         // No discovery service listens there.
-        let text = config_text(SocketAddr::from(([127, 0, 0, 1], 1)), &[LONG, LATE]);
+        let text =
+            config_text(SocketAddr::from(([127, 0, 0, 1], 1)), &[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME]);
         let config = Config::parse(text.as_bytes()).expect("configuration is rejected");
         let limits = config.limits.connection_limits().expect("limits are rejected");
         let timeouts = config.settings.backend_timeouts().expect("settings are rejected");
@@ -50,8 +51,8 @@
         let endpoints =
             endpoint_list(1, &[("one", primary.address, "active"), ("two", replica.address, "active")]);
         event_loop.apply_endpoint_list(&serde_json::from_str(&endpoints).expect("list is rejected"));
-        let at = event_loop.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("listen failed");
-        let mut fixture = Fixture { events, event_loop, at, primary, replica };
+        let address = event_loop.listen(SocketAddr::from(([127, 0, 0, 1], 0)), 64).expect("listen failed");
+        let mut fixture = Fixture { events, event_loop, address, primary, replica };
         let mut client = fixture.client();
         client.send(&read(0, 9000)).expect("query could not be sent");
         fixture.next_statement(|fixture| &fixture.replica).answer("first");
@@ -87,14 +88,14 @@
             if let Some(arrival) = endpoint(self).next_within(Duration::from_millis(1)) {
                 return arrival;
             }
-            assert!(started.elapsed() < PATIENCE, "the endpoint received no statement");
+            assert!(started.elapsed() < TIMEOUT, "the endpoint received no statement");
         }
     }
 
     /// Connects a client and polls until it has been greeted.
     fn client(&mut self) -> Client {
-        let client = Client::connect(self.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        let client = Client::connect(self.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
         self.poll_for(Duration::from_millis(50));
         client
     }
@@ -108,7 +109,7 @@
     let mut client = fixture.client();
     client.send(&read(7, 8000)).expect("query could not be sent");
     fixture.next_statement(|fixture| &fixture.replica).fail("53300");
-    until_unread_from(fixture.replica.address);
+    wait_until_unread_from(fixture.replica.address);
     let event_loop = &mut fixture.event_loop;
     let busy =
         event_loop.clients().iter().find(|(_, client)| matches!(client.phase, ConnectionPhase::Busy(_)));
@@ -116,7 +117,7 @@
     event_loop.on_client_ready(read_first);
     let client_address = client.socket.local_addr().expect("no address");
     drop(client);
-    until_the_end_is_there(fixture.at, client_address);
+    wait_until_end_received(fixture.address, client_address);
     let carrying = event_loop
         .backends()
         .iter()
--- a/crates/ottersill/tests/stored_files.rs
+++ b/crates/ottersill/tests/stored_files.rs
@@ -12,7 +12,7 @@
 use ottersill_testkit::audit;
 use ottersill_testkit::cluster::query;
 use ottersill_testkit::stand_in::StandInStore;
-use support::{Router, config_text, read, until};
+use support::{Router, config_text, read, wait_until};
 
 /// `deploy/fleet.textproto` at commit 5872259.
 const STORED_FLEET: &str = include_str!("data/fleet-0.1.0.textproto");
@@ -67,7 +67,7 @@
         command.arg("--fleet").arg(&fleet).env("NODE_CONFIG", &config);
         let mut process = command.stdout(Stdio::piped()).spawn().expect("router did not start");
         let log = BufReader::new(process.stdout.take().expect("standard output is not captured"));
-        Router { process, at: control(0), log, config }.until_ready()
+        Router { process, address: control(0), log, config }.wait_until_ready()
     }
 
     fn path(&self, name: &str, kind: &str) -> PathBuf {
@@ -122,12 +122,12 @@
 fn fleet_and_audit_files_of_an_earlier_version_are_accepted() {
     let members = Members::start();
     for (index, name) in MEMBERS.into_iter().enumerate() {
-        until("the member has the stored budgets", || has_stored_budgets(index));
-        until("the member sees all members", || sees_all_members(index));
+        wait_until("the member has the stored budgets", || has_stored_budgets(index));
+        wait_until("the member sees all members", || sees_all_members(index));
         let appended = || read_text(&members.audit_file(name)).len() > STORED_AUDIT.len();
-        until("lines are appended", appended);
+        wait_until("lines are appended", appended);
     }
-    until("the first member has leased units", || has_leased_units(0, &members.routers[0]));
+    wait_until("the first member has leased units", || has_leased_units(0, &members.routers[0]));
     for name in MEMBERS {
         let text = read_text(&members.audit_file(name));
         assert!(text.starts_with(STORED_AUDIT), "the stored lines were changed\n{text}");
--- a/crates/ottersill/tests/successive_reloads.rs
+++ b/crates/ottersill/tests/successive_reloads.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use ottersill_testkit::scripted_peer::ScriptedDiscovery;
-use support::machine::own_time_since;
+use support::machine::time_without_stalls_since;
 use support::*;
 
 /// Time limit from the last SIGHUP until the list of the last discovery service is in use.
@@ -51,9 +51,9 @@
     calls.into_iter().for_each(|call| call.answer(&fixture.endpoint_list(1, "active", "leaving")));
     let next = last.next_within(LIST_TIMEOUT).expect("router did not ask for a newer list");
     assert!(next.request_line.contains("since=1"), "{}", next.request_line);
-    let took = own_time_since(signalled);
+    let took = time_without_stalls_since(signalled);
     assert!(took < LIST_TIMEOUT, "{took:?}");
-    fixture.read_avoids_the_draining_replica();
+    fixture.assert_read_avoids_draining_replica();
     // One connection of the client, and those to endpoints that were opened meanwhile.
     let after = descriptors(&fixture.router);
     assert!(after <= before + 4, "{before}, {after}");
--- a/crates/ottersill/tests/support/machine.rs
+++ b/crates/ottersill/tests/support/machine.rs
@@ -31,12 +31,12 @@
 }
 
 /// Returns whether the machine stalled between two instants.
-pub fn stood_still(from: Instant, to: Instant) -> bool {
-    own_time(from, to) < to.saturating_duration_since(from)
+pub fn stalled(from: Instant, to: Instant) -> bool {
+    time_without_stalls(from, to) < to.saturating_duration_since(from)
 }
 
 /// Returns the time between two instants, without the time for which the machine was stalled.
-pub fn own_time(from: Instant, to: Instant) -> Duration {
+pub fn time_without_stalls(from: Instant, to: Instant) -> Duration {
     // A stall that has just ended may not be recorded yet.
     thread::sleep(2 * SLEEP_INTERVAL + USUAL_WAKE_DELAY);
     let stalls = STALLS.lock().unwrap_or_else(PoisonError::into_inner);
@@ -47,6 +47,6 @@
 }
 
 /// Returns the time from an instant until now, without the time for which the machine was stalled.
-pub fn own_time_since(from: Instant) -> Duration {
-    own_time(from, Instant::now())
+pub fn time_without_stalls_since(from: Instant) -> Duration {
+    time_without_stalls(from, Instant::now())
 }
--- a/crates/ottersill/tests/support/mod.rs
+++ b/crates/ottersill/tests/support/mod.rs
@@ -16,12 +16,12 @@
 use ottersill_testkit::stand_in::Client;
 
 /// Time limit of each step that waits for the router or a peer.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running router. Its settings are those of `example/router.json`, except for those that the test replaces.
 pub struct Router {
     pub process: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub log: BufReader<ChildStdout>,
     pub config: PathBuf,
 }
@@ -50,11 +50,15 @@
     /// Starts a router. `descriptors` is the descriptor limit of the process (`ulimit -n`), where a test sets a lower one than the
     /// configuration states.
     pub fn spawn(text: &str, descriptors: Option<usize>) -> Router {
-        Router::spawn_in(text, descriptors, &[])
+        Router::spawn_with_environment(text, descriptors, &[])
     }
 
     /// Starts a router as `spawn` does, with additional environment variables.
-    pub fn spawn_in(text: &str, descriptors: Option<usize>, environment: &[(&str, String)]) -> Router {
+    pub fn spawn_with_environment(
+        text: &str,
+        descriptors: Option<usize>,
+        environment: &[(&str, String)],
+    ) -> Router {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         machine::watch();
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -74,18 +78,18 @@
         let process = command.env("NODE_CONFIG", &path).stdout(Stdio::piped()).spawn();
         let mut process = process.expect("router did not start");
         let log = BufReader::new(process.stdout.take().expect("standard output of the router is not piped"));
-        Router { process, at: SocketAddr::from(([127, 0, 0, 1], 0)), log, config: path }
+        Router { process, address: SocketAddr::from(([127, 0, 0, 1], 0)), log, config: path }
     }
 
     /// Waits until the router exits, and returns the unread rest of its log and its exit status.
-    pub fn end(mut self) -> (String, ExitStatus) {
+    pub fn wait_for_exit(mut self) -> (String, ExitStatus) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).expect("log could not be read");
         (log, self.process.wait().expect("process status unavailable"))
     }
 
     /// Waits for the log line `ready` and takes the listening address from it.
-    pub fn until_ready(mut self) -> Router {
+    pub fn wait_until_ready(mut self) -> Router {
         let mut line = String::new();
         while !line.contains(" INFO ready ") {
             line.clear();
@@ -94,8 +98,8 @@
                 "router exited before it was ready"
             );
         }
-        let at = line.split_once("listen=").and_then(|(_, at)| at.split(' ').next()?.parse().ok());
-        self.at = at.expect("no listening address in the log");
+        let address = line.split_once("listen=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
+        self.address = address.expect("no listening address in the log");
         self
     }
 
@@ -104,7 +108,7 @@
         // Stopped in the middle of an iteration of the event loop, the router would continue with the events that it had found
         // ready before. It sleeps only between iterations.
         if name == "-STOP" {
-            until("the router waits for events", || self.state() == "S");
+            wait_until("the router waits for events", || self.state() == "S");
         }
         let sent = Command::new("kill").args([name, &self.process.id().to_string()]).status();
         assert!(sent.expect("kill could not be run").success());
@@ -123,8 +127,8 @@
 
     /// Connects a client and reads the greeting.
     pub fn client(&self) -> Client {
-        let mut client = Client::connect(self.at).expect("connection failed");
-        client.socket.set_read_timeout(Some(PATIENCE)).expect("read timeout could not be set");
+        let mut client = Client::connect(self.address).expect("connection failed");
+        client.socket.set_read_timeout(Some(TIMEOUT)).expect("read timeout could not be set");
         client.read_answer().expect("no greeting");
         client
     }
@@ -139,7 +143,8 @@
 }
 
 /// Replaces the connect timeout by one that is long enough for a test that delays a connection.
-pub const PATIENT: (&str, &str) = ("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 9000");
+pub const LONG_CONNECT_TIMEOUT: (&str, &str) =
+    ("\"connect_timeout_ms\": 250", "\"connect_timeout_ms\": 9000");
 
 impl Fixture {
     /// Starts the peers and a router, and returns once the router knows the role of each endpoint.
@@ -160,7 +165,7 @@
         let router = spawn(&config_text(discovery.address, replaced), &primary, &replica);
         let fixture = Fixture { primary, replica, discovery, router };
         fixture.discovery.serve_list(1, &fixture.endpoint_list(1, "active", "active"));
-        let fixture = Fixture { router: fixture.router.until_ready(), ..fixture };
+        let fixture = Fixture { router: fixture.router.wait_until_ready(), ..fixture };
         // From the first answers the router learns the roles of the endpoints.
         let mut client = fixture.router.client();
         client.send(&read(0, 9000)).expect("query could not be sent");
@@ -181,7 +186,7 @@
     }
 
     /// Asserts that the next statement that the replica receives is the read that a new client sends now.
-    pub fn next_read_is_the_first_to_come(&self) {
+    pub fn assert_next_statement_is_a_new_read(&self) {
         let mut next = self.router.client();
         next.send(&read(8, 8000)).expect("query could not be sent");
         let arrival = self.replica.next_statement();
@@ -191,7 +196,7 @@
     }
 
     /// Asserts that the read of a new client goes to the primary because the replica is draining.
-    pub fn read_avoids_the_draining_replica(&self) {
+    pub fn assert_read_avoids_draining_replica(&self) {
         let mut client = self.router.client();
         client.send(&read(7, 2000)).expect("query could not be sent");
         let arrival = self.primary.next_statement();
@@ -201,7 +206,7 @@
     }
 
     /// Returns a client whose read waits for a connection to the replica that is not established yet.
-    pub fn read_on_its_way(&self, number: u32, left_ms: u32) -> Client {
+    pub fn read_waiting_for_connection(&self, number: u32, left_ms: u32) -> Client {
         self.replica.pause_greeting_and_close_idle();
         let mut client = self.router.client();
         client.send(&read(number, left_ms)).expect("query could not be sent");
@@ -242,7 +247,7 @@
 }
 
 /// Returns the state of the router's socket of the connection from `client`, or `None` once that is gone.
-pub fn router_side(router: SocketAddr, client: SocketAddr) -> Option<String> {
+pub fn router_socket_state(router: SocketAddr, client: SocketAddr) -> Option<String> {
     let (router, client) = (proc_address(router), proc_address(client));
     let sockets = tcp_sockets(&[&router, &client]);
     sockets
@@ -252,10 +257,12 @@
 }
 
 /// Waits until the router's socket of the connection from `client` holds unread bytes.
-pub fn until_unread_at_router(router: SocketAddr, client: SocketAddr) {
+pub fn wait_until_unread_at_router(router: SocketAddr, client: SocketAddr) {
     let (router, client) = (proc_address(router), proc_address(client));
     let unread = |socket: &TcpSocket| socket.local == router && socket.remote == client && socket.unread;
-    until("the router's socket holds unread bytes", || tcp_sockets(&[&router, &client]).iter().any(unread));
+    wait_until("the router's socket holds unread bytes", || {
+        tcp_sockets(&[&router, &client]).iter().any(unread)
+    });
 }
 
 /// Returns whether the router may have read everything that `client` sent: its socket of the connection has been established and
@@ -271,34 +278,36 @@
 }
 
 /// Waits until the router has closed its socket of the connection from `client`. The kernel may still hold the connection.
-pub fn until_closed(router: SocketAddr, client: SocketAddr) {
+pub fn wait_until_closed(router: SocketAddr, client: SocketAddr) {
     let (router, client) = (proc_address(router), proc_address(client));
     let open = |socket: &TcpSocket| socket.local == router && socket.remote == client && socket.open;
-    until("the router closes the connection", || !tcp_sockets(&[&router, &client]).iter().any(open));
+    wait_until("the router closes the connection", || !tcp_sockets(&[&router, &client]).iter().any(open));
 }
 
 /// Waits until the end of the connection from `client` has arrived at the router's socket, read or not. Dropping a socket does not
 /// always close it at once: tests run in threads, and a child process that one of them starts (`kill`, a router) holds all descriptors
 /// of this process until it calls exec, including one that another test drops meanwhile.
-pub fn until_the_end_is_there(router: SocketAddr, client: SocketAddr) {
+pub fn wait_until_end_received(router: SocketAddr, client: SocketAddr) {
     const ESTABLISHED: &str = "01";
-    until("the end of the connection arrives at the router", || {
-        router_side(router, client).as_deref() != Some(ESTABLISHED)
+    wait_until("the end of the connection arrives at the router", || {
+        router_socket_state(router, client).as_deref() != Some(ESTABLISHED)
     });
 }
 
 /// Waits until bytes that the endpoint wrote lie unread at the router. On a busy machine they may arrive some time after the write.
-pub fn until_unread_from(endpoint: SocketAddr) {
+pub fn wait_until_unread_from(endpoint: SocketAddr) {
     let endpoint = proc_address(endpoint);
     let unread = |socket: &TcpSocket| socket.remote == endpoint && socket.unread;
-    until("bytes from the endpoint arrive at the router", || tcp_sockets(&[&endpoint]).iter().any(unread));
+    wait_until("bytes from the endpoint arrive at the router", || {
+        tcp_sockets(&[&endpoint]).iter().any(unread)
+    });
 }
 
-/// Waits until the condition holds, and panics after `PATIENCE`.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until the condition holds, and panics after `TIMEOUT`.
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        assert!(started.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -317,6 +326,6 @@
 }
 
 /// Replaces the statement timeout by a longer one than the example's, for tests that delay an answer.
-pub const LONG: (&str, &str) = ("\"deadline_ms\": 2000", "\"deadline_ms\": 9000");
+pub const LONG_STATEMENT_TIMEOUT: (&str, &str) = ("\"deadline_ms\": 2000", "\"deadline_ms\": 9000");
 /// Replaces the SLO time in the same way.
-pub const LATE: (&str, &str) = ("\"aim_ms\": 300", "\"aim_ms\": 8000");
+pub const LONG_SLO_TIME: (&str, &str) = ("\"aim_ms\": 300", "\"aim_ms\": 8000");
--- a/crates/ottersill/tests/system_calls.rs
+++ b/crates/ottersill/tests/system_calls.rs
@@ -11,7 +11,7 @@
 use ottersill_testkit::stand_in::Client;
 use rstest::rstest;
 use support::faults::Faults;
-use support::machine::own_time_since;
+use support::machine::time_without_stalls_since;
 use support::*;
 
 /// Starts the usual fixture with faults that are not armed yet; `PRIMARY` and `REPLICA` in the schedule represent the
@@ -21,9 +21,9 @@
     let spawn = |text: &str, primary: &ScriptedEndpoint, replica: &ScriptedEndpoint| {
         let port = |endpoint: &ScriptedEndpoint| endpoint.address.port().to_string();
         faults.schedule = schedule.replace("PRIMARY", &port(primary)).replace("REPLICA", &port(replica));
-        Router::spawn_in(text, None, &faults.environment())
+        Router::spawn_with_environment(text, None, &faults.environment())
     };
-    let fixture = Fixture::start_with(&[LONG, LATE], spawn);
+    let fixture = Fixture::start_with(&[LONG_STATEMENT_TIMEOUT, LONG_SLO_TIME], spawn);
     (fixture, faults)
 }
 
@@ -43,7 +43,7 @@
 /// Shuts the router down and returns the rest of its log.
 fn shut_down(fixture: Fixture) -> String {
     fixture.router.signal("-TERM");
-    let (log, status) = fixture.router.end();
+    let (log, status) = fixture.router.wait_for_exit();
     assert!(status.success(), "{status:?}\n{log}");
     log
 }
@@ -107,7 +107,7 @@
         |(place, error): (usize, &&str)| format!("accept4:{}-{}:{error}", 2 * place + 1, 2 * place + 2);
     let rules: Vec<String> = errors.iter().enumerate().map(rule).collect();
     let (fixture, faults) = armed_fixture(&rules.join(";"));
-    let took = own_time_since(assert_replica_serves_a_read(&fixture, 7));
+    let took = time_without_stalls_since(assert_replica_serves_a_read(&fixture, 7));
     assert_eq!(faults.disarm().len(), 2 * errors.len());
     let log = shut_down(fixture);
     assert!(!log.contains(" accept "), "{log}");
@@ -148,10 +148,10 @@
 fn client_that_cannot_be_registered_with_epoll_is_closed_in_time() {
     let (fixture, faults) = armed_fixture("epoll_ctl@client:1-:ENOSPC");
     let started = Instant::now();
-    let mut client = Client::connect(fixture.router.at).expect("connecting failed");
-    client.socket.set_read_timeout(Some(PATIENCE)).expect("setting the read timeout failed");
+    let mut client = Client::connect(fixture.router.address).expect("connecting failed");
+    client.socket.set_read_timeout(Some(TIMEOUT)).expect("setting the read timeout failed");
     assert!(client.read_answer().is_err());
-    let (took, own_elapsed) = (started.elapsed(), own_time_since(started));
+    let (took, own_elapsed) = (started.elapsed(), time_without_stalls_since(started));
     assert!(
         took > Duration::from_secs(2) && own_elapsed < Duration::from_millis(3500),
         "{took:?}, {own_elapsed:?}"
@@ -181,7 +181,7 @@
     close_idle_connections(&fixture);
     assert_reads_are_rejected(&fixture, 7..10, 1500);
     assert!(!faults.disarm().is_empty());
-    let took = own_time_since(assert_replica_serves_a_read(&fixture, 10));
+    let took = time_without_stalls_since(assert_replica_serves_a_read(&fixture, 10));
     assert!(took < Duration::from_secs(1), "{took:?}");
     assert_eq!(counter(&shut_down(fixture), "attempts_connect_failed"), 0);
 }
@@ -223,7 +223,7 @@
     close_idle_connections(&fixture);
     let started = Instant::now();
     assert_reads_are_rejected(&fixture, 7..9, 800);
-    let took = own_time_since(started);
+    let took = time_without_stalls_since(started);
     assert!(took < 2 * Duration::from_millis(800 + 500), "{took:?}");
     let occurred = faults.disarm().len();
     assert!(occurred <= 2 * 8 + 30, "{occurred}");
@@ -337,7 +337,7 @@
     fixture.router.signal("-TERM");
     let started = Instant::now();
     assert!(client.read_answer().is_err());
-    assert!(own_time_since(started) < Duration::from_secs(9));
+    assert!(time_without_stalls_since(started) < Duration::from_secs(9));
     assert!(!faults.disarm().is_empty());
     shut_down(fixture);
 }
@@ -352,7 +352,7 @@
 fn log_lines_wait_until_they_can_be_written(#[case] rules: &str, #[case] written: usize) {
     let (fixture, faults) = armed_fixture(rules);
     fixture.router.signal("-USR1");
-    until("the router tries to write a log line", || {
+    wait_until("the router tries to write a log line", || {
         faults.occurred().len() > 1 || (written == 1 && !faults.occurred().is_empty())
     });
     assert_replica_serves_a_read(&fixture, 7);
@@ -372,6 +372,6 @@
     for _ in 0..100 {
         fixture.router.signal("-USR1");
     }
-    let took = own_time_since(assert_replica_serves_a_read(&fixture, 7));
+    let took = time_without_stalls_since(assert_replica_serves_a_read(&fixture, 7));
     assert!(took < Duration::from_secs(2), "{took:?}");
 }
--- a/crates/ottersill/tests/system_calls_seeded.rs
+++ b/crates/ottersill/tests/system_calls_seeded.rs
@@ -14,7 +14,7 @@
 use ottersill_testkit::audit::duplicate_writes;
 use ottersill_testkit::stand_in::{Client, StandInStore};
 use support::faults::Faults;
-use support::machine::own_time_since;
+use support::machine::time_without_stalls_since;
 use support::{Router, config_text};
 
 const SEEDS: u64 = 12;
@@ -59,7 +59,7 @@
         let bound = Duration::from_millis(DEADLINE_MS) + ANSWER_SLACK;
         let mut took = sent.elapsed();
         if took > bound {
-            took = own_time_since(sent);
+            took = time_without_stalls_since(sent);
         }
         let mut tally = tally.lock().expect("tally lock is poisoned");
         if took > bound {
@@ -78,6 +78,16 @@
     Ok(())
 }
 
+fn start_router(discovery: SocketAddr, faults: &Faults) -> Router {
+    let config = config_text(discovery, &[]);
+    Router::spawn_with_environment(&config, None, &faults.environment()).wait_until_ready()
+}
+
+/// Returns the number of answers that had a row.
+fn row_count(tally: &Mutex<Tally>) -> Option<usize> {
+    tally.lock().expect("tally lock is poisoned").answers.get("row").copied()
+}
+
 fn run_seed(seed: u64) -> Result<String, String> {
     let store = StandInStore::default();
     for _ in 0..3 {
@@ -87,7 +97,7 @@
     let calls = "accept4+connect+socket+recv+sendmsg+setsockopt+getsockopt+getpeername+fcntl+shutdown+epoll_ctl+epoll_wait+\
                  poll+stdout";
     let faults = Faults::new(format!("seed={seed},rate=0.02,calls={calls}"));
-    let router = Router::spawn_in(&config_text(discovery, &[]), None, &faults.environment()).until_ready();
+    let router = start_router(discovery, &faults);
     let tally = Mutex::new(Tally::default());
     faults.arm();
     let until = Instant::now() + FAULT_DURATION;
@@ -95,7 +105,7 @@
         for _ in 0..CLIENTS {
             scope.spawn(|| {
                 while Instant::now() < until {
-                    if send_requests(router.at, until, &tally).is_err() {
+                    if send_requests(router.address, until, &tally).is_err() {
                         tally.lock().expect("tally lock is poisoned").connections_ended += 1;
                     }
                 }
@@ -122,9 +132,9 @@
     let recovery = Mutex::new(Tally::default());
     let recovered = (0..50).any(|_| {
         thread::sleep(Duration::from_millis(100));
-        let before = recovery.lock().expect("tally lock is poisoned").answers.get("row").copied();
-        let served = send_requests(router.at, Instant::now() + Duration::from_millis(50), &recovery).is_ok();
-        served && recovery.lock().expect("tally lock is poisoned").answers.get("row").copied() > before
+        let before = row_count(&recovery);
+        let until = Instant::now() + Duration::from_millis(50);
+        send_requests(router.address, until, &recovery).is_ok() && row_count(&recovery) > before
     });
     if !recovered {
         tally.violations.push(format!("not served 5 s after the faults: {recovery:?}"));
@@ -135,7 +145,7 @@
         "seed {seed}: {count} faults, {answers:?}, {} connections ended, {failed_calls} client calls failed",
         tally.connections_ended
     );
-    let (log, status) = router.end();
+    let (log, status) = router.wait_for_exit();
     if !status.success() || !log.contains("invariant_violations_total=0") {
         tally.violations.push(format!("{status:?}: {}", log.lines().last().unwrap_or_default()));
     }
--- a/crates/ottersill/tests/wrong_clock.rs
+++ b/crates/ottersill/tests/wrong_clock.rs
@@ -49,7 +49,7 @@
         discovery,
         &[UNCHECKED, ("\"class_read\": [\"bounded\", \"write\"]", &class_read)],
     );
-    let router = Router::spawn(&settings, None).until_ready();
+    let router = Router::spawn(&settings, None).wait_until_ready();
     let mut client = router.client();
     let mut count_answered = |query: &str| {
         usize::from(client.query(query).expect("no answer from the router").starts_with("row:"))
@@ -70,7 +70,7 @@
     }
     answered += count_answered(&support::write(1, 1000));
     router.signal("-TERM");
-    let (log, _) = router.end();
+    let (log, _) = router.wait_for_exit();
     let received: Vec<usize> = (0..ENDPOINTS).map(|endpoint| store.received(endpoint).len()).collect();
     Outcome {
         answered,
