--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -35,7 +35,7 @@
     pub(crate) fn dispatch_all_waiting(&mut self, now: f64, transport: &mut impl Transport) {
         let waiting: Vec<GroupId> = self.requests.groups_waiting().collect();
         for group in waiting {
-            self.work.groups += 1;
+            self.work_counts.groups += 1;
             self.dispatch_waiting(now, group, transport);
         }
     }
@@ -97,7 +97,7 @@
             transport.abort(id.index());
             return;
         }
-        let needs_primary = matches!(settings.needs, Consistency::Primary | Consistency::Fresh);
+        let needs_primary = matches!(settings.consistency, Consistency::Primary | Consistency::Fresh);
         self.replica_sets[request.group].throughput.record_rejection(self.throughput_ticks, needs_primary);
         // A client that returns after its SLO time only adds load; before that, the sooner it returns the better.
         let is_late = now >= request.arrived_at + settings.slo_time;
@@ -122,7 +122,7 @@
     pub(crate) fn cancel_stuck_reads(&mut self, now: f64, transport: &mut impl Transport) {
         let in_flight: Vec<RequestId> = self.requests.in_flight_ids().collect();
         for id in in_flight {
-            self.work.requests += 1;
+            self.work_counts.requests += 1;
             let request = self.requests.get(id);
             if let RequestState::InFlight(endpoint) = self.requests.state(id)
                 && self.is_stuck(request, endpoint)
