--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkloadSettings {
     /// The data that it needs.
-    pub needs: Consistency,
+    pub consistency: Consistency,
     /// How often one of its requests may take effect.
     pub effect: Effect,
     /// Priority weight: the value of an answer in time.
@@ -68,7 +68,7 @@
     /// Returns the staleness bound in seconds; `None` if the workload is not a bounded read.
     #[must_use]
     pub fn bound(&self) -> Option<f64> {
-        match self.needs {
+        match self.consistency {
             Consistency::Bounded(bound) => Some(bound),
             _ => None,
         }
@@ -305,7 +305,7 @@
 /// Counts of what a router has examined since it started, beyond what each call names. They depend on the traffic and
 /// on what changes, not on the size of the fleet: a count that grows with the number of endpoints is a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct WorkCounts {
     /// Groups visited by ticks, and by endpoint lists and quotas in order to dispatch waiting requests.
     pub groups: u64,
     /// Groups whose members were examined for a health check.
--- a/crates/statement/src/fingerprint_cache.rs
+++ b/crates/statement/src/fingerprint_cache.rs
@@ -111,13 +111,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LookupCounts {
     /// Statements found in the cache.
-    pub known: u64,
+    pub hits: u64,
     /// Statements that were parsed, as they were not in the cache.
     pub parsed: u64,
     /// Statements classified by their tokens alone, as a parse could not change the result or the parse budget was exhausted.
     pub prescanned: u64,
     /// Statements rejected by a replica as a write although the text shows none.
-    pub denied: u64,
+    pub read_only_rejections: u64,
 }
 
 /// A cache of the classification and the cost of each fingerprint, limited to a budget of bytes.
@@ -136,7 +136,7 @@
 /// The mean estimated work of the statements that clients send in a workload, in seconds, and the number of statements averaged.
 #[derive(Clone, Copy, Debug)]
 struct TypicalWork {
-    work: f64,
+    mean_seconds: f64,
     statements: f64,
 }
 
@@ -147,7 +147,7 @@
     /// Adds a statement with an estimate of `work` seconds.
     fn record(&mut self, work: f64) {
         self.statements = (self.statements + 1.0).min(TYPICAL_WORK_STATEMENTS);
-        self.work += (work - self.work) / self.statements;
+        self.mean_seconds += (work - self.mean_seconds) / self.statements;
     }
 }
 
@@ -164,7 +164,8 @@
             // capacity.
             Err(_) => Cache::with(items, weight, ByteWeighter, Default::default(), Default::default()),
         };
-        let typical = typical.into_iter().map(|work| TypicalWork { work, statements: 0.0 }).collect();
+        let typical =
+            typical.into_iter().map(|mean_seconds| TypicalWork { mean_seconds, statements: 0.0 }).collect();
         FingerprintCache {
             key,
             entries,
@@ -202,9 +203,9 @@
         let key = CacheKey { fingerprint, workload: u32::try_from(workload).unwrap_or(u32::MAX) };
         let typical = &mut self.typical[workload];
         if let Some(entry) = self.entries.get(&key) {
-            self.counts.known += 1;
-            let estimate = entry.cost.estimate(now, typical.work);
-            typical.record(estimate.work);
+            self.counts.hits += 1;
+            let estimate = entry.cost.estimate(now, typical.mean_seconds);
+            typical.record(estimate.work_seconds);
             return StatementInfo {
                 key: Some(key),
                 kind: entry.kind(),
@@ -212,7 +213,7 @@
                 estimate: Some(estimate),
             };
         }
-        let typical = typical.work;
+        let typical = typical.mean_seconds;
         let mut prescan = Prescan::default();
         Lexer::new(text).for_each(|token| prescan.push(&token, text));
         if classify::is_conclusive(&prescan) || !self.parse_budget.allows(now, key.fingerprint.0, text.len())
@@ -266,7 +267,7 @@
     /// Records that a replica rejected the statement as a write.
     pub fn record_read_only_rejection(&mut self, key: CacheKey) {
         if let Some(mut entry) = self.entries.peek_mut(&key) {
-            self.counts.denied += 1;
+            self.counts.read_only_rejections += 1;
             entry.read_only_rejections = entry.read_only_rejections.saturating_add(1);
         }
     }
--- a/crates/testkit/src/cluster/plan.rs
+++ b/crates/testkit/src/cluster/plan.rs
@@ -1,43 +1,43 @@
-//! What a cluster is made of.
+//! Parameters of a cluster.
 
-/// What a cluster is made of. Times are in seconds where nothing else is said.
+/// Parameters of a cluster. Times are in seconds unless noted otherwise.
 #[derive(Clone, Debug)]
 pub struct ClusterPlan {
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// How many of these elect the leader.
+    /// Number of routers that are voters; these are the first ones.
     pub voters: usize,
-    /// How many endpoints the store has.
+    /// Number of endpoints of the stand-in store.
     pub endpoints: usize,
-    /// Seed of the routers, the proxies and the schedule of faults.
+    /// Seed of the routers, the proxies and the fault schedule.
     pub seed: u64,
-    /// Budget of executions at each endpoint at once.
-    pub executions: u64,
-    /// Budget of health checks a second.
-    pub probes: u64,
-    /// Budget of retries a second.
-    pub retries: u64,
-    /// Budget of executions a second at each endpoint in slow start.
-    pub cold_executions: u64,
-    /// Units of executions that each router keeps without the leader.
+    /// Budget of concurrent attempts at each endpoint.
+    pub attempts_per_endpoint: u64,
+    /// Budget of health checks per second.
+    pub health_checks_per_second: u64,
+    /// Budget of retries per second.
+    pub retries_per_second: u64,
+    /// Budget of attempts per second at each endpoint in slow start.
+    pub attempts_per_second_in_slow_start: u64,
+    /// Floor of each router in the budget of concurrent attempts, which it keeps without the leader.
     pub floor: u64,
-    /// How long a leader leads after it was last elected.
-    pub leader_lease: f64,
-    /// How long what the leader grants lasts.
-    pub lease: f64,
-    /// How long a router keeps its floor.
-    pub floor_lease: f64,
-    /// How long an execution may outlive the grant under which it began.
-    pub hold: f64,
-    /// The longest statement timeout, in milliseconds.
+    /// Duration of a leader's lease after its last election.
+    pub leader_lease_seconds: f64,
+    /// Duration of a lease that the leader grants.
+    pub lease_seconds: f64,
+    /// Duration for which a router keeps its floor.
+    pub floor_lease_seconds: f64,
+    /// Longest time by which an attempt may outlive the grant under which it started.
+    pub hold_seconds: f64,
+    /// Longest statement timeout, in milliseconds.
     pub deadline_ms: u64,
-    /// How long a statement takes.
+    /// Duration of a statement at an endpoint.
     pub statement_seconds: f64,
-    /// Whether routers talk to each other.
+    /// Whether the routers form a fleet and exchange datagrams.
     pub fleet_enabled: bool,
     /// Whether routers write audit files.
     pub audit: bool,
-    /// Further arguments of each router.
+    /// Additional command-line arguments of each router.
     pub arguments: Vec<String>,
 }
 
@@ -48,15 +48,15 @@
             voters: 3,
             endpoints: 3,
             seed: 1,
-            executions: 12,
-            probes: 200,
-            retries: 20,
-            cold_executions: 20,
+            attempts_per_endpoint: 12,
+            health_checks_per_second: 200,
+            retries_per_second: 20,
+            attempts_per_second_in_slow_start: 20,
             floor: 1,
-            leader_lease: 0.6,
-            lease: 1.2,
-            floor_lease: 3.0,
-            hold: 0.6,
+            leader_lease_seconds: 0.6,
+            lease_seconds: 1.2,
+            floor_lease_seconds: 3.0,
+            hold_seconds: 0.6,
             deadline_ms: 600,
             statement_seconds: 0.02,
             fleet_enabled: true,
