--- a/crates/fleet/src/convert.rs
+++ b/crates/fleet/src/convert.rs
@@ -8,7 +8,7 @@
 
 /// Truncates a number to whole units: 0 for a negative number or NaN, `u64::MAX` for a number above it.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "as documented")]
-pub(crate) fn whole_units(units: f64) -> u64 {
+pub(crate) fn truncate_to_units(units: f64) -> u64 {
     units as u64
 }
 
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::convert::{units_to_f64, whole_units};
+use crate::convert::{truncate_to_units, units_to_f64};
 use crate::election::Ballot;
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
 use crate::settings::LimitKind;
@@ -236,7 +236,7 @@
         if demand < NEGLIGIBLE_DEMAND_UNITS {
             0
         } else {
-            whole_units((demand * DEMAND_HEADROOM_FACTOR).max(demand.ceil()))
+            truncate_to_units((demand * DEMAND_HEADROOM_FACTOR).max(demand.ceil()))
         }
     }
 
--- a/crates/fleet/tests/model_election.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -21,7 +21,7 @@
     /// A restarted voter votes at once, without waiting for one lease.
     NoRecovery,
     /// A candidate counts its lease for twice as long as the voters.
-    LeaseCountedTooLong,
+    CandidateLeaseTooLong,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -82,8 +82,8 @@
 }
 
 struct ElectionModel {
-    voters: usize,
-    candidates: usize,
+    voter_count: usize,
+    candidate_count: usize,
     mutant: Mutant,
     /// Each reply arrives in the same step as the request that it answers. There are far fewer states then, so that all
     /// of them can be checked.
@@ -93,14 +93,14 @@
 impl ElectionModel {
     fn candidate(&self, time: u64, index: usize, incarnation: u64) -> Candidate {
         let lease =
-            if self.mutant == Mutant::LeaseCountedTooLong { 2.0 * LEASE_SECONDS } else { LEASE_SECONDS };
-        Candidate::start(time as f64, index as u16, incarnation, self.voters, lease, 0.0)
+            if self.mutant == Mutant::CandidateLeaseTooLong { 2.0 * LEASE_SECONDS } else { LEASE_SECONDS };
+        Candidate::start(time as f64, index as u16, incarnation, self.voter_count, lease, 0.0)
     }
 
     fn voter(&self, time: u64) -> Voter {
         let lease = LEASE_SECONDS;
-        let since = if self.mutant == Mutant::NoRecovery { time as f64 - lease } else { time as f64 };
-        Voter::start(since, lease)
+        let started_at = if self.mutant == Mutant::NoRecovery { time as f64 - lease } else { time as f64 };
+        Voter::start(started_at, lease)
     }
 }
 
@@ -147,9 +147,9 @@
         vec![State {
             time: 0,
             // The voters have already recovered: all earlier grants have expired.
-            voters: (0..self.voters).map(|_| Voter::start(-LEASE_SECONDS, LEASE_SECONDS)).collect(),
-            candidates: (0..self.candidates).map(|index| self.candidate(0, index, 1)).collect(),
-            incarnations: vec![1; self.voters],
+            voters: (0..self.voter_count).map(|_| Voter::start(-LEASE_SECONDS, LEASE_SECONDS)).collect(),
+            candidates: (0..self.candidate_count).map(|index| self.candidate(0, index, 1)).collect(),
+            incarnations: vec![1; self.voter_count],
             in_transit: Vec::new(),
             restarts_left: 1,
             duplicates_left: u64::from(!self.instant_reply),
@@ -162,8 +162,9 @@
         }
         let now = state.time as f64;
         let is_due = |candidate: &Candidate| now >= candidate.next_timeout();
-        actions
-            .extend((0..self.candidates).filter(|index| is_due(&state.candidates[*index])).map(Action::Tick));
+        actions.extend(
+            (0..self.candidate_count).filter(|index| is_due(&state.candidates[*index])).map(Action::Tick),
+        );
         actions.extend((0..state.in_transit.len()).map(Action::Deliver));
         // Duplicates only the requests whose repetition can matter, which are those that change a voter.
         let changes_a_voter =
@@ -176,7 +177,7 @@
             );
         }
         if state.restarts_left > 0 {
-            actions.extend((0..self.voters).map(Action::Restart));
+            actions.extend((0..self.voter_count).map(Action::Restart));
         }
     }
 
@@ -217,7 +218,7 @@
                 state.restarts_left -= 1;
                 state.incarnations[node] += 1;
                 state.voters[node] = self.voter(state.time);
-                if node < self.candidates {
+                if node < self.candidate_count {
                     state.candidates[node] = self.candidate(state.time, node, state.incarnations[node]);
                 }
             }
@@ -241,7 +242,7 @@
 }
 
 fn check(mutant: Mutant, instant_reply: bool, max_states: usize) -> (bool, bool, usize, bool) {
-    let model = ElectionModel { voters: 3, candidates: 2, mutant, instant_reply };
+    let model = ElectionModel { voter_count: 3, candidate_count: 2, mutant, instant_reply };
     let options = model.checker().target_state_count(max_states).finish_when(HasDiscoveries::AnyFailures);
     let checker = options.threads(4).spawn_bfs().join();
     let violated = checker.discovery("at most one leader").is_some();
@@ -268,7 +269,7 @@
 
 #[test]
 fn each_omitted_rule_is_detected() {
-    for mutant in [Mutant::NoRecovery, Mutant::LeaseCountedTooLong] {
+    for mutant in [Mutant::NoRecovery, Mutant::CandidateLeaseTooLong] {
         assert!(check(mutant, true, 20_000_000).0, "{mutant:?} is not detected");
     }
 }
--- a/crates/ottersill/src/client/pipelining.rs
+++ b/crates/ottersill/src/client/pipelining.rs
@@ -2,15 +2,15 @@
 
 use crate::client::Clients;
 use crate::protocol::frame;
-use crate::protocol::statement_text::peek_time_left;
+use crate::protocol::statement_text::peek_time_left_seconds;
 use crate::reactor::Context;
 
 /// Maximum number of pipelined statements whose deadlines are checked before a statement is sent: it bounds the cost of each
 /// statement. Statements further behind are checked once those ahead of them are answered.
-pub const MAX_PIPELINED: usize = 16;
+pub const MAX_CHECKED_PIPELINED: usize = 16;
 
 /// Length of a message's tag and length field, which precede its text.
-const MESSAGE_HEAD_BYTES: usize = 5;
+const MESSAGE_HEADER_BYTES: usize = 5;
 
 impl Clients {
     /// Returns the deadline of a client's statement, in Unix seconds: the earliest of its own deadline, the answer deadline of a
@@ -23,13 +23,13 @@
     /// order, so a statement that waits for a longer one ahead of it would be answered too late.
     fn earliest_pipelined_deadline(&mut self, id: usize, context: &Context) -> f64 {
         let Some(client) = self.table.get_mut(id) else { return f64::INFINITY };
-        client.sync_arrivals(context.clock.arrivals_since());
+        client.sync_arrivals(context.clock.earliest_arrival_at());
         let (mut offset, mut deadline) = (0, f64::INFINITY);
-        for _ in 0..MAX_PIPELINED {
+        for _ in 0..MAX_CHECKED_PIPELINED {
             let Ok(Some(length)) = frame::message_length(&client.inbox[offset..]) else { break };
-            let text = &client.inbox[offset + MESSAGE_HEAD_BYTES..offset + length];
-            if let Some(time_left) = peek_time_left(text) {
-                deadline = deadline.min(client.arrival_time(offset, context.now()) + time_left);
+            let text = &client.inbox[offset + MESSAGE_HEADER_BYTES..offset + length];
+            if let Some(time_left_seconds) = peek_time_left_seconds(text) {
+                deadline = deadline.min(client.arrival_time(offset, context.now()) + time_left_seconds);
             }
             offset += length;
         }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use crate::client::connection::{ClientConnection, ConnectionPhase};
-use crate::client::pipelining::MAX_PIPELINED;
+use crate::client::pipelining::MAX_CHECKED_PIPELINED;
 use crate::client::{ClientEvent, Clients};
 use crate::protocol::frame;
 use crate::protocol::frame::{ErrorCode, ProtocolError, Startup};
@@ -14,7 +14,7 @@
 /// Maximum number of bytes read ahead while a request is in flight and memory is plentiful. Reading ahead detects the end of
 /// the connection behind pipelined statements, and finds those whose deadline is earlier than that of the request in flight.
 /// Input beyond it is left unread; it counts as accepted, and is never dropped.
-const MAX_READ_AHEAD_BYTES: usize = MAX_PIPELINED * frame::MAX_MESSAGE_BYTES;
+const MAX_READ_AHEAD_BYTES: usize = MAX_CHECKED_PIPELINED * frame::MAX_MESSAGE_BYTES;
 
 /// A complete message of a client.
 enum ClientMessage {
@@ -87,11 +87,11 @@
         loop {
             self.count_stored_bytes(id);
             let client = self.table.get_mut(id)?;
-            client.sync_arrivals(context.clock.arrivals_since());
+            client.sync_arrivals(context.clock.earliest_arrival_at());
             if !client.outbox.is_empty() {
                 return None;
             }
-            let arrived_at = client.arrival_time(0, context.clock.arrivals_since());
+            let arrived_at = client.arrival_time(0, context.clock.earliest_arrival_at());
             match client.phase {
                 ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle => {}
                 ConnectionPhase::Busy(_) | ConnectionPhase::Lingering => return None,
--- a/crates/ottersill/src/clock.rs
+++ b/crates/ottersill/src/clock.rs
@@ -49,7 +49,7 @@
     clock: Clock,
     started_at: f64,
     now: f64,
-    arrivals_since: f64,
+    earliest_arrival_at: f64,
     iteration_ended_at: f64,
 }
 
@@ -57,7 +57,7 @@
     fn default() -> LoopClock {
         let clock = Clock::default();
         let now = clock.now();
-        LoopClock { clock, started_at: now, now, arrivals_since: now, iteration_ended_at: now }
+        LoopClock { clock, started_at: now, now, earliest_arrival_at: now, iteration_ended_at: now }
     }
 }
 
@@ -66,7 +66,7 @@
     pub fn begin_iteration(&mut self) {
         let time = self.read();
         let waited = time - self.iteration_ended_at;
-        self.arrivals_since = if waited < MIN_WAIT_SECONDS { self.now } else { time };
+        self.earliest_arrival_at = if waited < MIN_WAIT_SECONDS { self.now } else { time };
         self.now = time;
     }
 
@@ -88,8 +88,8 @@
     /// Returns the earliest time at which bytes read in this iteration may have arrived. That is the time of the previous
     /// iteration if sockets were ready without waiting after it, as bytes may then have arrived while that iteration was
     /// stalled; otherwise it is the time of this iteration.
-    pub fn arrivals_since(&self) -> f64 {
-        self.arrivals_since
+    pub fn earliest_arrival_at(&self) -> f64 {
+        self.earliest_arrival_at
     }
 
     /// Returns when the event loop was created.
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -24,7 +24,7 @@
     /// The connection could not be established, or broke.
     Connection(io::Error),
     /// Discovery closed the connection before it had sent a complete answer.
-    Ended,
+    ConnectionClosed,
     /// No answer arrived in time.
     Timeout,
     /// The answer is not a valid HTTP response.
@@ -39,7 +39,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CallError::Connection(error) => write!(f, "{error}"),
-            CallError::Ended => f.write_str("connection closed before a complete answer"),
+            CallError::ConnectionClosed => f.write_str("connection closed before a complete answer"),
             CallError::Timeout => f.write_str("no answer in time"),
             CallError::Http(error) => write!(f, "{error}"),
             CallError::Status(status) => write!(f, "HTTP status {status}"),
@@ -54,7 +54,7 @@
             CallError::Connection(error) => Some(error),
             CallError::Http(error) => Some(error),
             CallError::List(error) => Some(error),
-            CallError::Ended | CallError::Timeout | CallError::Status(_) => None,
+            CallError::ConnectionClosed | CallError::Timeout | CallError::Status(_) => None,
         }
     }
 }
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// If this machine cannot open or register one more connection, or has no route to the address.
-    pub fn dial(address: SocketAddr, context: &Context) -> io::Result<Call> {
+    pub fn connect(address: SocketAddr, context: &Context) -> io::Result<Call> {
         let (socket, token) =
             context.register(socket::connect(address).map_err(io::Error::from)?, Source::Discovery)?;
         Ok(Call {
@@ -165,7 +165,7 @@
             return Answer::parse(&response).map(Some);
         }
         match outcome {
-            ReadOutcome::Ended => Err(CallError::Ended),
+            ReadOutcome::Ended => Err(CallError::ConnectionClosed),
             ReadOutcome::MoreToRead => {
                 context.wake(Source::Discovery);
                 Ok(None)
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -131,7 +131,7 @@
         for call in &mut self.calls {
             call.limit_lifetime(keep_until);
         }
-        match Call::dial(self.address, context) {
+        match Call::connect(self.address, context) {
             Ok(call) => {
                 self.calls.push(call);
                 self.set_timer(self.fetch_timeout, context);
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -49,7 +49,7 @@
     /// What all components use: clock, timers, counters, log, registration of sockets.
     context: Context,
     /// The retry delay sent to clients that are rejected because no endpoint list has arrived, in seconds; 0 sends none.
-    max_retry_after: f64,
+    retry_after_without_list_seconds: f64,
 }
 
 impl EventLoop {
@@ -65,7 +65,7 @@
     ) -> EventLoop {
         let context = Context::new(handle, log);
         let now = context.now();
-        let max_retry_after = routing_config.max_retry_after;
+        let retry_after_without_list_seconds = routing_config.max_retry_after;
         EventLoop {
             requests: InFlightRequests::default(),
             endpoints: EndpointRegistry::new(names.sites.clone()),
@@ -77,7 +77,7 @@
             control: ControlServer::default(),
             limits,
             context,
-            max_retry_after,
+            retry_after_without_list_seconds,
             facade: Facade::start(now, routing_config),
         }
     }
@@ -98,7 +98,7 @@
     }
 
     /// Returns when the next iteration is due even if no socket becomes ready, in Unix seconds.
-    pub fn next_at(&self) -> f64 {
+    pub fn next_iteration_at(&self) -> f64 {
         self.context.next_at().min(self.facade.wake_at())
     }
 
@@ -157,9 +157,9 @@
             for action in actions {
                 match action {
                     RoutingAction::Pick(request_id) => {
-                        let (request_id, choice) =
+                        let (request_id, decision) =
                             self.facade.pick(self.context.now(), PickRequest::Waiting(request_id));
-                        self.apply_decision(request_id, choice);
+                        self.apply_decision(request_id, decision);
                     }
                     RoutingAction::CancelAttempt(request_id) => self.cancel_attempt(request_id),
                     RoutingAction::HealthCheck(endpoint) => self.start_health_check(endpoint),
@@ -170,13 +170,13 @@
 
     /// Passes a new request to the routing module; the request is in flight from then on.
     fn start_request(&mut self, request: Request, in_flight: InFlightRequest) {
-        let (request_id, choice) = self.facade.pick(self.context.now(), PickRequest::New(request));
+        let (request_id, decision) = self.facade.pick(self.context.now(), PickRequest::New(request));
         self.register_request(request_id, in_flight);
-        self.apply_decision(request_id, choice);
+        self.apply_decision(request_id, decision);
     }
 
-    fn apply_decision(&mut self, request_id: usize, choice: Decision) {
-        match choice {
+    fn apply_decision(&mut self, request_id: usize, decision: Decision) {
+        match decision {
             Decision::Wait => {}
             Decision::Dispatch { endpoint, timeout } => self.start_attempt(request_id, endpoint, timeout),
             Decision::Reject { retry_after } => self.reject(request_id, retry_after),
@@ -219,7 +219,7 @@
     }
 
     /// Returns whether no client is connected and none can connect.
-    pub fn is_empty(&self) -> bool {
+    pub fn has_no_clients(&self) -> bool {
         self.clients.is_empty() && !self.clients.is_listening()
     }
 
--- a/crates/ottersill/src/lifecycle/run.rs
+++ b/crates/ottersill/src/lifecycle/run.rs
@@ -89,7 +89,8 @@
 
     /// Waits until a socket is ready, a signal arrives or a deadline is reached.
     fn wait_for_events(&mut self) -> Result<(), RunError> {
-        let next_at = self.event_loop.next_at().min(self.phase.ends_at()).min(self.reload.next_at());
+        let next_at =
+            self.event_loop.next_iteration_at().min(self.phase.ends_at()).min(self.reload.next_at());
         let wait = (next_at - self.event_loop.context().clock.read()).clamp(0.0, MAX_WAIT_SECONDS);
         let wait = Some(Duration::from_secs_f64(wait));
         self.reactor.dispatch(wait, self.event_loop.readiness()).map_err(RunError::EventLoop)
@@ -111,7 +112,7 @@
             started_at: event_loop.context().clock.started_at(),
             shutdown_requested: event_loop.readiness().signals.shutdown,
             knows_endpoints: event_loop.endpoint_count() > 0,
-            has_no_clients: event_loop.is_empty(),
+            has_no_clients: event_loop.has_no_clients(),
             longest_statement_timeout: self.longest_statement_timeout,
         };
         let next = self.phase.next(&observed);
--- a/crates/ottersill/src/protocol/statement_text.rs
+++ b/crates/ottersill/src/protocol/statement_text.rs
@@ -202,7 +202,7 @@
 /// Returns how long a client waits for a statement, in seconds, read from the end of its text without scanning the rest. That is
 /// accurate enough to handle the statements ahead of it in the pipeline. [`StatementText::parse`] validates the text when the
 /// statement is handled.
-pub fn peek_time_left(text: &[u8]) -> Option<f64> {
+pub fn peek_time_left_seconds(text: &[u8]) -> Option<f64> {
     let end = &text[text.len().saturating_sub(MAX_COMMENT_BYTES)..];
     let open = end.windows(2).rposition(|two| two == b"/*")?;
     let comment = std::str::from_utf8(&end[open + 2..]).ok()?;
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -6,7 +6,7 @@
 use crate::health_check::HealthCheck;
 use crate::ids::{GroupId, Id};
 use crate::interface::{EndpointState, EndpointUpdate, RoutingConfig};
-use crate::outlier::Outlier;
+use crate::outlier::OutlierState;
 use crate::primary::RoleRecord;
 use crate::slow_start::SlowStart;
 
@@ -41,7 +41,7 @@
     pub(crate) health_check: HealthCheck,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) slow_start: SlowStart,
-    pub(crate) outlier: Outlier,
+    pub(crate) outlier: OutlierState,
 }
 
 impl Endpoint {
@@ -60,7 +60,7 @@
             health_check: HealthCheck::new(checked_at),
             limit: ConcurrencyLimit::new(limit),
             slow_start: SlowStart::default(),
-            outlier: Outlier::default(),
+            outlier: OutlierState::default(),
         }
     }
 
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -130,10 +130,10 @@
         let slo_time = self.classes.get(request.class).settings().slo_time;
         let has_stalled = self.stall_detector.has_stalled_since(request.sent_at);
         let endpoint = &mut self.endpoints[id];
-        let since_answer = now - endpoint.last_answer_at();
+        let seconds_since_answer = now - endpoint.last_answer_at();
         let has_answered_others = endpoint.last_answer_at() > request.sent_at;
         let relative_latency = (!has_stalled).then_some(latency / slo_time);
-        let observation = endpoint.limit.observe(since_answer, relative_latency, self.config.routers);
+        let observation = endpoint.limit.observe(seconds_since_answer, relative_latency, self.config.routers);
         match result.outcome {
             AttemptOutcome::Completed => {
                 endpoint.record_answer(now);
@@ -157,7 +157,7 @@
                 }
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
-                if outlier::failed_connection_ejects(since_answer) {
+                if outlier::failed_connection_ejects(seconds_since_answer) {
                     self.eject(now, id, true);
                 }
             }
--- a/crates/routing/src/monitoring.rs
+++ b/crates/routing/src/monitoring.rs
@@ -68,7 +68,7 @@
             let expected = class.estimate(request.extra_work).max(endpoint_latency);
             let last_activity_at =
                 request.sent_at.max(endpoint.last_answer_at()).max(self.stall_detector.resumed_at());
-            detector.add(id, (now - last_activity_at) / expected, endpoint.outlier.unanswered());
+            detector.add(id, (now - last_activity_at) / expected, endpoint.outlier.unanswered_attempts());
         }
         for endpoint in detector.silent_endpoints(self.endpoints.len()) {
             self.eject(now, endpoint, false);
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,7 +1,7 @@
 //! Ejects endpoints that fail or stop answering, and readmits them.
 //!
 //! An ejected endpoint is sent only an occasional trial attempt. How it is readmitted depends on why it was ejected:
-//! see [`Outlier::record_health_check`].
+//! see [`OutlierState::record_health_check`].
 
 use std::collections::BTreeMap;
 
@@ -41,13 +41,13 @@
 
 /// Failures of one endpoint, and whether it is ejected.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Outlier {
+pub(crate) struct OutlierState {
     ejection: Option<Ejection>,
     /// Attempts that ended without an answer since the last answer.
-    unanswered: u32,
+    unanswered_attempts: u32,
 }
 
-impl Outlier {
+impl OutlierState {
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
@@ -76,17 +76,17 @@
 
     /// Records that an attempt was answered, with whatever result.
     pub(crate) fn record_answer(&mut self) {
-        self.unanswered = 0;
+        self.unanswered_attempts = 0;
     }
 
     /// Records that an attempt ended without an answer.
     pub(crate) fn record_no_answer(&mut self) {
-        self.unanswered += 1;
+        self.unanswered_attempts += 1;
     }
 
     /// Attempts that ended without an answer since the last answer.
-    pub(crate) fn unanswered(&self) -> u32 {
-        self.unanswered
+    pub(crate) fn unanswered_attempts(&self) -> u32 {
+        self.unanswered_attempts
     }
 
     /// Ends the ejection after an attempt has completed; returns whether the endpoint was ejected.
@@ -117,9 +117,9 @@
     }
 }
 
-/// Whether a failed connection ejects an endpoint whose last answer arrived `since_answer` seconds ago.
-pub(crate) fn failed_connection_ejects(since_answer: f64) -> bool {
-    since_answer > RECENT_ANSWER_SECONDS
+/// Whether a failed connection ejects an endpoint whose last answer arrived `seconds_since_answer` seconds ago.
+pub(crate) fn failed_connection_ejects(seconds_since_answer: f64) -> bool {
+    seconds_since_answer > RECENT_ANSWER_SECONDS
 }
 
 /// Whether an unanswered health check ejects an endpoint that last answered an attempt at `last_answer_at`. A single
@@ -130,17 +130,17 @@
 
 /// The silence of one endpoint, summed over its attempts.
 #[derive(Debug)]
-struct Tally {
+struct EndpointSilence {
     /// Expected latencies that have passed without an answer, summed over the attempts in flight.
-    silence: f64,
+    silent_latencies: f64,
     /// Attempts in flight, and earlier ones that ended without an answer.
     attempts: u32,
 }
 
-impl Tally {
+impl EndpointSilence {
     /// Requires at least two attempts, as a single answer may be lost.
     fn is_silent(&self) -> bool {
-        self.silence > MAX_SILENCE_LATENCIES && self.attempts > 1
+        self.silent_latencies > MAX_SILENCE_LATENCIES && self.attempts > 1
     }
 }
 
@@ -148,22 +148,25 @@
 /// have passed for its attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct SilenceDetector {
-    tallies: BTreeMap<EndpointId, Tally>,
+    silences: BTreeMap<EndpointId, EndpointSilence>,
 }
 
 impl SilenceDetector {
     /// Adds an attempt in flight that has been without an answer for `silence` expected latencies; `unanswered`
     /// earlier attempts of the endpoint have ended without an answer.
-    pub(crate) fn add(&mut self, endpoint: EndpointId, silence: f64, unanswered: u32) {
-        let tally = self.tallies.entry(endpoint).or_insert(Tally { silence: 0.0, attempts: unanswered });
-        tally.silence += silence;
-        tally.attempts += 1;
+    pub(crate) fn add(&mut self, endpoint: EndpointId, silent_latencies: f64, unanswered_attempts: u32) {
+        let silence = self
+            .silences
+            .entry(endpoint)
+            .or_insert(EndpointSilence { silent_latencies: 0.0, attempts: unanswered_attempts });
+        silence.silent_latencies += silent_latencies;
+        silence.attempts += 1;
     }
 
     /// The endpoints to eject, of `endpoints` in total. If more than half of them are silent at once, none is
     /// ejected, as the estimate or the router's own network is at fault.
     pub(crate) fn silent_endpoints(self, endpoints: usize) -> Vec<EndpointId> {
-        let silent = self.tallies.into_iter().filter(|(_, tally)| tally.is_silent());
+        let silent = self.silences.into_iter().filter(|(_, silence)| silence.is_silent());
         let silent: Vec<EndpointId> = silent.map(|(endpoint, _)| endpoint).collect();
         if 2 * silent.len() <= endpoints { silent } else { Vec::new() }
     }
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -37,12 +37,12 @@
 #[case::retry_after_its_window(DEDUPLICATED_WRITE, false, 0.6, None, false)]
 fn the_rules_are_checked_again_when_an_attempt_is_sent(
     #[case] workload: usize,
-    #[case] checks: bool,
+    #[case] endpoints_check_reads: bool,
     #[case] delay_seconds: f64,
     #[case] new_state: Option<EndpointState>,
     #[case] is_allowed: bool,
 ) {
-    let mut simulation = Simulation::with_reports(checks, [0.0; 3]);
+    let mut simulation = Simulation::with_reports(endpoints_check_reads, [0.0; 3]);
     let request = simulation.send_request_with_time_left(workload, 2.0);
     let mut endpoint = simulation.sent_to(request)[0];
     if workload == DEDUPLICATED_WRITE {
--- a/crates/routing/tests/decisions/health_checks.rs
+++ b/crates/routing/tests/decisions/health_checks.rs
@@ -10,20 +10,20 @@
 #[rstest]
 #[case::all_send_reports(true, 0)]
 #[case::one_sends_none(false, 1)]
-fn polling_stops_once_all_report(#[case] all: bool, #[case] min_checks: usize) {
+fn polling_stops_once_all_report(#[case] all_send_reports: bool, #[case] min_checks: usize) {
     let mut simulation = Simulation::new(config(false));
-    (0..if all { 4 } else { 3 }).for_each(|endpoint| {
+    (0..if all_send_reports { 4 } else { 3 }).for_each(|endpoint| {
         simulation.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
     simulation.transport.0.clear();
     simulation.advance(0.4);
     simulation.now += 0.8;
-    (0..if all { 4 } else { 3 }).for_each(|endpoint| {
+    (0..if all_send_reports { 4 } else { 3 }).for_each(|endpoint| {
         simulation.report(endpoint, if endpoint == 0 { Primary } else { Replica }, 0.0);
     });
     simulation.advance(0.1);
     assert!(simulation.count(TransportCall::StartHealthCheck(0)) >= min_checks);
-    assert!(all == (simulation.count(TransportCall::StartHealthCheck(0)) == 0));
+    assert!(all_send_reports == (simulation.count(TransportCall::StartHealthCheck(0)) == 0));
 }
 
 /// Guards against a wrong readmission: a health check for which this router had no descriptor was treated as answered, and
--- a/crates/sim-adapter/src/instance/transport.rs
+++ b/crates/sim-adapter/src/instance/transport.rs
@@ -22,29 +22,29 @@
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64) {
         let Names { requests, endpoints, .. } = self.names;
         requests.attempt_started(request);
-        self.reply.forward(requests.id(request), endpoints.name(endpoint), timeout);
+        self.reply.start_attempt(requests.id(request), endpoints.name(endpoint), timeout);
     }
 
     fn reject(&mut self, request: usize, retry_after: f64) {
-        self.reply.say_no(self.names.requests.id(request), retry_after);
+        self.reply.reject(self.names.requests.id(request), retry_after);
         self.finish(request);
     }
 
     fn abort(&mut self, request: usize) {
-        self.reply.finish_error(self.names.requests.id(request));
+        self.reply.abort(self.names.requests.id(request));
         self.finish(request);
     }
 
     fn cancel_attempt(&mut self, request: usize, attempt: u32) {
-        self.reply.call_off(self.names.requests.id(request), attempt);
+        self.reply.cancel_attempt(self.names.requests.id(request), attempt);
     }
 
     fn start_health_check(&mut self, endpoint: usize) {
-        self.reply.sound_out(self.names.endpoints.name(endpoint));
+        self.reply.start_health_check(self.names.endpoints.name(endpoint));
     }
 
     fn schedule_tick(&mut self, after: f64) {
-        self.reply.notify_me(after);
+        self.reply.schedule_tick(after);
     }
 
     fn request_endpoint_list(&mut self) {
@@ -52,6 +52,6 @@
     }
 
     fn log(&mut self, text: &str) {
-        self.reply.record(text);
+        self.reply.log(text);
     }
 }
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -53,8 +53,8 @@
     }
 
     /// Sends an attempt that times out after `timeout_seconds`, or when the client gives up if that is 0.
-    pub fn forward(&mut self, request: RequestId, endpoint: &str, timeout_seconds: f64) {
-        let timeout_ms = milliseconds(timeout_seconds);
+    pub fn start_attempt(&mut self, request: RequestId, endpoint: &str, timeout_seconds: f64) {
+        let timeout_ms = to_milliseconds(timeout_seconds);
         self.write(format_args!(
             "{{\"forward\":{{\"tid\":{request},\"give_up_after_ms\":{timeout_ms},\"host\":"
         ));
@@ -63,34 +63,34 @@
     }
 
     /// Final answer: the request is rejected. It has not run, and the client may retry after `retry_after_seconds`.
-    pub fn say_no(&mut self, request: RequestId, retry_after_seconds: f64) {
-        let retry_after_ms = milliseconds(retry_after_seconds);
+    pub fn reject(&mut self, request: RequestId, retry_after_seconds: f64) {
+        let retry_after_ms = to_milliseconds(retry_after_seconds);
         self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after_ms}"));
         self.end_action();
     }
 
     /// Final answer: the request failed. It may or may not have taken effect.
-    pub fn finish_error(&mut self, request: RequestId) {
+    pub fn abort(&mut self, request: RequestId) {
         self.write(format_args!("{{\"finish_error\":{{\"tid\":{request}"));
         self.end_action();
     }
 
     /// Cancels the attempt with the given number, counted from 0.
-    pub fn call_off(&mut self, request: RequestId, attempt: u32) {
+    pub fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         self.write(format_args!("{{\"call_off\":{{\"tid\":{request},\"trial\":{attempt}"));
         self.end_action();
     }
 
     /// Sends a health check.
-    pub fn sound_out(&mut self, endpoint: &str) {
+    pub fn start_health_check(&mut self, endpoint: &str) {
         self.write(format_args!("{{\"sound_out\":{{\"host\":"));
         self.write_string(endpoint);
         self.end_action();
     }
 
     /// Sets the instance's timer to expire after `delay_seconds`.
-    pub fn notify_me(&mut self, delay_seconds: f64) {
-        let delay_ms = milliseconds(delay_seconds);
+    pub fn schedule_tick(&mut self, delay_seconds: f64) {
+        let delay_ms = to_milliseconds(delay_seconds);
         self.write(format_args!("{{\"notify_me\":{{\"sleep_for_ms\":{delay_ms},\"name\":\"beat\""));
         self.end_action();
     }
@@ -102,7 +102,7 @@
     }
 
     /// Adds `text` as a line to the simulator's report.
-    pub fn record(&mut self, text: &str) {
+    pub fn log(&mut self, text: &str) {
         self.write(format_args!("{{\"record\":{{\"what\":"));
         self.write_string(text);
         self.end_action();
@@ -122,6 +122,6 @@
 }
 
 /// Converts seconds to milliseconds, rounded to whole microseconds, the resolution of the wire.
-fn milliseconds(seconds: f64) -> f64 {
+fn to_milliseconds(seconds: f64) -> f64 {
     (seconds * 1e6).round() / 1e3
 }
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -23,31 +23,33 @@
     /// Attempts that have not ended, the latest end first: end, fingerprint, endpoint, duration; times in seconds.
     in_flight: Vec<(f64, usize, usize, f64)>,
     waited_seconds: f64,
-    work: f64,
+    work_seconds: f64,
     /// Completed attempts of each fingerprint that the cost model recorded.
     completions: Vec<usize>,
 }
 
 impl Simulation {
     fn new(mix: &WorkloadMix, seed: u64) -> Simulation {
-        let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+        let typical_work_seconds =
+            mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
         Simulation {
-            costs: vec![CostModel::new(typical); mix.fingerprints.len()],
+            costs: vec![CostModel::new(typical_work_seconds); mix.fingerprints.len()],
             delays: vec![QueueingDelay::default(); mix.endpoints],
             core_free_at: vec![vec![0.0; mix.cores]; mix.endpoints],
             now: 0.0,
             rng: StdRng::seed_from_u64(seed),
             in_flight: Vec::new(),
             waited_seconds: 0.0,
-            work: 0.0,
+            work_seconds: 0.0,
             completions: vec![0; mix.fingerprints.len()],
         }
     }
 
     /// Lets the next statement arrive, and records the attempts that ended before it. Returns its fingerprint.
     fn step(&mut self, mix: &WorkloadMix) -> usize {
-        let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
-        let rate = mix.load * (mix.endpoints * mix.cores) as f64 / typical;
+        let typical_work_seconds =
+            mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+        let rate = mix.load * (mix.endpoints * mix.cores) as f64 / typical_work_seconds;
         self.now += -self.rng.random::<f64>().max(1e-12).ln() / rate;
         let mut pick: f64 = self.rng.random();
         let fingerprint = mix.fingerprints.iter().position(|(_, fraction)| {
@@ -64,7 +66,7 @@
         let started_at = self.now.max(cores[core]);
         cores[core] = started_at + work;
         self.waited_seconds += started_at - self.now;
-        self.work += work;
+        self.work_seconds += work;
         self.in_flight.push((started_at + work, fingerprint, endpoint, started_at + work - self.now));
         self.in_flight.sort_by(|a, b| b.0.total_cmp(&a.0));
         while self.in_flight.last().is_some_and(|attempt| attempt.0 <= self.now) {
@@ -82,8 +84,8 @@
 
 /// Returns the error of an estimate as a factor of at least one.
 fn error_factor(simulation: &Simulation, mix: &WorkloadMix, fingerprint: usize) -> f64 {
-    let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
-    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical).work_seconds
+    let typical_work_seconds = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical_work_seconds).work_seconds
         / mix.fingerprints[fingerprint].0;
     ratio.max(1.0 / ratio)
 }
@@ -91,10 +93,10 @@
 /// Guards against queueing delay that is taken for work: two fingerprints whose work differs by a factor of 100 are estimated to
 /// within a factor of 1.5 in nine runs of ten, once 50 attempts of the heavy one have completed.
 #[rstest]
-#[case::calm(0.3)]
-#[case::busy(0.6)]
-#[case::queueing(0.8)]
-#[case::queueing_much(0.9)]
+#[case::light_load(0.3)]
+#[case::moderate_load(0.6)]
+#[case::high_load(0.8)]
+#[case::near_saturation(0.9)]
 fn cheap_and_heavy_are_told_apart(#[case] load: f64) {
     let mix = cheap_and_heavy(load);
     let (mut errors, mut waited_seconds) = ([Vec::new(), Vec::new()], 0.0);
@@ -103,7 +105,7 @@
         while simulation.completions[1] < 50 {
             simulation.step(&mix);
         }
-        waited_seconds += simulation.waited_seconds / simulation.work;
+        waited_seconds += simulation.waited_seconds / simulation.work_seconds;
         (0..2).for_each(|fingerprint| errors[fingerprint].push(error_factor(&simulation, &mix, fingerprint)));
     }
     errors.iter_mut().for_each(|factors| factors.sort_by(f64::total_cmp));
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -18,7 +18,7 @@
 
 /// Time between the start of the load and the first fault, after which all grants that an earlier leader might have issued
 /// have expired.
-const GRANT_EXPIRY: Duration = Duration::from_millis(3500);
+const FAULT_DELAY: Duration = Duration::from_millis(3500);
 /// Time between the last fault and the end of the load.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// One statement of the clients in this many is a write.
@@ -69,7 +69,7 @@
     units_acquired: u64,
     processes: usize,
     /// Number of torn lines in audit files.
-    torn: usize,
+    torn_lines: usize,
     answers: Answers,
     /// Number of schedules that were skipped because a router did not answer clients in time.
     skipped: u64,
@@ -86,7 +86,7 @@
         self.grants += verdict.grants;
         self.units_acquired += verdict.units_acquired;
         self.processes += verdict.processes;
-        self.torn += verdict.torn;
+        self.torn_lines += verdict.torn;
         answers.iter().for_each(|counts| self.answers.add(counts));
     }
 
@@ -99,7 +99,7 @@
              aborted: {aborted}, broken: {connections_broken}, wrong: {malformed} }}",
             self.grants, self.units_acquired
         );
-        println!("{} torn lines of audit files skipped", self.torn);
+        println!("{} torn lines of audit files skipped", self.torn_lines);
         for (budget, highest) in &self.highest_fraction {
             println!("{budget}: highest sum {highest:.3} of the total");
         }
@@ -114,8 +114,13 @@
 pub(super) fn run(arguments: &FleetArguments) -> Result<(), CommandError> {
     let files = RouterFiles::find(arguments.program.as_deref(), &arguments.config)?;
     let script = arguments.script.as_deref().map(|path| read_script(path, arguments.routers)).transpose()?;
-    let runner =
-        Runner { arguments, files, script, next: AtomicU64::new(0), totals: Mutex::new(Totals::default()) };
+    let runner = Runner {
+        arguments,
+        files,
+        script,
+        next_schedule: AtomicU64::new(0),
+        totals: Mutex::new(Totals::default()),
+    };
     runner.run_all()?;
     let totals = lock(&runner.totals);
     totals.print(arguments.schedules);
@@ -140,22 +145,22 @@
     files: RouterFiles,
     script: Option<Vec<Step>>,
     /// Number of the next schedule to run.
-    next: AtomicU64,
+    next_schedule: AtomicU64,
     totals: Mutex<Totals>,
 }
 
 impl Runner<'_> {
     fn run_all(&self) -> Result<(), CommandError> {
-        let workers = self.arguments.parallel.clamp(1, MAX_PARALLEL);
+        let worker_count = self.arguments.parallel.clamp(1, MAX_PARALLEL);
         thread::scope(|scope| {
-            let workers: Vec<_> = (0..workers).map(|_| scope.spawn(|| self.run_remaining())).collect();
+            let workers: Vec<_> = (0..worker_count).map(|_| scope.spawn(|| self.run_remaining())).collect();
             workers.into_iter().try_for_each(|worker| worker.join().map_err(|_| CommandError::Panicked)?)
         })
     }
 
     fn run_remaining(&self) -> Result<(), CommandError> {
         loop {
-            let number = self.next.fetch_add(1, Ordering::Relaxed);
+            let number = self.next_schedule.fetch_add(1, Ordering::Relaxed);
             if number >= self.arguments.schedules {
                 return Ok(());
             }
@@ -174,7 +179,7 @@
             return Ok(());
         }
         cluster.start_load(self.arguments.clients, WRITE_EVERY);
-        thread::sleep(GRANT_EXPIRY);
+        thread::sleep(FAULT_DELAY);
         match &self.script {
             Some(steps) => cluster.play(steps)?,
             None => cluster.run_random_faults(self.arguments.seconds)?,
--- a/crates/testkit/src/scale/endpoints.rs
+++ b/crates/testkit/src/scale/endpoints.rs
@@ -35,7 +35,7 @@
         store.send_changes_only();
         let replaced = replaced_endpoints(plan);
         start_endpoints(&store, plan, &replaced).map_err(ScaleError::Store)?;
-        Ok(Endpoints { store, changes: changes(plan, &replaced) })
+        Ok(Endpoints { store, changes: membership_changes(plan, &replaced) })
     }
 }
 
@@ -55,7 +55,7 @@
 }
 
 fn start_endpoints(store: &StandInStore, plan: &ScalePlan, replaced: &[usize]) -> io::Result<()> {
-    let network = unused_network();
+    let network = network_of_run();
     for endpoint in 0..plan.endpoints {
         store.add_endpoint_to_group(address(network, endpoint), group_of(endpoint))?;
     }
@@ -67,14 +67,14 @@
 
 /// Returns the changes of the endpoint list in order. Each takes the endpoints out of service that the previous change began
 /// to drain, starts to drain the next endpoints, and adds their successors.
-fn changes(plan: &ScalePlan, replaced: &[usize]) -> Vec<MembershipChange> {
+fn membership_changes(plan: &ScalePlan, replaced: &[usize]) -> Vec<MembershipChange> {
     let count = plan.changes();
-    let first_of = |change: usize| change * replaced.len() / count;
+    let first_replacement = |change: usize| change * replaced.len() / count;
     let mut draining = Vec::new();
     let mut change = |number: usize| {
-        let numbers = first_of(number)..first_of(number + 1);
-        let leaving = replaced[numbers.clone()].to_vec();
-        let joining = numbers.map(|successor| plan.endpoints + successor).collect();
+        let replacements = first_replacement(number)..first_replacement(number + 1);
+        let leaving = replaced[replacements.clone()].to_vec();
+        let joining = replacements.map(|successor| plan.endpoints + successor).collect();
         let left = std::mem::replace(&mut draining, leaving.clone());
         MembershipChange { joining, leaving, left }
     };
@@ -88,7 +88,7 @@
 
 /// Returns a /16 network for this run. It is unique among up to [`NETWORKS`] runs of this process, and most likely unique
 /// among all processes.
-fn unused_network() -> u8 {
+fn network_of_run() -> u8 {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let network = FIRST_NETWORK + (u64::from(std::process::id()) + run) % NETWORKS;
