--- a/crates/fleet/tests/model_election.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -1,8 +1,8 @@
 //! Checks the election exhaustively with a small model whose transitions call the election code itself; time advances
 //! in whole steps. There are three voters, two of which stand for election. Messages may be delayed, duplicated,
 //! reordered or lost, and members may be restarted without their state. There is never more than one leader. If the
-//! holder of a lease counts it for longer than the voters, or if a voter does not wait after its start, there can be
-//! two, and the check detects it.
+//! leader treats its lease as valid for longer than the voters do, or if a voter does not wait after its start, there
+//! can be two leaders, and the check detects them.
 
 mod state_hash;
 
@@ -14,13 +14,13 @@
 const LEASE_SECONDS: f64 = 2.0;
 const MAX_TIME_STEPS: u64 = 4;
 
-/// The rule that the model omits, if any, to show that the check detects the violation.
+/// The rule that the model omits, if any, to show that the check detects two leaders without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// A restarted voter votes at once, without waiting for one lease.
     NoRecovery,
-    /// A candidate counts its lease for twice as long as the voters.
+    /// A candidate treats its lease as valid for twice as long as the voters do.
     CandidateLeaseTooLong,
 }
 
@@ -39,6 +39,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct State {
+    /// Steps since the start; one step is one second of the election's time.
     time: u64,
     voters: Vec<Voter>,
     candidates: Vec<Candidate>,
@@ -85,8 +86,8 @@
     voter_count: usize,
     candidate_count: usize,
     mutant: Mutant,
-    /// Each reply arrives in the same step as the request that it answers. There are far fewer states then, so that all
-    /// of them can be checked.
+    /// Each reply arrives in the same step as the request that it answers. This reduces the number of states so far that
+    /// all of them can be checked.
     instant_reply: bool,
 }
 
@@ -241,6 +242,8 @@
     }
 }
 
+/// Checks up to `max_states` states. Returns whether two leaders were found, whether a leader was elected, the number of
+/// distinct states, and whether the check covered all states.
 fn check(mutant: Mutant, instant_reply: bool, max_states: usize) -> (bool, bool, usize, bool) {
     let model = ElectionModel { voter_count: 3, candidate_count: 2, mutant, instant_reply };
     let options = model.checker().target_state_count(max_states).finish_when(HasDiscoveries::AnyFailures);
@@ -254,22 +257,26 @@
 fn no_reachable_state_has_more_than_one_leader() {
     let (violated, elected, states, complete) = check(Mutant::None, true, usize::MAX);
     println!("{states} states (complete)");
-    assert!(!violated && elected && complete);
+    assert!(
+        !violated && elected && complete,
+        "violated: {violated}, elected: {elected}, complete: {complete}"
+    );
 }
 
-/// Checks as many states as `OTTERSILL_STATES` says, or 150,000, of a model with delayed and reordered replies.
+/// Checks a model with delayed and reordered replies, up to the number of states in `OTTERSILL_STATES` (by default
+/// 150,000).
 #[test]
 fn no_state_with_delayed_replies_has_more_than_one_leader() {
     let max_states =
         std::env::var("OTTERSILL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(150_000);
     let (violated, elected, states, _) = check(Mutant::None, false, max_states);
     println!("{states} states");
-    assert!(!violated && elected);
+    assert!(!violated && elected, "violated: {violated}, elected: {elected}");
 }
 
 #[test]
 fn each_omitted_rule_is_detected() {
     for mutant in [Mutant::NoRecovery, Mutant::CandidateLeaseTooLong] {
-        assert!(check(mutant, true, 20_000_000).0, "{mutant:?} is not detected");
+        assert!(check(mutant, true, 20_000_000).0, "two leaders are not detected under {mutant:?}");
     }
 }
--- a/crates/ottersill/src/client/pipelining.rs
+++ b/crates/ottersill/src/client/pipelining.rs
@@ -9,7 +9,7 @@
 /// statement. Statements further behind are checked once those ahead of them are answered.
 pub const MAX_CHECKED_PIPELINED: usize = 16;
 
-/// Length of a message's tag and length field, which precede its text.
+/// Length of a message's header: its tag and its length field.
 const MESSAGE_HEADER_BYTES: usize = 5;
 
 impl Clients {
--- a/crates/ottersill/src/client/table.rs
+++ b/crates/ottersill/src/client/table.rs
@@ -7,7 +7,7 @@
 
 use crate::client::connection::ClientConnection;
 
-/// Client connections by number. The number of a removed connection is reused.
+/// Client connections by id. The id of a removed connection is reused.
 #[derive(Default)]
 pub struct ClientTable {
     connections: Slab<ClientConnection>,
@@ -15,7 +15,7 @@
 }
 
 impl ClientTable {
-    /// Returns the number of the next connection to be inserted.
+    /// Returns the id of the next connection to be inserted.
     pub fn next_id(&self) -> usize {
         self.connections.vacant_key()
     }
@@ -28,24 +28,24 @@
     /// Removes a connection and subtracts its stored bytes from the total.
     ///
     /// # Panics
-    /// If no connection has this number.
+    /// If no connection has this id.
     pub fn remove(&mut self, id: usize) -> ClientConnection {
         let connection = self.connections.remove(id);
         self.stored_statement_bytes -= connection.stored_bytes;
         connection
     }
 
-    /// Returns the connection with this number.
+    /// Returns the connection with this id.
     pub fn get(&self, id: usize) -> Option<&ClientConnection> {
         self.connections.get(id)
     }
 
-    /// Returns the connection with this number for modification.
+    /// Returns the connection with this id for modification.
     pub fn get_mut(&mut self, id: usize) -> Option<&mut ClientConnection> {
         self.connections.get_mut(id)
     }
 
-    /// Iterates over all connections with their numbers.
+    /// Iterates over all connections with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &ClientConnection)> {
         self.connections.iter()
     }
@@ -70,7 +70,7 @@
     pub fn count_stored_bytes(&mut self, id: usize, request_bytes: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.inbox.is_empty() {
-            // An empty buffer would still keep the allocation of everything that was read with it.
+            // An emptied buffer keeps its allocation; replacing it releases the memory.
             connection.inbox = BytesMut::new();
         }
         let stored = 2 * (connection.inbox.len() + request_bytes);
--- a/crates/ottersill/src/client/time_limits.rs
+++ b/crates/ottersill/src/client/time_limits.rs
@@ -6,10 +6,12 @@
 use crate::reactor::Context;
 use crate::timers::{TIMING_MARGIN_SECONDS, Timer};
 
-/// How long a connection without an open statement is kept; the service page allows it to be closed after this time.
+/// How long a connection without a statement in flight is kept; the operators' service page allows it to be closed after
+/// this time.
 const IDLE_TIMEOUT_SECONDS: f64 = 2.0;
 
-/// Minimum time after the answer to a long statement that its client gets to complete a partial message sent behind it.
+/// Minimum time, after the answer to a statement, that its client has to complete a message that it had begun to send behind
+/// the statement.
 const REMAINDER_TIMEOUT_SECONDS: f64 = 0.25;
 
 impl Clients {
@@ -40,13 +42,15 @@
         !is_lingering
     }
 
-    /// Ends the connection if its deadline has passed; else sets its timer to the deadline.
+    /// Ends the connection if its deadline has passed; else sets its timer to the deadline. Returns the event that ending the
+    /// connection causes, if any.
     #[must_use]
     pub fn enforce_deadline(&mut self, id: usize, context: &mut Context) -> Option<ClientEvent> {
         let client = self.table.get(id)?;
         if client.phase == ConnectionPhase::Lingering {
             return None;
         }
+        // Unread input may complete the message, so it is read before the deadline is enforced.
         if client.may_have_unread && client.outbox.is_empty() {
             self.set_timer(id, context.now() + TIMING_MARGIN_SECONDS, context);
             return None;
@@ -86,8 +90,9 @@
         let has_partial_message = !client.inbox.is_empty();
         match client.phase {
             ConnectionPhase::Busy(_) => f64::INFINITY,
-            // Input that was sent ahead is not cut off, and an unread answer does not keep a connection open. A client that has
-            // sent a partial message gets its error before a router that is shutting down may be killed.
+            // A message that was begun behind a statement gets some time after the answer to be completed. A client that does
+            // not read its answer is disconnected. A partial message is rejected by the answer deadline at the latest, before
+            // a router that is shutting down may be killed.
             ConnectionPhase::AwaitingStartup | ConnectionPhase::Idle
                 if !client.has_queried && has_partial_message =>
             {
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -40,10 +40,10 @@
         match self {
             CallError::Connection(error) => write!(f, "{error}"),
             CallError::ConnectionClosed => f.write_str("connection closed before a complete answer"),
-            CallError::Timeout => f.write_str("no answer in time"),
+            CallError::Timeout => f.write_str("timed out waiting for an answer"),
             CallError::Http(error) => write!(f, "{error}"),
             CallError::Status(status) => write!(f, "HTTP status {status}"),
-            CallError::List(error) => write!(f, "{error}"),
+            CallError::List(error) => write!(f, "invalid endpoint list: {error}"),
         }
     }
 }
@@ -92,7 +92,7 @@
     inbox: BytesMut,
     outbox: Outbox,
     requested_at: f64,
-    /// When the call is no longer kept open beside newer ones; infinite if it is the newest or was answered.
+    /// When this call may be closed in favor of newer ones; infinite if it is the newest call or was answered.
     keep_until: f64,
     was_answered: bool,
 }
@@ -130,12 +130,12 @@
         socket::is_connected(&self.socket)
     }
 
-    /// Whether the time has passed for which this call is kept open beside newer ones.
+    /// Whether this call may be closed in favor of newer ones, as its lifetime has ended.
     pub fn has_expired(&self, now: f64) -> bool {
         now >= self.keep_until
     }
 
-    /// Keeps the call open beside newer ones until `keep_until` at most, in Unix seconds.
+    /// Limits the lifetime of a call that newer ones follow: it ends at `keep_until` at the latest, in Unix seconds.
     pub fn limit_lifetime(&mut self, keep_until: f64) {
         self.keep_until = self.keep_until.min(keep_until);
     }
@@ -175,7 +175,7 @@
     }
 
     /// Records that the call was answered, and lifts the limit on its lifetime. Returns true if it was a long poll that was
-    /// answered early.
+    /// answered before its scheduled end.
     pub fn record_answer(&mut self, now: f64) -> bool {
         self.was_answered = true;
         self.keep_until = f64::INFINITY;
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -147,9 +147,7 @@
         let (clients, context) = (&mut self.clients, &mut self.context);
         match refusal {
             Refusal::Query(error) => clients.reject_query(client, error.code(), &error.to_string(), context),
-            Refusal::NoEndpointList => {
-                clients.reject_without_list(client, self.retry_after_without_list_seconds, context)
-            }
+            Refusal::NoEndpointList => clients.reject_without_list(client, self.retry_after_seconds, context),
             Refusal::NoDescriptor => clients.reject_without_descriptor(client, context),
         }
     }
--- a/crates/ottersill/src/event_loop/mod.rs
+++ b/crates/ottersill/src/event_loop/mod.rs
@@ -46,10 +46,10 @@
     statements: StatementChecker,
     /// Limits on connections and memory.
     limits: ConnectionLimits,
-    /// What all components use: clock, timers, counters, log, registration of sockets.
+    /// State that all components share: clock, timers, counters, log, registration of sockets.
     context: Context,
     /// The retry delay sent to clients that are rejected because no endpoint list has arrived, in seconds; 0 sends none.
-    retry_after_without_list_seconds: f64,
+    retry_after_seconds: f64,
 }
 
 impl EventLoop {
@@ -65,7 +65,7 @@
     ) -> EventLoop {
         let context = Context::new(handle, log);
         let now = context.now();
-        let retry_after_without_list_seconds = routing_config.max_retry_after;
+        let retry_after_seconds = routing_config.max_retry_after;
         EventLoop {
             requests: InFlightRequests::default(),
             endpoints: EndpointRegistry::new(names.sites.clone()),
@@ -77,7 +77,7 @@
             control: ControlServer::default(),
             limits,
             context,
-            retry_after_without_list_seconds,
+            retry_after_seconds,
             facade: Facade::start(now, routing_config),
         }
     }
@@ -189,7 +189,7 @@
         self.facade.report(self.context.now(), event);
     }
 
-    /// Returns what all components use: clock, timers, counters, log.
+    /// Returns the state that all components share: clock, timers, counters, log, registration of sockets.
     pub fn context(&mut self) -> &mut Context {
         &mut self.context
     }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -12,17 +12,17 @@
 /// Seconds after an answer during which a failed connection does not eject the endpoint: if the number of connections
 /// is capped, some fail at an endpoint that answers others.
 const RECENT_ANSWER_SECONDS: f64 = 0.5;
-/// Silence, in expected latencies summed over the attempts in flight, that is unlikely to be due to chance (e^-7: 1
-/// in 1000).
+/// Limit on an endpoint's silence: the number of expected latencies that have passed without an answer, summed over
+/// its attempts in flight. The probability of a longer silence by chance is e^-7, 1 in 1000.
 const MAX_SILENCE_LATENCIES: f64 = 7.0;
 
 /// Why an endpoint is ejected, and when it may be tried again.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     next_trial_at: f64,
-    /// Connections failed, rather than answers.
+    /// Whether the endpoint was ejected because a connection to it failed, not because it did not answer.
     connection_failed: bool,
-    /// A health check has failed since the ejection, so the process is gone and returns with cold caches.
+    /// A health check has failed since the ejection, so the process has ended; its successor starts with cold caches.
     unreachable: bool,
     /// A health check has been answered since the ejection, or health checks are not permitted.
     trial_allowed: bool,
@@ -94,7 +94,7 @@
         self.ejection.take().is_some()
     }
 
-    /// Applies the end of a health check, which was answered or not.
+    /// Applies the result of a health check. Returns its effect on the ejection.
     pub(crate) fn record_health_check(&mut self, answered: bool) -> EjectionChange {
         let Some(ejection) = &mut self.ejection else { return EjectionChange::Unchanged };
         if !answered {
@@ -105,8 +105,8 @@
             self.ejection = None;
             return EjectionChange::Restarted;
         }
-        // The process was running all the time: failures due to a cap on connections, or to a lost answer, are no
-        // restart.
+        // The process was running all the time. The connection failed because the number of connections is capped, or
+        // because an answer was lost, which does not indicate a restart.
         if ejection.connection_failed {
             self.ejection = None;
             return EjectionChange::Readmitted;
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -1,6 +1,6 @@
-//! Tracks the primary of a group by events and polling, following the paper.
+//! Tracks the primary of a group by events and polling, following the paper that docs/design.md quotes.
 //!
-//! docs/design.md ("What is kept") sets the paper's words beside these functions and numbers the departures from it:
+//! docs/design.md ("What is kept") quotes the paper for each of these functions and numbers the departures from it:
 //! 7 and 19 list the failures after which an endpoint stops counting as the primary
 //! ([`PrimaryTracker::clear_primary`]), 20 explains why an endpoint that has never reported its role does not stop
 //! the group from working. In short: every answer and report that contains an endpoint's role updates the primary in
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Removes all state about the endpoint, as its identifier is about to be reused for another endpoint whose
-    /// claims must be treated as those of an unknown endpoint.
+    /// Removes all state about the endpoint. Its identifier is about to be reused for another endpoint, which has made no
+    /// claims yet.
     pub(crate) fn forget(&mut self, endpoint: EndpointId) {
         self.clear_primary(endpoint);
         self.claimant = self.claimant.filter(|claimant| *claimant != endpoint);
--- a/crates/routing/tests/decisions/endpoint_list.rs
+++ b/crates/routing/tests/decisions/endpoint_list.rs
@@ -25,7 +25,8 @@
     assert_eq!(simulation.sent_to(read) == [1], is_sent);
 }
 
-/// Rules 2, 3 and 5 hold when an attempt is sent, which may be some time after its endpoint was selected.
+/// The rules on excluded endpoints, on safe retries and on the age of data hold when an attempt is sent, which may be some
+/// time after its endpoint was selected.
 #[rstest]
 #[case::at_once(READ, false, 0.0, None, true)]
 #[case::drains(READ, false, 0.0, Some(EndpointState::Draining), false)]
--- a/crates/routing/tests/decisions/health_checks.rs
+++ b/crates/routing/tests/decisions/health_checks.rs
@@ -78,5 +78,5 @@
     }
     let checks =
         (0..4).map(|endpoint| simulation.count(TransportCall::StartHealthCheck(endpoint))).sum::<usize>();
-    assert!((4..=max_checks).contains(&checks), "{checks}");
+    assert!((4..=max_checks).contains(&checks), "{checks} health checks");
 }
--- a/crates/sim-adapter/src/wire/reply.rs
+++ b/crates/sim-adapter/src/wire/reply.rs
@@ -62,14 +62,14 @@
         self.end_action();
     }
 
-    /// Final answer: the request is rejected. It has not run, and the client may retry after `retry_after_seconds`.
+    /// Ends the request with a rejection. It has not run, and the client may retry after `retry_after_seconds`.
     pub fn reject(&mut self, request: RequestId, retry_after_seconds: f64) {
         let retry_after_ms = to_milliseconds(retry_after_seconds);
         self.write(format_args!("{{\"say_no\":{{\"tid\":{request},\"retry_in_ms\":{retry_after_ms}"));
         self.end_action();
     }
 
-    /// Final answer: the request failed. It may or may not have taken effect.
+    /// Ends the request with an error. It may or may not have taken effect.
     pub fn abort(&mut self, request: RequestId) {
         self.write(format_args!("{{\"finish_error\":{{\"tid\":{request}"));
         self.end_action();
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -9,6 +9,7 @@
 struct WorkloadMix {
     /// Mean seconds of work of each fingerprint, and its fraction of the statements.
     fingerprints: Vec<(f64, f64)>,
+    /// Offered work as a fraction of what the cores can process.
     load: f64,
     endpoints: usize,
     cores: usize,
@@ -90,7 +91,7 @@
     ratio.max(1.0 / ratio)
 }
 
-/// Guards against queueing delay that is taken for work: two fingerprints whose work differs by a factor of 100 are estimated to
+/// Guards against queueing delay that is treated as work: two fingerprints whose work differs by a factor of 100 are estimated to
 /// within a factor of 1.5 in nine runs of ten, once 50 attempts of the heavy one have completed.
 #[rstest]
 #[case::light_load(0.3)]
@@ -110,14 +111,14 @@
     }
     errors.iter_mut().for_each(|factors| factors.sort_by(f64::total_cmp));
     println!(
-        "load {load}: waited {:.2} of work; error factor of cheap {:.2} median, {:.2} at 90%; of heavy {:.2}, {:.2}",
+        "load {load}: waiting time {:.2} of the work; error factor of cheap {:.2} median, {:.2} at 90%; of heavy {:.2}, {:.2}",
         waited_seconds / 40.0,
         errors[0][20],
         errors[0][36],
         errors[1][20],
         errors[1][36]
     );
-    assert!(errors.iter().all(|factors| factors[36] < 1.5), "{errors:?}");
+    assert!(errors.iter().all(|factors| factors[36] < 1.5), "error factors: {errors:?}");
 }
 
 /// Guards against an estimate that stays at the former work: the work of one fingerprint grows or falls tenfold, while that of
@@ -161,7 +162,7 @@
         "from {before} to {after}: learnt after {:.1} s median, {:.1} s at most",
         delays_until_learnt[10], delays_until_learnt[19]
     );
-    assert!(delays_until_learnt[19] < 12.0, "{delays_until_learnt:?}");
+    assert!(delays_until_learnt[19] < 12.0, "seconds until learnt: {delays_until_learnt:?}");
 }
 
 /// Guards against estimates that claim too much certainty: the spread is larger with two attempts than with a thousand, and
@@ -182,22 +183,23 @@
     println!("spread with no attempt {none:.2}, with 2, 50 and 1000 attempts {spreads:.2?}");
     assert!(
         none > 0.7 && spreads[0] > 0.25 && spreads[1] < 0.1 && spreads[2] <= spreads[1],
-        "{none} {spreads:?}"
+        "spread without attempts {none}, with 2, 50 and 1000 attempts {spreads:?}"
     );
     // With two attempts the estimate still leans towards the typical work of the workload.
     let mut few_attempts = CostModel::new(0.01);
     (1..=2).for_each(|n| few_attempts.record(f64::from(n), 0.1, &mut delay));
     assert!(
         few_attempts.estimate(2.0, 0.01).work_seconds < 0.08,
-        "{}",
+        "two attempts are estimated at {} s",
         few_attempts.estimate(2.0, 0.01).work_seconds
     );
     let old = cost.estimate(10.0 + 60.0, 0.01);
     assert!(old.log_standard_error > 0.25, "a minute later the spread is only {}", old.log_standard_error);
 }
 
-/// Guards against two failures. A fingerprint that is rejected for its former cost is never sent again, so nothing shows that it
-/// costs less by then. And the only fingerprint of a workload is estimated to cost more than a typical statement of it.
+/// Guards against two failures. A fingerprint that is rejected because of its former cost is never sent again, so its lower
+/// present cost is never observed. And the only fingerprint of a workload is estimated to cost more than a typical statement
+/// of that workload.
 #[test]
 fn a_single_fingerprint_is_typical_and_a_stall_is_forgotten() {
     let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
--- a/crates/testkit/src/audit.rs
+++ b/crates/testkit/src/audit.rs
@@ -70,7 +70,8 @@
 pub struct Verdict {
     /// Invariant violations, each described in one line.
     pub violations: Vec<String>,
-    /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
+    /// For each budget, the highest number of units that all processes together held or used at any time, as a fraction of
+    /// the total.
     pub highest_fraction: BTreeMap<String, f64>,
     /// Number of units that were acquired.
     pub units_acquired: u64,
--- a/crates/testkit/src/cluster/load.rs
+++ b/crates/testkit/src/cluster/load.rs
@@ -127,6 +127,7 @@
     fn run_session(&self) -> io::Result<()> {
         let mut client = Client::connect(self.router)?;
         client.socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+        // The answer to the startup message.
         client.read_answer()?;
         while !self.is_stopped() {
             let answer = client.query(&next_statement(self.write_every));
--- a/crates/testkit/src/cluster/mod.rs
+++ b/crates/testkit/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! The cluster harness: many router processes of the built program on one machine. Each router has its own files. Proxies
-//! connect the routers with each other and with the endpoints, and clients send statements without pause. Faults kill,
-//! suspend, terminate, restart and cut off routers.
+//! The cluster harness: runs many router processes on one machine, each with its own files. Proxies connect the routers with
+//! each other and with the endpoints, and clients send statements continuously. Faults kill, suspend, terminate, restart and
+//! cut off routers.
 //!
 //! - [`ClusterPlan`]: the number of routers and endpoints, the budgets and other parameters
 //! - [`Cluster`]: starts the routers, injects faults, and observes the routers
--- a/crates/testkit/src/command/cost.rs
+++ b/crates/testkit/src/command/cost.rs
@@ -34,7 +34,7 @@
     /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The configuration from which that of each router is made.
+    /// The configuration file from which the configuration of each router is derived.
     #[arg(long, alias = "charter", default_value = "example/router.json")]
     config: PathBuf,
 }
--- a/crates/testkit/src/command/fleet.rs
+++ b/crates/testkit/src/command/fleet.rs
@@ -54,7 +54,7 @@
     /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The configuration from which that of each router is made.
+    /// The configuration file from which the configuration of each router is derived.
     #[arg(long, alias = "charter", default_value = "example/router.json")]
     config: PathBuf,
 }
@@ -63,7 +63,8 @@
 #[derive(Default)]
 struct Totals {
     violations: Vec<String>,
-    /// For each budget, the highest sum that the processes had at any time, as a fraction of the total.
+    /// For each budget, the highest number of units that all processes together held or used at any time, as a fraction of
+    /// the total.
     highest_fraction: BTreeMap<String, f64>,
     grants: u64,
     units_acquired: u64,
--- a/crates/testkit/src/command/mod.rs
+++ b/crates/testkit/src/command/mod.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The router executable, and the text of the configuration from which that of each router is made.
+/// The router executable, and the text of the configuration from which the configuration of each router is derived.
 struct RouterFiles {
     program: PathBuf,
     example: String,
--- a/crates/testkit/src/command/scale.rs
+++ b/crates/testkit/src/command/scale.rs
@@ -50,7 +50,7 @@
     /// The router executable; by default, the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The configuration from which that of the router is made.
+    /// The configuration file from which the configuration of the router is derived.
     #[arg(long, default_value = "example/router.json")]
     config: PathBuf,
 }
--- a/crates/testkit/src/scale/endpoints.rs
+++ b/crates/testkit/src/scale/endpoints.rs
@@ -15,9 +15,9 @@
 
 /// Port of all endpoints, below the range of ephemeral ports.
 const ENDPOINT_PORT: u16 = 9_000;
-/// First /16 network for measurements, and the number of these networks: the part of 127.0.0.0/8 that cluster tests do not
-/// use.
+/// Second byte of the first /16 network for measurements. Cluster tests use other parts of 127.0.0.0/8.
 const FIRST_NETWORK: u64 = 192;
+/// Number of /16 networks for measurements.
 const NETWORKS: u64 = 62;
 /// Number of addresses that are used in each /24 network: all but the first and the last few.
 const ADDRESSES_PER_SUBNET: usize = 250;
@@ -96,7 +96,8 @@
 }
 
 fn address(network: u8, endpoint: usize) -> SocketAddr {
-    let byte = |number: usize| u8::try_from(number).expect("more endpoints than addresses");
+    let byte =
+        |number: usize| u8::try_from(number).expect("endpoint number exceeds the addresses of a /16 network");
     let (subnet, last) = (byte(endpoint / ADDRESSES_PER_SUBNET), byte(endpoint % ADDRESSES_PER_SUBNET + 1));
     SocketAddr::from((Ipv4Addr::new(127, network, subnet, last), ENDPOINT_PORT))
 }
--- a/crates/testkit/tests/scale_growth.rs
+++ b/crates/testkit/tests/scale_growth.rs
@@ -26,7 +26,8 @@
     Comparison::new((SMALL_ENDPOINTS, small), (LARGE_ENDPOINTS, large))
 }
 
-/// Compares the bounds with those of the operators' page, calculated by hand for one small deployment.
+/// Compares the bounds with those that the operators' page gives, calculated by hand for one small deployment. They are in
+/// the order of `Quantity::ALL`.
 #[test]
 fn each_bound_is_that_of_the_operators_page() {
     let comparison = compare(vec![small()], vec![small()]);
