--- a/crates/fleet/tests/model_quota.rs
+++ b/crates/fleet/tests/model_quota.rs
@@ -2,7 +2,7 @@
 //! There is one leader at a time (`model_election.rs` checks that), and there are two holders that each demand the
 //! total. Requests and replies may be delayed, reordered or lost, a holder may be restarted without its state, and the
 //! next leader starts without a record of earlier grants. The units that both holders may spend never exceed the total.
-//! Each rule that ensures this is omitted once, and the check detects the violation.
+//! Each rule that ensures this is omitted once, and the check detects that the total is exceeded.
 
 mod state_hash;
 
@@ -28,7 +28,7 @@
     restarts: u64,
 }
 
-/// The rule that the model omits, if any, to show that the check detects the violation.
+/// The rule that the model omits, if any, to show that the check detects that the total is exceeded without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
@@ -36,10 +36,10 @@
     NoSettling,
     /// A new leader accepts reports that were made before its term.
     AcceptsOldReports,
-    /// The leader counts a lease for half as long as its holder does.
-    LeaseCountedTooShort,
-    /// A holder counts its lease from the arrival of the reply, not from when it sent the request.
-    LeaseCountedFromReply,
+    /// The leader treats a lease as valid for half as long as its holder does.
+    LeaderLeaseTooShort,
+    /// A holder's lease begins when the reply arrives, not when the request was sent.
+    HolderLeaseFromReply,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -72,6 +72,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct State {
+    /// Steps since the start; one step is one second of the ledger's time.
     time: u64,
     ledger: QuotaLedger,
     term_until: u64,
@@ -155,7 +156,7 @@
                     return;
                 }
                 let term = state.ledger.term();
-                let lease = if self.mutant == Mutant::LeaseCountedTooShort {
+                let lease = if self.mutant == Mutant::LeaderLeaseTooShort {
                     LEASE_SECONDS / 2.0
                 } else {
                     LEASE_SECONDS
@@ -177,7 +178,7 @@
                 }
                 holder.newest_known_term = term;
                 let sent_at = holder.sent_at[request_id as usize - 1];
-                let sent_at = if self.mutant == Mutant::LeaseCountedFromReply { now } else { sent_at };
+                let sent_at = if self.mutant == Mutant::HolderLeaseFromReply { now } else { sent_at };
                 if let Some(grant) = grant {
                     let request = SentRequest { id: request_id, sent_at };
                     let durations = Pools { demand: LEASE_SECONDS, floor: LEASE_SECONDS };
@@ -312,8 +313,8 @@
 #[rstest]
 #[case(Mutant::NoSettling, 2, 3)]
 #[case(Mutant::AcceptsOldReports, 4, 5)]
-#[case(Mutant::LeaseCountedTooShort, 4, 4)]
-#[case(Mutant::LeaseCountedFromReply, 4, 4)]
+#[case(Mutant::LeaderLeaseTooShort, 4, 4)]
+#[case(Mutant::HolderLeaseFromReply, 4, 4)]
 fn each_omitted_rule_is_detected(#[case] mutant: Mutant, #[case] term: u64, #[case] time_steps: u64) {
     let size = Size { term, time_steps, requests: 3, restarts: 0 };
     let (violated, _, states) = check(mutant, size);
--- a/crates/ottersill/src/protocol/socket_failure.rs
+++ b/crates/ottersill/src/protocol/socket_failure.rs
@@ -46,7 +46,7 @@
 /// Why a connection to an endpoint could not be started.
 #[derive(Debug)]
 pub enum ConnectFailure {
-    /// This machine lacks a resource, which says nothing about the endpoint. This includes all errors of `socket`, `fcntl` and
+    /// This machine lacks a resource, whatever the state of the endpoint. This includes all errors of `socket`, `fcntl` and
     /// `epoll_ctl`, which do not involve the endpoint, and these errors of `connect`:
     ///
     /// - `EADDRNOTAVAIL`, `EADDRINUSE`, `EAGAIN`: no local port is left, or no space in the routing cache;
@@ -108,18 +108,21 @@
 pub struct LocalFailures {
     count: u32,
     /// When the first of them occurred, in Unix seconds.
-    since: f64,
+    first_failure_at: f64,
 }
 
 impl LocalFailures {
     /// Records another failure. Returns whether the failures now count against the endpoint: there are enough, they have lasted
-    /// for `at_least` seconds, and a connection to another endpoint was started in the meantime, the last one at `others_at`.
-    pub fn record(&mut self, now: f64, at_least: f64, others_at: f64) -> bool {
+    /// for `min_duration_seconds`, and a connection to another endpoint was started in the meantime, the last one at
+    /// `last_connect_elsewhere_at`.
+    pub fn record(&mut self, now: f64, min_duration_seconds: f64, last_connect_elsewhere_at: f64) -> bool {
         if self.count == 0 {
-            self.since = now;
+            self.first_failure_at = now;
         }
         self.count = self.count.saturating_add(1);
-        self.count >= MIN_LOCAL_FAILURES && now - self.since >= at_least && others_at > self.since
+        self.count >= MIN_LOCAL_FAILURES
+            && now - self.first_failure_at >= min_duration_seconds
+            && last_connect_elsewhere_at > self.first_failure_at
     }
 }
 
--- a/crates/testkit/src/scale/load.rs
+++ b/crates/testkit/src/scale/load.rs
@@ -48,7 +48,7 @@
     let sessions = Sessions { router, idle: Mutex::new(Vec::new()) };
     let answers = Mutex::new(Answers::default());
     let send = |arrival| {
-        let answer = sessions.ask(arrival);
+        let answer = sessions.send(arrival);
         lock(&answers).count(answer.as_deref().ok());
     };
     let started = Instant::now();
@@ -70,7 +70,7 @@
 }
 
 impl Sessions {
-    fn ask(&self, arrival: Arrival) -> io::Result<String> {
+    fn send(&self, arrival: Arrival) -> io::Result<String> {
         let Arrival { number, is_write, group, .. } = arrival;
         let mut session = self.acquire()?;
         let answer = session.query(&statement_text(number, is_write, group))?;
