--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,9 +1,9 @@
 //! Leader election: a lease that a majority of the voters grants to one of them, without persistent storage.
 //!
 //! The protocol is Paxos with a value that expires. A voter that has just started may have lost the record of a grant, so
-//! it grants nothing for one full lease. A candidate counts its lease from before it sends the request, and uses the
-//! shorter duration of [`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease); a voter counts the full
-//! lease from when it grants it. A leader that was suspended therefore knows by its own clock, without any message, that
+//! it grants nothing for one full lease. The lease of a candidate begins before it sends the request, and has the
+//! shorter duration of [`FleetConfig::holder_lease`](crate::settings::FleetConfig::holder_lease); for a voter, the full
+//! lease begins when it grants it. A leader that was suspended therefore knows by its own clock, without any message, that
 //! its lease has expired before any voter grants the next one.
 
 use crate::convert::units_to_f64;
@@ -150,7 +150,7 @@
     Waiting { next_attempt_at: f64 },
     /// Collecting promises until `deadline`.
     Preparing { ballot: Ballot, deadline: f64, promised: VoterSet },
-    /// Collecting grants until `deadline`. The lease counts from `sent_at`, when they were requested.
+    /// Collecting grants until `deadline`. The lease begins at `sent_at`, when they were requested.
     Accepting { ballot: Ballot, sent_at: f64, deadline: f64, granted: VoterSet },
 }
 
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -75,7 +75,7 @@
 
 /// The answer of a member that is not leader.
 ///
-/// With [`NO_REQUEST`] as `request_id` it tells a process that the sender knows a larger incarnation of the process's name;
+/// With [`NO_REQUEST`] as `request_id` it informs a process that the sender knows a larger incarnation of the process's name;
 /// `to_incarnation` is that larger incarnation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NotLeader {
--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -225,8 +225,8 @@
         self.denied_since_request > 0
     }
 
-    /// Returns the units to ask for in a request that is sent now, from the recent demand; zero if there was none. Resets
-    /// the denied and waiting units.
+    /// Returns the units to request now, derived from the recent demand; zero if there was none. Resets the denied and
+    /// waiting units.
     pub fn take_demand(&mut self, now: f64) -> u64 {
         self.refresh(now);
         self.sample_demand(now);
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -102,7 +102,7 @@
 }
 
 impl FleetConfig {
-    /// Returns the seconds for which the holder of a lease may use it, where its grantor counts `lease` seconds. It is
+    /// Returns the seconds for which the holder of a lease may use it, if it lasts `lease` seconds for its grantor. It is
     /// shorter by about twice the drift, so that the lease expires at the holder first, whichever clock is slow.
     pub fn holder_lease(&self, lease: f64) -> f64 {
         lease * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -187,7 +187,7 @@
     assert!(simulation.sum_over_members(0) <= 20, "{}", simulation.sum_over_members(0));
     let mut highest = 0;
     simulation.run(20.0, |simulation| highest = highest.max(simulation.sum_over_members(0)));
-    assert!((15..=20).contains(&highest), "{highest}");
+    assert!((15..=20).contains(&highest), "highest sum of units: {highest}");
 }
 
 #[test]
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -334,7 +334,7 @@
             Action::TimerFires(node) => self.fire_timer(node),
             Action::OperationEnds(node, starts) => {
                 self.in_flight -= 1;
-                // A suspended router would learn of the end only after it resumes. An earlier release does not raise
+                // A suspended router would observe the end only after it resumes. An earlier release does not raise
                 // the sum.
                 let now = self.clock(node);
                 let key = self.nodes[node].key(CONCURRENCY_INDEX);
--- a/crates/ottersill/src/backend/reply.rs
+++ b/crates/ottersill/src/backend/reply.rs
@@ -55,8 +55,8 @@
 
 impl Reply {
     /// Adds a message. Returns true for ReadyForQuery, which ends the answer. An answer has to be exactly one row of one column,
-    /// an empty query's answer, or an error. Anything else is a protocol error: it proves nothing, and no part of it may be
-    /// passed on.
+    /// an empty query's answer, or an error. Anything else is a protocol error, after which the effect of the statement is
+    /// unknown and no part of the answer may be forwarded.
     pub fn add(&mut self, message: Message) -> Result<bool, ProtocolError> {
         let is_start = self.is_empty();
         match message.tag() {
--- a/crates/ottersill/src/backend/table.rs
+++ b/crates/ottersill/src/backend/table.rs
@@ -19,17 +19,17 @@
 struct EndpointConnections {
     /// The number of connections.
     count: usize,
-    /// The numbers of the idle connections; the most recently used one is the last.
+    /// The ids of the idle connections; the most recently used one is the last.
     idle: Vec<usize>,
 }
 
 impl BackendTable {
-    /// Returns the number that the next connection gets.
+    /// Returns the id of the next connection to be inserted.
     pub fn next_id(&self) -> usize {
         self.connections.vacant_key()
     }
 
-    /// Adds a connection under the number [`next_id`](Self::next_id).
+    /// Adds a connection under [`next_id`](Self::next_id).
     pub fn insert(&mut self, connection: BackendConnection) {
         let endpoint = connection.endpoint;
         if self.by_endpoint.len() <= endpoint {
@@ -42,7 +42,7 @@
     /// Removes a connection, also from the idle ones.
     ///
     /// # Panics
-    /// If no connection has that number.
+    /// If no connection has that id.
     pub fn remove(&mut self, id: usize) -> BackendConnection {
         let connection = self.connections.remove(id);
         let to_endpoint = &mut self.by_endpoint[connection.endpoint];
@@ -51,12 +51,12 @@
         connection
     }
 
-    /// Returns the connection with that number.
+    /// Returns the connection with that id.
     pub fn get(&self, id: usize) -> Option<&BackendConnection> {
         self.connections.get(id)
     }
 
-    /// Returns the connection with that number, mutably.
+    /// Returns the connection with that id for modification.
     pub fn get_mut(&mut self, id: usize) -> Option<&mut BackendConnection> {
         self.connections.get_mut(id)
     }
--- a/crates/ottersill/src/client/connection.rs
+++ b/crates/ottersill/src/client/connection.rs
@@ -11,8 +11,8 @@
 use crate::timers::TimerHandle;
 
 /// A client that sends nothing that can be answered gets an error or a close this long after it has connected; a client that
-/// stops in the middle of a message gets it this long after the first byte of the message. The service page requires it within
-/// 3 s: the difference covers a router that stalls twice, before it reads that byte and before it answers.
+/// stops in the middle of a message gets it this long after the first byte of the message. The operators' service page
+/// requires it within 3 s: the difference covers a router that stalls twice, before it reads that byte and before it answers.
 pub const INCOMPLETE_INPUT_TIMEOUT_SECONDS: f64 = 2.6;
 
 /// The phase of a client connection.
@@ -22,7 +22,7 @@
     AwaitingStartup,
     /// Between statements.
     Idle,
-    /// The request with this number is in flight.
+    /// The request with this id is in flight.
     Busy(usize),
     /// The client has sent Terminate; the connection is about to be shut down.
     Terminated,
--- a/crates/ottersill/src/client/mod.rs
+++ b/crates/ottersill/src/client/mod.rs
@@ -41,7 +41,7 @@
 /// Result of accepting the next client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptOutcome {
-    /// A client was accepted under this number, and is to be read at once.
+    /// A client was accepted with this id, and its input has to be read at once.
     Client(usize),
     /// The client was closed because its socket could not be registered with the event loop before its deadline.
     Closed,
@@ -81,7 +81,7 @@
         self.table.iter()
     }
 
-    /// Returns the connection with this number.
+    /// Returns the connection with this id.
     pub fn get(&self, id: usize) -> Option<&ClientConnection> {
         self.table.get(id)
     }
--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -68,8 +68,8 @@
             }
             Ok(ReadOutcome::MoreToRead) => {
                 client.may_have_unread = true;
-                // The end of the connection may yet arrive, held back by unread input, so reading continues. When memory is
-                // short, that has to wait.
+                // The end of the connection is detected only behind unread input, so reading continues. While memory is
+                // short, reading is postponed.
                 if is_busy && client.inbox.len() < max_bytes {
                     context.wake(Source::Client(id));
                 }
--- a/crates/ottersill/src/control/fleet_report.rs
+++ b/crates/ottersill/src/control/fleet_report.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// An object that tells why a question can't be answered.
+/// Returns an object that states why a query can't be answered.
 fn fault(text: &str) -> Value {
     json!({"fault": text})
 }
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -92,7 +92,7 @@
     inbox: BytesMut,
     outbox: Outbox,
     requested_at: f64,
-    /// When this call may be closed in favor of newer ones; infinite if it is the newest call or was answered.
+    /// When this call may be closed to make room for newer ones; infinite if it is the newest call or was answered.
     keep_until: f64,
     was_answered: bool,
 }
@@ -130,7 +130,7 @@
         socket::is_connected(&self.socket)
     }
 
-    /// Whether this call may be closed in favor of newer ones, as its lifetime has ended.
+    /// Whether this call may be closed to make room for newer ones, as its lifetime has ended.
     pub fn has_expired(&self, now: f64) -> bool {
         now >= self.keep_until
     }
--- a/crates/ottersill/src/discovery/client.rs
+++ b/crates/ottersill/src/discovery/client.rs
@@ -31,8 +31,8 @@
 /// Watches discovery for endpoint lists. Times are Unix seconds, durations seconds.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    /// Open calls, oldest first. An unanswered call is kept open beside the next. Whichever is answered first stays, and the
-    /// other one is closed, so that no answer is older than the one before it.
+    /// Open calls, oldest first. An unanswered call is kept open after the next has begun. The call that is answered first is
+    /// kept, and the other one is closed, so that no answer is older than the one before it.
     calls: Vec<Call>,
     /// Expires when the newest call times out or leaves its pause or, if there is no call, when the next one begins.
     timer: Option<TimerHandle>,
--- a/crates/ottersill/src/discovery/http.rs
+++ b/crates/ottersill/src/discovery/http.rs
@@ -76,7 +76,7 @@
     closes_connection: bool,
 }
 
-/// Removes the next response from `inbox` once it is complete; `ended` tells that no more input will arrive.
+/// Removes the next response from `inbox` once it is complete; `ended` states whether no more input will arrive.
 ///
 /// # Errors
 /// If the input is not a valid response; the connection must then be closed.
--- a/crates/ottersill/src/discovery/watch.rs
+++ b/crates/ottersill/src/discovery/watch.rs
@@ -3,19 +3,19 @@
 
 use crate::clock::milliseconds;
 
-/// The service page treats an update as received this long after discovery has it, whatever failed before. All other times have
-/// to fit in: a long poll that goes unanswered, and two further calls that are not answered.
+/// The operators' service page treats an update as received this long after discovery has it, even if calls failed before. The
+/// times of a long poll and of two further calls, none of which is answered, have to fit into this limit.
 const PROPAGATION_LIMIT_SECONDS: f64 = 6.0;
-/// How long discovery may hold a long poll while nothing changes. Calls cost discovery nothing.
+/// How long discovery may hold a long poll while nothing changes. The cost of calls to discovery is negligible.
 const LONG_POLL_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 3.0;
 /// How long after its scheduled end a long poll may still be answered; later it is treated as unanswered.
 const RESPONSE_GRACE_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 12.0;
-/// How long an unanswered call is kept open beside the calls that follow it.
+/// How long an unanswered call is kept open after the next call has begun.
 pub const SUPERSEDED_CALL_LIFETIME_SECONDS: f64 = PROPAGATION_LIMIT_SECONDS / 6.0;
 /// Delay after a call that failed, or that was answered early without a change. It is shorter than the interval that keeps
 /// up a watch (200 ms, the protocol page).
 pub const RETRY_DELAY_SECONDS: f64 = 0.1;
-/// Minimum time between calls, however short the grace of a draining endpoint is.
+/// Minimum time between calls, even if the grace of a draining endpoint is very short.
 const MIN_CALL_INTERVAL_SECONDS: f64 = RETRY_DELAY_SECONDS / 10.0;
 
 /// Returns how long a call that should be answered at once may stay unanswered before the next one begins, in seconds. What
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -171,7 +171,7 @@
         self.start_request(request, in_flight);
     }
 
-    /// Registers a request as in flight, under the number that the routing module gave it.
+    /// Registers a request as in flight, under the id that the routing module assigned.
     pub(super) fn register_request(&mut self, request_id: usize, request: InFlightRequest) {
         let (client, statement_bytes) = (request.client, request.text.len());
         self.requests.insert(request_id, request, &mut self.context.counters);
--- a/crates/ottersill/src/in_flight.rs
+++ b/crates/ottersill/src/in_flight.rs
@@ -64,7 +64,7 @@
 }
 
 impl InFlightRequests {
-    /// Adds a request under the number that the routing module gave it.
+    /// Adds a request under the id that the routing module assigned.
     pub fn insert(&mut self, index: usize, new: InFlightRequest, counters: &mut Counters) {
         let vacant = InFlightRequest { phase: RequestPhase::Vacant, text: StatementText::default(), ..new };
         self.by_id.resize(self.by_id.len().max(index + 1), vacant);
--- a/crates/ottersill/src/lifecycle/reload.rs
+++ b/crates/ottersill/src/lifecycle/reload.rs
@@ -5,10 +5,10 @@
 use crate::event_loop::EventLoop;
 use crate::lifecycle::config::Config;
 
-/// The service page assumes that the router knows the new discovery's endpoints this long after SIGHUP. Until then, a
-/// configuration that can't be loaded is tried again, as its file may be only partly written.
+/// The operators' service page assumes that the router knows the new discovery's endpoints this long after SIGHUP. Until
+/// then, loading a configuration that can't be loaded is retried, as its file may be only partly written.
 const RELOAD_DEADLINE_SECONDS: f64 = 4.0;
-/// Interval between two such tries.
+/// Interval between two attempts to load a configuration.
 const RETRY_INTERVAL_SECONDS: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/ottersill/src/lifecycle/shutdown.rs
+++ b/crates/ottersill/src/lifecycle/shutdown.rs
@@ -8,7 +8,7 @@
 /// distinguished from one that does not start.
 const FIRST_LIST_TIMEOUT_SECONDS: f64 = 5.0;
 /// Minimum duration of the lame-duck phase. According to the protocol page, new clients connect for up to 0.4 s after SIGTERM;
-/// the remainder is for connections that are on their way then.
+/// the remainder is for connections that are being established at that time.
 const MIN_LAME_DUCK_SECONDS: f64 = 0.5;
 /// Once the longest statement timeout has passed since SIGTERM, the process may be killed after this delay.
 const KILL_DELAY_SECONDS: f64 = 0.7;
--- a/crates/ottersill/src/protocol/socket.rs
+++ b/crates/ottersill/src/protocol/socket.rs
@@ -56,7 +56,7 @@
     let end_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // An interruption by a signal says nothing about the peer.
+    // An interruption by a signal does not indicate that the peer has closed the connection.
     let polled = rustix::io::retry_on_intr(|| poll(&mut fds, Some(&now)));
     polled.is_ok() && fds[0].revents().intersects(end_flags)
 }
@@ -203,8 +203,8 @@
 
 /// Returns whether a connection that was started is established by now.
 ///
-/// If the system can't tell, because it lacks memory, the connection counts as established: the next write or the time limit
-/// reveals a failure.
+/// If the system can't report this because it lacks memory, the connection is treated as established: the next write or the
+/// time limit reveals a failure.
 ///
 /// # Errors
 /// If the connection could not be established.
--- a/crates/ottersill/src/reactor.rs
+++ b/crates/ottersill/src/reactor.rs
@@ -34,7 +34,7 @@
     Listener,
 }
 
-/// What was recorded while the event loop waited: the data that its callbacks write to.
+/// Sources that became ready and signals that arrived while the event loop waited; its callbacks write to it.
 #[derive(Default)]
 pub struct Readiness {
     sources: Vec<Source>,
@@ -79,8 +79,8 @@
 /// The handle of calloop's event loop, used to register and deregister sockets.
 pub type ReactorHandle = LoopHandle<'static, Readiness>;
 
-/// What a component may use of the event loop while it handles an event. The event loop owns it and lends it to one
-/// component at a time.
+/// State of the event loop that components share. The event loop owns it and passes it to the component that handles an
+/// event.
 pub struct Context {
     /// The time of this iteration, and the clock itself.
     pub clock: LoopClock,
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The latency of all answers at this router, which tells whether a time-out is due to overload or to a lost answer.
+/// The latency of all answers at this router, which indicates whether a time-out is due to overload or to a lost answer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LatencyPressure {
     /// Moving average of latencies as fractions of their SLO times.
--- a/crates/routing/src/clock.rs
+++ b/crates/routing/src/clock.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Guards against blaming endpoints for a stall of this router: what it did not receive meanwhile says nothing about
-/// them.
+/// Guards against treating a stall of this router as a failure of endpoints: answers that it did not read during the
+/// stall are not missing.
 #[derive(Clone, Debug)]
 pub(crate) struct StallDetector {
     last_call_at: f64,
--- a/crates/routing/src/clock_offset.rs
+++ b/crates/routing/src/clock_offset.rs
@@ -7,7 +7,7 @@
 //!
 //! - A position never lies ahead of the clock of its endpoint, and may lie any time behind it: that of a replica by
 //!   its lag, that of a load report by its age. Only answers of primaries, whose positions are current, are therefore
-//!   evidence of an offset. Relying on replicas would make old data pass for new.
+//!   evidence of an offset. Relying on replicas would cause old data to be treated as recent.
 //! - Any endpoint may show that there is no offset, by a position close to the router's time. While that is so, the
 //!   offset is exactly zero and every time is used as it was reported.
 //! - A single endpoint with a wrong clock must not change the offset: if there are several groups, several primaries
@@ -31,7 +31,7 @@
 const MAX_REPORT_AGE_SECONDS: f64 = 1.5;
 /// Seconds by which the offsets measured at several primaries may differ and still count as the same.
 const SAME_OFFSET_SECONDS: f64 = 0.25;
-/// Answers of one primary that have to show the same offset before it counts.
+/// Number of answers of one primary that have to show the same offset before the offset is used as evidence.
 const CONFIRMING_ANSWERS: u32 = 3;
 /// Minimum seconds between the first and the last of these answers: more than [`AHEAD_TOLERANCE_SECONDS`], so that a
 /// position that does not advance is distinguished from one that does.
@@ -51,9 +51,9 @@
 /// How a position was reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PositionSource {
-    /// In an answer, which describes the current time.
+    /// The position came in an answer, which describes the current time.
     Answer,
-    /// In a load report, which may be some time old.
+    /// The position came in a load report, which may be some time old.
     Report,
 }
 
@@ -75,7 +75,7 @@
 /// How a sample has changed the offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OffsetChange {
-    /// Not at all.
+    /// The offset has not changed.
     None,
     /// The offset is now known to be zero.
     Settled,
@@ -87,7 +87,7 @@
 /// How the last position of an endpoint relates to the offset in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Verdict {
-    /// Proves nothing, as the position may be old.
+    /// Is no evidence, as the position may be old.
     #[default]
     Inconclusive,
     /// Agrees with the offset.
--- a/crates/routing/src/concurrency_limit.rs
+++ b/crates/routing/src/concurrency_limit.rs
@@ -127,8 +127,8 @@
         self.relative_latency = LOW_RELATIVE_LATENCY;
     }
 
-    /// Evaluates the result of an attempt. `latency` is a fraction of the SLO time; `None` if it says nothing about
-    /// the endpoint.
+    /// Evaluates the result of an attempt. `latency` is a fraction of the SLO time; `None` if it does not
+    /// reflect the state of the endpoint.
     ///
     /// Estimates become outdated, and a router that receives few answers has little else to rely on: an answer has
     /// more weight the longer ago the previous one arrived.
--- a/crates/routing/src/dispatch.rs
+++ b/crates/routing/src/dispatch.rs
@@ -157,7 +157,7 @@
     }
 }
 
-/// Time at which a waiting request is given up: once an attempt would come too late or would no longer be safe or, if
+/// Time at which a waiting request gets its final answer: once an attempt would be too late or no longer safe or, if
 /// none was sent, after half of its time, less one tick.
 fn dispatch_deadline(request: &TrackedRequest, effect: Effect) -> f64 {
     if request.attempts > 0 {
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -46,8 +46,8 @@
         self.has_known_role(endpoint) && !self.state.is_excluded(endpoint) && is_available
     }
 
-    /// Returns whether the endpoint has reported its role; true as well where health checks, which ask for it, may not
-    /// be sent.
+    /// Returns whether the endpoint has reported its role. Also returns true if health checks, which request the role, may
+    /// not be sent.
     fn has_known_role(&self, endpoint: EndpointId) -> bool {
         !self.endpoint(endpoint).role.is_unknown() || !self.state.config.may_check_health
     }
--- a/crates/routing/src/facade.rs
+++ b/crates/routing/src/facade.rs
@@ -31,7 +31,7 @@
     Dispatch {
         /// The endpoint to send it to.
         endpoint: usize,
-        /// Seconds after which the attempt counts as not answered; 0 means when its client gives up.
+        /// Seconds after which the attempt times out; 0 means that it times out when its client does.
         timeout: f64,
     },
     /// Wait until [`Facade::tick`] names the request.
@@ -41,7 +41,7 @@
         /// Seconds after which the client may retry.
         retry_after: f64,
     },
-    /// Final answer that says nothing about effects.
+    /// Final answer: the request failed, and may or may not have taken effect.
     Abort,
 }
 
--- a/crates/routing/src/health_check.rs
+++ b/crates/routing/src/health_check.rs
@@ -1,6 +1,6 @@
 //! When endpoints are health-checked, and the budget that limits the checks.
 //!
-//! A group polls by the paper's rule ([`crate::primary`]); beyond that, an endpoint is checked where routing depends
+//! A group polls by the rule of the paper ([`crate::primary`]); beyond that, an endpoint is checked where routing depends
 //! on its next report. Checks are funded by requests, as a large number of routers would otherwise send more health
 //! checks than requests. A waiting request may have a few members checked outside the budget, and all of them only
 //! once it has waited for some time (departure 32 of docs/design.md).
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -179,7 +179,7 @@
 pub enum AttemptOutcome {
     /// Answered in full.
     Completed,
-    /// Answered with an error, which proves nothing about its effect.
+    /// Answered with an error, after which its effect is unknown.
     Error,
     /// Rejected by the endpoint because it was full.
     Refused,
@@ -243,7 +243,7 @@
     pub elapsed: f64,
     /// Whether the request has its final answer, by this result or an earlier one.
     pub has_final_answer: bool,
-    /// What the answer itself shows; for a completed write the position is that of its commit.
+    /// The role and the position that the answer itself shows; for a completed write, the position of its commit.
     pub observed: LoadReport,
     /// The load report that came with the answer.
     pub report: Option<LoadReport>,
@@ -318,11 +318,11 @@
 
 /// Carries out the decisions of a [`Router`](crate::Router).
 pub trait Transport {
-    /// Sends an attempt; it counts as not answered after `timeout` seconds, where 0 means when its client gives up.
+    /// Sends an attempt that times out after `timeout` seconds; 0 means that it times out when its client does.
     fn start_attempt(&mut self, request: usize, endpoint: usize, timeout: f64);
     /// Gives the final answer that nothing took effect, and that the client may safely retry in `retry_after` seconds.
     fn reject(&mut self, request: usize, retry_after: f64);
-    /// Gives a final answer that says nothing about effects.
+    /// Gives the final answer that the request failed, and may or may not have taken effect.
     fn abort(&mut self, request: usize);
     /// Cancels the request's attempt with that number, counted from 0; its result is still reported.
     fn cancel_attempt(&mut self, request: usize, attempt: u32);
--- a/crates/routing/tests/digests/simulation.rs
+++ b/crates/routing/tests/digests/simulation.rs
@@ -131,7 +131,7 @@
     endpoint: usize,
     /// Time in seconds.
     sent_at: f64,
-    /// Seconds; 0 stands for no timeout of its own.
+    /// Timeout in seconds; 0 if the attempt has none.
     timeout: f64,
     outcome: AttemptOutcome,
     /// Distinguishes the attempt's events from those that no longer apply.
--- a/crates/routing/tests/digests/transcript.rs
+++ b/crates/routing/tests/digests/transcript.rs
@@ -7,7 +7,7 @@
 
 /// An action that the router requested from its transport.
 pub enum Action {
-    /// `timeout` is in seconds; 0 stands for the time that the client has left.
+    /// `timeout` is in seconds; 0 means that the attempt may take the time that the client has left.
     Send {
         request: usize,
         endpoint: usize,
--- a/crates/routing/tests/low_traffic.rs
+++ b/crates/routing/tests/low_traffic.rs
@@ -71,7 +71,7 @@
     let sent = simulation.sent_to(read);
     let endpoints: BTreeSet<usize> = sent.iter().copied().collect();
     assert_eq!(endpoints.len(), sent.len(), "{sent:?}");
-    assert!(endpoints.len() >= expected_min, "{sent:?}");
+    assert!(endpoints.len() >= expected_min, "attempts sent: {sent:?}");
 }
 
 /// Guards against sending long reads to all replicas because each router alone has room at each of them: the replication
@@ -328,7 +328,7 @@
         (1..=40).map(sent_by_router).sum()
     };
     let (with_backlog, without_backlog) = (sent(1.5), sent(0.0));
-    // What is offered within the overload period in which an endpoint fails, and a quarter of that for the backlog.
+    // The requests that arrive within the overload period in which an endpoint fails, and a quarter more for the backlog.
     assert!(
         without_backlog > 40 && with_backlog < without_backlog * 3 / 2,
         "{with_backlog} with a backlog, {without_backlog} without"
@@ -466,7 +466,7 @@
         });
     }
     // 100 each, plus or minus four standard deviations.
-    assert!(checks.iter().all(|checks| (65..=135).contains(checks)), "{checks:?}");
+    assert!(checks.iter().all(|checks| (65..=135).contains(checks)), "health checks: {checks:?}");
 }
 
 /// Guards against repeating a health check as soon as it is refused while a request waits.
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -526,7 +526,7 @@
         self.call(request.router, |routing, calls| routing.on_request(now, slot, statement, calls));
     }
 
-    /// Calls one router and carries out what it asks for.
+    /// Calls one router and carries out the actions that it requests.
     fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut Calls)) {
         let mut calls = Calls::default();
         call(&mut self.instances[router].router, &mut calls);
--- a/crates/statement/src/builtin_catalog.rs
+++ b/crates/statement/src/builtin_catalog.rs
@@ -686,7 +686,7 @@
     #[case(KEYWORDS_BEFORE_COLUMN)]
     fn lists_are_sorted_and_short_enough(#[case] list: &[&str]) {
         let unsorted: Vec<_> = list.windows(2).filter(|pair| pair[0] >= pair[1]).collect();
-        assert!(unsorted.is_empty(), "{unsorted:?}");
+        assert!(unsorted.is_empty(), "names out of order or repeated: {unsorted:?}");
         assert!(list.iter().all(|name| name.len() <= 32));
     }
 }
--- a/crates/statement/src/fingerprint.rs
+++ b/crates/statement/src/fingerprint.rs
@@ -1,8 +1,8 @@
 //! The fingerprint of a statement: a keyed 128-bit hash of its tokens, with values normalized and comments left out.
 //!
 //! Two texts with the same fingerprint have the same kind, as the fingerprint includes everything besides values that a
-//! classification depends on. The key prevents clients from constructing collisions, by which a write could pass for a known
-//! read.
+//! classification depends on. The key prevents clients from constructing collisions, by which a write could be classified as a
+//! known read.
 
 use std::hash::Hasher;
 use std::ops::Range;
--- a/crates/syscall-faults/src/schedule.rs
+++ b/crates/syscall-faults/src/schedule.rs
@@ -216,7 +216,7 @@
     call_count: AtomicU64,
 }
 
-/// RandomFaults faults, determined by a seed.
+/// Random faults, determined by a seed.
 #[derive(Debug, Default)]
 struct RandomFaults {
     seed: u64,
--- a/crates/testkit/src/scripted_peer/endpoint.rs
+++ b/crates/testkit/src/scripted_peer/endpoint.rs
@@ -31,7 +31,7 @@
     Blackhole,
 }
 
-/// What the test has requested, and the number of connections in each phase.
+/// The state that the test has requested, and the number of connections in each phase.
 struct State {
     /// Whether new connections receive the greeting, which completes their startup. While they do not, idle connections are
     /// closed.
--- a/crates/testkit/tests/stored_audit.rs
+++ b/crates/testkit/tests/stored_audit.rs
@@ -38,8 +38,8 @@
     assert!(is_close(grant.at, 1_796_208_208.121_230_1), "{}", grant.at);
     let [(units, until), (floor, floor_until)] = grant.until.expect("the entry has no expiry times");
     assert_eq!((units, floor), (36, 0));
-    assert!(is_close(until, 1_796_208_210.081_486_2), "{until}");
-    assert!(is_close(floor_until, 1_796_208_237.527_030_7), "{floor_until}");
+    assert!(is_close(until, 1_796_208_210.081_486_2), "expiry of the units: {until}");
+    assert!(is_close(floor_until, 1_796_208_237.527_030_7), "expiry of the floor: {floor_until}");
     assert_eq!(entries[73].until, None);
 }
 
