--- a/crates/ottersill/src/client/session.rs
+++ b/crates/ottersill/src/client/session.rs
@@ -68,8 +68,8 @@
             }
             Ok(ReadOutcome::MoreToRead) => {
                 client.may_have_unread = true;
-                // The end of the connection is detected only behind unread input, so reading continues. While memory is
-                // short, reading is postponed.
+                // The end of the connection may arrive only once the unread input has been read, so reading continues.
+                // While memory is short, reading is postponed.
                 if is_busy && client.inbox.len() < max_bytes {
                     context.wake(Source::Client(id));
                 }
