--- a/crates/fleet/src/local_quota.rs
+++ b/crates/fleet/src/local_quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::convert::{units_to_f64, whole_units};
+use crate::convert::{truncate_to_units, units_to_f64};
 use crate::election::Ballot;
 use crate::quota_ledger::{Grant, HeldQuota, Pools};
 use crate::settings::LimitKind;
@@ -225,8 +225,8 @@
         self.denied_since_request > 0
     }
 
-    /// Returns the units to ask for in a request that is sent now, from the recent demand; zero if there was none. Resets
-    /// the denied and waiting units.
+    /// Returns the units to request now, derived from the recent demand; zero if there was none. Resets the denied and
+    /// waiting units.
     pub fn take_demand(&mut self, now: f64) -> u64 {
         self.refresh(now);
         self.sample_demand(now);
@@ -236,7 +236,7 @@
         if demand < NEGLIGIBLE_DEMAND_UNITS {
             0
         } else {
-            whole_units((demand * DEMAND_HEADROOM_FACTOR).max(demand.ceil()))
+            truncate_to_units((demand * DEMAND_HEADROOM_FACTOR).max(demand.ceil()))
         }
     }
 
--- a/crates/fleet/tests/model_election.rs
+++ b/crates/fleet/tests/model_election.rs
@@ -1,8 +1,8 @@
 //! Checks the election exhaustively with a small model whose transitions call the election code itself; time advances
 //! in whole steps. There are three voters, two of which stand for election. Messages may be delayed, duplicated,
 //! reordered or lost, and members may be restarted without their state. There is never more than one leader. If the
-//! holder of a lease counts it for longer than the voters, or if a voter does not wait after its start, there can be
-//! two, and the check detects it.
+//! leader treats its lease as valid for longer than the voters do, or if a voter does not wait after its start, there
+//! can be two leaders, and the check detects them.
 
 mod state_hash;
 
@@ -14,14 +14,14 @@
 const LEASE_SECONDS: f64 = 2.0;
 const MAX_TIME_STEPS: u64 = 4;
 
-/// The rule that the model omits, if any, to show that the check detects the violation.
+/// The rule that the model omits, if any, to show that the check detects two leaders without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// A restarted voter votes at once, without waiting for one lease.
     NoRecovery,
-    /// A candidate counts its lease for twice as long as the voters.
-    LeaseCountedTooLong,
+    /// A candidate treats its lease as valid for twice as long as the voters do.
+    CandidateLeaseTooLong,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -39,6 +39,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct State {
+    /// Steps since the start; one step is one second of the election's time.
     time: u64,
     voters: Vec<Voter>,
     candidates: Vec<Candidate>,
@@ -82,25 +83,25 @@
 }
 
 struct ElectionModel {
-    voters: usize,
-    candidates: usize,
+    voter_count: usize,
+    candidate_count: usize,
     mutant: Mutant,
-    /// Each reply arrives in the same step as the request that it answers. There are far fewer states then, so that all
-    /// of them can be checked.
+    /// Each reply arrives in the same step as the request that it answers. This reduces the number of states so far that
+    /// all of them can be checked.
     instant_reply: bool,
 }
 
 impl ElectionModel {
     fn candidate(&self, time: u64, index: usize, incarnation: u64) -> Candidate {
         let lease =
-            if self.mutant == Mutant::LeaseCountedTooLong { 2.0 * LEASE_SECONDS } else { LEASE_SECONDS };
-        Candidate::start(time as f64, index as u16, incarnation, self.voters, lease, 0.0)
+            if self.mutant == Mutant::CandidateLeaseTooLong { 2.0 * LEASE_SECONDS } else { LEASE_SECONDS };
+        Candidate::start(time as f64, index as u16, incarnation, self.voter_count, lease, 0.0)
     }
 
     fn voter(&self, time: u64) -> Voter {
         let lease = LEASE_SECONDS;
-        let since = if self.mutant == Mutant::NoRecovery { time as f64 - lease } else { time as f64 };
-        Voter::start(since, lease)
+        let started_at = if self.mutant == Mutant::NoRecovery { time as f64 - lease } else { time as f64 };
+        Voter::start(started_at, lease)
     }
 }
 
@@ -147,9 +148,9 @@
         vec![State {
             time: 0,
             // The voters have already recovered: all earlier grants have expired.
-            voters: (0..self.voters).map(|_| Voter::start(-LEASE_SECONDS, LEASE_SECONDS)).collect(),
-            candidates: (0..self.candidates).map(|index| self.candidate(0, index, 1)).collect(),
-            incarnations: vec![1; self.voters],
+            voters: (0..self.voter_count).map(|_| Voter::start(-LEASE_SECONDS, LEASE_SECONDS)).collect(),
+            candidates: (0..self.candidate_count).map(|index| self.candidate(0, index, 1)).collect(),
+            incarnations: vec![1; self.voter_count],
             in_transit: Vec::new(),
             restarts_left: 1,
             duplicates_left: u64::from(!self.instant_reply),
@@ -162,8 +163,9 @@
         }
         let now = state.time as f64;
         let is_due = |candidate: &Candidate| now >= candidate.next_timeout();
-        actions
-            .extend((0..self.candidates).filter(|index| is_due(&state.candidates[*index])).map(Action::Tick));
+        actions.extend(
+            (0..self.candidate_count).filter(|index| is_due(&state.candidates[*index])).map(Action::Tick),
+        );
         actions.extend((0..state.in_transit.len()).map(Action::Deliver));
         // Duplicates only the requests whose repetition can matter, which are those that change a voter.
         let changes_a_voter =
@@ -176,7 +178,7 @@
             );
         }
         if state.restarts_left > 0 {
-            actions.extend((0..self.voters).map(Action::Restart));
+            actions.extend((0..self.voter_count).map(Action::Restart));
         }
     }
 
@@ -217,7 +219,7 @@
                 state.restarts_left -= 1;
                 state.incarnations[node] += 1;
                 state.voters[node] = self.voter(state.time);
-                if node < self.candidates {
+                if node < self.candidate_count {
                     state.candidates[node] = self.candidate(state.time, node, state.incarnations[node]);
                 }
             }
@@ -240,8 +242,10 @@
     }
 }
 
+/// Checks up to `max_states` states. Returns whether two leaders were found, whether a leader was elected, the number of
+/// distinct states, and whether the check covered all states.
 fn check(mutant: Mutant, instant_reply: bool, max_states: usize) -> (bool, bool, usize, bool) {
-    let model = ElectionModel { voters: 3, candidates: 2, mutant, instant_reply };
+    let model = ElectionModel { voter_count: 3, candidate_count: 2, mutant, instant_reply };
     let options = model.checker().target_state_count(max_states).finish_when(HasDiscoveries::AnyFailures);
     let checker = options.threads(4).spawn_bfs().join();
     let violated = checker.discovery("at most one leader").is_some();
@@ -253,22 +257,26 @@
 fn no_reachable_state_has_more_than_one_leader() {
     let (violated, elected, states, complete) = check(Mutant::None, true, usize::MAX);
     println!("{states} states (complete)");
-    assert!(!violated && elected && complete);
+    assert!(
+        !violated && elected && complete,
+        "violated: {violated}, elected: {elected}, complete: {complete}"
+    );
 }
 
-/// Checks as many states as `OTTERSILL_STATES` says, or 150,000, of a model with delayed and reordered replies.
+/// Checks a model with delayed and reordered replies, up to the number of states in `OTTERSILL_STATES` (by default
+/// 150,000).
 #[test]
 fn no_state_with_delayed_replies_has_more_than_one_leader() {
     let max_states =
         std::env::var("OTTERSILL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(150_000);
     let (violated, elected, states, _) = check(Mutant::None, false, max_states);
     println!("{states} states");
-    assert!(!violated && elected);
+    assert!(!violated && elected, "violated: {violated}, elected: {elected}");
 }
 
 #[test]
 fn each_omitted_rule_is_detected() {
-    for mutant in [Mutant::NoRecovery, Mutant::LeaseCountedTooLong] {
-        assert!(check(mutant, true, 20_000_000).0, "{mutant:?} is not detected");
+    for mutant in [Mutant::NoRecovery, Mutant::CandidateLeaseTooLong] {
+        assert!(check(mutant, true, 20_000_000).0, "two leaders are not detected under {mutant:?}");
     }
 }
--- a/crates/ottersill/src/discovery/call.rs
+++ b/crates/ottersill/src/discovery/call.rs
@@ -24,7 +24,7 @@
     /// The connection could not be established, or broke.
     Connection(io::Error),
     /// Discovery closed the connection before it had sent a complete answer.
-    Ended,
+    ConnectionClosed,
     /// No answer arrived in time.
     Timeout,
     /// The answer is not a valid HTTP response.
@@ -39,11 +39,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CallError::Connection(error) => write!(f, "{error}"),
-            CallError::Ended => f.write_str("connection closed before a complete answer"),
-            CallError::Timeout => f.write_str("no answer in time"),
+            CallError::ConnectionClosed => f.write_str("connection closed before a complete answer"),
+            CallError::Timeout => f.write_str("timed out waiting for an answer"),
             CallError::Http(error) => write!(f, "{error}"),
             CallError::Status(status) => write!(f, "HTTP status {status}"),
-            CallError::List(error) => write!(f, "{error}"),
+            CallError::List(error) => write!(f, "invalid endpoint list: {error}"),
         }
     }
 }
@@ -54,7 +54,7 @@
             CallError::Connection(error) => Some(error),
             CallError::Http(error) => Some(error),
             CallError::List(error) => Some(error),
-            CallError::Ended | CallError::Timeout | CallError::Status(_) => None,
+            CallError::ConnectionClosed | CallError::Timeout | CallError::Status(_) => None,
         }
     }
 }
@@ -92,7 +92,7 @@
     inbox: BytesMut,
     outbox: Outbox,
     requested_at: f64,
-    /// When the call is no longer kept open beside newer ones; infinite if it is the newest or was answered.
+    /// When this call may be closed to make room for newer ones; infinite if it is the newest call or was answered.
     keep_until: f64,
     was_answered: bool,
 }
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// If this machine cannot open or register one more connection, or has no route to the address.
-    pub fn dial(address: SocketAddr, context: &Context) -> io::Result<Call> {
+    pub fn connect(address: SocketAddr, context: &Context) -> io::Result<Call> {
         let (socket, token) =
             context.register(socket::connect(address).map_err(io::Error::from)?, Source::Discovery)?;
         Ok(Call {
@@ -130,12 +130,12 @@
         socket::is_connected(&self.socket)
     }
 
-    /// Whether the time has passed for which this call is kept open beside newer ones.
+    /// Whether this call may be closed to make room for newer ones, as its lifetime has ended.
     pub fn has_expired(&self, now: f64) -> bool {
         now >= self.keep_until
     }
 
-    /// Keeps the call open beside newer ones until `keep_until` at most, in Unix seconds.
+    /// Limits the lifetime of a call that newer ones follow: it ends at `keep_until` at the latest, in Unix seconds.
     pub fn limit_lifetime(&mut self, keep_until: f64) {
         self.keep_until = self.keep_until.min(keep_until);
     }
@@ -165,7 +165,7 @@
             return Answer::parse(&response).map(Some);
         }
         match outcome {
-            ReadOutcome::Ended => Err(CallError::Ended),
+            ReadOutcome::Ended => Err(CallError::ConnectionClosed),
             ReadOutcome::MoreToRead => {
                 context.wake(Source::Discovery);
                 Ok(None)
@@ -175,7 +175,7 @@
     }
 
     /// Records that the call was answered, and lifts the limit on its lifetime. Returns true if it was a long poll that was
-    /// answered early.
+    /// answered before its scheduled end.
     pub fn record_answer(&mut self, now: f64) -> bool {
         self.was_answered = true;
         self.keep_until = f64::INFINITY;
--- a/crates/ottersill/src/event_loop/clients.rs
+++ b/crates/ottersill/src/event_loop/clients.rs
@@ -147,7 +147,7 @@
         let (clients, context) = (&mut self.clients, &mut self.context);
         match refusal {
             Refusal::Query(error) => clients.reject_query(client, error.code(), &error.to_string(), context),
-            Refusal::NoEndpointList => clients.reject_without_list(client, self.max_retry_after, context),
+            Refusal::NoEndpointList => clients.reject_without_list(client, self.retry_after_seconds, context),
             Refusal::NoDescriptor => clients.reject_without_descriptor(client, context),
         }
     }
@@ -171,7 +171,7 @@
         self.start_request(request, in_flight);
     }
 
-    /// Registers a request as in flight, under the number that the routing module gave it.
+    /// Registers a request as in flight, under the id that the routing module assigned.
     pub(super) fn register_request(&mut self, request_id: usize, request: InFlightRequest) {
         let (client, statement_bytes) = (request.client, request.text.len());
         self.requests.insert(request_id, request, &mut self.context.counters);
--- a/crates/statement/tests/cost_model.rs
+++ b/crates/statement/tests/cost_model.rs
@@ -9,6 +9,7 @@
 struct WorkloadMix {
     /// Mean seconds of work of each fingerprint, and its fraction of the statements.
     fingerprints: Vec<(f64, f64)>,
+    /// Offered work as a fraction of what the cores can process.
     load: f64,
     endpoints: usize,
     cores: usize,
@@ -23,31 +24,33 @@
     /// Attempts that have not ended, the latest end first: end, fingerprint, endpoint, duration; times in seconds.
     in_flight: Vec<(f64, usize, usize, f64)>,
     waited_seconds: f64,
-    work: f64,
+    work_seconds: f64,
     /// Completed attempts of each fingerprint that the cost model recorded.
     completions: Vec<usize>,
 }
 
 impl Simulation {
     fn new(mix: &WorkloadMix, seed: u64) -> Simulation {
-        let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+        let typical_work_seconds =
+            mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
         Simulation {
-            costs: vec![CostModel::new(typical); mix.fingerprints.len()],
+            costs: vec![CostModel::new(typical_work_seconds); mix.fingerprints.len()],
             delays: vec![QueueingDelay::default(); mix.endpoints],
             core_free_at: vec![vec![0.0; mix.cores]; mix.endpoints],
             now: 0.0,
             rng: StdRng::seed_from_u64(seed),
             in_flight: Vec::new(),
             waited_seconds: 0.0,
-            work: 0.0,
+            work_seconds: 0.0,
             completions: vec![0; mix.fingerprints.len()],
         }
     }
 
     /// Lets the next statement arrive, and records the attempts that ended before it. Returns its fingerprint.
     fn step(&mut self, mix: &WorkloadMix) -> usize {
-        let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
-        let rate = mix.load * (mix.endpoints * mix.cores) as f64 / typical;
+        let typical_work_seconds =
+            mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+        let rate = mix.load * (mix.endpoints * mix.cores) as f64 / typical_work_seconds;
         self.now += -self.rng.random::<f64>().max(1e-12).ln() / rate;
         let mut pick: f64 = self.rng.random();
         let fingerprint = mix.fingerprints.iter().position(|(_, fraction)| {
@@ -64,7 +67,7 @@
         let started_at = self.now.max(cores[core]);
         cores[core] = started_at + work;
         self.waited_seconds += started_at - self.now;
-        self.work += work;
+        self.work_seconds += work;
         self.in_flight.push((started_at + work, fingerprint, endpoint, started_at + work - self.now));
         self.in_flight.sort_by(|a, b| b.0.total_cmp(&a.0));
         while self.in_flight.last().is_some_and(|attempt| attempt.0 <= self.now) {
@@ -82,19 +85,19 @@
 
 /// Returns the error of an estimate as a factor of at least one.
 fn error_factor(simulation: &Simulation, mix: &WorkloadMix, fingerprint: usize) -> f64 {
-    let typical = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
-    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical).work_seconds
+    let typical_work_seconds = mix.fingerprints.iter().map(|(work, fraction)| work * fraction).sum::<f64>();
+    let ratio = simulation.costs[fingerprint].estimate(simulation.now, typical_work_seconds).work_seconds
         / mix.fingerprints[fingerprint].0;
     ratio.max(1.0 / ratio)
 }
 
-/// Guards against queueing delay that is taken for work: two fingerprints whose work differs by a factor of 100 are estimated to
+/// Guards against queueing delay that is treated as work: two fingerprints whose work differs by a factor of 100 are estimated to
 /// within a factor of 1.5 in nine runs of ten, once 50 attempts of the heavy one have completed.
 #[rstest]
-#[case::calm(0.3)]
-#[case::busy(0.6)]
-#[case::queueing(0.8)]
-#[case::queueing_much(0.9)]
+#[case::light_load(0.3)]
+#[case::moderate_load(0.6)]
+#[case::high_load(0.8)]
+#[case::near_saturation(0.9)]
 fn cheap_and_heavy_are_told_apart(#[case] load: f64) {
     let mix = cheap_and_heavy(load);
     let (mut errors, mut waited_seconds) = ([Vec::new(), Vec::new()], 0.0);
@@ -103,19 +106,19 @@
         while simulation.completions[1] < 50 {
             simulation.step(&mix);
         }
-        waited_seconds += simulation.waited_seconds / simulation.work;
+        waited_seconds += simulation.waited_seconds / simulation.work_seconds;
         (0..2).for_each(|fingerprint| errors[fingerprint].push(error_factor(&simulation, &mix, fingerprint)));
     }
     errors.iter_mut().for_each(|factors| factors.sort_by(f64::total_cmp));
     println!(
-        "load {load}: waited {:.2} of work; error factor of cheap {:.2} median, {:.2} at 90%; of heavy {:.2}, {:.2}",
+        "load {load}: waiting time {:.2} of the work; error factor of cheap {:.2} median, {:.2} at 90%; of heavy {:.2}, {:.2}",
         waited_seconds / 40.0,
         errors[0][20],
         errors[0][36],
         errors[1][20],
         errors[1][36]
     );
-    assert!(errors.iter().all(|factors| factors[36] < 1.5), "{errors:?}");
+    assert!(errors.iter().all(|factors| factors[36] < 1.5), "error factors: {errors:?}");
 }
 
 /// Guards against an estimate that stays at the former work: the work of one fingerprint grows or falls tenfold, while that of
@@ -159,7 +162,7 @@
         "from {before} to {after}: learnt after {:.1} s median, {:.1} s at most",
         delays_until_learnt[10], delays_until_learnt[19]
     );
-    assert!(delays_until_learnt[19] < 12.0, "{delays_until_learnt:?}");
+    assert!(delays_until_learnt[19] < 12.0, "seconds until learnt: {delays_until_learnt:?}");
 }
 
 /// Guards against estimates that claim too much certainty: the spread is larger with two attempts than with a thousand, and
@@ -180,22 +183,23 @@
     println!("spread with no attempt {none:.2}, with 2, 50 and 1000 attempts {spreads:.2?}");
     assert!(
         none > 0.7 && spreads[0] > 0.25 && spreads[1] < 0.1 && spreads[2] <= spreads[1],
-        "{none} {spreads:?}"
+        "spread without attempts {none}, with 2, 50 and 1000 attempts {spreads:?}"
     );
     // With two attempts the estimate still leans towards the typical work of the workload.
     let mut few_attempts = CostModel::new(0.01);
     (1..=2).for_each(|n| few_attempts.record(f64::from(n), 0.1, &mut delay));
     assert!(
         few_attempts.estimate(2.0, 0.01).work_seconds < 0.08,
-        "{}",
+        "two attempts are estimated at {} s",
         few_attempts.estimate(2.0, 0.01).work_seconds
     );
     let old = cost.estimate(10.0 + 60.0, 0.01);
     assert!(old.log_standard_error > 0.25, "a minute later the spread is only {}", old.log_standard_error);
 }
 
-/// Guards against two failures. A fingerprint that is rejected for its former cost is never sent again, so nothing shows that it
-/// costs less by then. And the only fingerprint of a workload is estimated to cost more than a typical statement of it.
+/// Guards against two failures. A fingerprint that is rejected because of its former cost is never sent again, so its lower
+/// present cost is never observed. And the only fingerprint of a workload is estimated to cost more than a typical statement
+/// of that workload.
 #[test]
 fn a_single_fingerprint_is_typical_and_a_stall_is_forgotten() {
     let mut cache = FingerprintCache::new(0.0, Key::from_seed(1), 1 << 20, vec![0.05]);
