--- a/crates/routing/tests/digests/main.rs
+++ b/crates/routing/tests/digests/main.rs
@@ -32,7 +32,7 @@
 #[case::warming_endpoints(warming_endpoints, 0xCFAC_94AE_D7C3_64E5)]
 #[case::fleet_quotas(fleet_quotas, 0xA43A_AD66_246A_EECB)]
 #[case::replaced_endpoints(replaced_endpoints, 0xEE3C_935C_2878_3731)]
-#[case::only_draining_excludes(only_draining_excludes, 0x3FCD_F812_10AA_BFFF)]
+#[case::only_draining_bars(only_draining_bars, 0x3FCD_F812_10AA_BFFF)]
 #[case::hundreds_of_routers(hundreds_of_routers, 0x84EE_ABE9_BB5E_52EC)]
 #[case::hundreds_of_checking_routers(hundreds_of_checking_routers, 0xB460_D35F_A479_EA6E)]
 #[case::overload(overload, 0x1A07_D848_300B_D48A)]
--- a/crates/routing/tests/digests/scenarios.rs
+++ b/crates/routing/tests/digests/scenarios.rs
@@ -210,7 +210,7 @@
     Scenario { changes, failures_per_mille: 10, ..baseline(14) }
 }
 
-pub fn only_draining_excludes() -> Scenario {
+pub fn only_draining_bars() -> Scenario {
     let config =
         RoutingConfig { only_draining_excludes: true, reports: ReportSource::NoReports, ..config(15) };
     Scenario { config, ..replaced_endpoints() }
